--- a/tests/unchanged.rs
+++ b/tests/unchanged.rs
@@ -12,6 +12,28 @@
     bytes.iter().fold(hash, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x0000_0100_0000_01b3))
 }
 
+/// The fixed form of an action that is hashed. It is written by hand so that a renamed type or variant keeps its
+/// hash; it is the text that the derived `Debug` gave when the hashes were taken.
+fn written_out(action: &Action) -> String {
+    let advised = |after: &Option<Time>| match after {
+        Some(after) => format!("Some({after})"),
+        None => "None".to_owned(),
+    };
+    match action {
+        Action::SetUp(SessionId(id), ServerId(server), wait) => {
+            format!("SetUp(SessionId({id}), ServerId({server}), {wait})")
+        }
+        Action::SetRung(SessionId(id), rung) => format!("SetRung(SessionId({id}), {rung})"),
+        Action::Refuse(SessionId(id), after) => format!("Refuse(SessionId({id}), {})", advised(after)),
+        Action::Fail(SessionId(id)) => format!("Fail(SessionId({id}))"),
+        Action::Move(SessionId(id)) => format!("Move(SessionId({id}))"),
+        Action::Probe(ServerId(server)) => format!("Probe(ServerId({server}))"),
+        Action::WatchList => "WatchList".to_owned(),
+        Action::SetTimer(after, token) => format!("SetTimer({after}, {token})"),
+        Action::Log(line) => format!("Log({line:?})"),
+    }
+}
+
 /// A run of requests, starts, ends, notes and list changes drawn from a seed.
 fn run(seed: u64) -> u64 {
     let mut set = settings();
@@ -72,7 +94,7 @@
                 Action::Move(id) => playing.retain(|(p, _)| p != id),
                 _ => {}
             }
-            hash = fnv(hash, format!("{action:?}").as_bytes());
+            hash = fnv(hash, written_out(&action).as_bytes());
         }
     }
     hash
