--- a/crates/front/src/engine/mod.rs
+++ b/crates/front/src/engine/mod.rs
@@ -20,8 +20,8 @@
 
 use claims::{Claims, Returning, Stand, Verdict};
 use pepperhook::{
-    Action, ClassId, Controller, Event, Gauge, NoteKind, Outcome, ServerId, ServerState, SessionId,
-    SettingsError, TenantId, Time, TitleId, ViewerKey, Wish,
+    Action, ClassId, Controller, Event, Gauge, NotificationKind, Outcome, ServerId, ServerState, SessionId,
+    SessionSpec, SettingsError, TenantId, Time, TitleId, ViewerKey,
 };
 use pepperhook_inventory::Node;
 use pepperhook_net::Timers;
@@ -298,7 +298,7 @@
 
     fn post(&mut self, now: Time, ticket: Ticket, ask: Ask, out: &mut Vec<Effect>) {
         let limits = self.config.limits;
-        let advice = self.config.decisions.advice.then_some(self.config.decisions.max_advice);
+        let advice = self.config.decisions.send_retry_after.then_some(self.config.decisions.max_retry_after);
         let full =
             self.tickets.len() + self.parked.len() >= limits.waiting || self.live.len() >= limits.sessions;
         let refusal = match (self.stopping, full) {
@@ -400,17 +400,17 @@
         self.next_session = (self.next_session + 1) & 0x000f_ffff_ffff_ffff;
         let id = SessionId(self.next_session);
         let again = self.returning.came_again(now, ask.viewer);
-        let wish = Wish {
+        let wish = SessionSpec {
             viewer: ask.viewer,
             class: ClassId(ask.class),
             tenant: TenantId(ask.tenant),
             title: ask.title,
-            home: f64::from(ask.home),
-            copies: f64::from(ask.copies),
-            top: f64::from(ask.top),
-            patience: patience.saturating_sub(now.saturating_sub(taken)),
-            length: None,
-            again,
+            first_cell: f64::from(ask.home),
+            cell_count: f64::from(ask.copies),
+            highest_rung: f64::from(ask.top),
+            max_wait: patience.saturating_sub(now.saturating_sub(taken)),
+            expected_length: None,
+            reconnect: again,
         };
         if taken == now {
             self.backstop_at(now, ticket, patience);
@@ -469,7 +469,7 @@
     fn call_off(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
         let Some(live) = self.live.remove(&id) else { return };
         self.claims.end(live.ask.viewer, id);
-        self.pending.push_back(Event::Left(id));
+        self.pending.push_back(Event::Closed(id));
         if let Some(attempt) = live.out {
             self.close_attempt(now, attempt, Outcome::Cancelled, out);
         }
@@ -581,7 +581,13 @@
         let live = self.live.get_mut(&id.session).filter(|l| l.out == Some(id));
         let settled = live.map(|l| l.out = None).is_none();
         self.tally.failed(outcome);
-        self.pending.push_back(Event::Ended { session: id.session, server, outcome, settled, report });
+        self.pending.push_back(Event::Ended {
+            session: id.session,
+            server,
+            outcome,
+            is_final: settled,
+            report,
+        });
     }
 
     /// A load report in the order of the module's gauges; what is missing counts as unreadable.
@@ -642,9 +648,9 @@
         }
         self.came(session);
         self.pending.push_back(Event::Started(session, node));
-        for (metric, kind) in [("link", NoteKind::LinkUse), ("uplink", NoteKind::UplinkUse)] {
+        for (metric, kind) in [("link", NotificationKind::LinkUse), ("uplink", NotificationKind::UplinkUse)] {
             if let Some(value) = c.load.get(metric) {
-                self.pending.push_back(Event::Note(session, node, kind, value));
+                self.pending.push_back(Event::Notification(session, node, kind, value));
             }
         }
         self.subscribe(node, out);
@@ -700,7 +706,7 @@
             session: id,
             server: p.node,
             outcome,
-            settled: true,
+            is_final: true,
             report: Vec::new(),
         });
         if live.ask.publish && self.published.get(&live.ask.title) == Some(&id) {
@@ -773,7 +779,7 @@
     fn news(&mut self, now: Time, node: ServerId, news: NodeNews, out: &mut Vec<Effect>) {
         if matches!(news, NodeNews::Link(_)) {
             // Such news is as late as the settings say.
-            self.read_at(node, now.saturating_sub(self.config.decisions.seen_after));
+            self.read_at(node, now.saturating_sub(self.config.decisions.notification_delay));
         }
         let Some(state) = self.nodes.get(&node) else { return };
         let (kind, value) = match news {
@@ -783,12 +789,12 @@
                 }
                 return;
             }
-            NodeNews::Delivered(v) => (NoteKind::Delivered, v),
-            NodeNews::Link(v) => (NoteKind::LinkUse, v),
-            NodeNews::Uplink(v) => (NoteKind::UplinkUse, v),
+            NodeNews::Delivered(v) => (NotificationKind::Delivered, v),
+            NodeNews::Link(v) => (NotificationKind::LinkUse, v),
+            NodeNews::Uplink(v) => (NotificationKind::UplinkUse, v),
         };
         if let Some(id) = state.playing.values().next() {
-            self.pending.push_back(Event::Note(*id, node, kind, value));
+            self.pending.push_back(Event::Notification(*id, node, kind, value));
         }
     }
 
--- a/crates/front/src/engine/peaks.rs
+++ b/crates/front/src/engine/peaks.rs
@@ -20,8 +20,8 @@
     fn class(&self, name: &str) -> Option<(u16, Vec<f64>)> {
         let i = self.0.classes.iter().position(|c| c.name == name && !c.ingest)?;
         let class = self.0.decisions.classes.get(i).filter(|_| !self.1.contains(&(i as u16)))?;
-        let top = usize::from(class.top) + 1;
-        Some((i as u16, self.0.decisions.ladder.iter().take(top).map(|r| r.kb * class.scale).collect()))
+        let top = usize::from(class.highest_rung) + 1;
+        Some((i as u16, self.0.decisions.ladder.iter().take(top).map(|r| r.kb * class.rate_scale).collect()))
     }
 }
 
@@ -89,7 +89,7 @@
 
     fn tell_holds(&mut self, now: Time) {
         for held in self.holds.step(now / MS) {
-            self.pending.push_back(Event::Held(held.id, held.hold));
+            self.pending.push_back(Event::Reserved(held.id, held.hold));
         }
     }
 
@@ -112,7 +112,7 @@
                 rack: e.cell % d.racks,
                 link_kb: if d.kb_per_weight > 0.0 { e.weight * d.kb_per_weight } else { even },
                 ready: e.state == ServerState::Ready,
-                warm_ms: e.started.map_or(0, |t| t.saturating_add(d.rules.cold) / MS),
+                warm_ms: e.started.map_or(0, |t| t.saturating_add(d.rules.warm_up) / MS),
             }
         };
         let rooms = self.nodes.values().map(room).collect();
--- a/crates/front/src/engine/policy.rs
+++ b/crates/front/src/engine/policy.rs
@@ -102,8 +102,12 @@
             None => {
                 closed.push(i as u16);
                 ours.push(old.clone());
-                let floor = kept.floor.min(last);
-                theirs.push(Class { floor, top: kept.top.min(last).max(floor), ..kept.clone() });
+                let floor = kept.lowest_rung.min(last);
+                theirs.push(Class {
+                    lowest_rung: floor,
+                    highest_rung: kept.highest_rung.min(last).max(floor),
+                    ..kept.clone()
+                });
             }
         }
     }
@@ -126,7 +130,7 @@
     }
     (settings.classes, settings.tenants) = (theirs, shares);
     settings.validate()?;
-    config.decisions.may_become(&settings)?;
+    config.decisions.validate_change(&settings)?;
     Ok(Fitted { settings, classes: ours, tenants: names, closed })
 }
 
@@ -232,7 +236,7 @@
     }
 
     pub(super) fn promise(&self, class: u16) -> Promise {
-        let aim = self.config.decisions.classes.get(usize::from(class)).map_or(0, |c| c.aim);
+        let aim = self.config.decisions.classes.get(usize::from(class)).map_or(0, |c| c.set_up_target);
         Promise { version: self.policies.version, aim, patience: self.patience(class) }
     }
 
--- a/crates/front/src/engine/readings.rs
+++ b/crates/front/src/engine/readings.rs
@@ -30,7 +30,7 @@
         }
         self.read_at(node, now.saturating_sub(age));
         let report = self.gauges(load);
-        self.pending.push_back(Event::Seen(node, age, report));
+        self.pending.push_back(Event::PeerReport(node, age, report));
     }
 
     /// It was seen at this time how full a node is.
--- a/crates/front/src/engine/tests/policy.rs
+++ b/crates/front/src/engine/tests/policy.rs
@@ -21,9 +21,10 @@
     let (mut s, mut c, t) = terms(engine);
     let bit = |n: u8| u64::from(draw >> n) & 1;
     c[0].patience = (1 + bit(0) + 2 * bit(1)) * S;
-    s.classes[0].aim = (200 + 600 * bit(2)) * MS;
-    (s.classes[0].floor, s.classes[0].seats) = (bit(3) as u8, 2 * bit(4) as u32);
-    s.classes[0].repeat = if bit(5) == 0 { pepperhook::Repeat::Harmless } else { pepperhook::Repeat::Never };
+    s.classes[0].set_up_target = (200 + 600 * bit(2)) * MS;
+    (s.classes[0].lowest_rung, s.classes[0].max_sessions_per_title) = (bit(3) as u8, 2 * bit(4) as u32);
+    s.classes[0].idempotency =
+        if bit(5) == 0 { pepperhook::Idempotency::Idempotent } else { pepperhook::Idempotency::AtMostOnce };
     if draw >= 208 {
         s.classes.remove(0);
         c.remove(0);
@@ -79,7 +80,7 @@
     b.policy(1, |_| {});
     b.post(1, ask(1, 1));
     let first = b.only();
-    b.policy(2, |(s, c, _)| (s.classes[0].aim, c[0].patience) = (100 * MS, 900 * MS));
+    b.policy(2, |(s, c, _)| (s.classes[0].set_up_target, c[0].patience) = (100 * MS, 900 * MS));
     assert_eq!((b.engine.decides_by(), b.state()["policy"]["open_before"].as_u64()), (Some(1), Some(1)));
     b.pass(390 * MS);
     assert_eq!(b.only(), first, "half of the aim that it was taken with");
@@ -132,7 +133,7 @@
         c.reverse();
         s.classes.truncate(2);
         c.truncate(2);
-        s.classes.push(pepperhook::Class { floor: 1, ..s.classes[0].clone() });
+        s.classes.push(pepperhook::Class { lowest_rung: 1, ..s.classes[0].clone() });
         c.push(ClassSettings { name: "extra".into(), patience: 2 * S, ingest: false, closed: false });
         s.classes[1].value = 9.0;
         (s.tenants[0].quota_per_s, *t) = (5.0, vec!["b".into()]);
@@ -171,7 +172,7 @@
     b.end(id, created("/s/1"));
     b.post(2, Ask { top: 0, ..ask(2, 2) });
     assert_eq!(b.layers(), []);
-    b.policy(1, |(s, _, _)| s.classes[0].floor = 1);
+    b.policy(1, |(s, _, _)| s.classes[0].lowest_rung = 1);
     assert_eq!(b.layers(), [("/s/1/layer".to_owned(), 1)]);
     let id = b.only();
     b.end(id, created("/s/2"));
--- a/crates/parameters/src/bounds.rs
+++ b/crates/parameters/src/bounds.rs
@@ -1,7 +1,7 @@
 //! Figures that no deployment can mean. What the pages leave open is let through; the module's own check comes after.
 
 use crate::{Parsed, Sockets, need};
-use pepperhook::{Repeat, Settings, Time};
+use pepperhook::{Idempotency, Settings, Time};
 use serde_json::Value;
 use std::collections::BTreeSet;
 
@@ -25,19 +25,21 @@
     };
     let not_negative = |of: &Value, key: &str| of.get(key).and_then(Value::as_f64).is_none_or(|x| x >= 0.0);
     let prices = v.get("prices").unwrap_or(&Value::Null);
-    let (rates, kinds) = (&own.ladder, &own.kind_streams);
+    let (rates, kinds) = (&own.ladder, &own.kind_max_streams);
     let tests = [
         (!own.classes.is_empty(), "'classes' is empty"),
         (sockets.classes.iter().all(|n| is_label(n)), "a class's 'name' cannot stand in a message"),
         (once(&sockets.classes), "'classes' has a name twice"),
         (sockets.deadlines.iter().all(|t| time(*t)), "'deadline_ns' is out of range"),
-        (own.classes.iter().all(|c| time(c.aim)), "'aim_ns' is out of range"),
+        (own.classes.iter().all(|c| time(c.set_up_target)), "'aim_ns' is out of range"),
         (own.classes.iter().all(|c| positive(c.value)), "'value' is not positive"),
         (
-            own.classes.iter().all(|c| !matches!(c.repeat, Repeat::Within(_, t) if t > LONGEST)),
+            own.classes
+                .iter()
+                .all(|c| !matches!(c.idempotency, Idempotency::Deduplicated(_, t) if t > LONGEST)),
             "'window_ns' is out of range",
         ),
-        (own.classes.iter().all(|c| positive(c.scale)), "'scale_by_class' is not positive"),
+        (own.classes.iter().all(|c| positive(c.rate_scale)), "'scale_by_class' is not positive"),
         (each_whole("lowest_rung"), "'lowest_rung' holds no whole number"),
         (each_whole("highest_rung"), "'highest_rung' holds no whole number"),
         (each_whole("seats"), "'seats' holds no whole number"),
@@ -46,10 +48,13 @@
         (rates.windows(2).all(|w| w[0].kb < w[1].kb), "'rung_kb' does not ascend"),
         (rates.iter().all(|r| r.worth >= 0.0), "'ladder_worth' holds a negative worth"),
         (
-            own.classes.iter().all(|c| usize::from(c.floor) < rates.len()),
+            own.classes.iter().all(|c| usize::from(c.lowest_rung) < rates.len()),
             "'lowest_rung' is beyond the ladder of 'rung_kb'",
         ),
-        (own.classes.iter().all(|c| c.floor <= c.top), "'highest_rung' is below 'lowest_rung'"),
+        (
+            own.classes.iter().all(|c| c.lowest_rung <= c.highest_rung),
+            "'highest_rung' is below 'lowest_rung'",
+        ),
         (once(&sockets.zones), "'zones' has a name twice"),
         (usize::from(own.zone.0) < sockets.zones.len().max(1), "'az' is beyond 'zones'"),
         (once(&sockets.kinds), "'flavors' has a name twice"),
@@ -70,29 +75,29 @@
             positive(own.all_links_kb) || positive(own.kb_per_weight),
             "'all_links_kb' and 'kb_per_weight' are both 0",
         ),
-        (share(own.join), "'join' is not between 0 and 1"),
-        (own.refuses_from >= 0.0, "'refuses_from' is negative"),
+        (share(own.shared_stream_share), "'join' is not between 0 and 1"),
+        (own.link_refusal_threshold >= 0.0, "'refuses_from' is negative"),
         (not_negative(specifics, "seen_after_ns"), "'seen_after_ns' is negative"),
-        (own.seen_after <= LONGEST, "'seen_after_ns' is out of range"),
+        (own.notification_delay <= LONGEST, "'seen_after_ns' is out of range"),
         (own.switch_cost_s >= 0.0, "'switch_cost_s' is negative"),
         (own.over_share_worth >= 0.0, "'over_share_worth' is negative"),
         (own.tenants.iter().all(|t| t.quota_per_s >= 0.0), "'quota_per_s' is negative"),
         (prices.is_null() || prices.is_object(), "'prices' is no object"),
-        (own.prices.moved >= 0.0, "'moves' of 'prices' is negative"),
+        (own.prices.session_move >= 0.0, "'moves' of 'prices' is negative"),
         (own.prices.cross_zone >= 0.0, "'cross_zone' of 'prices' is negative"),
         (own.prices.probe >= 0.0, "'probe' of 'prices' is negative"),
         (own.prices.handshake >= 0.0, "'handshake' of 'prices' is negative"),
         (share(own.rules.cold_share), "'start_capacity' is not between 0 and 1"),
-        (own.rules.cold <= LONGEST, "'cold_ns' is out of range"),
-        (positive(own.rules.fall_multiple), "'fall_multiple' is not positive"),
-        (own.rules.fall_window <= LONGEST, "'fall_ns' is out of range"),
+        (own.rules.warm_up <= LONGEST, "'cold_ns' is out of range"),
+        (positive(own.rules.overload_multiple), "'fall_multiple' is not positive"),
+        (own.rules.overload_window <= LONGEST, "'fall_ns' is out of range"),
         // A ration without a window would ration nothing.
         (
-            own.rules.budget.is_none_or(|b| time(b.window) && not_negative(rules, "look_back_ns")),
+            own.rules.retry_budget.is_none_or(|b| time(b.window) && not_negative(rules, "look_back_ns")),
             "'look_back_ns' is missing or out of range beside 'extra_per_request'",
         ),
-        (own.rules.budget.is_none_or(|b| b.share >= 0.0), "'extra_per_request' is negative"),
-        (own.rules.budget.is_none_or(|b| b.free >= 0.0), "'min_extra' is negative"),
+        (own.rules.retry_budget.is_none_or(|b| b.retry_ratio >= 0.0), "'extra_per_request' is negative"),
+        (own.rules.retry_budget.is_none_or(|b| b.min_retries >= 0.0), "'min_extra' is negative"),
     ];
     match tests.iter().find(|(ok, _)| !ok) {
         Some((_, what)) => Err(format!("settings: {what}")),
--- a/crates/parameters/src/lib.rs
+++ b/crates/parameters/src/lib.rs
@@ -8,7 +8,7 @@
 pub use json::object;
 
 use pepperhook::{
-    Class, Gauge, Group, Prices, Repeat, RetryBudget, Rules, Rung, Settings, Tenant, Time, ZoneId,
+    Class, DedupScope, Gauge, Idempotency, Prices, RetryBudget, Rules, Rung, Settings, Tenant, Time, ZoneId,
 };
 use serde_json::Value;
 
@@ -81,15 +81,15 @@
         }
     };
     let group = || match optional(c, "group", Value::as_str, "text")? {
-        Some("zone") => Ok(Group::Zone),
-        Some("cell") => Ok(Group::Cell),
-        Some("all") | None => Ok(Group::All),
+        Some("zone") => Ok(DedupScope::Zone),
+        Some("cell") => Ok(DedupScope::Cell),
+        Some("all") | None => Ok(DedupScope::All),
         Some(other) => Err(format!("settings: unknown 'group' '{other}'")),
     };
     let repeat = match text(c, "idempotency")? {
-        "idempotent" => Repeat::Harmless,
-        "deduplicated" => Repeat::Within(group()?, whole(c, "window_ns")?),
-        "at_most_once" => Repeat::Never,
+        "idempotent" => Idempotency::Idempotent,
+        "deduplicated" => Idempotency::Deduplicated(group()?, whole(c, "window_ns")?),
+        "at_most_once" => Idempotency::AtMostOnce,
         other => return Err(format!("settings: unknown 'idempotency' '{other}'")),
     };
     let live = optional_list(specifics, "is_live")?.get(i);
@@ -97,13 +97,13 @@
     // Seats that are given for no class count for none; given for some, they were meant for each.
     let seats = if optional_list(specifics, "seats")?.is_empty() { 0.0 } else { at("seats")? };
     Ok(Class {
-        aim: whole(c, "aim_ns")?,
-        repeat,
+        set_up_target: whole(c, "aim_ns")?,
+        idempotency: repeat,
         value: number(c, "value")?,
-        scale: at("scale_by_class")?,
-        floor: rung("lowest_rung")?,
-        top: rung("highest_rung")?,
-        seats: seats.max(0.0) as u32,
+        rate_scale: at("scale_by_class")?,
+        lowest_rung: rung("lowest_rung")?,
+        highest_rung: rung("highest_rung")?,
+        max_sessions_per_title: seats.max(0.0) as u32,
         live: live.unwrap_or(false),
     })
 }
@@ -143,7 +143,7 @@
     let share = optional(rules, "extra_per_request", Value::as_f64, "number")?;
     let budget = share.map(|share| {
         let (free, window) = (or(rules, "min_extra", 0.0)?, or(rules, "look_back_ns", 0.0)? as u64);
-        Parsed::Ok(RetryBudget { free, share, window })
+        Parsed::Ok(RetryBudget { min_retries: free, retry_ratio: share, window })
     });
     Ok(Settings {
         fronts: small(v, "n_instances")?,
@@ -155,36 +155,36 @@
             .collect::<Parsed<_>>()?,
         over_share_worth: or(v, "over_share_worth", 1.0)?,
         ladder: rates.into_iter().zip(worths).map(|(kb, worth)| Rung { kb, worth }).collect(),
-        kind_streams: numbers(specifics, "kind_slots")?,
+        kind_max_streams: numbers(specifics, "kind_slots")?,
         racks: small(specifics, "groups")?,
         cells: small(specifics, "positions")?,
         uplink_kb: number(specifics, "uplink_kb")?,
         kb_per_weight: or(specifics, "kb_per_weight", 0.0)?,
         all_links_kb: or(specifics, "all_links_kb", 0.0)?,
-        join: or(specifics, "join", 1.0)?,
-        refuses_from: or(specifics, "refuses_from", 0.0)?,
-        seen_after: or(specifics, "seen_after_ns", 0.0)? as u64,
+        shared_stream_share: or(specifics, "join", 1.0)?,
+        link_refusal_threshold: or(specifics, "refuses_from", 0.0)?,
+        notification_delay: or(specifics, "seen_after_ns", 0.0)? as u64,
         switch_cost_s: or(specifics, "switch_cost_s", 0.0)?,
         gauges: gauges.map_or_else(Vec::new, |g| g.iter().map(gauge).collect()),
         probes: flag(limits, "probes")?,
-        advice: flag(limits, "retry_after")?,
-        max_advice: or(limits, "max_retry_after_ns", 0.0)? as u64,
+        send_retry_after: flag(limits, "retry_after")?,
+        max_retry_after: or(limits, "max_retry_after_ns", 0.0)? as u64,
         max_attempts: small(limits, "max_attempts")?,
         list_on_request: v.get("membership_mode").and_then(Value::as_str) == Some("ask"),
-        step: or(v, "step_ns", 0.0)? as u64,
-        idle: or(limits, "conn_idle_ns", 0.0)? as u64,
+        min_event_interval: or(v, "step_ns", 0.0)? as u64,
+        connection_idle_timeout: or(limits, "conn_idle_ns", 0.0)? as u64,
         prices: Prices {
-            moved: price("moves")?,
+            session_move: price("moves")?,
             cross_zone: price("cross_zone")?,
             probe: price("probe")?,
             handshake: price("handshake")?,
         },
         rules: Rules {
             cold_share: number(rules, "start_capacity")?,
-            cold: whole(rules, "cold_ns")?,
-            fall_multiple: number(rules, "fall_multiple")?,
-            fall_window: whole(rules, "fall_ns")?,
-            budget: budget.transpose()?,
+            warm_up: whole(rules, "cold_ns")?,
+            overload_multiple: number(rules, "fall_multiple")?,
+            overload_window: whole(rules, "fall_ns")?,
+            retry_budget: budget.transpose()?,
         },
     })
 }
--- a/crates/peaks/src/holds.rs
+++ b/crates/peaks/src/holds.rs
@@ -7,7 +7,7 @@
 
 use crate::announcement::{Announcement, FieldFault, Known, Peak};
 use crate::plan::{Need, Plan, Problem, Room, plan};
-use pepperhook::{Hold, HoldId, ServerId, TitleId};
+use pepperhook::{Reservation, ReservationId, ServerId, TitleId};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -49,13 +49,13 @@
     pub warm_ms: u64,
 }
 
-/// What the module is to be told: `Event::Held` in values.
+/// What the module is to be told: `Event::Reserved` in values.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Held {
     /// Which hold.
-    pub id: HoldId,
+    pub id: ReservationId,
     /// For whom, where and how much.
-    pub hold: Hold,
+    pub hold: Reservation,
 }
 
 /// Why a peak is not taken.
@@ -291,7 +291,10 @@
             if differs(&e.told, &on) {
                 e.told.clone_from(&on);
                 let titles = e.peak.titles.iter().map(|t| t.0).collect();
-                out.push(Held { id: HoldId(*number), hold: Hold { titles, each: e.peak.kb, on } });
+                out.push(Held {
+                    id: ReservationId(*number),
+                    hold: Reservation { titles, per_viewer_kb: e.peak.kb, servers: on },
+                });
             }
         }
         // What is over, and was given back, is forgotten a minute later: until then the console shows it.
--- a/crates/peaks/src/holds/tests.rs
+++ b/crates/peaks/src/holds/tests.rs
@@ -43,12 +43,12 @@
     let told = h.step(START - 60_000);
     assert_eq!((told.len(), told[0].hold.titles.as_slice()), (1, &[TitleId(1)][..]));
     assert!(about(held(&h), 6_000.0));
-    assert!(told[0].hold.on.iter().all(|(s, _)| s.0 < 4), "on the title's holders alone");
+    assert!(told[0].hold.servers.iter().all(|(s, _)| s.0 < 4), "on the title's holders alone");
     assert!(h.step(START - 59_000).is_empty(), "nothing changed");
     h.step(START + 1_000);
     assert!(about(held(&h), 6_000.0));
     let given_back = h.step(START + 300_000);
-    assert_eq!((given_back.len(), given_back[0].hold.on.len()), (1, 0));
+    assert_eq!((given_back.len(), given_back[0].hold.servers.len()), (1, 0));
 }
 
 #[test]
@@ -227,7 +227,7 @@
         let mut h = holds();
         let mut nodes: Vec<NodeRoom> = (0..6).map(node).collect();
         let mut now = START;
-        let mut told: BTreeMap<HoldId, Vec<(ServerId, f64)>> = BTreeMap::new();
+        let mut told: BTreeMap<ReservationId, Vec<(ServerId, f64)>> = BTreeMap::new();
         for step in all {
             match step {
                 Step::Say { name, titles, viewers, start_s, lasts_s, lead_s, cancelled } => {
@@ -251,14 +251,14 @@
                 Step::Pass(ms) => now += ms,
             }
             for held in h.step(now) {
-                told.insert(held.id, held.hold.on);
+                told.insert(held.id, held.hold.servers);
             }
             let mut links = [0.0; 6];
             for e in h.peaks.values() {
                 let (from, to) = e.peak.said.held_between();
                 let over = e.peak.said.cancelled || now < from || now >= to;
                 proptest::prop_assert!(!over || e.told.is_empty(), "{:?} holds at {now}", e.peak.said);
-                let same = told.get(&HoldId(e.peak.number)).map_or(&[][..], Vec::as_slice);
+                let same = told.get(&ReservationId(e.peak.number)).map_or(&[][..], Vec::as_slice);
                 proptest::prop_assert_eq!(same, e.told.as_slice());
                 for (s, kb) in &e.told {
                     links[s.0 as usize] += kb;
--- a/crates/peaks/src/lib.rs
+++ b/crates/peaks/src/lib.rs
@@ -5,7 +5,7 @@
 //! - [`Holds`]: the life of the holds: kept ahead, turned into sessions as viewers come, given back at the end.
 //!
 //! No I/O, no clock: time is handed in. What comes out is told to the decision module as held room
-//! (`pepperhook::Event::Held`), which counts it as demand to everyone but the peak's own viewers.
+//! (`pepperhook::Event::Reserved`), which counts it as demand to everyone but the peak's own viewers.
 
 mod announcement;
 mod holds;
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration that the platform writes for a front end, at its start and when it is read again.
 
 use nix::sys::resource::{Resource, getrlimit};
-use pepperhook::{Repeat, Settings};
+use pepperhook::{Idempotency, Settings};
 use pepperhook_changelog::{Event, List};
 use pepperhook_parameters::{Sockets, decisions, object, sockets, within_bounds};
 use serde_json::Value;
@@ -160,7 +160,7 @@
     /// What a running front needs of the configuration of its start to judge one that is read later.
     #[must_use]
     pub fn start(&self) -> Start {
-        let repeats = self.settings.classes.iter().map(|c| c.repeat).collect();
+        let repeats = self.settings.classes.iter().map(|c| c.idempotency).collect();
         let places = (self.settings.racks, self.settings.cells);
         Start {
             name: self.name.clone(),
@@ -178,7 +178,7 @@
     name: String,
     listen: SocketAddr,
     sockets: Sockets,
-    repeats: Vec<Repeat>,
+    repeats: Vec<Idempotency>,
     places: (u32, u32),
     raw: Value,
 }
@@ -212,7 +212,7 @@
     /// The field that shows that these settings are another's.
     fn other(&self, next: &Config) -> Option<&'static str> {
         let (own, new) = (&self.sockets, &next.sockets);
-        let repeats = next.settings.classes.iter().map(|c| c.repeat);
+        let repeats = next.settings.classes.iter().map(|c| c.idempotency);
         let tests = [
             (self.name == next.name, "name"),
             (self.listen == next.listen, "listen"),
--- a/crates/platform/src/core/attempts.rs
+++ b/crates/platform/src/core/attempts.rs
@@ -215,5 +215,5 @@
     settled: bool,
     report: Vec<f64>,
 ) -> Event {
-    Event::Ended { session, server, outcome, settled, report }
+    Event::Ended { session, server, outcome, is_final: settled, report }
 }
--- a/crates/platform/src/core/requests.rs
+++ b/crates/platform/src/core/requests.rs
@@ -27,7 +27,7 @@
             // Nothing was sent for it, so that a refusal is honest for every class.
             return out.push(Effect::Tell(conn, ToViewer::Refused(id, None)));
         }
-        let (wish, deadline) = (ask.wish, now.saturating_add(ask.wish.patience));
+        let (wish, deadline) = (ask.wish, now.saturating_add(ask.wish.max_wait));
         let new = Session { ask, conn, peer, rung: 0, attempts: 0, phase: Phase::Open(None) };
         self.sessions.insert(id, new);
         self.open += 1;
@@ -57,7 +57,7 @@
     fn withdraw(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
         self.give_up(now, id, out);
         if self.close_request(now, id).is_some() {
-            self.pending.push_back(Event::Left(id));
+            self.pending.push_back(Event::Closed(id));
         }
     }
 
@@ -96,7 +96,7 @@
         let server = life.and_then(|life| self.lives.get(&life).map(|l| (l.server, life)));
         self.pending.push_back(match server {
             Some((server, life)) => ended(id, server, self.fair(life, Outcome::TimedOut), true, Vec::new()),
-            None => Event::Left(id),
+            None => Event::Closed(id),
         });
     }
 
--- a/crates/platform/src/core/standing.rs
+++ b/crates/platform/src/core/standing.rs
@@ -3,7 +3,7 @@
 use super::attempts::{Stage, ended};
 use super::*;
 use bytes::Bytes;
-use pepperhook::{NoteKind, Outcome};
+use pepperhook::{NotificationKind, Outcome};
 
 /// The node's word on a moved session is waited for so long: well within the second in which the protocol wants a viewer told.
 const MOVED: Time = 300 * MS;
@@ -75,7 +75,7 @@
         self.sessions.insert(id, Session { ask, conn, peer, rung: 0, attempts: 1, phase });
         self.stands(life, conn, id);
         self.became_good(now, conn, out);
-        self.pending.push_back(Event::UnderWay(id, wish, server));
+        self.pending.push_back(Event::Adopted(id, wish, server));
         // Its node may have told its end while the front was away: on the first connection that it was offered.
         if let Some(early) = self.early.remove(&id).filter(|e| e.server == server) {
             return self.over(now, id, early.outcome, Vec::new(), out);
@@ -294,14 +294,14 @@
         }
     }
 
-    pub(super) fn note(&mut self, link: LinkId, id: SessionId, kind: NoteKind, value: f64) {
+    pub(super) fn note(&mut self, link: LinkId, id: SessionId, kind: NotificationKind, value: f64) {
         let Some(life) = self.links.get(&link).map(|l| l.life).filter(|l| self.is_current(*l)) else {
             return;
         };
         let Some(server) = self.lives.get(&life).map(|l| l.server) else { return };
         if matches!(self.sessions.get(&id), Some(Session { phase: Phase::Standing(at, _), .. }) if *at == life)
         {
-            self.pending.push_back(Event::Note(id, server, kind, value));
+            self.pending.push_back(Event::Notification(id, server, kind, value));
         }
     }
 }
--- a/crates/platform/src/core/tests.rs
+++ b/crates/platform/src/core/tests.rs
@@ -11,7 +11,7 @@
 
 use super::*;
 use bytes::Bytes;
-use pepperhook::{ClassId, Outcome, TenantId, TitleId, ViewerKey, Wish};
+use pepperhook::{ClassId, Outcome, SessionSpec, TenantId, TitleId, ViewerKey};
 use pepperhook_changelog::{Entry, State};
 use serde_json::{Value, json};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -42,17 +42,17 @@
 }
 
 fn ask(id: u64, class: u16) -> Ask {
-    let wish = Wish {
+    let wish = SessionSpec {
         viewer: ViewerKey(id),
         class: ClassId(class),
         tenant: TenantId(0),
         title: TitleId(7),
-        home: 0.0,
-        copies: 3.0,
-        top: 1.0,
-        patience: 3 * S,
-        length: None,
-        again: false,
+        first_cell: 0.0,
+        cell_count: 3.0,
+        highest_rung: 1.0,
+        max_wait: 3 * S,
+        expected_length: None,
+        reconnect: false,
     };
     Ask { id: SessionId(id), wish, body: Bytes::from_static(b"offer"), at: None }
 }
--- a/crates/platform/src/core/tests/checker.rs
+++ b/crates/platform/src/core/tests/checker.rs
@@ -127,8 +127,9 @@
             Input::Ask(_, ask) if ask.at.is_some() => {}
             Input::Ask(conn, ask) if self.conns.contains(&conn.0) && !self.requests.contains_key(&ask.id) => {
                 let paid = self.paid[usize::from(ask.wish.class.0)];
-                let due = now + ask.wish.patience + SLACK;
-                let (class, title, top) = (usize::from(ask.wish.class.0), ask.wish.title.0, ask.wish.top);
+                let due = now + ask.wish.max_wait + SLACK;
+                let (class, title, top) =
+                    (usize::from(ask.wish.class.0), ask.wish.title.0, ask.wish.highest_rung);
                 let left = self.left.contains(&conn.0);
                 let new = Request {
                     class,
--- a/crates/platform/src/core/tests/customers.rs
+++ b/crates/platform/src/core/tests/customers.rs
@@ -102,7 +102,7 @@
     let own = pepperhook_parameters::decisions(&v)?;
     let known = pepperhook_parameters::sockets(&v)?;
     let (cells, descriptors) = (own.cells, pick(&mut rng, &[24, 64, 1_024]));
-    let paid = own.classes.iter().map(|c| c.repeat == pepperhook::Repeat::Never).collect();
+    let paid = own.classes.iter().map(|c| c.idempotency == pepperhook::Idempotency::AtMostOnce).collect();
     let mut j = Judged::of(&v, descriptors, paid);
     for (what, which, ms) in steps {
         if what % 16 <= 3 {
--- a/crates/platform/src/core/tests/histories.rs
+++ b/crates/platform/src/core/tests/histories.rs
@@ -15,7 +15,7 @@
     pub next: u64,
     conn: u64,
     /// What each asked for.
-    wishes: BTreeMap<SessionId, Wish>,
+    wishes: BTreeMap<SessionId, SessionSpec>,
     /// Asked on the connection that is in use.
     asked: Vec<SessionId>,
     /// Connections that their viewers have closed, of which the core has not heard.
--- a/crates/platform/src/core/types.rs
+++ b/crates/platform/src/core/types.rs
@@ -1,7 +1,7 @@
 //! What goes into the core and what comes out.
 
 use bytes::Bytes;
-use pepperhook::{NoteKind, Outcome, ServerId, SessionId, Time, Wish};
+use pepperhook::{NotificationKind, Outcome, ServerId, SessionId, SessionSpec, Time};
 use std::net::{IpAddr, SocketAddr};
 
 macro_rules! id {
@@ -29,7 +29,7 @@
     /// Its id.
     pub id: SessionId,
     /// What is wished.
-    pub wish: Wish,
+    pub wish: SessionSpec,
     /// The description, passed on unchanged.
     pub body: Bytes,
     /// It plays at this node already.
@@ -59,7 +59,7 @@
     /// A give-up or a release was heard.
     Heard(SessionId),
     /// A note on a session.
-    Note(SessionId, NoteKind, f64),
+    Note(SessionId, NotificationKind, f64),
     /// The answer to a question for load; `None` if the test failed.
     Load(ProbeId, Option<Vec<f64>>),
     /// Something that needs no answer; it shows that the node lives.
--- a/crates/platform/src/node.rs
+++ b/crates/platform/src/node.rs
@@ -2,7 +2,7 @@
 
 use crate::core::{FromNode, ProbeId, ToNode};
 use crate::words::{ROOT, answer, id, id_text, release, request};
-use pepperhook::{NoteKind, Outcome, SessionId};
+use pepperhook::{NotificationKind, Outcome, SessionId};
 use pepperhook_parameters::Sockets;
 use pepperhook_rtsp::{Message, Start};
 
@@ -35,10 +35,10 @@
             }
             ("ANNOUNCE", Some(session)) => {
                 let kind = match m.field("Warning-Word") {
-                    Some("delivered") => NoteKind::Delivered,
-                    Some("rung") => NoteKind::Rung,
-                    Some("link") => NoteKind::LinkUse,
-                    Some("uplink") => NoteKind::UplinkUse,
+                    Some("delivered") => NotificationKind::Delivered,
+                    Some("rung") => NotificationKind::Rung,
+                    Some("link") => NotificationKind::LinkUse,
+                    Some("uplink") => NotificationKind::UplinkUse,
                     _ => return Ok(FromNode::Other),
                 };
                 let value = m.field("X-Value").and_then(|v| v.parse::<f64>().ok()).filter(|v| v.is_finite());
--- a/crates/platform/src/viewer.rs
+++ b/crates/platform/src/viewer.rs
@@ -2,7 +2,7 @@
 
 use crate::core::{Ask, ToViewer};
 use crate::words::{self, ROOT, answer, release, request};
-use pepperhook::{ClassId, ServerId, SessionId, TenantId, Time, TitleId, ViewerKey, Wish};
+use pepperhook::{ClassId, ServerId, SessionId, SessionSpec, TenantId, Time, TitleId, ViewerKey};
 use pepperhook_parameters::Sockets;
 use pepperhook_rtsp::{Message, Start};
 
@@ -101,17 +101,17 @@
         }
         _ => 0,
     };
-    let wish = Wish {
+    let wish = SessionSpec {
         viewer: ViewerKey(viewer?),
         class: ClassId(u16::try_from(class).ok()?),
         tenant: TenantId(u16::try_from(tenant).ok()?),
         title: TitleId(title),
-        home: home?,
-        copies: copies?,
-        top: top?,
-        patience,
-        length: length.map(|ms| (ms * 1e6) as Time),
-        again,
+        first_cell: home?,
+        cell_count: copies?,
+        highest_rung: top?,
+        max_wait: patience,
+        expected_length: length.map(|ms| (ms * 1e6) as Time),
+        reconnect: again,
     };
     Some(Ask { id, wish, body: m.body.clone(), at })
 }
--- a/crates/policy/src/tighter.rs
+++ b/crates/policy/src/tighter.rs
@@ -5,7 +5,7 @@
 //! Two documents that an operator writes one after the other seldom lie so; the tighter of both lies within both.
 
 use crate::policy::{Fixed, Policy, fixed};
-use pepperhook::{Group, Repeat, RetryBudget, Time};
+use pepperhook::{DedupScope, Idempotency, RetryBudget, Time};
 use pepperhook_settings::{Fleet, FleetClass};
 
 /// How the tighter value of a figure is found.
@@ -75,14 +75,14 @@
 }
 
 /// Zones and cells cut the nodes up in different ways: what may be repeated in both is not known to be the same node's.
-fn repeat(a: Repeat, b: Repeat) -> Repeat {
+fn repeat(a: Idempotency, b: Idempotency) -> Idempotency {
     match (a, b) {
-        (Repeat::Harmless, other) | (other, Repeat::Harmless) => other,
-        (Repeat::Never, _) | (_, Repeat::Never) => Repeat::Never,
-        (Repeat::Within(g, s), Repeat::Within(h, t)) => match (g, h) {
-            (Group::All, group) | (group, Group::All) => Repeat::Within(group, s.min(t)),
-            _ if g == h => Repeat::Within(g, s.min(t)),
-            _ => Repeat::Never,
+        (Idempotency::Idempotent, other) | (other, Idempotency::Idempotent) => other,
+        (Idempotency::AtMostOnce, _) | (_, Idempotency::AtMostOnce) => Idempotency::AtMostOnce,
+        (Idempotency::Deduplicated(g, s), Idempotency::Deduplicated(h, t)) => match (g, h) {
+            (DedupScope::All, group) | (group, DedupScope::All) => Idempotency::Deduplicated(group, s.min(t)),
+            _ if g == h => Idempotency::Deduplicated(g, s.min(t)),
+            _ => Idempotency::AtMostOnce,
         },
     }
 }
@@ -93,8 +93,8 @@
     match (a, b) {
         (None, other) | (other, None) => other,
         (Some(a), Some(b)) => Some(RetryBudget {
-            free: a.free.min(b.free),
-            share: if a.window == b.window { a.share.min(b.share) } else { 0.0 },
+            min_retries: a.min_retries.min(b.min_retries),
+            retry_ratio: if a.window == b.window { a.retry_ratio.min(b.retry_ratio) } else { 0.0 },
             window: a.window.max(b.window),
         }),
     }
@@ -103,15 +103,16 @@
 fn class(old: &FleetClass, new: &FleetClass) -> FleetClass {
     let mut both = old.clone();
     both.ours.patience = old.ours.patience.min(new.ours.patience);
-    both.class.aim = old.class.aim.min(new.class.aim);
-    both.class.repeat = repeat(old.class.repeat, new.class.repeat);
-    both.class.seats = bound(old.class.seats, new.class.seats);
-    both.class.floor = old.class.floor.max(new.class.floor);
-    both.class.top = old.class.top.min(new.class.top);
+    both.class.set_up_target = old.class.set_up_target.min(new.class.set_up_target);
+    both.class.idempotency = repeat(old.class.idempotency, new.class.idempotency);
+    both.class.max_sessions_per_title =
+        bound(old.class.max_sessions_per_title, new.class.max_sessions_per_title);
+    both.class.lowest_rung = old.class.lowest_rung.max(new.class.lowest_rung);
+    both.class.highest_rung = old.class.highest_rung.min(new.class.highest_rung);
     both.ours.closed = old.ours.closed || new.ours.closed;
-    if both.class.floor > both.class.top {
+    if both.class.lowest_rung > both.class.highest_rung {
         // No rung is allowed by both: the class takes nothing new until the second step.
-        both.class.top = both.class.floor;
+        both.class.highest_rung = both.class.lowest_rung;
         both.ours.closed = true;
     }
     both
@@ -151,34 +152,36 @@
     both.holds.late = a.holds.late.min(b.holds.late);
     both.holds.most = a.holds.most.min(b.holds.most);
     both.rules.cold_share = a.rules.cold_share.min(b.rules.cold_share);
-    both.rules.cold = a.rules.cold.max(b.rules.cold);
-    both.rules.fall_multiple = a.rules.fall_multiple.min(b.rules.fall_multiple);
-    both.rules.fall_window = a.rules.fall_window.min(b.rules.fall_window);
-    both.rules.budget = budget(a.rules.budget, b.rules.budget);
+    both.rules.warm_up = a.rules.warm_up.max(b.rules.warm_up);
+    both.rules.overload_multiple = a.rules.overload_multiple.min(b.rules.overload_multiple);
+    both.rules.overload_window = a.rules.overload_window.min(b.rules.overload_window);
+    both.rules.retry_budget = budget(a.rules.retry_budget, b.rules.retry_budget);
     Policy::from_fleet(&both)
         .map_err(|e| Fixed { field: "the policy of the first step".into(), why: e.to_string() })
 }
 
-fn within_repeat(a: Repeat, b: Repeat) -> bool {
+fn within_repeat(a: Idempotency, b: Idempotency) -> bool {
     match (a, b) {
-        (Repeat::Never, _) | (_, Repeat::Harmless) => true,
-        (Repeat::Within(g, s), Repeat::Within(h, t)) => (g == h || h == Group::All) && s <= t,
+        (Idempotency::AtMostOnce, _) | (_, Idempotency::Idempotent) => true,
+        (Idempotency::Deduplicated(g, s), Idempotency::Deduplicated(h, t)) => {
+            (g == h || h == DedupScope::All) && s <= t
+        }
         _ => false,
     }
 }
 
 fn within_budget(a: Option<RetryBudget>, b: Option<RetryBudget>) -> bool {
     let (Some(a), Some(b)) = (a, b) else { return b.is_none() };
-    let share = if a.window == b.window { a.share <= b.share } else { a.share == 0.0 };
-    a.free <= b.free && share && a.window >= b.window
+    let share = if a.window == b.window { a.retry_ratio <= b.retry_ratio } else { a.retry_ratio == 0.0 };
+    a.min_retries <= b.min_retries && share && a.window >= b.window
 }
 
 fn within_class(a: &FleetClass, b: &FleetClass) -> bool {
-    let range = a.class.floor >= b.class.floor && a.class.top <= b.class.top;
-    a.class.aim <= b.class.aim
+    let range = a.class.lowest_rung >= b.class.lowest_rung && a.class.highest_rung <= b.class.highest_rung;
+    a.class.set_up_target <= b.class.set_up_target
         && a.ours.patience <= b.ours.patience
-        && within_repeat(a.class.repeat, b.class.repeat)
-        && within_bound(a.class.seats, b.class.seats)
+        && within_repeat(a.class.idempotency, b.class.idempotency)
+        && within_bound(a.class.max_sessions_per_title, b.class.max_sessions_per_title)
         && (a.ours.closed || (range && !b.ours.closed))
 }
 
@@ -207,10 +210,10 @@
         && sooner(a.holds.late, b.holds.late)
         && a.holds.most <= b.holds.most
         && lower(a.rules.cold_share, b.rules.cold_share)
-        && sooner(b.rules.cold, a.rules.cold)
-        && lower(a.rules.fall_multiple, b.rules.fall_multiple)
-        && sooner(a.rules.fall_window, b.rules.fall_window)
-        && within_budget(a.rules.budget, b.rules.budget)
+        && sooner(b.rules.warm_up, a.rules.warm_up)
+        && lower(a.rules.overload_multiple, b.rules.overload_multiple)
+        && sooner(a.rules.overload_window, b.rules.overload_window)
+        && within_budget(a.rules.retry_budget, b.rules.retry_budget)
 }
 
 /// Whether both may be in force in the fleet at one moment: one lies within the other.
--- a/crates/policy/tests/documents.rs
+++ b/crates/policy/tests/documents.rs
@@ -1,6 +1,6 @@
 //! Documents: what is written reads the same, and what the tighter of two promises.
 
-use pepperhook::{Class, Group, Prices, Repeat, RetryBudget, Rules, Rung, Tenant};
+use pepperhook::{Class, DedupScope, Idempotency, Prices, RetryBudget, Rules, Rung, Tenant};
 use pepperhook_policy::{
     Change, Counts, MOST_ASKED, MOST_TEXT, MOST_WHY, Made, Policy, PolicyError, Proof, RULES, Rule, Steps,
     Trial, Undone, Watch,
@@ -36,12 +36,12 @@
     prop_oneof![1e-9f64..1e9, (1u32..5).prop_map(f64::from)]
 }
 
-fn repeat() -> impl Strategy<Value = Repeat> {
-    let group = prop_oneof![Just(Group::All), Just(Group::Zone), Just(Group::Cell)];
+fn repeat() -> impl Strategy<Value = Idempotency> {
+    let group = prop_oneof![Just(DedupScope::All), Just(DedupScope::Zone), Just(DedupScope::Cell)];
     prop_oneof![
-        Just(Repeat::Harmless),
-        Just(Repeat::Never),
-        (group, time()).prop_map(|(group, span)| Repeat::Within(group, span)),
+        Just(Idempotency::Idempotent),
+        Just(Idempotency::AtMostOnce),
+        (group, time()).prop_map(|(group, span)| Idempotency::Deduplicated(group, span)),
     ]
 }
 
@@ -52,21 +52,33 @@
     let figures = (time(), time(), repeat(), above_0(), above_0(), rungs, 0u32..4, any::<bool>());
     figures.prop_map(move |(aim, patience, repeat, value, scale, (floor, top), seats, closed)| FleetClass {
         ours: ClassSettings { name: name.clone(), patience, ingest: name == "c0", closed },
-        class: Class { aim, repeat, value, scale, floor, top, seats, live: name == "c1" },
+        class: Class {
+            set_up_target: aim,
+            idempotency: repeat,
+            value,
+            rate_scale: scale,
+            lowest_rung: floor,
+            highest_rung: top,
+            max_sessions_per_title: seats,
+            live: name == "c1",
+        },
     })
 }
 
 fn rules() -> impl Strategy<Value = Rules> {
     let window = prop_oneof![Just(10_000_000_000), time()];
-    let budget =
-        (number(), number(), window).prop_map(|(free, share, window)| RetryBudget { free, share, window });
+    let budget = (number(), number(), window).prop_map(|(free, share, window)| RetryBudget {
+        min_retries: free,
+        retry_ratio: share,
+        window,
+    });
     (0.0f64..=1.0, time(), above_0(), time(), proptest::option::of(budget)).prop_map(
         |(cold_share, cold, fall_multiple, fall_window, budget)| Rules {
             cold_share,
-            cold,
-            fall_multiple,
-            fall_window,
-            budget,
+            warm_up: cold,
+            overload_multiple: fall_multiple,
+            overload_window: fall_window,
+            retry_budget: budget,
         },
     )
 }
@@ -98,7 +110,7 @@
             over_share_worth: prices.3,
             ladder: steps.into_iter().zip(worths).map(rung).collect(),
             rules,
-            prices: Prices { moved: prices.0, cross_zone: prices.1, probe: prices.2, handshake: 0.0 },
+            prices: Prices { session_move: prices.0, cross_zone: prices.1, probe: prices.2, handshake: 0.0 },
             uplink_kb: links.0,
             kb_per_weight: links.1,
             all_links_kb: links.2,
@@ -255,7 +267,7 @@
     assert!(!neighbours(&low, &high));
     let both = tighter(&low, &high).expect("both");
     let class = &both.fleet().classes[1];
-    assert!(class.ours.closed && class.class.floor == 2 && class.class.top == 2);
+    assert!(class.ours.closed && class.class.lowest_rung == 2 && class.class.highest_rung == 2);
 }
 
 #[test]
@@ -263,7 +275,7 @@
     let budget = |text: &str| policy(&TEXT.replace("budget 3 0.2 10s", text));
     let both = |a: &str, b: &str| {
         let p = tighter(&budget(a), &budget(b)).expect("both");
-        p.fleet().rules.budget.map(|b| (b.free, b.share, b.window / 1_000_000_000))
+        p.fleet().rules.retry_budget.map(|b| (b.min_retries, b.retry_ratio, b.window / 1_000_000_000))
     };
     assert_eq!(both("budget 3 0.2 10s", "budget 5 0.1 10s"), Some((3.0, 0.1, 10)));
     assert_eq!(both("budget 3 0.2 10s", "budget 5 0.1 20s"), Some((3.0, 0.0, 20)));
@@ -289,9 +301,9 @@
     let sessions: Vec<u32> = (0..60u32).map(|s| if (s / 7) % 2 == 0 { 9 } else { 0 }).collect();
     for (a, b) in [((3, 0.2, 10), (5, 0.1, 20)), ((1, 0.5, 5), (4, 0.1, 5)), ((8, 0.0, 30), (2, 0.3, 4))] {
         let both = tighter(&policy(&text(a.0, a.1, a.2)), &policy(&text(b.0, b.1, b.2))).expect("both");
-        let r = both.fleet().rules.budget.expect("a ration");
+        let r = both.fleet().rules.retry_budget.expect("a ration");
         let window = (r.window / 1_000_000_000) as usize;
-        let granted = grants(r.free as u32, r.share, window, &sessions);
+        let granted = grants(r.min_retries as u32, r.retry_ratio, window, &sessions);
         for (free, share, window) in [a, b] {
             let window = window as usize;
             for at in 0..sessions.len() {
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -4,7 +4,9 @@
 use crate::lines::{Block, Loader};
 use crate::read::Fields;
 use crate::{ClassSettings, Config, Fault, Faults, HoldSettings, MS, SECOND, class, named, rules};
-use pepperhook::{Class, Group, Prices, Repeat, RetryBudget, Rules, Rung, Settings, Tenant, Time, ZoneId};
+use pepperhook::{
+    Class, DedupScope, Idempotency, Prices, RetryBudget, Rules, Rung, Settings, Tenant, Time, ZoneId,
+};
 use std::fmt::Write;
 
 /// A class: what the front and what the decision module is told of it.
@@ -111,13 +113,13 @@
     if is { "yes".into() } else { "no".into() }
 }
 
-fn repeat(repeat: Repeat) -> String {
+fn repeat(repeat: Idempotency) -> String {
     let (group, span) = match repeat {
-        Repeat::Harmless => return "harmless".into(),
-        Repeat::Never => return "never".into(),
-        Repeat::Within(Group::All, span) => ("all", span),
-        Repeat::Within(Group::Zone, span) => ("zone", span),
-        Repeat::Within(Group::Cell, span) => ("cell", span),
+        Idempotency::Idempotent => return "harmless".into(),
+        Idempotency::AtMostOnce => return "never".into(),
+        Idempotency::Deduplicated(DedupScope::All, span) => ("all", span),
+        Idempotency::Deduplicated(DedupScope::Zone, span) => ("zone", span),
+        Idempotency::Deduplicated(DedupScope::Cell, span) => ("cell", span),
     };
     format!("within {group} {}", duration(span))
 }
@@ -181,7 +183,7 @@
         let mut classes = Vec::new();
         for (_, block) in named(blocks, "class", faults) {
             let (ours, mut class) = class(block, faults);
-            class.top = class.top.min(highest);
+            class.highest_rung = class.highest_rung.min(highest);
             classes.push(FleetClass { ours, class });
         }
         let mut tenants = Vec::new();
@@ -194,13 +196,19 @@
             Some(block) => rules(block, faults),
             None => {
                 faults.push(Fault { place: blocks[0].place, what: MISSING_RULES.into() });
-                Rules { cold_share: 1.0, cold: 1, fall_multiple: 1.0, fall_window: 1, budget: None }
+                Rules {
+                    cold_share: 1.0,
+                    warm_up: 1,
+                    overload_multiple: 1.0,
+                    overload_window: 1,
+                    retry_budget: None,
+                }
             }
         };
         let (mut prices, mut over_share_worth) = (Prices::default(), 1.0);
         for block in blocks.iter().filter(|b| b.kind == "prices") {
             let mut f = Fields::new(block);
-            prices.moved = f.number("moved").unwrap_or(0.0);
+            prices.session_move = f.number("moved").unwrap_or(0.0);
             prices.cross_zone = f.number("cross-zone").unwrap_or(0.0);
             prices.probe = f.number("probe").unwrap_or(0.0);
             over_share_worth = f.number("over-share-worth").unwrap_or(1.0);
@@ -244,24 +252,24 @@
             tenants: Vec::new(),
             over_share_worth: 1.0,
             ladder: Vec::new(),
-            kind_streams: vec![1.0],
+            kind_max_streams: vec![1.0],
             racks: 1,
             cells: 1,
             uplink_kb: 1.0,
             kb_per_weight: 0.0,
             all_links_kb: 0.0,
-            join: 1.0,
-            refuses_from: 0.0,
-            seen_after: 0,
+            shared_stream_share: 1.0,
+            link_refusal_threshold: 0.0,
+            notification_delay: 0,
             switch_cost_s: 0.0,
             gauges: Vec::new(),
             probes: false,
-            advice: true,
-            max_advice: 0,
+            send_retry_after: true,
+            max_retry_after: 0,
             max_attempts: 1,
             list_on_request: false,
-            step: MS,
-            idle: 0,
+            min_event_interval: MS,
+            connection_idle_timeout: 0,
             prices: Prices::default(),
             rules: self.rules,
         };
@@ -278,12 +286,12 @@
             uplink_kb: self.uplink_kb,
             kb_per_weight: self.kb_per_weight,
             all_links_kb: self.all_links_kb,
-            join: self.join,
-            refuses_from: self.refuses_from,
-            seen_after: self.seen_after,
+            shared_stream_share: self.join,
+            link_refusal_threshold: self.refuses_from,
+            notification_delay: self.seen_after,
             switch_cost_s: self.switch_cost_s,
-            advice: self.advice,
-            max_advice: self.max_advice,
+            send_retry_after: self.advice,
+            max_retry_after: self.max_advice,
             max_attempts: self.max_attempts,
             prices: self.prices,
             rules: self.rules,
@@ -315,14 +323,14 @@
         out.push(("ladder", None, rungs.collect()));
         for FleetClass { ours, class } in &self.classes {
             let lines = vec![
-                ("aim", duration(class.aim)),
+                ("aim", duration(class.set_up_target)),
                 ("patience", duration(ours.patience)),
-                ("repeat", repeat(class.repeat)),
+                ("repeat", repeat(class.idempotency)),
                 ("value", class.value.to_string()),
-                ("scale", class.scale.to_string()),
-                ("floor", class.floor.to_string()),
-                ("top", class.top.to_string()),
-                ("seats", class.seats.to_string()),
+                ("scale", class.rate_scale.to_string()),
+                ("floor", class.lowest_rung.to_string()),
+                ("top", class.highest_rung.to_string()),
+                ("seats", class.max_sessions_per_title.to_string()),
                 ("live", yes(class.live)),
                 ("ingest", yes(ours.ingest)),
                 ("closed", yes(ours.closed)),
@@ -334,16 +342,16 @@
         }
         let mut lines = vec![
             ("cold-share", self.rules.cold_share.to_string()),
-            ("cold", duration(self.rules.cold)),
-            ("fall-multiple", self.rules.fall_multiple.to_string()),
-            ("fall-window", duration(self.rules.fall_window)),
+            ("cold", duration(self.rules.warm_up)),
+            ("fall-multiple", self.rules.overload_multiple.to_string()),
+            ("fall-window", duration(self.rules.overload_window)),
         ];
-        if let Some(RetryBudget { free, share, window }) = self.rules.budget {
+        if let Some(RetryBudget { min_retries: free, retry_ratio: share, window }) = self.rules.retry_budget {
             lines.push(("budget", format!("{free} {share} {}", duration(window))));
         }
         out.push(("rules", None, lines));
         let lines = vec![
-            ("moved", self.prices.moved.to_string()),
+            ("moved", self.prices.session_move.to_string()),
             ("cross-zone", self.prices.cross_zone.to_string()),
             ("probe", self.prices.probe.to_string()),
             ("over-share-worth", self.over_share_worth.to_string()),
@@ -404,12 +412,12 @@
             uplink_kb: d.uplink_kb,
             kb_per_weight: d.kb_per_weight,
             all_links_kb: d.all_links_kb,
-            join: d.join,
-            refuses_from: d.refuses_from,
-            seen_after: d.seen_after,
+            join: d.shared_stream_share,
+            refuses_from: d.link_refusal_threshold,
+            seen_after: d.notification_delay,
             switch_cost_s: d.switch_cost_s,
-            advice: d.advice,
-            max_advice: d.max_advice,
+            advice: d.send_retry_after,
+            max_advice: d.max_retry_after,
             max_attempts: d.max_attempts,
             holds: self.holds,
         }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -14,7 +14,9 @@
 pub use fleet::{Fleet, FleetClass, duration};
 use lines::{Block, Loader};
 pub use lines::{Fault, Place, Source};
-use pepperhook::{Class, Gauge, Group, Repeat, RetryBudget, Rules, Settings, Time, TitleId, ZoneId};
+use pepperhook::{
+    Class, DedupScope, Gauge, Idempotency, RetryBudget, Rules, Settings, Time, TitleId, ZoneId,
+};
 use pepperhook_inventory::Names;
 use read::{Fields, time};
 use std::collections::BTreeMap;
@@ -324,19 +326,19 @@
     let aim = f.need("aim", aim);
     let patience = f.time("patience");
     let patience = f.need("patience", patience);
-    let mut repeat = Repeat::Harmless;
+    let mut repeat = Idempotency::Idempotent;
     for line in f.lines("repeat", 1, 3) {
         let words: Vec<&str> = line.values.iter().map(|w| w.text.as_str()).collect();
         let group = |g: &str| match g {
-            "all" => Some(Group::All),
-            "zone" => Some(Group::Zone),
-            "cell" => Some(Group::Cell),
+            "all" => Some(DedupScope::All),
+            "zone" => Some(DedupScope::Zone),
+            "cell" => Some(DedupScope::Cell),
             _ => None,
         };
         let read = match words.as_slice() {
-            ["harmless"] => Some(Repeat::Harmless),
-            ["never"] => Some(Repeat::Never),
-            ["within", g, t] => group(g).zip(time(t)).map(|(g, t)| Repeat::Within(g, t)),
+            ["harmless"] => Some(Idempotency::Idempotent),
+            ["never"] => Some(Idempotency::AtMostOnce),
+            ["within", g, t] => group(g).zip(time(t)).map(|(g, t)| Idempotency::Deduplicated(g, t)),
             _ => None,
         };
         match read {
@@ -346,13 +348,13 @@
     }
     let name = block.name.as_ref().map_or_else(String::new, |n| n.text.clone());
     let class = Class {
-        aim,
-        repeat,
+        set_up_target: aim,
+        idempotency: repeat,
         value: f.number("value").unwrap_or(1.0),
-        scale: f.number("scale").unwrap_or(1.0),
-        floor: rung(&mut f, "floor").unwrap_or(0),
-        top: rung(&mut f, "top").unwrap_or(u8::MAX),
-        seats: f.parsed("seats", "whole number").unwrap_or(0),
+        rate_scale: f.number("scale").unwrap_or(1.0),
+        lowest_rung: rung(&mut f, "floor").unwrap_or(0),
+        highest_rung: rung(&mut f, "top").unwrap_or(u8::MAX),
+        max_sessions_per_title: f.parsed("seats", "whole number").unwrap_or(0),
         live: f.yes("live").unwrap_or(false),
     };
     let ingest = f.yes("ingest").unwrap_or(false);
@@ -370,16 +372,18 @@
         let v = &line.values;
         let number = |text: &str| text.parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0);
         match (number(&v[0].text), number(&v[1].text), time(&v[2].text)) {
-            (Some(free), Some(share), Some(window)) => budget = Some(RetryBudget { free, share, window }),
+            (Some(free), Some(share), Some(window)) => {
+                budget = Some(RetryBudget { min_retries: free, retry_ratio: share, window })
+            }
             _ => f.fault(v[0].place, "expected: budget FREE SHARE WINDOW, such as: budget 3 0.2 10s"),
         }
     }
     let rules = Rules {
         cold_share: f.need("cold-share", share),
-        cold: f.need("cold", cold),
-        fall_multiple: f.need("fall-multiple", multiple),
-        fall_window: f.need("fall-window", window),
-        budget,
+        warm_up: f.need("cold", cold),
+        overload_multiple: f.need("fall-multiple", multiple),
+        overload_window: f.need("fall-window", window),
+        retry_budget: budget,
     };
     faults.extend(f.end());
     rules
@@ -664,25 +668,25 @@
             tenants: shares,
             over_share_worth: fleet.over_share_worth,
             ladder: fleet.ladder,
-            kind_streams,
+            kind_max_streams: kind_streams,
             racks,
             cells,
             uplink_kb: fleet.uplink_kb,
             kb_per_weight: fleet.kb_per_weight,
             all_links_kb: fleet.all_links_kb,
-            join: fleet.join,
-            refuses_from: fleet.refuses_from,
-            seen_after: fleet.seen_after,
+            shared_stream_share: fleet.join,
+            link_refusal_threshold: fleet.refuses_from,
+            notification_delay: fleet.seen_after,
             switch_cost_s: fleet.switch_cost_s,
             gauges,
             // Else what it knows comes with answers, event streams and the duties' readings.
             probes: duties.as_ref().is_some_and(|d| d.ask),
-            advice: fleet.advice,
-            max_advice: fleet.max_advice,
+            send_retry_after: fleet.advice,
+            max_retry_after: fleet.max_advice,
             max_attempts: fleet.max_attempts,
-            idle: 0,
+            connection_idle_timeout: 0,
             list_on_request: false,
-            step: f.time("step").unwrap_or(MS),
+            min_event_interval: f.time("step").unwrap_or(MS),
             prices: fleet.prices,
             rules: fleet.rules,
         },
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -10,8 +10,8 @@
 fn settings_are_read_with_their_defaults() {
     let c = Config::parse("front.conf", GOOD).expect("settings");
     assert_eq!((c.decisions.zone, c.inventory.to_str()), (ZoneId(1), Some("my nodes.csv")));
-    assert_eq!(c.decisions.classes[0].repeat, Repeat::Within(Group::Zone, 5 * SECOND));
-    assert_eq!((c.decisions.classes[0].top, c.classes[0].patience), (1, 4 * SECOND));
+    assert_eq!(c.decisions.classes[0].idempotency, Idempotency::Deduplicated(DedupScope::Zone, 5 * SECOND));
+    assert_eq!((c.decisions.classes[0].highest_rung, c.classes[0].patience), (1, 4 * SECOND));
     assert_eq!((c.titles["t1"].copies, c.titles["t1"].class), (3, 0));
     assert!(!format!("{c:?}").contains("s3cret"), "a secret is never printed");
 }
--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -4,8 +4,8 @@
 mod wire;
 
 use pepperhook::{
-    Action, ClassId, Controller, Event, KindId, NoteKind, Outcome, ServerEntry, ServerId, ServerState,
-    SessionId, TenantId, Time, TitleId, ViewerKey, Wish, ZoneId,
+    Action, ClassId, Controller, Event, KindId, NotificationKind, Outcome, ServerEntry, ServerId,
+    ServerState, SessionId, SessionSpec, TenantId, Time, TitleId, ViewerKey, ZoneId,
 };
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -93,7 +93,18 @@
                 let (length, again) = ((flags & 1 > 0).then_some(length), flags & 24 > 0);
                 Event::Request(
                     session,
-                    Wish { viewer, class, tenant, title, home, copies, top, patience, length, again },
+                    SessionSpec {
+                        viewer,
+                        class,
+                        tenant,
+                        title,
+                        first_cell: home,
+                        cell_count: copies,
+                        highest_rung: top,
+                        max_wait: patience,
+                        expected_length: length,
+                        reconnect: again,
+                    },
                 )
             }
             4 => {
@@ -105,9 +116,9 @@
                 let number = r.u16()?;
                 let outcome = outcome(number).ok_or_else(|| r.fault(format!("unknown outcome {number}")))?;
                 let (_, settled, report) = (r.u64()?, r.u8()? > 0, r.values()?);
-                Event::Ended { session, server, outcome, settled, report }
+                Event::Ended { session, server, outcome, is_final: settled, report }
             }
-            6 => Event::Left(SessionId(r.u64()?)),
+            6 => Event::Closed(SessionId(r.u64()?)),
             7 => Event::Timer(r.u64()?),
             8 => {
                 let (server, number, _, report) = (ServerId(r.u32()?), r.u16()?, r.u64()?, r.values()?);
@@ -125,19 +136,30 @@
                 let (server, patience, length) = (ServerId(r.u32()?), r.u64()?, r.u64()?);
                 let (copies, title) = (f64::from(r.f32()?), TitleId(r.u64()?));
                 let (length, again) = ((flags & 1 > 0).then_some(length), flags & 24 > 0);
-                let wish = Wish { viewer, class, tenant, title, home, copies, top, patience, length, again };
-                Event::UnderWay(session, wish, server)
+                let wish = SessionSpec {
+                    viewer,
+                    class,
+                    tenant,
+                    title,
+                    first_cell: home,
+                    cell_count: copies,
+                    highest_rung: top,
+                    max_wait: patience,
+                    expected_length: length,
+                    reconnect: again,
+                };
+                Event::Adopted(session, wish, server)
             }
             12 => {
                 let (session, _, server) = (SessionId(r.u64()?), r.u16()?, ServerId(r.u32()?));
                 let kind = match r.u8()? {
-                    1 => NoteKind::Delivered,
-                    2 => NoteKind::Rung,
-                    3 => NoteKind::LinkUse,
-                    4 => NoteKind::UplinkUse,
+                    1 => NotificationKind::Delivered,
+                    2 => NotificationKind::Rung,
+                    3 => NotificationKind::LinkUse,
+                    4 => NotificationKind::UplinkUse,
                     other => return Err(r.fault(format!("unknown note {other}"))),
                 };
-                Event::Note(session, server, kind, f64::from(r.f32()?))
+                Event::Notification(session, server, kind, f64::from(r.f32()?))
             }
             other => return Err(r.fault(format!("unknown code {other}"))),
         })
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -79,11 +79,11 @@
     servers: BTreeMap<ServerId, Server>,
     racks: Vec<Rack>,
     sessions: BTreeMap<SessionId, Session>,
-    holds: BTreeMap<HoldId, Hold>,
+    holds: BTreeMap<ReservationId, Reservation>,
     moved: BTreeMap<ViewerKey, (Time, ServerId, u8)>,
     taken: SlidingSum,
     /// What was asked for of late.
-    wishes: VecDeque<(Time, Wish)>,
+    wishes: VecDeque<(Time, SessionSpec)>,
     further: SlidingSum,
     probes: f64,
     /// Time played by sessions, in seconds, and how many of them played to their end: both fade.
@@ -139,9 +139,9 @@
             Event::ListChanged(entries) => self.list(entries, false),
             Event::ListFailed if self.set.list_on_request => out.push(Action::WatchList),
             Event::Request(id, wish) => self.request(now, id, wish, out),
-            Event::UnderWay(id, wish, server) => self.under_way(now, id, wish, server),
+            Event::Adopted(id, wish, server) => self.under_way(now, id, wish, server),
             Event::Started(id, server) => self.started(now, id, server, out),
-            Event::Ended { session, server, outcome, settled, report } => {
+            Event::Ended { session, server, outcome, is_final: settled, report } => {
                 self.report(now, now, server, &report);
                 self.symptom(now, session, server, outcome, out);
                 if settled {
@@ -151,14 +151,14 @@
                     self.retry(now, session, server, outcome, out);
                 }
             }
-            Event::Left(id) => self.forget(now, id),
-            Event::Note(id, server, kind, value) => self.note(now, (id, server, kind, value), out),
+            Event::Closed(id) => self.forget(now, id),
+            Event::Notification(id, server, kind, value) => self.note(now, (id, server, kind, value), out),
             Event::Probed(server, report) => self.probed(now, server, report, out),
-            Event::Seen(server, age, values) => {
+            Event::PeerReport(server, age, values) => {
                 self.report(now, ago(now, age), server, &values);
                 self.relieve(now, server, out);
             }
-            Event::Held(id, hold) => self.hold(id, hold),
+            Event::Reserved(id, hold) => self.hold(id, hold),
             Event::ListFailed | Event::Message(..) => {}
             Event::Timer(TICK) => self.tick(now, out),
             Event::Timer(token) => self.give_up(now, SessionId(token), out),
@@ -172,7 +172,7 @@
     /// When they do not agree with one another or with what cannot change; then nothing has changed.
     pub fn change(&mut self, now: Time, set: Settings, out: &mut Vec<Action>) -> Result<(), SettingsError> {
         set.validate()?;
-        self.set.may_become(&set)?;
+        self.set.validate_change(&set)?;
         (self.steps, self.set) = (all_steps(&set), set);
         let servers: Vec<ServerId> = self.servers.keys().copied().collect();
         // Rates that are told otherwise are no change of demand: readings since then stand.
@@ -237,7 +237,7 @@
                 && server.sessions.iter().filter_map(|id| self.sessions.get(id)).any(|s| {
                     s.wish.title == session.wish.title && s.class == session.class && s.rung == rung
                 });
-        rate(&self.set, session.class, rung) * if joins { self.set.join } else { 1.0 }
+        rate(&self.set, session.class, rung) * if joins { self.set.shared_stream_share } else { 1.0 }
     }
 
     /// Brings the account of own rates on a server up to date.
@@ -272,7 +272,7 @@
     /// What was last seen of a link. A shortage is told again each second while it lasts: one that was
     /// not told again is over (it was relieved, or its sessions ended): then the link is full at most.
     fn seen(&self, now: Time, server: &Server) -> Option<Reading> {
-        let told = SETTLED.saturating_add(self.set.seen_after);
+        let told = SETTLED.saturating_add(self.set.notification_delay);
         let over = |r: &Reading| r.used > 1.0 / DELIVERED && r.at.saturating_add(told) <= now;
         server.link.map(|r| if over(&r) { Reading { used: FULL, at: r.at } } else { r })
     }
@@ -346,10 +346,10 @@
     }
 
     /// Departure, only where a peak was announced: room is held for viewers who are still to come.
-    fn hold(&mut self, id: HoldId, mut hold: Hold) {
-        hold.on.retain(|(_, kb)| kb.is_finite() && *kb > 0.0);
+    fn hold(&mut self, id: ReservationId, mut hold: Reservation) {
+        hold.servers.retain(|(_, kb)| kb.is_finite() && *kb > 0.0);
         self.holds.remove(&id);
-        if !hold.on.is_empty() {
+        if !hold.servers.is_empty() {
             self.holds.insert(id, hold);
         }
     }
@@ -365,12 +365,12 @@
         self.holds.values().fold((0.0, 0.0), |sum, h| {
             let free = match newcomer.filter(|(t, _)| h.titles.contains(t)) {
                 Some((_, true)) => f64::INFINITY,
-                Some((_, false)) => h.each,
+                Some((_, false)) => h.per_viewer_kb,
                 None => 0.0,
             };
-            let all: f64 = h.on.iter().filter(|(id, _)| there(id)).map(|(_, kb)| kb).sum();
+            let all: f64 = h.servers.iter().filter(|(id, _)| there(id)).map(|(_, kb)| kb).sum();
             let here: f64 =
-                h.on.iter().filter(|(id, _)| on == Some(*id) && there(id)).map(|(_, kb)| kb).sum();
+                h.servers.iter().filter(|(id, _)| on == Some(*id) && there(id)).map(|(_, kb)| kb).sum();
             (sum.0 + (all - free).max(0.0), sum.1 + (here - free).max(0.0))
         })
     }
@@ -406,7 +406,7 @@
         }
     }
 
-    fn note(&mut self, now: Time, note: (SessionId, ServerId, NoteKind, f64), out: &mut Vec<Action>) {
+    fn note(&mut self, now: Time, note: (SessionId, ServerId, NotificationKind, f64), out: &mut Vec<Action>) {
         let (id, server, kind, value) = note;
         let Some(state) = self.servers.get_mut(&server) else { return };
         if !value.is_finite() || value < 0.0 {
@@ -416,20 +416,20 @@
         let starts = self.sessions.get_mut(&id).filter(|s| s.since == now);
         // A session placed on a guess need not wait with its rung: now the server is known.
         let starts = starts.map(|s| (s.changed, s.weighed) = (0, 0)).is_some();
-        let at = if starts { now } else { ago(now, self.set.seen_after) };
+        let at = if starts { now } else { ago(now, self.set.notification_delay) };
         let rack = state.rack;
         match kind {
-            NoteKind::Rung => {
+            NotificationKind::Rung => {
                 if let Some(s) = self.sessions.get_mut(&id) {
                     s.rung = (value as u8).min(s.top.max(s.rung));
                     self.resum(now, server);
                 }
             }
-            NoteKind::LinkUse => state.link = Some(Reading { used: value.min(10.0), at }),
-            NoteKind::UplinkUse => {
+            NotificationKind::LinkUse => state.link = Some(Reading { used: value.min(10.0), at }),
+            NotificationKind::UplinkUse => {
                 self.racks[rack as usize].uplink = Some(Reading { used: value.min(10.0), at });
             }
-            NoteKind::Delivered => return self.delivered(now, server, value.clamp(0.05, 1.0), out),
+            NotificationKind::Delivered => return self.delivered(now, server, value.clamp(0.05, 1.0), out),
         }
         self.relieve(now, server, out);
     }
@@ -439,7 +439,7 @@
     /// rack is at the mark.
     fn delivered(&mut self, now: Time, id: ServerId, share: f64, out: &mut Vec<Action>) {
         let Some(server) = self.servers.get(&id) else { return };
-        let (at, rack) = (ago(now, self.set.seen_after), server.rack);
+        let (at, rack) = (ago(now, self.set.notification_delay), server.rack);
         // The share is smoothed and late: what it tells of the time before the last relief has been answered.
         let relieved = server.relieved_at.max(self.racks[rack as usize].relieved_at);
         if share >= DELIVERED || at < relieved.saturating_add(SMOOTH) {
@@ -520,8 +520,9 @@
         let (kb, shared) = (rate(&self.set, s.class, s.rung), self.set.classes[s.class].live);
         let best = self.set.classes.iter().map(|c| c.value).fold(0.0, f64::max);
         let gain = s.value / best * self.set.ladder[usize::from(s.rung)].worth / 2.0;
-        let idle =
-            s.phase != Phase::Playing || s.since + self.quiet() >= now || (shared && self.set.join < 1.0);
+        let idle = s.phase != Phase::Playing
+            || s.since + self.quiet() >= now
+            || (shared && self.set.shared_stream_share < 1.0);
         let fit = |t: &Server| {
             t.rack != from.rack
                 && self.racks[t.rack as usize].alert_until <= now
@@ -530,7 +531,7 @@
                 && holds(&self.set, t, &s.wish)
                 && self.strain(now, t, kb, None) <= MARK
         };
-        !idle && gain > self.set.prices.moved && self.servers.values().any(fit)
+        !idle && gain > self.set.prices.session_move && self.servers.values().any(fit)
     }
 
     // ---- rungs down and up ---------------------------------------------------------------------
@@ -697,7 +698,7 @@
             // Departure, only where new connections are priced: a holder that a set-up went to before its
             // connection idles out is preferred at the same rung. Fronts with little traffic each open
             // one to nearly every server else; a front whose few servers fill still goes by the rung.
-            let open = server.sent_at.is_some_and(|t| t + self.set.idle > now);
+            let open = server.sent_at.is_some_and(|t| t + self.set.connection_idle_timeout > now);
             let handshake = if open { 0.0 } else { self.set.prices.handshake };
             let cold = if self.warmth(now, server) < 1.0 { 1.0 } else { 0.0 };
             let worth = self.set.ladder[usize::from(rung)].worth - crossing - handshake;
@@ -732,15 +733,15 @@
 
     // ---- the life of a session -----------------------------------------------------------------
 
-    fn admit(&mut self, now: Time, id: SessionId, wish: Wish) -> Option<&mut Session> {
+    fn admit(&mut self, now: Time, id: SessionId, wish: SessionSpec) -> Option<&mut Session> {
         let class = usize::from(wish.class.0).min(self.set.classes.len() - 1);
         let top = highest(&self.set, class, &wish);
         self.sessions.insert(id, Session::new(now, wish, class, &self.set.classes[class], top));
         self.sessions.get_mut(&id)
     }
 
-    fn request(&mut self, now: Time, id: SessionId, wish: Wish, out: &mut Vec<Action>) {
-        self.taken.push(now, 1.0, self.set.rules.budget.map_or(WINDOW, |b| b.window));
+    fn request(&mut self, now: Time, id: SessionId, wish: SessionSpec, out: &mut Vec<Action>) {
+        self.taken.push(now, 1.0, self.set.rules.retry_budget.map_or(WINDOW, |b| b.window));
         let moved = self.moved.remove(&wish.viewer).filter(|(at, ..)| at + WINDOW > now);
         let Some(s) = self.admit(now, id, wish) else { return };
         if let Some((_, left, rung)) = moved {
@@ -751,13 +752,13 @@
         while self.wishes.front().is_some_and(|(at, _)| at.saturating_add(WINDOW) < now) {
             self.wishes.pop_front();
         }
-        out.push(Action::SetTimer(wish.patience, id.0));
+        out.push(Action::SetTimer(wish.max_wait, id.0));
         if !self.ask_holders(now, id, out) {
             self.place(now, id, out);
         }
     }
 
-    fn under_way(&mut self, now: Time, id: SessionId, wish: Wish, server: ServerId) {
+    fn under_way(&mut self, now: Time, id: SessionId, wish: SessionSpec, server: ServerId) {
         let Some(s) = self.admit(now, id, wish) else { return };
         (s.phase, s.server, s.since) = (Phase::Playing, Some(server), ago(now, WINDOW));
         (s.attempts, s.maybe_ran) = (1, true);
@@ -806,7 +807,7 @@
         let Some(state) = self.servers.get_mut(&server) else { return };
         match outcome {
             // Its link is full, where servers refuse for that; else its places are, or it drains unannounced.
-            Outcome::Full if self.set.refuses_from > 0.0 => {
+            Outcome::Full if self.set.link_refusal_threshold > 0.0 => {
                 let used = state.link.map_or(1.0, |r| r.used.max(1.0));
                 return state.link = Some(Reading { used, at: now });
             }
@@ -896,7 +897,7 @@
     /// Servers that left the list are forgotten, with a delay in which one that comes back is still known:
     /// where ids are always new, what is held of them would grow without end.
     fn bury(&mut self, now: Time) {
-        let keep = self.set.rules.cold.max(WINDOW);
+        let keep = self.set.rules.warm_up.max(WINDOW);
         self.servers.retain(|_, s| {
             let gone = s.entry.state == ServerState::Gone && s.sessions.is_empty();
             s.gone_at = if gone { s.gone_at.or(Some(now)) } else { None };
@@ -937,19 +938,19 @@
         let Some(s) = self.sessions.get(&id) else { return false };
         // Rule 2: never two attempts out, no second set-up of what may have run.
         let repeatable = match (s.repeat, s.first_run) {
-            (Repeat::Harmless, _) => true,
-            (Repeat::Never, _) | (Repeat::Within(..), None) => !s.maybe_ran,
-            (Repeat::Within(group, span), Some((at, first))) => {
+            (Idempotency::Idempotent, _) => true,
+            (Idempotency::AtMostOnce, _) | (Idempotency::Deduplicated(..), None) => !s.maybe_ran,
+            (Idempotency::Deduplicated(group, span), Some((at, first))) => {
                 let first = self.servers.get(&first).map(|f| f.entry);
                 let same = first.is_some_and(|f| match group {
-                    Group::All => true,
-                    Group::Zone => f.zone == server.entry.zone,
-                    Group::Cell => f.cell == server.entry.cell,
+                    DedupScope::All => true,
+                    DedupScope::Zone => f.zone == server.entry.zone,
+                    DedupScope::Cell => f.cell == server.entry.cell,
                 });
                 !s.maybe_ran || (same && now <= at.saturating_add(span))
             }
         };
-        let seats = self.set.classes[s.class].seats as usize;
+        let seats = self.set.classes[s.class].max_sessions_per_title as usize;
         let alike = |o: &&Session| o.server.is_some() && o.class == s.class && o.wish.title == s.wish.title;
         s.phase == Phase::Waiting
             && now < s.deadline
@@ -974,18 +975,19 @@
         if warmth >= 1.0 {
             return true;
         }
-        let pace = streams(&self.set, server) / seconds(r.cold).max(0.1) * warmth * COLD_SHARE;
-        let part = pace * r.fall_multiple * seconds(r.fall_window) * COLD_SHARE
+        let pace = streams(&self.set, server) / seconds(r.warm_up).max(0.1) * warmth * COLD_SHARE;
+        let part = pace * r.overload_multiple * seconds(r.overload_window) * COLD_SHARE
             / f64::from(self.set.fronts).max(1.0);
         let since = ago(now, WINDOW).max(self.began.unwrap_or(now));
         let asked = self.wishes.iter().rev().take_while(|(at, _)| *at > since);
         let asked = asked.filter(|(_, wish)| holds(&self.set, server, wish)).count() as f64;
         let wanted = asked.max(1.0) / seconds(now.saturating_sub(since)).max(1.0);
         // Each front's windows begin at a moment of its own.
-        let window = now.saturating_add(self.random % r.fall_window.max(1)) / r.fall_window.max(1);
+        let window = now.saturating_add(self.random % r.overload_window.max(1)) / r.overload_window.max(1);
         let lot = scatter(self.random ^ scatter(window ^ scatter(u64::from(server.entry.server.0))));
-        server.sends.since(ago(now, r.fall_window)) + 1.0 <= part.max(1.0)
-            && (part >= 1.0 || unit(lot) * (wanted * seconds(r.fall_window)).clamp(COLD_SHARE, 1.0) <= part)
+        server.sends.since(ago(now, r.overload_window)) + 1.0 <= part.max(1.0)
+            && (part >= 1.0
+                || unit(lot) * (wanted * seconds(r.overload_window)).clamp(COLD_SHARE, 1.0) <= part)
     }
 
     /// Share of its capacity that a server has reached; a lost one is held to be at its start.
@@ -994,17 +996,18 @@
         let run = match (server.lost, server.cold_from) {
             (true, _) => 0.0,
             (false, None) => return 1.0,
-            (false, Some(from)) => now.saturating_sub(from) as f64 / r.cold.max(1) as f64,
+            (false, Some(from)) => now.saturating_sub(from) as f64 / r.warm_up.max(1) as f64,
         };
         (r.cold_share + (1.0 - r.cold_share) * run).clamp(0.05, 1.0)
     }
 
     /// Rule 6: further attempts in the window, this one included, against sessions taken in it.
     fn within_budget(&self, now: Time) -> bool {
-        self.set.rules.budget.is_none_or(|b| {
+        self.set.rules.retry_budget.is_none_or(|b| {
             let after = ago(now, b.window);
             // An attempt just on the edge still counts, a session there no longer does.
-            self.further.since(after.saturating_sub(1)) + 1.0 <= b.free + b.share * self.taken.since(after)
+            self.further.since(after.saturating_sub(1)) + 1.0
+                <= b.min_retries + b.retry_ratio * self.taken.since(after)
         })
     }
 
@@ -1015,18 +1018,18 @@
         let budget = self.within_budget(now);
         self.set_rung(now, id, rung, out);
         let Some(s) = self.sessions.get_mut(&id) else { return false };
-        let again = s.repeat != Repeat::Never && s.attempts + 1 < self.set.max_attempts && budget;
+        let again = s.repeat != Idempotency::AtMostOnce && s.attempts + 1 < self.set.max_attempts && budget;
         let left = s.deadline - now;
         let wait = if again { left.min((s.aim as f64 * TRY_SHARE) as Time) } else { left };
         if s.attempts > 0 {
-            self.further.push(now, 1.0, self.set.rules.budget.map_or(0, |b| b.window));
+            self.further.push(now, 1.0, self.set.rules.retry_budget.map_or(0, |b| b.window));
         }
         s.first_run = s.first_run.or(Some((now, at)));
         (s.phase, s.server, s.since) = (Phase::SettingUp, Some(at), now);
         s.attempts += 1;
         if let Some(server) = self.servers.get_mut(&at) {
             server.sessions.insert(id);
-            server.sends.push(now, 1.0, self.set.rules.cold);
+            server.sends.push(now, 1.0, self.set.rules.warm_up);
             server.sent_at = Some(now);
         }
         self.resum(now, at);
@@ -1067,8 +1070,9 @@
     /// honest, else a failure. With an attempt out its outcome comes first.
     fn give_up(&mut self, now: Time, id: SessionId, out: &mut Vec<Action>) {
         let Some(s) = self.sessions.get(&id).filter(|s| s.phase == Phase::Waiting) else { return };
-        let honest = !s.maybe_ran || matches!(s.repeat, Repeat::Harmless | Repeat::Within(Group::All, _));
-        let advice = self.set.advice.then_some(self.set.max_advice);
+        let honest = !s.maybe_ran
+            || matches!(s.repeat, Idempotency::Idempotent | Idempotency::Deduplicated(DedupScope::All, _));
+        let advice = self.set.send_retry_after.then_some(self.set.max_retry_after);
         out.push(if honest && now < s.deadline { Action::Refuse(id, advice) } else { Action::Fail(id) });
         self.forget(now, id);
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,12 +1,12 @@
-//! The interface of the decision module: settings, events and actions, in the terms of the field.
+//! The interface of the decision module: settings, events and actions.
 //!
-//! A front end makes one [`Controller`](crate::Controller) from [`Settings`], hands it every
-//! [`Event`] as it happens and carries out the [`Action`]s that come back, in their order.
-//! Nothing here decides anything.
+//! A front creates one [`Controller`](crate::Controller) from [`Settings`], passes it every [`Event`] as it
+//! happens and carries out the returned [`Action`]s in order. This file holds data types and the checks of
+//! settings; the decisions are in `decide.rs`.
 
 use std::fmt;
 
-/// A moment on the front end's own clock, or a length of time, in nanoseconds.
+/// A time on the front's own clock, or a duration, in nanoseconds.
 pub type Time = u64;
 
 macro_rules! id {
@@ -20,11 +20,11 @@
 id! {
     /// A playout server.
     ServerId(u32),
-    /// One request for a session, and the session that comes of it.
+    /// A request for a session, and the session that results from it.
     SessionId(u64),
-    /// What is watched.
+    /// The title that a session plays.
     TitleId(u64),
-    /// The viewer's side of a session; the same when the viewer comes again.
+    /// A viewer; the same key when the viewer reconnects.
     ViewerKey(u64),
     /// Index into [`Settings::classes`].
     ClassId(u16),
@@ -32,26 +32,27 @@
     TenantId(u16),
     /// A location of servers and fronts.
     ZoneId(u16),
-    /// Index into [`Settings::kind_streams`].
+    /// Index into [`Settings::kind_max_streams`].
     KindId(u16),
-    /// Room that is held for an announced peak.
-    HoldId(u64),
+    /// Capacity reserved for an announced peak.
+    ReservationId(u64),
 }
 
-/// May a set-up be sent again?
+/// Whether a set-up may be sent again after an attempt that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
-    /// Whenever it helps.
-    Harmless,
-    /// Only when every earlier attempt provably never ran.
-    Never,
-    /// After an attempt that may have run, only within a group of servers and a time.
-    Within(Group, Time),
+pub enum Idempotency {
+    /// A set-up may be repeated at any time.
+    Idempotent,
+    /// A set-up may be repeated only if every earlier attempt provably never ran.
+    AtMostOnce,
+    /// Servers discard duplicates: after an attempt that may have run, a set-up may be repeated only within this
+    /// scope and for this long after the first attempt.
+    Deduplicated(DedupScope, Time),
 }
 
-/// The servers among which a repeat is recognised.
+/// The servers that share a record of set-ups and so recognise a duplicate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// Every server.
     All,
     /// Servers of the same zone.
@@ -63,152 +64,154 @@
 /// One class of sessions.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// A set-up is wanted within this time.
-    pub aim: Time,
-    /// May a set-up be repeated?
-    pub repeat: Repeat,
-    /// Worth of a second on a rung of worth 1.
+    /// A set-up should complete within this time.
+    pub set_up_target: Time,
+    /// Whether a set-up may be repeated.
+    pub idempotency: Idempotency,
+    /// Worth of one second on a rung of worth 1.
     pub value: f64,
-    /// Its rates over those of the ladder.
-    pub scale: f64,
+    /// Factor on the rates of the ladder.
+    pub rate_scale: f64,
     /// Lowest rung allowed.
-    pub floor: u8,
-    /// Highest rung.
-    pub top: u8,
-    /// Sessions of one title that a front may hold; 0 means no cap.
-    pub seats: u32,
-    /// Its titles are live, so that viewers can share a stream.
+    pub lowest_rung: u8,
+    /// Highest rung allowed.
+    pub highest_rung: u8,
+    /// Sessions of one title that a front may have at a time; 0 means no limit.
+    pub max_sessions_per_title: u32,
+    /// The titles are live, so viewers on the same rung can share a stream.
     pub live: bool,
 }
 
 /// One tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second, over all fronts, within its share.
+    /// Requests per second, over all fronts, within the tenant's share.
     pub quota_per_s: f64,
 }
 
 /// One rung of the ladder of rates.
 #[derive(Clone, Copy, Debug)]
 pub struct Rung {
-    /// Rate, kB a second, before the class's scale.
+    /// Rate in kB/s, before the class's factor.
     pub kb: f64,
-    /// Worth of a second, before the class's value.
+    /// Worth of one second, before the class's value.
     pub worth: f64,
 }
 
-/// A value of a load report.
+/// The meaning of one value of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Gauge {
-    /// Streams that the server runs or sets up.
+    /// Streams that the server runs or is setting up.
     Streams,
-    /// Share of the link asked for, 1 at most.
+    /// Link demand over link capacity, capped at 1.
     LinkCapped,
-    /// What is asked of the link over what it gives, also above 1.
+    /// Link demand over link capacity, uncapped.
     Link,
-    /// What is asked of the rack's uplink over what it gives, also above 1.
+    /// Demand on the rack's uplink over its capacity, uncapped.
     Uplink,
-    /// A value that this interface does not name.
+    /// A value that the module does not use.
     Other,
 }
 
-/// The ration of further attempts.
+/// Retry budget: limits further attempts to a share of the requests.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Attempts granted however few the sessions.
-    pub free: f64,
-    /// Attempts granted for each session taken.
-    pub share: f64,
-    /// Length of the window in which both are counted.
+    /// Further attempts allowed in a window regardless of the number of requests.
+    pub min_retries: f64,
+    /// Further attempts allowed for each request in the window.
+    pub retry_ratio: f64,
+    /// Length of the window in which attempts and requests are counted.
     pub window: Time,
 }
 
-/// The figures behind the six rules.
+/// The parameters of the six rules.
 #[derive(Clone, Copy, Debug)]
 pub struct Rules {
-    /// Share of its capacity at which a server starts.
+    /// Share of its capacity that a server has when it starts.
     pub cold_share: f64,
-    /// A server is warm after this time.
-    pub cold: Time,
-    /// A cold server falls over at this multiple of its pace ...
-    pub fall_multiple: f64,
+    /// Time from a server's start until it has its full capacity.
+    pub warm_up: Time,
+    /// A cold server fails when set-ups arrive at this multiple of its pace ...
+    pub overload_multiple: f64,
     /// ... for this long.
-    pub fall_window: Time,
-    /// The ration of further attempts, where one is stated.
-    pub budget: Option<RetryBudget>,
+    pub overload_window: Time,
+    /// Limit on further attempts; `None` means no limit.
+    pub retry_budget: Option<RetryBudget>,
 }
 
-/// What each thing costs, as a part of the worth of one session.
+/// Costs, as fractions of the worth of one session.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Prices {
-    /// A move.
-    pub moved: f64,
-    /// A session on a server of another zone.
+    /// Moving a session to another server.
+    pub session_move: f64,
+    /// Placing a session on a server of another zone.
     pub cross_zone: f64,
-    /// A probe.
+    /// Sending a probe.
     pub probe: f64,
-    /// A new connection that a set-up goes over.
+    /// Opening a connection for a set-up.
     pub handshake: f64,
 }
 
-/// What a front end is told when it starts, or later by [`Controller::change`](crate::Controller::change).
+/// Settings of one front, given at the start and replaced by
+/// [`Controller::apply_settings`](crate::Controller::apply_settings).
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Number of fronts.
     pub fronts: u32,
     /// This front's zone.
     pub zone: ZoneId,
-    /// The classes.
+    /// Classes of sessions.
     pub classes: Vec<Class>,
-    /// The tenants; may be empty.
+    /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a session beyond its tenant's share, as a part of the usual.
+    /// Worth of a session beyond its tenant's share, as a fraction of the usual worth.
     pub over_share_worth: f64,
     /// The ladder, lowest rung first.
     pub ladder: Vec<Rung>,
-    /// Streams that a server of each kind runs at most.
-    pub kind_streams: Vec<f64>,
-    /// Number of racks; a server's rack is its cell modulo this.
+    /// Maximum number of streams on a server, for each kind of server.
+    pub kind_max_streams: Vec<f64>,
+    /// Number of racks; a server's rack is its cell modulo this number.
     pub racks: u32,
     /// Number of cells.
     pub cells: u32,
-    /// Mean uplink of a rack, kB a second.
+    /// Mean capacity of a rack's uplink, kB/s.
     pub uplink_kb: f64,
-    /// Link of a server for each unit of its weight, kB a second (rough); 0 if not told.
+    /// Approximate capacity of a server's link for each unit of its weight, kB/s; 0 if unknown.
     pub kb_per_weight: f64,
-    /// All links together at the start, kB a second.
+    /// Total capacity of all links at the start, kB/s.
     pub all_links_kb: f64,
-    /// What a further viewer adds to a shared live stream, as a part of the rate; 1: no sharing.
-    pub join: f64,
-    /// A server turns set-ups away at this use of its link; 0: never.
-    pub refuses_from: f64,
-    /// How late notes are.
-    pub seen_after: Time,
-    /// A change of rung costs so many seconds of worth.
+    /// Demand that a further viewer adds to a shared live stream, as a fraction of the rate; 1 means that streams
+    /// are not shared.
+    pub shared_stream_share: f64,
+    /// Link use from which a server refuses set-ups; 0 means that servers never refuse for this reason.
+    pub link_refusal_threshold: f64,
+    /// Delay of notifications from servers.
+    pub notification_delay: Time,
+    /// Cost of a change of rung, in seconds of worth.
     pub switch_cost_s: f64,
-    /// The values of a load report, in their order.
+    /// The values of a load report, in order.
     pub gauges: Vec<Gauge>,
     /// Probes are allowed.
     pub probes: bool,
-    /// Refused viewers are told when to come again.
-    pub advice: bool,
-    /// The longest advice that viewers follow.
-    pub max_advice: Time,
-    /// Attempts for one request at most.
+    /// Refusals carry a retry-after time.
+    pub send_retry_after: bool,
+    /// Longest retry-after time that viewers respect.
+    pub max_retry_after: Time,
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// The list of servers must be asked for.
+    /// The list of servers is sent only to fronts that subscribe to it.
     pub list_on_request: bool,
-    /// The shortest time between two events.
-    pub step: Time,
-    /// A connection to a server lasts so long unused; 0 if that is not known.
-    pub idle: Time,
-    /// Prices.
+    /// Minimum time between two events.
+    pub min_event_interval: Time,
+    /// Time after which an unused connection to a server is closed; 0 if unknown.
+    pub connection_idle_timeout: Time,
+    /// Costs.
     pub prices: Prices,
-    /// Figures of the rules.
+    /// Parameters of the six rules.
     pub rules: Rules,
 }
 
-/// Why settings cannot be used.
+/// Why settings were rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError(pub String);
 
@@ -220,73 +223,146 @@
 
 impl std::error::Error for SettingsError {}
 
+/// Returns an error with the formatted message if the condition is false.
+macro_rules! ensure {
+    ($condition:expr, $($message:tt)+) => {
+        let condition: bool = $condition;
+        if !condition {
+            return Err(SettingsError(format!($($message)+)));
+        }
+    };
+}
+
+/// Returns an error if a value that cannot change in a running front differs.
+fn ensure_unchanged<T: PartialEq + fmt::Debug>(
+    what: &str,
+    current: &T,
+    next: &T,
+) -> Result<(), SettingsError> {
+    ensure!(
+        current == next,
+        "{what} cannot change in a running front: it is {current:?}, the new one {next:?}"
+    );
+    Ok(())
+}
+
 impl Settings {
-    /// Checks that the settings agree with one another.
+    /// Checks that each value is in range and that the values agree with one another.
     ///
     /// # Errors
-    /// Names the first figure that is missing, out of range or at odds with another.
+    /// Names the first value that is missing, out of range or inconsistent with another.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let positive = |x: f64| x.is_finite() && x > 0.0;
-        let share = |x: f64| (0.0..=1.0).contains(&x);
-        let in_ladder = |r: u8| usize::from(r) < self.ladder.len();
-        let tests = [
-            (!self.ladder.is_empty(), "the ladder has no rungs"),
-            (self.ladder.len() < 256, "the ladder has too many rungs"),
-            (self.ladder.iter().all(|r| positive(r.kb) && r.worth.is_finite()), "a rung has no rate"),
-            (self.ladder.windows(2).all(|w| w[0].kb < w[1].kb), "the rungs do not ascend"),
-            (self.racks > 0, "there are no racks"),
-            (self.cells > 0, "there are no cells"),
-            (self.fronts > 0, "there are no fronts"),
-            (!self.classes.is_empty(), "there are no classes"),
-            (
-                self.classes.iter().all(|c| positive(c.scale) && positive(c.value)),
-                "a class has no scale or worth",
-            ),
-            (self.classes.iter().all(|c| in_ladder(c.floor) && c.floor <= c.top), "a class's rungs are off"),
-            (positive(self.uplink_kb), "the uplink has no capacity"),
-            (positive(self.all_links_kb) || positive(self.kb_per_weight), "the links have no capacity"),
-            (share(self.join), "the join share is not between 0 and 1"),
-            (share(self.rules.cold_share), "the cold share is not between 0 and 1"),
-            (positive(self.rules.fall_multiple), "the fall multiple is not positive"),
-            (!self.kind_streams.is_empty(), "there are no kinds of server"),
-            (self.kind_streams.iter().all(|s| positive(*s)), "a kind runs no streams"),
-        ];
-        match tests.iter().find(|(ok, _)| !ok) {
-            Some((_, what)) => Err(SettingsError((*what).to_owned())),
-            None => Ok(()),
+        let is_share = |x: f64| (0.0..=1.0).contains(&x);
+        let rungs = self.ladder.len();
+        ensure!(rungs > 0, "the ladder has no rungs; at least 1 is needed");
+        ensure!(rungs < 256, "the ladder has {rungs} rungs; at most 255 are allowed");
+        for (i, rung) in self.ladder.iter().enumerate() {
+            ensure!(positive(rung.kb), "rung {i}: the rate {} kB/s is not a positive number", rung.kb);
+            ensure!(rung.worth.is_finite(), "rung {i}: the worth {} is not a finite number", rung.worth);
+        }
+        for (i, pair) in self.ladder.windows(2).enumerate() {
+            let (below, rate) = (pair[0].kb, pair[1].kb);
+            ensure!(below < rate, "rung {}: the rate {rate} kB/s is not above {below} of rung {i}", i + 1);
+        }
+        ensure!(self.racks > 0, "there are no racks; at least 1 is needed");
+        ensure!(self.cells > 0, "there are no cells; at least 1 is needed");
+        ensure!(self.fronts > 0, "there are no fronts; at least 1 is needed");
+        ensure!(!self.classes.is_empty(), "there are no classes; at least 1 is needed");
+        for (i, class) in self.classes.iter().enumerate() {
+            let (scale, value) = (class.rate_scale, class.value);
+            ensure!(positive(scale), "class {i}: the factor on rates {scale} is not a positive number");
+            ensure!(positive(value), "class {i}: the value {value} is not a positive number");
+        }
+        for (i, class) in self.classes.iter().enumerate() {
+            let (lowest, highest) = (class.lowest_rung, class.highest_rung);
+            ensure!(
+                usize::from(lowest) < rungs,
+                "class {i}: the lowest rung {lowest} is not in the ladder; its highest is {}",
+                rungs - 1
+            );
+            ensure!(lowest <= highest, "class {i}: the lowest rung {lowest} is above the highest, {highest}");
         }
+        ensure!(
+            positive(self.uplink_kb),
+            "the uplink capacity {} kB/s is not a positive number",
+            self.uplink_kb
+        );
+        ensure!(
+            positive(self.all_links_kb) || positive(self.kb_per_weight),
+            "the links have no capacity: of the total ({} kB/s) and the capacity per weight ({} kB/s) one must be \
+             a positive number",
+            self.all_links_kb,
+            self.kb_per_weight
+        );
+        ensure!(
+            is_share(self.shared_stream_share),
+            "the share of a further viewer of a shared stream, {}, is not between 0 and 1",
+            self.shared_stream_share
+        );
+        ensure!(
+            is_share(self.rules.cold_share),
+            "the cold share {} is not between 0 and 1",
+            self.rules.cold_share
+        );
+        ensure!(
+            positive(self.rules.overload_multiple),
+            "the overload multiple {} of a cold server is not a positive number",
+            self.rules.overload_multiple
+        );
+        ensure!(!self.kind_max_streams.is_empty(), "there are no kinds of server; at least 1 is needed");
+        for (i, streams) in self.kind_max_streams.iter().enumerate() {
+            ensure!(
+                positive(*streams),
+                "kind {i}: the maximum of {streams} streams is not a positive number"
+            );
+        }
+        Ok(())
     }
 
-    /// May a front that goes by these go on by others? Racks, cells, zone, fronts, gauges and kinds are what its
-    /// accounts are built on; classes and tenants are known by index, so that none may be missing.
+    /// Checks that a running front can change to the `next` settings. Accounts are kept by rack, cell, zone, number
+    /// of fronts, gauge and kind, so these cannot change. Classes and tenants are identified by their index, so
+    /// none may be removed.
     ///
     /// # Errors
-    /// Names the first figure that cannot change.
-    pub fn may_become(&self, next: &Self) -> Result<(), SettingsError> {
-        let tests = [
-            (self.racks == next.racks, "the number of racks cannot change"),
-            (self.cells == next.cells, "the number of cells cannot change"),
-            (self.zone == next.zone, "the zone cannot change"),
-            (self.fronts == next.fronts, "the number of fronts cannot change"),
-            (self.gauges == next.gauges, "the gauges cannot change"),
-            (self.kind_streams.len() == next.kind_streams.len(), "the kinds of server cannot change"),
-            (self.list_on_request == next.list_on_request, "the way of the list cannot change"),
-            (self.classes.len() <= next.classes.len(), "a class is missing; classes are known by index"),
-            (self.tenants.len() <= next.tenants.len(), "a tenant is missing; tenants are known by index"),
-        ];
-        match tests.iter().find(|(ok, _)| !ok) {
-            Some((_, what)) => Err(SettingsError((*what).to_owned())),
-            None => Ok(()),
-        }
+    /// Names the first value that cannot change.
+    pub fn validate_change(&self, next: &Self) -> Result<(), SettingsError> {
+        ensure_unchanged("the number of racks", &self.racks, &next.racks)?;
+        ensure_unchanged("the number of cells", &self.cells, &next.cells)?;
+        ensure_unchanged("the zone", &self.zone.0, &next.zone.0)?;
+        ensure_unchanged("the number of fronts", &self.fronts, &next.fronts)?;
+        ensure_unchanged("the list of gauges", &self.gauges, &next.gauges)?;
+        ensure_unchanged(
+            "the number of kinds of server",
+            &self.kind_max_streams.len(),
+            &next.kind_max_streams.len(),
+        )?;
+        ensure_unchanged(
+            "whether the list of servers is sent on request",
+            &self.list_on_request,
+            &next.list_on_request,
+        )?;
+        let (classes, tenants) = (self.classes.len(), self.tenants.len());
+        ensure!(
+            classes <= next.classes.len(),
+            "{} classes, fewer than the {classes} in use; classes are identified by index and cannot be removed",
+            next.classes.len()
+        );
+        ensure!(
+            tenants <= next.tenants.len(),
+            "{} tenants, fewer than the {tenants} in use; tenants are identified by index and cannot be removed",
+            next.tenants.len()
+        );
+        Ok(())
     }
 }
 
-/// What a server's list entry says of it.
+/// A server's state in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// Takes set-ups.
+    /// Accepts set-ups.
     Ready,
-    /// Finishes its work; nothing new goes there.
+    /// Finishes its sessions and accepts no set-ups.
     Draining,
     /// Removed.
     Gone,
@@ -295,7 +371,7 @@
 /// An entry of the list of servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerEntry {
-    /// Which server.
+    /// The server.
     pub server: ServerId,
     /// Its zone.
     pub zone: ZoneId,
@@ -305,15 +381,15 @@
     pub cell: u32,
     /// Its state.
     pub state: ServerState,
-    /// Its weight, or what passes for it.
+    /// Its weight, or a substitute where the list has none.
     pub weight: f64,
-    /// When it last started; `None` means long ago.
+    /// When it last started; `None` means so long ago that it is warm.
     pub started: Option<Time>,
 }
 
-/// A viewer's wish, as it comes with a request or a session under way.
-#[derive(Clone, Copy, Debug)]
-pub struct Wish {
+/// What a viewer asks for, in a request or for a session that was already playing.
+#[derive(Clone, Copy)]
+pub struct SessionSpec {
     /// The viewer.
     pub viewer: ViewerKey,
     /// The class.
@@ -322,18 +398,36 @@
     pub tenant: TenantId,
     /// The title.
     pub title: TitleId,
-    /// First cell that holds the title.
-    pub home: f64,
-    /// Cells in a row that hold it.
-    pub copies: f64,
-    /// Highest rung that the viewer can use.
-    pub top: f64,
-    /// The viewer gives up after this time.
-    pub patience: Time,
-    /// A rough hint of the session's length.
-    pub length: Option<Time>,
-    /// The viewer comes again.
-    pub again: bool,
+    /// First of the consecutive cells that store the title.
+    pub first_cell: f64,
+    /// Number of consecutive cells that store the title.
+    pub cell_count: f64,
+    /// Highest rung that the viewer can play.
+    pub highest_rung: f64,
+    /// Time that the viewer waits for the session at most.
+    pub max_wait: Time,
+    /// Estimate of the session's length, if there is one.
+    pub expected_length: Option<Time>,
+    /// The viewer has asked before and reconnects.
+    pub reconnect: bool,
+}
+
+/// Prints the former names of the type and its fields: the platform's trace of inputs contains this text.
+impl fmt::Debug for SessionSpec {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Wish")
+            .field("viewer", &self.viewer)
+            .field("class", &self.class)
+            .field("tenant", &self.tenant)
+            .field("title", &self.title)
+            .field("home", &self.first_cell)
+            .field("copies", &self.cell_count)
+            .field("top", &self.highest_rung)
+            .field("patience", &self.max_wait)
+            .field("length", &self.expected_length)
+            .field("again", &self.reconnect)
+            .finish()
+    }
 }
 
 /// How an attempt or a session ended.
@@ -343,17 +437,17 @@
     Served,
     /// The server answered with an error.
     Error,
-    /// Turned away unseen.
+    /// The server refused it without starting work on it.
     Full,
-    /// No answer in time.
+    /// No answer before the time-out.
     TimedOut,
-    /// No connection.
+    /// No connection could be opened.
     ConnectFailed,
-    /// The connection broke, and with it the server.
+    /// The connection broke because the server failed.
     Broken,
-    /// The connection alone broke; the server lives.
+    /// The connection broke, but the server still runs.
     LinkBroken,
-    /// Called off, moved, or left by the viewer.
+    /// Cancelled, moved, or left by the viewer.
     Cancelled,
     /// Never sent.
     Unsent,
@@ -367,128 +461,128 @@
     }
 }
 
-/// What a note on a session tells.
+/// The value that a notification about a session carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoteKind {
-    /// Share of their rates that sessions on the server get.
+pub enum NotificationKind {
+    /// Share of their rates that sessions on the server receive.
     Delivered,
     /// The rung in force.
     Rung,
-    /// What is asked of the link over what it gives.
+    /// Link demand over link capacity.
     LinkUse,
-    /// What is asked of the rack's uplink over what it gives.
+    /// Demand on the rack's uplink over its capacity.
     UplinkUse,
 }
 
-/// Room held for viewers of some titles who are still to come: to everyone else it counts as asked for. It takes
-/// the place of what its [`HoldId`] held before; one that holds nothing releases it.
+/// Capacity reserved for viewers who are expected for some titles. For all other sessions it counts as demand.
+/// A reservation replaces the former one of its [`ReservationId`]; one without capacity releases it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Hold {
-    /// For whom.
+pub struct Reservation {
+    /// The titles.
     pub titles: Vec<TitleId>,
-    /// Held for each viewer, kB a second: a newcomer's rungs above its first find so much of it free, the rest is
-    /// for those after.
-    pub each: f64,
-    /// Where, and how much there, kB a second.
-    pub on: Vec<(ServerId, f64)>,
+    /// Part of the reservation for one viewer, kB/s. Above the entry rung a newcomer may use this much of it; the
+    /// rest is left for later viewers.
+    pub per_viewer_kb: f64,
+    /// Reserved capacity on each server, kB/s.
+    pub servers: Vec<(ServerId, f64)>,
 }
 
-/// What happens at a front end.
+/// An input of the controller.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The complete list of servers; who is absent is gone.
+    /// The complete list of servers; a server that is missing is gone.
     ListFull(Vec<ServerEntry>),
     /// Entries that changed.
     ListChanged(Vec<ServerEntry>),
-    /// The list could not be had.
+    /// The list could not be fetched.
     ListFailed,
     /// A viewer asks for a session.
-    Request(SessionId, Wish),
-    /// A session that was under way when the front started.
-    UnderWay(SessionId, Wish, ServerId),
+    Request(SessionId, SessionSpec),
+    /// A session that was already playing on the server when the front started.
+    Adopted(SessionId, SessionSpec, ServerId),
     /// The session plays.
     Started(SessionId, ServerId),
-    /// An attempt, or the session that came of it, ended.
+    /// An attempt, or the session that resulted from it, ended.
     Ended {
         /// The session.
         session: SessionId,
         /// The server of the attempt.
         server: ServerId,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
-        /// Nothing more is owed to the viewer.
-        settled: bool,
+        /// The viewer needs no further answer; otherwise the request is tried again or gets its final answer.
+        is_final: bool,
         /// The server's load report, in the order of [`Settings::gauges`]; may be empty.
         report: Vec<f64>,
     },
-    /// The viewer left, or the request ended otherwise.
-    Left(SessionId),
-    /// A note on a session.
-    Note(SessionId, ServerId, NoteKind, f64),
-    /// A probe's answer; `None` if it failed.
+    /// The viewer left, or the request ended for another reason.
+    Closed(SessionId),
+    /// A server's notification about a session.
+    Notification(SessionId, ServerId, NotificationKind, f64),
+    /// The result of a probe: a load report, or `None` if the probe failed.
     Probed(ServerId, Option<Vec<f64>>),
-    /// What another front saw of a server so long ago, in the order of [`Settings::gauges`].
-    Seen(ServerId, Time, Vec<f64>),
-    /// Room held on servers, kB a second, for viewers who are still to come.
-    Held(HoldId, Hold),
+    /// A load report that another front received, with its age, in the order of [`Settings::gauges`].
+    PeerReport(ServerId, Time, Vec<f64>),
+    /// A reservation was made, replaced or released.
+    Reserved(ReservationId, Reservation),
     /// A message from another front.
     Message(u16, Vec<u8>),
-    /// A timer that the module had set.
+    /// A timer set by [`Action::SetTimer`] expired; the value is its token.
     Timer(u64),
 }
 
-/// What a front end is to do.
+/// An output of the controller, to be carried out by the front.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Set the session up on this server; wait so long at most.
+    /// Send a set-up to this server and wait for the answer at most this long.
     SetUp(SessionId, ServerId, Time),
     /// Set the session's rung.
     SetRung(SessionId, u8),
-    /// Turn the viewer away, with advice when to come again.
+    /// Refuse the request, with a retry-after time.
     Refuse(SessionId, Option<Time>),
     /// Answer that the session failed.
     Fail(SessionId),
-    /// End the playing session so that it comes back to be set up elsewhere.
+    /// End the playing session so that the viewer reconnects and is placed elsewhere.
     Move(SessionId),
     /// Probe this server.
     Probe(ServerId),
     /// Subscribe to the list of servers.
     WatchList,
-    /// Set a timer.
+    /// Set a timer: its duration and its token.
     SetTimer(Time, u64),
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
 
-/// What the module holds a node to be, for display only.
+/// State of a server as the controller estimates it, for display only.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerView {
-    /// As last listed.
+    /// The last list entry.
     pub entry: ServerEntry,
-    /// Its rack.
+    /// The server's rack.
     pub rack: u32,
-    /// This front's sessions there.
+    /// Number of this front's sessions there.
     pub sessions: usize,
-    /// Their rates in force, kB a second.
+    /// Sum of their rates in force, kB/s.
     pub own_kb: f64,
-    /// Use of its link as estimated; 1 is full.
+    /// Estimated use of its link; 1 is full.
     pub link_use: f64,
-    /// Share of its capacity that it is held to have reached.
+    /// Estimated share of its capacity that it has reached since its start.
     pub warmth: f64,
-    /// It is passed over while another holder is sound.
+    /// The server is skipped while another one that stores the title is healthy.
     pub barred: bool,
 }
 
-/// What the module holds a rack to be, for display only.
+/// State of a rack as the controller estimates it, for display only.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RackView {
-    /// Its number.
+    /// The rack's number.
     pub rack: u32,
-    /// Forecast demand over the uplink.
+    /// Forecast demand over the uplink's capacity.
     pub forecast: f64,
-    /// Use of the uplink as estimated.
+    /// Estimated use of the uplink; 1 is full.
     pub uplink_use: f64,
-    /// Past this forecast it is alerted.
+    /// The rack is alerted when the forecast exceeds this.
     pub mark: f64,
     /// An alert is in force.
     pub alerted: bool,
--- a/src/state.rs
+++ b/src/state.rs
@@ -12,11 +12,11 @@
 }
 
 pub struct Session {
-    pub wish: Wish,
+    pub wish: SessionSpec,
     pub class: usize,
     /// As the class had it when the request came: what one request is promised never changes.
     pub aim: Time,
-    pub repeat: Repeat,
+    pub repeat: Idempotency,
     /// Its bounds, as long as it is set up those of then and of now.
     pub floor: u8,
     pub top: u8,
@@ -87,10 +87,10 @@
 /// The rungs of a class worth choosing: each earns less for each kB than the one before.
 pub fn worthwhile(class: &Class, ladder: &[Rung]) -> Vec<(u8, f64, f64)> {
     let mut steps: Vec<(u8, f64, f64)> = Vec::new();
-    for rung in class.floor..=class.top.min((ladder.len() - 1) as u8) {
+    for rung in class.lowest_rung..=class.highest_rung.min((ladder.len() - 1) as u8) {
         let r = ladder[usize::from(rung)];
         let before = steps.iter().fold((0.0, 0.0), |sum, s| (sum.0 + s.1, sum.1 + s.2));
-        let mut step = (rung, r.kb * class.scale - before.0, r.worth - before.1);
+        let mut step = (rung, r.kb * class.rate_scale - before.0, r.worth - before.1);
         while let Some(last) = steps.last().copied().filter(|l| l.2 * step.1 <= step.2 * l.1) {
             step = (rung, step.1 + last.1, step.2 + last.2);
             steps.pop();
@@ -125,22 +125,22 @@
 
 impl Session {
     /// A request as it comes.
-    pub fn new(now: Time, wish: Wish, class: usize, terms: &Class, top: u8) -> Self {
+    pub fn new(now: Time, wish: SessionSpec, class: usize, terms: &Class, top: u8) -> Self {
         Self {
             wish,
             class,
-            aim: terms.aim,
-            repeat: terms.repeat,
-            floor: terms.floor,
+            aim: terms.set_up_target,
+            repeat: terms.idempotency,
+            floor: terms.lowest_rung,
             top,
             value: terms.value,
-            rung: terms.floor,
+            rung: terms.lowest_rung,
             phase: Phase::Waiting,
             server: None,
             asked: BTreeSet::new(),
             shun: BTreeSet::new(),
             cap: top,
-            deadline: now.saturating_add(wish.patience),
+            deadline: now.saturating_add(wish.max_wait),
             attempts: 0,
             first_run: None,
             maybe_ran: false,
@@ -157,7 +157,7 @@
     /// must have instead, if any: one that plays above the top may stay there a while, but on the ladder.
     pub fn bounded(&mut self, set: &Settings) -> Option<u8> {
         let (class, last) = (&set.classes[self.class], (set.ladder.len() - 1) as u8);
-        let (mut floor, mut top) = (class.floor, highest(set, self.class, &self.wish));
+        let (mut floor, mut top) = (class.lowest_rung, highest(set, self.class, &self.wish));
         let playing = self.phase == Phase::Playing;
         if playing {
             self.value = class.value;
@@ -188,21 +188,21 @@
 }
 
 /// A server holds a title if its cell is one of those that the wish names.
-pub fn holds(set: &Settings, server: &Server, wish: &Wish) -> bool {
+pub fn holds(set: &Settings, server: &Server, wish: &SessionSpec) -> bool {
     let cells = f64::from(set.cells);
-    let (home, copies) = (wish.home.max(0.0).min(cells), wish.copies.max(0.0).min(cells));
+    let (home, copies) = (wish.first_cell.max(0.0).min(cells), wish.cell_count.max(0.0).min(cells));
     (f64::from(server.entry.cell) + cells - home.floor()) % cells < copies.floor()
 }
 
 /// Rate of a class on a rung, kB a second. A rung above the ladder, as a change can leave it, counts as the last.
 pub fn rate(set: &Settings, class: usize, rung: u8) -> f64 {
-    set.ladder[usize::from(rung).min(set.ladder.len() - 1)].kb * set.classes[class].scale
+    set.ladder[usize::from(rung).min(set.ladder.len() - 1)].kb * set.classes[class].rate_scale
 }
 
 /// Highest rung for a wish; a missing or senseless top counts as the class's floor.
-pub fn highest(set: &Settings, class: usize, wish: &Wish) -> u8 {
-    let top = wish.top.min((set.ladder.len() - 1) as f64).max(0.0) as u8;
-    top.min(set.classes[class].top).max(set.classes[class].floor)
+pub fn highest(set: &Settings, class: usize, wish: &SessionSpec) -> u8 {
+    let top = wish.highest_rung.min((set.ladder.len() - 1) as f64).max(0.0) as u8;
+    top.min(set.classes[class].highest_rung).max(set.classes[class].lowest_rung)
 }
 
 /// The rungs worth choosing, for each class.
@@ -216,7 +216,7 @@
     let mut own = 0.0;
     for s in server.sessions.iter().filter_map(|id| sessions.get(id)) {
         let alone = !set.classes[s.class].live || streams.insert((s.wish.title, s.class, s.rung));
-        own += rate(set, s.class, s.rung) * if alone { 1.0 } else { set.join };
+        own += rate(set, s.class, s.rung) * if alone { 1.0 } else { set.shared_stream_share };
     }
     own
 }
@@ -231,6 +231,6 @@
 
 /// Streams that a server runs at most; an unknown kind counts as the last one.
 pub fn streams(set: &Settings, server: &Server) -> f64 {
-    let kinds = &set.kind_streams;
+    let kinds = &set.kind_max_streams;
     kinds[usize::from(server.entry.kind.0).min(kinds.len() - 1)]
 }
--- a/tests/blind.rs
+++ b/tests/blind.rs
@@ -33,7 +33,7 @@
             for n in 0..39 {
                 assert!(f.ask(n, wish(n, 0.0, 4.0)).is_some(), "{gauges:?}, uplink {part}: wish {n} refused");
                 f.pass(S);
-                f.tell(Event::Left(SessionId(n)));
+                f.tell(Event::Closed(SessionId(n)));
                 f.pass(10 * MS);
             }
         }
@@ -45,13 +45,13 @@
     let mut f = site(3, 0.6, vec![Gauge::Link]);
     f.under_way(1, wish(1, 0.0, 4.0), 1, 3);
     f.now += 2 * S;
-    f.note(1, 1, NoteKind::LinkUse, 0.1);
+    f.note(1, 1, NotificationKind::LinkUse, 0.1);
     f.end(1, ServerId(1), Outcome::Served, true);
     for n in 2..10 {
         f.pass(40 * S);
         assert!(f.ask(n, wish(n, 0.0, 4.0)).is_some(), "wish {n} refused");
         f.end(n, ServerId(1), Outcome::Served, true);
-        f.tell(Event::Left(SessionId(n)));
+        f.tell(Event::Closed(SessionId(n)));
     }
 }
 
--- a/tests/churn.rs
+++ b/tests/churn.rs
@@ -37,7 +37,7 @@
 #[test]
 fn a_connection_that_broke_alone_makes_no_server_suspect_and_is_no_proof() {
     let mut s = settings();
-    s.classes[0].repeat = Repeat::Never;
+    s.classes[0].idempotency = Idempotency::AtMostOnce;
     let mut f = Front::new(s, &[server(1, 0), server(2, 1)]);
     let (at, _) = f.ask(1, wish(1, 0.0, 2.0)).expect("set up");
     let actions = f.end(1, at, Outcome::LinkBroken, false);
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -182,7 +182,7 @@
         let c = &self.case;
         Settings {
             fronts: c.believed.unwrap_or(c.fronts as u32),
-            kind_streams: vec![c.places],
+            kind_max_streams: vec![c.places],
             racks: 3,
             cells: c.cold,
             uplink_kb: 1e9,
@@ -190,10 +190,10 @@
             all_links_kb: 1e9 * f64::from(c.warm + c.cold),
             rules: Rules {
                 cold_share: c.cold_share,
-                cold: c.cold_time,
-                fall_multiple: c.multiple,
-                fall_window: c.window,
-                budget: None,
+                warm_up: c.cold_time,
+                overload_multiple: c.multiple,
+                overload_window: c.window,
+                retry_budget: None,
             },
             ..settings()
         }
@@ -307,7 +307,7 @@
                     self.count += 1;
                     let (id, title) = (SessionId(self.count), TitleId(u64::from(cell)));
                     let viewer = ViewerKey(self.count);
-                    let wish = Wish { viewer, title, ..wish(0, f64::from(cell), 1.0) };
+                    let wish = SessionSpec { viewer, title, ..wish(0, f64::from(cell), 1.0) };
                     let out = self.tell(now, front, Event::Request(id, wish));
                     // Whoever is refused, or might have been sent to a warm node, comes again to any front.
                     if refused(&out) && tries < c.retries {
@@ -322,7 +322,7 @@
                         session,
                         server,
                         outcome: Outcome::Served,
-                        settled: true,
+                        is_final: true,
                         report: Vec::new(),
                     };
                     self.tell(now, front, Event::Started(session, server));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,13 +8,13 @@
 
 pub fn class() -> Class {
     Class {
-        aim: 800 * MS,
-        repeat: Repeat::Harmless,
+        set_up_target: 800 * MS,
+        idempotency: Idempotency::Idempotent,
         value: 1.0,
-        scale: 1.0,
-        floor: 0,
-        top: 4,
-        seats: 0,
+        rate_scale: 1.0,
+        lowest_rung: 0,
+        highest_rung: 4,
+        max_sessions_per_title: 0,
         live: false,
     }
 }
@@ -28,26 +28,32 @@
         tenants: vec![],
         over_share_worth: 1.0,
         ladder: rungs.iter().map(|(kb, worth)| Rung { kb: *kb, worth: *worth }).collect(),
-        kind_streams: vec![40.0],
+        kind_max_streams: vec![40.0],
         racks: 2,
         cells: 4,
         uplink_kb: 10_000.0,
         kb_per_weight: 10_000.0,
         all_links_kb: 40_000.0,
-        join: 1.0,
-        refuses_from: 0.0,
-        seen_after: 500 * MS,
+        shared_stream_share: 1.0,
+        link_refusal_threshold: 0.0,
+        notification_delay: 500 * MS,
         switch_cost_s: 0.5,
         gauges: vec![Gauge::Link, Gauge::Uplink],
         probes: false,
-        advice: true,
-        max_advice: 500 * MS,
+        send_retry_after: true,
+        max_retry_after: 500 * MS,
         max_attempts: 3,
         list_on_request: false,
-        step: 10 * MS,
-        idle: 0,
-        prices: Prices { moved: 0.05, cross_zone: 0.04, probe: 0.0, handshake: 0.0 },
-        rules: Rules { cold_share: 0.4, cold: 12 * S, fall_multiple: 2.5, fall_window: 2 * S, budget: None },
+        min_event_interval: 10 * MS,
+        connection_idle_timeout: 0,
+        prices: Prices { session_move: 0.05, cross_zone: 0.04, probe: 0.0, handshake: 0.0 },
+        rules: Rules {
+            cold_share: 0.4,
+            warm_up: 12 * S,
+            overload_multiple: 2.5,
+            overload_window: 2 * S,
+            retry_budget: None,
+        },
     }
 }
 
@@ -64,18 +70,18 @@
     }
 }
 
-pub fn wish(n: u64, home: f64, copies: f64) -> Wish {
-    Wish {
+pub fn wish(n: u64, home: f64, copies: f64) -> SessionSpec {
+    SessionSpec {
         viewer: ViewerKey(n),
         class: ClassId(0),
         tenant: TenantId(0),
         title: TitleId(n),
-        home,
-        copies,
-        top: 4.0,
-        patience: 4 * S,
-        length: None,
-        again: false,
+        first_cell: home,
+        cell_count: copies,
+        highest_rung: 4.0,
+        max_wait: 4 * S,
+        expected_length: None,
+        reconnect: false,
     }
 }
 
@@ -99,29 +105,35 @@
     }
 
     /// Asks for a session; returns where it was sent and at which rung.
-    pub fn ask(&mut self, n: u64, wish: Wish) -> Option<(ServerId, u8)> {
+    pub fn ask(&mut self, n: u64, wish: SessionSpec) -> Option<(ServerId, u8)> {
         placed(&self.tell(Event::Request(SessionId(n), wish)))
     }
 
     /// Asks for a session and lets it play; panics if it is not set up.
-    pub fn play(&mut self, n: u64, wish: Wish) -> (ServerId, u8) {
+    pub fn play(&mut self, n: u64, wish: SessionSpec) -> (ServerId, u8) {
         let at = self.ask(n, wish).expect("set up");
         self.tell(Event::Started(SessionId(n), at.0));
         at
     }
 
     /// Takes over a session under way at a rung.
-    pub fn under_way(&mut self, n: u64, wish: Wish, at: u32, rung: u8) {
-        self.tell(Event::UnderWay(SessionId(n), wish, ServerId(at)));
-        self.tell(Event::Note(SessionId(n), ServerId(at), NoteKind::Rung, f64::from(rung)));
+    pub fn under_way(&mut self, n: u64, wish: SessionSpec, at: u32, rung: u8) {
+        self.tell(Event::Adopted(SessionId(n), wish, ServerId(at)));
+        self.tell(Event::Notification(SessionId(n), ServerId(at), NotificationKind::Rung, f64::from(rung)));
     }
 
     pub fn end(&mut self, n: u64, at: ServerId, outcome: Outcome, settled: bool) -> Vec<Action> {
-        self.tell(Event::Ended { session: SessionId(n), server: at, outcome, settled, report: vec![] })
+        self.tell(Event::Ended {
+            session: SessionId(n),
+            server: at,
+            outcome,
+            is_final: settled,
+            report: vec![],
+        })
     }
 
-    pub fn note(&mut self, n: u64, at: u32, kind: NoteKind, value: f64) -> Vec<Action> {
-        self.tell(Event::Note(SessionId(n), ServerId(at), kind, value))
+    pub fn note(&mut self, n: u64, at: u32, kind: NotificationKind, value: f64) -> Vec<Action> {
+        self.tell(Event::Notification(SessionId(n), ServerId(at), kind, value))
     }
 
     /// Lets time pass with the periodic timer; returns what was done.
--- a/tests/holds.rs
+++ b/tests/holds.rs
@@ -7,26 +7,29 @@
 
 const EVENT: TitleId = TitleId(77);
 
-fn event_viewer(n: u64) -> Wish {
-    Wish { title: EVENT, ..wish(n, 0.0, 4.0) }
+fn event_viewer(n: u64) -> SessionSpec {
+    SessionSpec { title: EVENT, ..wish(n, 0.0, 4.0) }
 }
 
 fn hold(f: &mut Front, on: &[(u32, f64)]) -> Vec<Action> {
     let on = on.iter().map(|(id, kb)| (ServerId(*id), *kb)).collect();
-    f.tell(Event::Held(HoldId(1), Hold { titles: vec![EVENT], each: 350.0, on }))
+    f.tell(Event::Reserved(
+        ReservationId(1),
+        Reservation { titles: vec![EVENT], per_viewer_kb: 350.0, servers: on },
+    ))
 }
 
 /// One server of 10 MB/s, its link seen to be hardly used.
 fn one() -> Front {
     let mut f = Front::new(settings(), &[server(1, 0)]);
     f.play(900, wish(900, 0.0, 1.0));
-    f.note(900, 1, NoteKind::LinkUse, 0.05);
-    f.note(900, 1, NoteKind::UplinkUse, 0.05);
+    f.note(900, 1, NotificationKind::LinkUse, 0.05);
+    f.note(900, 1, NotificationKind::UplinkUse, 0.05);
     f
 }
 
 /// Rungs at which so many viewers come to play, one after the other, each of the titles given.
-fn rungs(f: &mut Front, from: u64, count: u64, wish: impl Fn(u64) -> Wish) -> Vec<Option<u8>> {
+fn rungs(f: &mut Front, from: u64, count: u64, wish: impl Fn(u64) -> SessionSpec) -> Vec<Option<u8>> {
     (from..from + count)
         .map(|n| {
             let at = f.ask(n, wish(n));
@@ -84,7 +87,7 @@
     let mut f = one();
     rungs(&mut f, 1, 6, |n| wish(n, 0.0, 1.0));
     let mut actions = hold(&mut f, &[(1, 1e9)]);
-    f.note(900, 1, NoteKind::LinkUse, 0.5);
+    f.note(900, 1, NotificationKind::LinkUse, 0.5);
     actions.extend(f.pass(20 * S));
     assert!(lowered(&actions).is_empty() && !refused(&actions) && moves(&actions) == 0);
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -40,7 +40,7 @@
     let left = if id.0 % 2 == 0 { 1 } else { 3 };
     f.end(id.0, ServerId(left), Outcome::Cancelled, true);
     f.now += 300 * MS;
-    let (at, rung) = f.ask(99, Wish { again: true, ..wish(id.0, 0.0, 4.0) }).expect("set up");
+    let (at, rung) = f.ask(99, SessionSpec { reconnect: true, ..wish(id.0, 0.0, 4.0) }).expect("set up");
     assert_eq!(rung, 3);
     assert!([2, 4].contains(&at.0), "on the unalerted rack, not {at:?}");
 }
@@ -50,14 +50,14 @@
     let mut f = Front::new(settings(), &[server(1, 0)]);
     f.under_way(1, wish(1, 0.0, 1.0), 1, 3);
     f.now += 2 * S;
-    f.note(1, 1, NoteKind::LinkUse, 1.02);
+    f.note(1, 1, NotificationKind::LinkUse, 1.02);
     f.now += S;
     f.under_way(2, wish(2, 0.0, 1.0), 1, 3);
     let mut seconds = 0;
     loop {
         f.now += S;
         seconds += 1;
-        let actions = f.note(2, 1, NoteKind::Delivered, 0.9);
+        let actions = f.note(2, 1, NotificationKind::Delivered, 0.9);
         assert_eq!(moves(&actions), 0);
         if actions.iter().any(|a| matches!(a, Action::SetRung(_, 2))) {
             break;
@@ -69,16 +69,16 @@
 #[test]
 fn admission_takes_the_highest_rung_under_the_mark_on_link_and_uplink() {
     for (kind, used, most) in [
-        (NoteKind::LinkUse, 0.1, 4),
-        (NoteKind::LinkUse, 0.72, 2),
-        (NoteKind::UplinkUse, 0.1, 4),
-        (NoteKind::UplinkUse, 0.72, 2),
+        (NotificationKind::LinkUse, 0.1, 4),
+        (NotificationKind::LinkUse, 0.72, 2),
+        (NotificationKind::UplinkUse, 0.1, 4),
+        (NotificationKind::UplinkUse, 0.72, 2),
     ] {
         let mut f = Front::new(settings(), &[server(1, 0)]);
         f.under_way(1, wish(1, 0.0, 1.0), 1, 3);
         f.now += 2 * S;
-        f.note(1, 1, NoteKind::LinkUse, 0.12);
-        f.note(1, 1, NoteKind::UplinkUse, 0.12);
+        f.note(1, 1, NotificationKind::LinkUse, 0.12);
+        f.note(1, 1, NotificationKind::UplinkUse, 0.12);
         f.note(1, 1, kind, used);
         let (_, rung) = f.ask(2, wish(2, 0.0, 1.0)).expect("set up");
         assert_eq!(rung, most, "{kind:?} {used}");
@@ -90,7 +90,7 @@
     let mut f = Front::new(settings(), &[server(1, 0)]);
     f.under_way(1, wish(1, 0.0, 1.0), 1, 0);
     f.now += 2 * S;
-    f.note(1, 1, NoteKind::LinkUse, 0.6);
+    f.note(1, 1, NotificationKind::LinkUse, 0.6);
     let mut sum = 0.6;
     for n in 2..30 {
         if let Some((_, rung)) = f.ask(n, wish(n, 0.0, 1.0)) {
@@ -122,8 +122,8 @@
 fn a_cut_of_everything_is_answered_in_proportion() {
     let mut f = loaded(8, 3);
     f.now += 2 * S;
-    f.note(0, 1, NoteKind::LinkUse, 0.4);
-    let actions = f.note(0, 1, NoteKind::UplinkUse, 1.6);
+    f.note(0, 1, NotificationKind::LinkUse, 0.4);
+    let actions = f.note(0, 1, NotificationKind::UplinkUse, 1.6);
     let lowered = actions.iter().filter(|a| matches!(a, Action::SetRung(..))).count();
     assert!(lowered >= 4, "one session a second would not do: {lowered}");
 }
@@ -131,9 +131,9 @@
 #[test]
 fn viewers_of_a_live_title_gather_where_its_stream_plays() {
     let mut s = settings();
-    (s.join, s.classes[0].live) = (0.3, true);
+    (s.shared_stream_share, s.classes[0].live) = (0.3, true);
     let mut f = Front::new(s, &[server(1, 0), server(3, 2)]);
-    let live = |n| Wish { title: TitleId(7), ..wish(n, 0.0, 4.0) };
+    let live = |n| SessionSpec { title: TitleId(7), ..wish(n, 0.0, 4.0) };
     let first = f.play(1, live(1));
     assert_eq!(f.play(2, live(2)), first, "joins although the other holder has fewer sessions");
     assert_ne!(f.play(3, wish(3, 0.0, 4.0)).0, first.0, "another title goes to the holder with fewest");
@@ -170,7 +170,7 @@
         f.under_way(n, wish(n, 0.0, 4.0), if n < 3 { 1 } else { 3 }, 3);
     }
     f.now += 5 * S;
-    let actions = f.note(0, 1, NoteKind::Delivered, 0.6);
+    let actions = f.note(0, 1, NotificationKind::Delivered, 0.6);
     let lowered: Vec<u64> = lowered(&actions);
     assert!(!lowered.is_empty() && lowered.iter().all(|n| *n < 3), "{lowered:?}");
 }
@@ -181,18 +181,28 @@
     f.under_way(1, wish(1, 0.0, 1.0), 1, 2);
     f.now += 2 * S;
     for bad in [f64::NAN, f64::INFINITY, -1.0] {
-        for kind in [NoteKind::Delivered, NoteKind::LinkUse, NoteKind::UplinkUse, NoteKind::Rung] {
+        for kind in [
+            NotificationKind::Delivered,
+            NotificationKind::LinkUse,
+            NotificationKind::UplinkUse,
+            NotificationKind::Rung,
+        ] {
             assert_eq!(f.note(1, 1, kind, bad), [], "{kind:?} {bad}");
         }
         f.tell(Event::Ended {
             session: SessionId(99),
             server: ServerId(1),
             outcome: Outcome::Served,
-            settled: true,
+            is_final: true,
             report: vec![bad, bad],
         });
     }
-    let odd = Wish { home: f64::NAN, copies: f64::NAN, top: f64::NAN, ..wish(2, 0.0, 1.0) };
+    let odd = SessionSpec {
+        first_cell: f64::NAN,
+        cell_count: f64::NAN,
+        highest_rung: f64::NAN,
+        ..wish(2, 0.0, 1.0)
+    };
     assert!(refused(&f.tell(Event::Request(SessionId(2), odd))));
     let (_, rung) = f.ask(3, wish(3, 0.0, 1.0)).expect("still admits");
     assert_eq!(rung, 4);
@@ -204,7 +214,7 @@
     assert_eq!(f.end(7, ServerId(1), Outcome::Served, false), []);
     assert_eq!(f.end(7, ServerId(70), Outcome::TimedOut, false), []);
     f.tell(Event::Started(SessionId(7), ServerId(70)));
-    assert_eq!(f.tell(Event::Left(SessionId(7))), []);
+    assert_eq!(f.tell(Event::Closed(SessionId(7))), []);
     assert_eq!(f.tell(Event::Timer(7)), []);
 }
 
@@ -221,11 +231,11 @@
     let mut f = loaded(8, 3);
     f.now += 5 * S;
     let lowered = |a: &[Action]| a.iter().filter(|a| matches!(a, Action::SetRung(..))).count();
-    assert!(lowered(&f.note(0, 1, NoteKind::UplinkUse, 1.5)) > 0);
+    assert!(lowered(&f.note(0, 1, NotificationKind::UplinkUse, 1.5)) > 0);
     f.now += 100 * MS;
-    assert_eq!(lowered(&f.note(1, 3, NoteKind::UplinkUse, 1.5)), 0, "seen before the relief");
+    assert_eq!(lowered(&f.note(1, 3, NotificationKind::UplinkUse, 1.5)), 0, "seen before the relief");
     f.now += S;
-    assert!(lowered(&f.note(1, 3, NoteKind::UplinkUse, 1.5)) > 0, "still short after it");
+    assert!(lowered(&f.note(1, 3, NotificationKind::UplinkUse, 1.5)) > 0, "still short after it");
 }
 
 #[test]
@@ -237,7 +247,7 @@
         f.under_way(n, wish(n, 0.0, 4.0), 1, 3);
     }
     f.now += 2 * S;
-    let actions = f.note(0, 1, NoteKind::LinkUse, 0.7);
+    let actions = f.note(0, 1, NotificationKind::LinkUse, 0.7);
     assert!(actions.iter().all(|a| !matches!(a, Action::SetRung(..))), "the uplink has not been seen");
 }
 
@@ -261,7 +271,7 @@
     let mut down = 0;
     for f in &mut all {
         f.now += 5 * S;
-        down += lowered(&f.note(1, 1, NoteKind::LinkUse, 1.25)).len();
+        down += lowered(&f.note(1, 1, NotificationKind::LinkUse, 1.25)).len();
     }
     // A fifth of the rates has to go and a step frees two fifths: half of them, not none and not all.
     assert!((70..=130).contains(&down), "{down} of 200");
@@ -273,8 +283,8 @@
     let mut up = 0;
     for f in &mut all {
         f.now += 7 * S + 600 * MS;
-        f.note(1, 1, NoteKind::LinkUse, 0.66);
-        f.note(1, 1, NoteKind::UplinkUse, 0.3);
+        f.note(1, 1, NotificationKind::LinkUse, 0.66);
+        f.note(1, 1, NotificationKind::UplinkUse, 0.3);
         up += lowered(&f.pass(S)).len();
     }
     // Room for a fifth more, and a step asks for two thirds more: about three in ten.
@@ -288,9 +298,9 @@
     let mut moved = 0;
     for f in &mut all {
         f.now += 5 * S;
-        f.note(1, 1, NoteKind::LinkUse, 0.6);
+        f.note(1, 1, NotificationKind::LinkUse, 0.6);
         f.tell(Event::Probed(ServerId(2), Some(vec![0.3, 0.3])));
-        f.note(1, 1, NoteKind::UplinkUse, 0.97);
+        f.note(1, 1, NotificationKind::UplinkUse, 0.97);
         moved += moves(&f.pass(500 * MS));
     }
     assert!((20..=60).contains(&moved), "{moved} of 200");
@@ -312,8 +322,8 @@
     let servers = [server(1, 0), server(3, 2)];
     let mut f = fronts(80, &servers, |f| f.under_way(1, wish(1, 0.0, 4.0), 1, 3)).remove(0);
     f.now += 2 * S;
-    f.note(1, 1, NoteKind::LinkUse, 0.4);
-    f.note(1, 1, NoteKind::UplinkUse, 0.4);
+    f.note(1, 1, NotificationKind::LinkUse, 0.4);
+    f.note(1, 1, NotificationKind::UplinkUse, 0.4);
     let (_, rung) = f.ask(2, wish(2, 0.0, 4.0)).expect("set up");
     assert!(rung >= 3, "room for it at rung 3, not {rung}");
     assert_eq!(moves(&f.pass(3 * S)), 0);
@@ -326,8 +336,8 @@
         f.under_way(1, wish(1, 0.0, 4.0), 1, rung);
         f.now += 2 * S;
         for at in [1, 3] {
-            f.note(1, at, NoteKind::LinkUse, 0.97);
-            f.note(1, at, NoteKind::UplinkUse, 0.3);
+            f.note(1, at, NotificationKind::LinkUse, 0.97);
+            f.note(1, at, NotificationKind::UplinkUse, 0.3);
         }
         let actions = f.tell(Event::Request(SessionId(2), wish(2, 2.0, 1.0)));
         assert!(refused(&actions), "server 3 alone holds it and is full");
@@ -364,13 +374,13 @@
         let mut f = Front::new(settings(), &[server(1, 0)]);
         f.under_way(1, wish(1, 0.0, 1.0), 1, 3);
         f.now += 2 * S;
-        f.note(1, 1, NoteKind::LinkUse, 0.75);
-        f.note(1, 1, NoteKind::UplinkUse, 0.75);
+        f.note(1, 1, NotificationKind::LinkUse, 0.75);
+        f.note(1, 1, NotificationKind::UplinkUse, 0.75);
         let (_, rung) = f.play(2, wish(2, 0.0, 1.0));
         assert!(rung < 2, "set up low beside a use of 0.75, not at {rung}");
         if told {
-            f.note(2, 1, NoteKind::LinkUse, 0.2);
-            f.note(2, 1, NoteKind::UplinkUse, 0.2);
+            f.note(2, 1, NotificationKind::LinkUse, 0.2);
+            f.note(2, 1, NotificationKind::UplinkUse, 0.2);
         }
         assert_eq!(lowered(&f.pass(S)).contains(&2), told);
     }
@@ -383,9 +393,10 @@
     let holders: Vec<_> = (0..4).map(|i| server(i + 1, i)).collect();
     for (price, servers) in [(0.08, 1), (0.0, 4)] {
         let mut set = settings();
-        (set.prices.handshake, set.idle) = (price, 15 * S);
+        (set.prices.handshake, set.connection_idle_timeout) = (price, 15 * S);
         let mut f = Front::new(set, &holders);
-        let mut used: Vec<_> = (1..=8).map(|n| f.play(n, Wish { top: 0.0, ..wish(n, 0.0, 4.0) }).0).collect();
+        let mut used: Vec<_> =
+            (1..=8).map(|n| f.play(n, SessionSpec { highest_rung: 0.0, ..wish(n, 0.0, 4.0) }).0).collect();
         used.sort();
         used.dedup();
         assert_eq!(used.len(), servers, "at a price of {price}");
@@ -396,12 +407,12 @@
 fn a_connection_that_idled_out_and_one_to_a_lower_rung_are_not_preferred() {
     for full in [false, true] {
         let mut set = settings();
-        (set.prices.handshake, set.idle) = (0.08, 15 * S);
+        (set.prices.handshake, set.connection_idle_timeout) = (0.08, 15 * S);
         let mut f = Front::new(set, &[server(1, 0), server(2, 1)]);
         let (at, _) = f.play(1, wish(1, 0.0, 2.0));
         if full {
             f.now += S;
-            f.note(1, at.0, NoteKind::LinkUse, 0.75);
+            f.note(1, at.0, NotificationKind::LinkUse, 0.75);
         } else {
             f.now += 16 * S;
         }
@@ -426,7 +437,7 @@
         for _ in 0..4 {
             f.pass(S);
             if short {
-                f.note(0, 1, NoteKind::Delivered, 0.6);
+                f.note(0, 1, NotificationKind::Delivered, 0.6);
             }
         }
         f.play(9, wish(9, 1.0, 1.0)).1
@@ -441,7 +452,7 @@
         let servers: Vec<_> = (0..8).map(|i| server(i + 1, i % 4)).collect();
         let mut f = Front::new(settings(), &servers);
         f.under_way(0, wish(0, 0.0, 1.0), 1, 2);
-        f.note(0, 1, NoteKind::LinkUse, used);
+        f.note(0, 1, NotificationKind::LinkUse, used);
         f.pass(S);
         f.play(9, wish(9, 1.0, 1.0)).1
     };
@@ -459,13 +470,13 @@
         short.iter().for_each(|at| {
             f.under_way(u64::from(*at), wish(u64::from(*at), f64::from((at - 1) % 4), 1.0), *at, 2)
         });
-        short.iter().for_each(|at| drop(f.note(u64::from(*at), *at, NoteKind::Delivered, 0.6)));
+        short.iter().for_each(|at| drop(f.note(u64::from(*at), *at, NotificationKind::Delivered, 0.6)));
         for _ in 0..4 {
             f.pass(S);
             short
                 .iter()
                 .filter(|_| told)
-                .for_each(|at| drop(f.note(u64::from(*at), *at, NoteKind::Delivered, 0.6)));
+                .for_each(|at| drop(f.note(u64::from(*at), *at, NotificationKind::Delivered, 0.6)));
         }
         let view = f.controller.view(f.now).0;
         let fullest = view.iter().map(|s| s.link_use).fold(0.0, f64::max);
@@ -486,7 +497,7 @@
         let mut f = Front::new(settings(), &servers);
         (0..6).for_each(|n| f.under_way(n, wish(n, 0.0, 1.0), 1, 2));
         f.pass(3 * S);
-        f.note(0, 1, NoteKind::LinkUse, 0.5);
+        f.note(0, 1, NotificationKind::LinkUse, 0.5);
         f.pass(S);
         (10..10 + came).for_each(|n| f.under_way(n, wish(n, 0.0, 1.0), 1, 2));
         (0..ended).for_each(|n| drop(f.end(n, ServerId(1), Outcome::Served, true)));
--- a/tests/policy/checker.rs
+++ b/tests/policy/checker.rs
@@ -11,7 +11,7 @@
 }
 
 struct Request {
-    wish: Wish,
+    wish: SessionSpec,
     due: Time,
     /// As the class was when the request came.
     taken: Class,
@@ -42,7 +42,7 @@
 }
 
 fn window(set: &Settings) -> Time {
-    set.rules.budget.map_or(0, |b| b.window)
+    set.rules.retry_budget.map_or(0, |b| b.window)
 }
 
 impl Checker {
@@ -59,10 +59,10 @@
     }
 
     /// Bounds in force for a wish.
-    fn bounds(&self, wish: &Wish) -> (u8, u8) {
+    fn bounds(&self, wish: &SessionSpec) -> (u8, u8) {
         let c = &self.set.classes[usize::from(wish.class.0)];
         let ladder = self.set.ladder.len() as u8 - 1;
-        (c.floor, (wish.top as u8).min(c.top).min(ladder).max(c.floor))
+        (c.lowest_rung, (wish.highest_rung as u8).min(c.highest_rung).min(ladder).max(c.lowest_rung))
     }
 
     pub fn event(&mut self, now: Time, event: &Event) {
@@ -75,7 +75,7 @@
                 let (floor, top) = self.bounds(wish);
                 let request = Request {
                     wish: *wish,
-                    due: now + wish.patience,
+                    due: now + wish.max_wait,
                     taken: self.set.classes[usize::from(wish.class.0)].clone(),
                     taken_top: top,
                     least_top: top,
@@ -94,7 +94,7 @@
                     r.stand = Stand::Plays(*at);
                 }
             }
-            Event::Ended { session, outcome, settled, .. } => {
+            Event::Ended { session, outcome, is_final: settled, .. } => {
                 if let Some(r) = self.requests.get_mut(session) {
                     r.stand = Stand::Waiting;
                     r.ran |= !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Unsent);
@@ -103,7 +103,7 @@
                     self.requests.remove(session);
                 }
             }
-            Event::Left(id) => {
+            Event::Closed(id) => {
                 self.requests.remove(id);
             }
             _ => {}
@@ -141,7 +141,10 @@
                 if now > r.due {
                     return Err(format!("rule 1: {id:?} is answered too late"));
                 }
-                if matches!(action, Action::Refuse(..)) && r.ran && r.taken.repeat == Repeat::Never {
+                if matches!(action, Action::Refuse(..))
+                    && r.ran
+                    && r.taken.idempotency == Idempotency::AtMostOnce
+                {
                     return Err(format!("rule 2: {id:?} is refused though it may have run"));
                 }
                 self.requests.remove(id);
@@ -158,16 +161,16 @@
             return Err(format!("rule 2: {id:?} has two attempts out"));
         }
         let server = self.list.get(&at).ok_or("rule 3: an unlisted server")?;
-        let within = match r.taken.repeat {
-            Repeat::Harmless => true,
-            Repeat::Never => false,
-            Repeat::Within(group, span) => r.first.is_some_and(|(t, first)| {
+        let within = match r.taken.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::AtMostOnce => false,
+            Idempotency::Deduplicated(group, span) => r.first.is_some_and(|(t, first)| {
                 let first = self.list[&first];
                 now <= t + span
                     && match group {
-                        Group::All => true,
-                        Group::Zone => first.zone == server.zone,
-                        Group::Cell => first.cell == server.cell,
+                        DedupScope::All => true,
+                        DedupScope::Zone => first.zone == server.zone,
+                        DedupScope::Cell => first.cell == server.cell,
                     }
             }),
         };
@@ -183,21 +186,24 @@
         if server.state != ServerState::Ready {
             return Err(format!("rule 3: {id:?} goes to {:?}", server.state));
         }
-        if r.rung < r.taken.floor.min(r.least_top) || r.rung > r.taken_top.max(r.most_floor) {
+        if r.rung < r.taken.lowest_rung.min(r.least_top) || r.rung > r.taken_top.max(r.most_floor) {
             return Err(format!("rule 5: {id:?} at {} is off what it was taken with", r.rung));
         }
         let rules = self.set.rules;
-        if let Some(started) = server.started.filter(|s| s + rules.cold > now) {
+        if let Some(started) = server.started.filter(|s| s + rules.warm_up > now) {
             let warmth = rules.cold_share
-                + (1.0 - rules.cold_share) * (now.saturating_sub(started)) as f64 / rules.cold as f64;
-            let pace = self.set.kind_streams[0] / (rules.cold as f64 / 1e9) * warmth * rules.fall_multiple;
-            let most = (pace * rules.fall_window as f64 / 1e9).max(1.0);
-            let sent = self.sends.iter().filter(|(t, s)| *s == at && t + rules.fall_window > now).count() + 1;
+                + (1.0 - rules.cold_share) * (now.saturating_sub(started)) as f64 / rules.warm_up as f64;
+            let pace = self.set.kind_max_streams[0] / (rules.warm_up as f64 / 1e9)
+                * warmth
+                * rules.overload_multiple;
+            let most = (pace * rules.overload_window as f64 / 1e9).max(1.0);
+            let sent =
+                self.sends.iter().filter(|(t, s)| *s == at && t + rules.overload_window > now).count() + 1;
             if sent as f64 > most {
                 return Err(format!("rule 4: {sent} set-ups at {at:?}, {most} at most"));
             }
         }
-        let seats = self.set.classes[usize::from(r.wish.class.0)].seats as usize;
+        let seats = self.set.classes[usize::from(r.wish.class.0)].max_sessions_per_title as usize;
         let like = |o: &&Request| {
             o.stand != Stand::Waiting && (o.wish.class, o.wish.title) == (r.wish.class, r.wish.title)
         };
@@ -206,12 +212,12 @@
             return Err(format!("rule 5: {id:?} is one too many beside {alike}"));
         }
         if r.attempts > 0 {
-            if let Some(b) = self.set.rules.budget {
+            if let Some(b) = self.set.rules.retry_budget {
                 let after = now.saturating_sub(b.window);
                 let from = after.max(self.horizon);
                 let further = self.further.iter().filter(|t| **t >= from).count() + 1;
                 let taken = self.taken.iter().filter(|t| **t > after).count();
-                if further as f64 > b.free + b.share * taken as f64 {
+                if further as f64 > b.min_retries + b.retry_ratio * taken as f64 {
                     return Err(format!("rule 6: {further} further attempts for {taken} sessions"));
                 }
             }
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -29,14 +29,24 @@
 
 /// Three classes that differ in everything, twelve servers.
 fn policy() -> Settings {
-    let paid = Class { repeat: Repeat::Never, value: 3.0, floor: 1, seats: 3, ..class() };
-    let live = Class { live: true, scale: 0.8, top: 3, ..class() };
-    let near = Class { repeat: Repeat::Within(Group::Cell, S), aim: 400 * MS, ..class() };
+    let paid = Class {
+        idempotency: Idempotency::AtMostOnce,
+        value: 3.0,
+        lowest_rung: 1,
+        max_sessions_per_title: 3,
+        ..class()
+    };
+    let live = Class { live: true, rate_scale: 0.8, highest_rung: 3, ..class() };
+    let near = Class {
+        idempotency: Idempotency::Deduplicated(DedupScope::Cell, S),
+        set_up_target: 400 * MS,
+        ..class()
+    };
     let mut set = settings();
-    (set.cells, set.racks, set.join, set.probes) = (12, 3, 0.2, true);
+    (set.cells, set.racks, set.shared_stream_share, set.probes) = (12, 3, 0.2, true);
     set.classes = vec![paid, live, near];
     set.prices.probe = 0.02;
-    set.rules.budget = Some(RetryBudget { free: 2.0, share: 0.2, window: 5 * S });
+    set.rules.retry_budget = Some(RetryBudget { min_retries: 2.0, retry_ratio: 0.2, window: 5 * S });
     set
 }
 
@@ -48,24 +58,31 @@
     let rates = 0.6 + draw.of(9) as f64 / 10.0;
     set.ladder.iter_mut().for_each(|r| r.kb *= rates);
     for c in &mut set.classes {
-        c.floor = draw.of(last + 1) as u8;
-        c.top = c.floor + draw.of(5) as u8;
-        c.seats = draw.of(4) as u32;
+        c.lowest_rung = draw.of(last + 1) as u8;
+        c.highest_rung = c.lowest_rung + draw.of(5) as u8;
+        c.max_sessions_per_title = draw.of(4) as u32;
         c.value = 1.0 + draw.of(5) as f64;
-        c.scale = 0.5 + draw.of(3) as f64 / 2.0;
-        c.aim = (200 + 200 * draw.of(5)) * MS;
-        c.repeat = [Repeat::Harmless, Repeat::Never, Repeat::Within(Group::Zone, 2 * S)][draw.of(3) as usize];
+        c.rate_scale = 0.5 + draw.of(3) as f64 / 2.0;
+        c.set_up_target = (200 + 200 * draw.of(5)) * MS;
+        c.idempotency = [
+            Idempotency::Idempotent,
+            Idempotency::AtMostOnce,
+            Idempotency::Deduplicated(DedupScope::Zone, 2 * S),
+        ][draw.of(3) as usize];
         c.live = draw.of(3) == 0;
     }
     set.max_attempts = 1 + draw.of(4) as u32;
     set.uplink_kb = 4_000.0 + draw.of(10) as f64 * 1_000.0;
     set.kb_per_weight = 4_000.0 + draw.of(10) as f64 * 1_000.0;
-    set.rules.cold = (6 + draw.of(8)) * S;
-    set.rules.fall_window = (1 + draw.of(4)) * S;
-    set.rules.fall_multiple = 0.5 + draw.of(4) as f64;
-    let budget =
-        RetryBudget { free: draw.of(4) as f64, share: draw.of(3) as f64 / 10.0, window: draw.of(9) * S };
-    set.rules.budget = (draw.of(4) > 0).then_some(budget);
+    set.rules.warm_up = (6 + draw.of(8)) * S;
+    set.rules.overload_window = (1 + draw.of(4)) * S;
+    set.rules.overload_multiple = 0.5 + draw.of(4) as f64;
+    let budget = RetryBudget {
+        min_retries: draw.of(4) as f64,
+        retry_ratio: draw.of(3) as f64 / 10.0,
+        window: draw.of(9) * S,
+    };
+    set.rules.retry_budget = (draw.of(4) > 0).then_some(budget);
     set
 }
 
@@ -152,7 +169,7 @@
 
     fn end(&mut self, session: SessionId, server: ServerId, outcome: Outcome, settled: bool) {
         let report = if self.draw.of(3) == 0 { vec![0.5, 0.4] } else { vec![] };
-        self.tell(Event::Ended { session, server, outcome, settled, report });
+        self.tell(Event::Ended { session, server, outcome, is_final: settled, report });
     }
 
     /// Lets time pass.
@@ -197,7 +214,7 @@
                 let mut w = wish(self.next, self.draw.of(12) as f64, 4.0);
                 w.class = ClassId(self.draw.of(3) as u16);
                 w.title = TitleId(self.draw.of(4) + 10 * u64::from(w.class.0));
-                (w.top, w.patience) = (self.draw.of(5) as f64, (1 + self.draw.of(4)) * S);
+                (w.highest_rung, w.max_wait) = (self.draw.of(5) as f64, (1 + self.draw.of(4)) * S);
                 self.tell(Event::Request(SessionId(self.next), w));
             }
             9 | 10 if self.playing.len() > 40 => {
@@ -209,9 +226,10 @@
                 let i = any(&mut self.draw, self.playing.len());
                 let (id, server) = self.playing[i];
                 let kind =
-                    [NoteKind::LinkUse, NoteKind::UplinkUse, NoteKind::Delivered][any(&mut self.draw, 3)];
+                    [NotificationKind::LinkUse, NotificationKind::UplinkUse, NotificationKind::Delivered]
+                        [any(&mut self.draw, 3)];
                 let value = self.draw.of(130) as f64 / 100.0;
-                self.tell(Event::Note(id, server, kind, value));
+                self.tell(Event::Notification(id, server, kind, value));
             }
             15 if self.draw.of(8) == 0 => {
                 let i = any(&mut self.draw, 12);
@@ -225,14 +243,18 @@
             }
             16 => {
                 let (id, kb) = (ServerId(self.draw.of(12) as u32 + 1), self.draw.of(3) as f64 * 800.0);
-                let hold = Hold { titles: vec![TitleId(self.draw.of(4))], each: 300.0, on: vec![(id, kb)] };
-                let which = HoldId(self.draw.of(3));
-                self.tell(Event::Held(which, hold));
+                let hold = Reservation {
+                    titles: vec![TitleId(self.draw.of(4))],
+                    per_viewer_kb: 300.0,
+                    servers: vec![(id, kb)],
+                };
+                let which = ReservationId(self.draw.of(3));
+                self.tell(Event::Reserved(which, hold));
             }
             17 => {
                 let (id, used) = (ServerId(self.draw.of(12) as u32 + 1), self.draw.of(110) as f64 / 100.0);
                 let age = self.draw.of(900) * MS;
-                self.tell(Event::Seen(id, age, vec![used, used]));
+                self.tell(Event::PeerReport(id, age, vec![used, used]));
             }
             _ => {}
         }
@@ -291,7 +313,7 @@
         0,
         &Event::ListFull(vec![server(1, 0), ServerEntry { state: ServerState::Draining, ..server(2, 1) }]),
     );
-    c.event(0, &Event::Request(SessionId(1), Wish { patience: S, ..wish(1, 0.0, 4.0) }));
+    c.event(0, &Event::Request(SessionId(1), SessionSpec { max_wait: S, ..wish(1, 0.0, 4.0) }));
     (c, SessionId(1))
 }
 
@@ -311,28 +333,31 @@
     broken(c.action(0, &Action::Fail(id)), "rule 1");
     c.event(0, &Event::Started(id, ServerId(1)));
     let mut lower = policy();
-    lower.classes[0].top = 2;
+    lower.classes[0].highest_rung = 2;
     c.change(0, &lower);
     assert_eq!(c.over(), 1);
     c.standing().expect("it may stay a while");
-    lower.classes[0].seats = 1;
+    lower.classes[0].max_sessions_per_title = 1;
     c.change(0, &lower);
-    c.event(0, &Event::Request(SessionId(2), Wish { title: TitleId(1), patience: S, ..wish(2, 0.0, 4.0) }));
+    c.event(
+        0,
+        &Event::Request(SessionId(2), SessionSpec { title: TitleId(1), max_wait: S, ..wish(2, 0.0, 4.0) }),
+    );
     broken(c.action(0, &Action::SetUp(SessionId(2), ServerId(1), S)), "rule 5");
     broken(c.overdue(2 * S), "rule 1");
     c.action(0, &Action::SetRung(id, 1)).expect("down");
-    lower.classes[0].floor = 2;
+    lower.classes[0].lowest_rung = 2;
     c.change(0, &lower);
     broken(c.standing(), "rule 5");
     // A paid one that may have run, a cold server, and the ration.
-    let (mut c, id) = ready(|c| c.repeat = Repeat::Never);
+    let (mut c, id) = ready(|c| c.idempotency = Idempotency::AtMostOnce);
     c.action(0, &Action::SetRung(id, 1)).expect("within its bounds");
     c.action(0, &Action::SetUp(id, ServerId(1), S)).expect("the first");
     let end =
-        |outcome| Event::Ended { session: id, server: ServerId(1), outcome, settled: false, report: vec![] };
+        |outcome| Event::Ended { session: id, server: ServerId(1), outcome, is_final: false, report: vec![] };
     c.event(0, &end(Outcome::TimedOut));
     broken(c.action(0, &Action::SetUp(id, ServerId(1), S)), "rule 2");
-    let (mut c, id) = ready(|c| (c.seats, c.repeat) = (0, Repeat::Harmless));
+    let (mut c, id) = ready(|c| (c.max_sessions_per_title, c.idempotency) = (0, Idempotency::Idempotent));
     c.action(0, &Action::SetRung(id, 1)).expect("within its bounds");
     for n in 0..3 {
         c.action(0, &Action::SetUp(id, ServerId(1), S)).unwrap_or_else(|e| panic!("{n}: {e}"));
@@ -345,7 +370,7 @@
         }
     }
     broken(c.action(0, &Action::SetUp(id, ServerId(1), S)), "rule 6");
-    let (mut c, _) = ready(|c| c.seats = 0);
+    let (mut c, _) = ready(|c| c.max_sessions_per_title = 0);
     c.event(S, &Event::ListChanged(vec![ServerEntry { started: Some(S), ..server(1, 0) }]));
     let sent = (2..20).find_map(|n| {
         let id = SessionId(n);
@@ -363,7 +388,7 @@
     classes(&mut set.classes[0]);
     let mut f = Front::new(set.clone(), &[server(1, 0), server(2, 1)]);
     for n in 1..=12 {
-        f.play(n, Wish { title: TitleId(5), ..wish(n, 0.0, 2.0) });
+        f.play(n, SessionSpec { title: TitleId(5), ..wish(n, 0.0, 2.0) });
     }
     (f, set)
 }
@@ -376,12 +401,12 @@
 
 #[test]
 fn a_higher_floor_is_met_at_once_and_a_lower_top_by_one_in_five_a_look() {
-    let (mut f, mut set) = twelve(|c| c.top = 2);
-    set.classes[0] = Class { floor: 3, top: 4, ..set.classes[0].clone() };
+    let (mut f, mut set) = twelve(|c| c.highest_rung = 2);
+    set.classes[0] = Class { lowest_rung: 3, highest_rung: 4, ..set.classes[0].clone() };
     let raised = change(&mut f, &set);
     assert_eq!(raised.iter().filter(|a| matches!(a, Action::SetRung(_, 3))).count(), 12);
     assert_eq!(raised.len(), 12);
-    set.classes[0] = Class { floor: 0, top: 1, ..set.classes[0].clone() };
+    set.classes[0] = Class { lowest_rung: 0, highest_rung: 1, ..set.classes[0].clone() };
     assert_eq!(change(&mut f, &set), []);
     let looks: Vec<usize> = (0..9).map(|_| lowered(&f.pass(500 * MS)).len()).collect();
     assert_eq!(looks, [3, 2, 2, 1, 1, 1, 1, 1, 0]);
@@ -390,9 +415,9 @@
 #[test]
 fn fewer_seats_than_stand_take_nothing_new_until_there_is_one() {
     let (mut f, mut set) = twelve(|_| {});
-    set.classes[0].seats = 11;
+    set.classes[0].max_sessions_per_title = 11;
     assert_eq!(change(&mut f, &set), [], "who stands plays on");
-    let same = |n| Wish { title: TitleId(5), ..wish(n, 0.0, 2.0) };
+    let same = |n| SessionSpec { title: TitleId(5), ..wish(n, 0.0, 2.0) };
     assert_eq!(f.ask(13, same(13)), None);
     f.end(1, ServerId(1), Outcome::Served, true);
     assert_eq!(f.ask(14, same(14)), None);
@@ -403,14 +428,15 @@
 #[test]
 fn an_open_set_up_keeps_what_it_was_promised() {
     let two = [server(1, 0), server(2, 1)];
-    for (before, after, again) in
-        [(Repeat::Never, Repeat::Harmless, false), (Repeat::Harmless, Repeat::Never, true)]
-    {
+    for (before, after, again) in [
+        (Idempotency::AtMostOnce, Idempotency::Idempotent, false),
+        (Idempotency::Idempotent, Idempotency::AtMostOnce, true),
+    ] {
         let mut set = settings();
-        set.classes[0].repeat = before;
+        set.classes[0].idempotency = before;
         let mut f = Front::new(set.clone(), &two);
         let (at, _) = f.ask(1, wish(1, 0.0, 2.0)).expect("set up");
-        (set.classes[0].repeat, set.classes[0].aim) = (after, 100 * MS);
+        (set.classes[0].idempotency, set.classes[0].set_up_target) = (after, 100 * MS);
         change(&mut f, &set);
         let sent = f.end(1, at, Outcome::Error, false);
         assert_eq!(placed(&sent).is_some(), again);
@@ -424,16 +450,16 @@
 #[test]
 fn an_open_set_up_goes_by_the_tighter_bounds_and_a_session_by_those_in_force() {
     let mut set = settings();
-    set.classes[0].top = 1;
+    set.classes[0].highest_rung = 1;
     let mut f = Front::new(set.clone(), &[server(1, 0), server(2, 1)]);
     let (at, _) = f.ask(1, wish(1, 0.0, 2.0)).expect("set up");
-    set.classes[0].top = 4;
+    set.classes[0].highest_rung = 4;
     assert_eq!(change(&mut f, &set), []);
     let (at, rung) = placed(&f.end(1, at, Outcome::Full, false)).expect("the other server");
     assert_eq!(rung, 1, "the top it was taken with");
     assert!(f.tell(Event::Started(SessionId(1), at)).is_empty());
     assert!(!lowered(&f.pass(20 * S)).is_empty(), "it rises to the top in force");
-    set.classes[0].floor = 2;
+    set.classes[0].lowest_rung = 2;
     let (at, rung) = f.ask(2, wish(2, 0.0, 1.0)).expect("set up");
     assert!(rung >= 2 || lowered(&change(&mut f, &set)).contains(&2), "the floor in force holds at once");
     f.tell(Event::Started(SessionId(2), at));
@@ -442,14 +468,14 @@
 #[test]
 fn what_was_counted_and_seen_stands() {
     let mut set = settings();
-    set.rules.budget = Some(RetryBudget { free: 1.0, share: 0.0, window: 10 * S });
+    set.rules.retry_budget = Some(RetryBudget { min_retries: 1.0, retry_ratio: 0.0, window: 10 * S });
     let mut f = Front::new(set.clone(), &[server(1, 0), server(2, 1)]);
     let (at, _) = f.ask(1, wish(1, 0.0, 2.0)).expect("set up");
     let (again, _) = placed(&f.end(1, at, Outcome::ConnectFailed, false)).expect("the one free attempt");
     f.end(1, again, Outcome::Served, true);
-    f.tell(Event::Seen(again, 0, vec![0.9, 0.9]));
+    f.tell(Event::PeerReport(again, 0, vec![0.9, 0.9]));
     let held = f.controller.view(f.now);
-    set.rules.budget = Some(RetryBudget { free: 1.0, share: 0.0, window: 8 * S });
+    set.rules.retry_budget = Some(RetryBudget { min_retries: 1.0, retry_ratio: 0.0, window: 8 * S });
     change(&mut f, &set);
     assert_eq!(f.controller.view(f.now), held, "bars, warmth and readings");
     f.now += 8 * S;
@@ -461,9 +487,10 @@
 fn a_class_may_come_but_none_may_go_and_what_accounts_rest_on_stays() {
     let mut f = Front::new(settings(), &[server(1, 0)]);
     let mut more = settings();
-    more.classes.push(Class { floor: 3, ..class() });
+    more.classes.push(Class { lowest_rung: 3, ..class() });
     change(&mut f, &more);
-    let (_, rung) = f.ask(1, Wish { class: ClassId(1), top: 0.0, ..wish(1, 0.0, 1.0) }).expect("set up");
+    let (_, rung) =
+        f.ask(1, SessionSpec { class: ClassId(1), highest_rung: 0.0, ..wish(1, 0.0, 1.0) }).expect("set up");
     assert_eq!(rung, 3, "the new class's floor");
     let wrong: [fn(&mut Settings); 6] = [
         |s| s.classes.truncate(1),
@@ -479,6 +506,7 @@
         let mut out = Vec::new();
         assert!(f.controller.change(f.now, set, &mut out).is_err() && out.is_empty());
     }
-    let (_, rung) = f.ask(2, Wish { class: ClassId(1), top: 0.0, ..wish(2, 0.0, 1.0) }).expect("set up");
+    let (_, rung) =
+        f.ask(2, SessionSpec { class: ClassId(1), highest_rung: 0.0, ..wish(2, 0.0, 1.0) }).expect("set up");
     assert_eq!(rung, 3, "the last good one stays in force");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -25,7 +25,7 @@
 fn a_paid_set_up_is_repeated_only_when_it_provably_never_ran() {
     let paid = || {
         let mut s = settings();
-        s.classes[0].repeat = Repeat::Never;
+        s.classes[0].idempotency = Idempotency::AtMostOnce;
         Front::new(s, &[server(1, 0), server(2, 1)])
     };
     for (outcome, again) in [
@@ -103,21 +103,21 @@
 #[test]
 fn rungs_stay_between_the_floor_and_the_viewers_top() {
     let mut s = settings();
-    s.classes[0].floor = 1;
+    s.classes[0].lowest_rung = 1;
     let mut f = Front::new(s, &[server(1, 0)]);
-    let (_, rung) = f.ask(1, Wish { top: 2.0, ..wish(1, 0.0, 1.0) }).expect("set up");
+    let (_, rung) = f.ask(1, SessionSpec { highest_rung: 2.0, ..wish(1, 0.0, 1.0) }).expect("set up");
     assert_eq!(rung, 2);
     f.under_way(2, wish(2, 0.0, 1.0), 1, 1);
-    let lowered = f.note(2, 1, NoteKind::Delivered, 0.2);
+    let lowered = f.note(2, 1, NotificationKind::Delivered, 0.2);
     assert!(lowered.iter().all(|a| !matches!(a, Action::SetRung(_, 0))));
 }
 
 #[test]
 fn seats_count_from_the_attempt_to_the_outcome() {
     let mut s = settings();
-    s.classes[0].seats = 1;
+    s.classes[0].max_sessions_per_title = 1;
     let mut f = Front::new(s, &[server(1, 0)]);
-    let same = |n| Wish { title: TitleId(7), ..wish(n, 0.0, 1.0) };
+    let same = |n| SessionSpec { title: TitleId(7), ..wish(n, 0.0, 1.0) };
     let (at, _) = f.ask(1, same(1)).expect("set up");
     assert_eq!(f.ask(2, same(2)), None);
     f.end(1, at, Outcome::Served, true);
@@ -127,7 +127,7 @@
 #[test]
 fn further_attempts_stay_within_the_ration() {
     let mut s = settings();
-    s.rules.budget = Some(RetryBudget { free: 1.0, share: 0.2, window: 10 * S });
+    s.rules.retry_budget = Some(RetryBudget { min_retries: 1.0, retry_ratio: 0.2, window: 10 * S });
     let mut f = Front::new(s, &[server(1, 0), server(2, 1), server(3, 2)]);
     let mut further = 0;
     for n in 0..10 {
@@ -145,7 +145,7 @@
 fn an_attempt_just_on_the_edge_of_the_window_still_counts() {
     for (gap, allowed) in [(10 * S, false), (10 * S + 1, true)] {
         let mut s = settings();
-        s.rules.budget = Some(RetryBudget { free: 1.0, share: 0.0, window: 10 * S });
+        s.rules.retry_budget = Some(RetryBudget { min_retries: 1.0, retry_ratio: 0.0, window: 10 * S });
         let mut f = Front::new(s, &[server(1, 0), server(2, 1)]);
         let (at, _) = f.ask(1, wish(1, 0.0, 2.0)).expect("set up");
         let (at, _) = placed(&f.end(1, at, Outcome::Full, false)).expect("the one free attempt");
--- a/tests/seen.rs
+++ b/tests/seen.rs
@@ -24,8 +24,8 @@
 fn a_session_goes_where_another_front_saw_room() {
     for full in [0, 1] {
         let mut f = two();
-        f.tell(Event::Seen(ServerId(full), 400 * MS, vec![0.95, 0.9]));
-        f.tell(Event::Seen(ServerId(1 - full), 400 * MS, vec![0.2, 0.2]));
+        f.tell(Event::PeerReport(ServerId(full), 400 * MS, vec![0.95, 0.9]));
+        f.tell(Event::PeerReport(ServerId(1 - full), 400 * MS, vec![0.2, 0.2]));
         let at = f.ask(1, wish(1, 0.0, 2.0)).expect("there is room");
         assert_eq!(at.0, ServerId(1 - full));
     }
@@ -36,10 +36,10 @@
     let mut f = two();
     f.tell(Event::Probed(ServerId(0), Some(vec![0.3, 0.3])));
     let known = link(&f, 0);
-    f.tell(Event::Seen(ServerId(0), 200 * MS, vec![0.99, 0.99]));
+    f.tell(Event::PeerReport(ServerId(0), 200 * MS, vec![0.99, 0.99]));
     assert_eq!(link(&f, 0).to_bits(), known.to_bits());
     f.now += S;
-    f.tell(Event::Seen(ServerId(0), 300 * MS, vec![0.9, 0.9]));
+    f.tell(Event::PeerReport(ServerId(0), 300 * MS, vec![0.9, 0.9]));
     assert!(link(&f, 0) > 0.7, "a later one does: {}", link(&f, 0));
 }
 
@@ -47,9 +47,9 @@
 fn senseless_values_and_servers_are_passed_over() {
     let mut f = two();
     let known = link(&f, 0);
-    f.tell(Event::Seen(ServerId(0), Time::MAX, vec![0.9, 0.9]));
-    f.tell(Event::Seen(ServerId(0), 0, vec![f64::NAN, -1.0]));
-    f.tell(Event::Seen(ServerId(9), 0, vec![0.5, 0.5]));
-    f.tell(Event::Seen(ServerId(0), 0, vec![]));
+    f.tell(Event::PeerReport(ServerId(0), Time::MAX, vec![0.9, 0.9]));
+    f.tell(Event::PeerReport(ServerId(0), 0, vec![f64::NAN, -1.0]));
+    f.tell(Event::PeerReport(ServerId(9), 0, vec![0.5, 0.5]));
+    f.tell(Event::PeerReport(ServerId(0), 0, vec![]));
     assert_eq!(link(&f, 0).to_bits(), known.to_bits());
 }
--- a/tests/unchanged.rs
+++ b/tests/unchanged.rs
@@ -52,7 +52,7 @@
             0..=3 => {
                 next += 1;
                 let mut w = wish(next, draw(12) as f64, 4.0);
-                (w.title, w.top) = (TitleId(draw(9)), draw(5) as f64);
+                (w.title, w.highest_rung) = (TitleId(draw(9)), draw(5) as f64);
                 f.tell(Event::Request(SessionId(next), w))
             }
             4 | 5 if !out.is_empty() => {
@@ -76,7 +76,9 @@
             7 | 8 if !playing.is_empty() => {
                 let (id, at) = playing[draw(playing.len() as u64) as usize];
                 let value = draw(130) as f64 / 100.0;
-                let kind = [NoteKind::LinkUse, NoteKind::UplinkUse, NoteKind::Delivered][draw(3) as usize];
+                let kind =
+                    [NotificationKind::LinkUse, NotificationKind::UplinkUse, NotificationKind::Delivered]
+                        [draw(3) as usize];
                 f.note(id.0, at.0, kind, value)
             }
             9 if draw(40) == 0 => {
