--- a/crates/platform/src/node.rs
+++ b/crates/platform/src/node.rs
@@ -4,7 +4,7 @@
 use crate::words::{ROOT, answer, id, id_text, release, request};
 use pepperhook::{NoteKind, Outcome, SessionId};
 use pepperhook_parameters::Sockets;
-use pepperhook_rtsp::{Message, Start};
+use pepperhook_rtsp::{Message, StartLine};
 
 /// A message that a node may not send; its connection is of no further use.
 #[derive(Debug)]
@@ -16,8 +16,8 @@
     let number = m.field("CSeq").unwrap_or("");
     let report = || report(m.field("P-Load"), known);
     match (&m.start, session) {
-        (Start::Response(100..=199), _) => Ok(FromNode::Other),
-        (Start::Response(status), Some(session)) => Ok(match (number, *status) {
+        (StartLine::Response(100..=199), _) => Ok(FromNode::Other),
+        (StartLine::Response(status), Some(session)) => Ok(match (number, *status) {
             ("1", 200) => FromNode::Plays(SessionId(session), m.body.clone()),
             ("1", status) => {
                 FromNode::Ended(SessionId(session), outcome(status), report().unwrap_or_default())
@@ -28,8 +28,8 @@
             ("3", _) => FromNode::Load(ProbeId(session), None),
             _ => FromNode::Other,
         }),
-        (Start::Response(_), None) => Err(Bad),
-        (Start::Request(method, _), session) => match (method.as_str(), session) {
+        (StartLine::Response(_), None) => Err(Bad),
+        (StartLine::Request(method, _), session) => match (method.as_str(), session) {
             ("TEARDOWN", Some(session)) => {
                 Ok(FromNode::Over(SessionId(session), end(m.field("Reason")), report().unwrap_or_default()))
             }
--- a/crates/platform/src/peer.rs
+++ b/crates/platform/src/peer.rs
@@ -1,7 +1,7 @@
 //! One connection, a viewer's or a node's: bytes in through a decoder, bytes out through a bounded queue.
 
 use bytes::{Buf, BytesMut};
-use pepperhook_rtsp::{Decoder, Fault, Message};
+use pepperhook_rtsp::{DecodeError, Decoder, Message};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -32,7 +32,7 @@
     /// It was closed from here.
     Closed,
     /// What came was no message.
-    Unreadable(Fault),
+    Unreadable(DecodeError),
     /// What came was a message that may not come here.
     Noise,
     /// A message that had begun did not become whole in time, or none came.
@@ -253,7 +253,7 @@
             if let Some(end) = self.inbox.borrow().end {
                 return end;
             }
-            let within = self.inbox.borrow().decoder.is_within();
+            let within = self.inbox.borrow().decoder.has_partial_message();
             due = match (within, due) {
                 _ if closing => due,
                 // Another message than the one that was waited for: it has its own time.
@@ -308,7 +308,7 @@
     /// message or bytes that nobody has read.
     pub fn is_idle(&self) -> bool {
         let inbox = self.inbox.borrow();
-        if inbox.decoder.is_within() || !inbox.messages.is_empty() || self.is_writing() {
+        if inbox.decoder.has_partial_message() || !inbox.messages.is_empty() || self.is_writing() {
             return false;
         }
         // The machine is asked: the runtime may not have heard of the latest bytes yet. An end, or an error, is no byte.
--- a/crates/platform/src/viewer.rs
+++ b/crates/platform/src/viewer.rs
@@ -4,7 +4,7 @@
 use crate::words::{self, ROOT, answer, release, request};
 use pepperhook::{ClassId, ServerId, SessionId, TenantId, Time, TitleId, ViewerKey, Wish};
 use pepperhook_parameters::Sockets;
-use pepperhook_rtsp::{Message, Start};
+use pepperhook_rtsp::{Message, StartLine};
 
 /// A viewer waits at most so many times its class's deadline; more is a figure out of range.
 const PATIENCE: u64 = 4;
@@ -40,9 +40,9 @@
 
 /// Reads a message of a viewer.
 pub fn read(m: &Message, known: &Sockets, cells: u32) -> Result<FromViewer, Bad> {
-    let Start::Request(method, uri) = &m.start else { return Ok(FromViewer::Nothing) };
+    let StartLine::Request(method, uri) = &m.start else { return Ok(FromViewer::Nothing) };
     let bad = |status| Err(Bad(reply(status, m)));
-    if !uri.starts_with(ROOT) || m.repeats("Session") || m.repeats("CSeq") {
+    if !uri.starts_with(ROOT) || m.is_repeated("Session") || m.is_repeated("CSeq") {
         return bad(400);
     }
     let session = m.field("Session").and_then(words::id).map(SessionId);
@@ -62,7 +62,7 @@
 /// Whether a message gives this set-up up.
 pub fn ends(m: &Message, id: SessionId) -> bool {
     let named = || m.field("Session").and_then(words::id) == Some(id.0);
-    matches!(&m.start, Start::Request(method, _) if method == "TEARDOWN") && named()
+    matches!(&m.start, StartLine::Request(method, _) if method == "TEARDOWN") && named()
 }
 
 fn ask(m: &Message, uri: &str, id: SessionId, known: &Sockets, cells: u32) -> Option<Ask> {
