--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -2,7 +2,7 @@
 
 use nix::sys::resource::{Resource, getrlimit};
 use pepperhook::{Repeat, Settings};
-use pepperhook_changelog::{Event, List};
+use pepperhook_changelog::{Event, NodeList};
 use pepperhook_parameters::{Sockets, decisions, object, sockets, within_bounds};
 use serde_json::Value;
 use std::collections::hash_map::DefaultHasher;
@@ -37,7 +37,7 @@
     /// Where the change log listens.
     pub changelog: SocketAddr,
     /// The list as the events of the start have built it.
-    pub list: List,
+    pub list: NodeList,
     /// What the module needs.
     pub settings: Settings,
     /// What the sockets need besides.
@@ -68,10 +68,11 @@
     let (settings, sockets) = (decisions(given)?, sockets(given)?);
     within_bounds(given, &settings, &sockets)?;
     settings.validate().map_err(|e| e.to_string())?;
-    let events: Vec<Event> = pepperhook_changelog::known(known, &sockets.zones, &sockets.kinds)?;
-    let mut list = List::default();
+    let events: Vec<Event> =
+        pepperhook_changelog::parse_initial_events(known, &sockets.zones, &sockets.kinds)?;
+    let mut list = NodeList::default();
     for event in &events {
-        list.start(event);
+        list.apply_initial(event);
     }
     let name = Some(text(&v, "name")?).filter(|n| !n.is_empty()).ok_or("'name' is empty")?.to_owned();
     let listen = address(&v, "listen")?;
--- a/crates/platform/src/config/tests.rs
+++ b/crates/platform/src/config/tests.rs
@@ -87,7 +87,10 @@
 #[test]
 fn the_good_one_is_taken_and_starts() {
     let config = loaded(&good().to_string()).expect("is taken");
-    assert_eq!((config.seed, config.descriptors, config.list.last()), (0x8c1f_30d2_7a5b_e964, 1024, 3));
+    assert_eq!(
+        (config.seed, config.descriptors, config.list.last_number()),
+        (0x8c1f_30d2_7a5b_e964, 1024, 3)
+    );
     assert_eq!(config.list.nodes().len(), 2);
     assert!(starts(&config));
 }
--- a/crates/platform/src/follow.rs
+++ b/crates/platform/src/follow.rs
@@ -65,14 +65,14 @@
         loop {
             match decoder.decode() {
                 Ok(None) => break,
-                Ok(Some(Frame::Nothing(number))) => {
+                Ok(Some(Frame::Heartbeat(number))) => {
                     if shell.is_behind(number) {
                         return "events are missing";
                     }
                 }
                 Ok(Some(Frame::Event(event))) => {
                     match shell.told(&event) {
-                        Applied::New | Applied::Known => {}
+                        Applied::New | Applied::Duplicate => {}
                         Applied::Gap => return "events are missing",
                         Applied::TooMany => return "too many nodes",
                     }
@@ -83,6 +83,6 @@
             }
             patience.whole(began.elapsed());
         }
-        patience.announced(decoder.announced());
+        patience.announced(decoder.announced_bytes());
     }
 }
--- a/crates/platform/src/roster.rs
+++ b/crates/platform/src/roster.rs
@@ -1,6 +1,6 @@
 //! What of the list the core is told: nodes that can be dialled, with starts that can have been.
 
-use pepperhook_changelog::{Entry, List};
+use pepperhook_changelog::{Entry, NodeList};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
@@ -15,7 +15,7 @@
     /// lead to this machine. One that is to start in time to come has started by the time that it is told: else it
     /// would count as just started, and be sent next to nothing, until then. Told again it keeps that start, which
     /// would otherwise end what has been set up there since.
-    pub fn usable(&mut self, list: &List, now: u64) -> Vec<Entry> {
+    pub fn usable(&mut self, list: &NodeList, now: u64) -> Vec<Entry> {
         let mut ahead = BTreeMap::new();
         let mut entry = |e: &Entry| {
             let told = e.started_ms;
--- a/crates/platform/src/roster/tests.rs
+++ b/crates/platform/src/roster/tests.rs
@@ -17,24 +17,24 @@
 
 #[test]
 fn nodes_at_addresses_that_lead_nowhere_are_left_out() {
-    let mut list = List::default();
+    let mut list = NodeList::default();
     let good = node(5, [10, 1, 0, 9], 2905, 7);
     let bad = [([0, 0, 0, 0], 80), ([10, 1, 0, 8], 0), ([224, 0, 0, 1], 80), ([255, 255, 255, 255], 80)];
     let mut entries: Vec<_> = bad.iter().zip(1..).map(|((ip, port), id)| node(id, *ip, *port, 0)).collect();
     entries.push(good);
-    list.start(&Event { number: 1, full: true, entries });
+    list.apply_initial(&Event { number: 1, full: true, entries });
     assert_eq!(Roster::default().usable(&list, NOW), [good]);
 }
 
 /// The core ends what is older than a start: a start that grows with each telling would end everything each time.
 #[test]
 fn a_start_in_time_to_come_counts_from_when_it_was_told_first() {
-    let (mut list, mut roster) = (List::default(), Roster::default());
+    let (mut list, mut roster) = (NodeList::default(), Roster::default());
     let mut number = 0;
-    let mut told = |list: &mut List, started: &[u64]| {
+    let mut told = |list: &mut NodeList, started: &[u64]| {
         number += 1;
         let entries = started.iter().zip(1..).map(|(s, id)| node(id, [10, 1, 0, 9], 2905, *s)).collect();
-        list.start(&Event { number, full: true, entries });
+        list.apply_initial(&Event { number, full: true, entries });
     };
     told(&mut list, &[0, NOW - 5, NOW, NOW + 50, u64::MAX]);
     let first = starts(&roster.usable(&list, NOW));
--- a/crates/platform/src/shell.rs
+++ b/crates/platform/src/shell.rs
@@ -10,7 +10,7 @@
 use crate::viewer::{self, FromViewer};
 use crate::{follow, node};
 use pepperhook::SessionId;
-use pepperhook_changelog::{Applied, Event, List};
+use pepperhook_changelog::{Applied, Event, NodeList};
 use pepperhook_net::Clock;
 use pepperhook_parameters::Sockets;
 use std::cell::{Cell, RefCell};
@@ -49,7 +49,7 @@
     sockets: Sockets,
     cells: u32,
     core: RefCell<Core>,
-    list: RefCell<List>,
+    list: RefCell<NodeList>,
     roster: RefCell<Roster>,
     start: Start,
     log: Cell<SocketAddr>,
@@ -165,7 +165,7 @@
 
     /// The number of the last event taken.
     pub fn last_event(&self) -> u64 {
-        self.list.borrow().last()
+        self.list.borrow().last_number()
     }
 
     /// Where the change log listens.
--- a/crates/platform/src/viewer.rs
+++ b/crates/platform/src/viewer.rs
@@ -86,7 +86,7 @@
             "top" => top = Some(figure().filter(|t| *t < 256.0)?),
             "viewer" => viewer = Some(words::id(value)?),
             "again" => again = value == "1",
-            "at" => at = Some(ServerId(pepperhook_changelog::node_id(value)?)),
+            "at" => at = Some(ServerId(pepperhook_changelog::parse_node_id(value)?)),
             _ => {}
         }
     }
