--- a/crates/platform/src/shell.rs
+++ b/crates/platform/src/shell.rs
@@ -10,7 +10,7 @@
 use crate::viewer::{self, FromViewer};
 use crate::{follow, node};
 use pepperhook::SessionId;
-use pepperhook_changelog::{Applied, Event, List};
+use pepperhook_changelog::{Applied, Event, NodeList};
 use pepperhook_net::Clock;
 use pepperhook_parameters::Sockets;
 use std::cell::{Cell, RefCell};
@@ -49,7 +49,7 @@
     sockets: Sockets,
     cells: u32,
     core: RefCell<Core>,
-    list: RefCell<List>,
+    list: RefCell<NodeList>,
     roster: RefCell<Roster>,
     start: Start,
     log: Cell<SocketAddr>,
@@ -165,7 +165,7 @@
 
     /// The number of the last event taken.
     pub fn last_event(&self) -> u64 {
-        self.list.borrow().last()
+        self.list.borrow().last_number()
     }
 
     /// Where the change log listens.
@@ -231,7 +231,7 @@
         let may_linger = self.parting.get() || self.lingering.get() < self.most_viewers / LINGERING;
         if let (Ok(peer), true) = (Rc::try_unwrap(peer), may_linger) {
             self.lingering.set(self.lingering.get() + 1);
-            let _ = tokio::time::timeout(pepperhook_net::LINGER, peer.written()).await;
+            let _ = tokio::time::timeout(pepperhook_net::LINGER_TIME, peer.written()).await;
             pepperhook_net::linger(&mut peer.into_stream(), 0).await;
             self.lingering.set(self.lingering.get() - 1);
         }
@@ -289,7 +289,7 @@
         loop {
             let next = self.core.borrow().next_wake();
             tokio::select! {
-                () = self.clock.until(next) => {
+                () = self.clock.sleep_until(next) => {
                     // What came in the same wake was there first: an answer is not too late for being read after the
                     // timer that waits for it.
                     tokio::task::yield_now().await;
