--- a/crates/cli/tests/peaks.rs
+++ b/crates/cli/tests/peaks.rs
@@ -234,7 +234,7 @@
         let id = pepperhook_exchange::Id { space: 1, number: pepperhook_settings::name_hash("forged") };
         exchange.put(now() / 1_000_000, id, now() / 1_000_000 + 60_000, body, &mut out);
         for o in out {
-            if let pepperhook_exchange::Out::Send(to, datagram) = o {
+            if let pepperhook_exchange::Output::Send(to, datagram) = o {
                 stranger.send_to(&datagram, to).expect("sent");
                 stranger.send_to(&datagram[..datagram.len() / 2], to).expect("sent");
             }
--- a/crates/exchange/benches/spread.rs
+++ b/crates/exchange/benches/spread.rs
@@ -1,7 +1,7 @@
 //! Bytes a second a front, and time until all hold a new record, by number of fronts and loss; over a network in
 //! memory, in one process: `cargo bench -p pepperhook-exchange`.
 
-use pepperhook_exchange::{Exchange, Id, Keys, Out, Settings};
+use pepperhook_exchange::{Exchange, Id, Keys, Output, Settings};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::HashMap;
@@ -49,7 +49,7 @@
             sent.extend(out.into_iter().map(|o| (i, o)));
         }
         for (from, o) in sent {
-            if let Out::Send(to, datagram) = o {
+            if let Output::Send(to, datagram) = o {
                 if !rng.random_bool(loss) {
                     wire.push((by_address[&to], address(from), datagram));
                 }
--- a/crates/exchange/src/core.rs
+++ b/crates/exchange/src/core.rs
@@ -1,6 +1,6 @@
 //! The exchange itself: digests, pulls, pushes, and how much of them.
 
-use crate::records::{Id, Merge, Record, Records, Version};
+use crate::records::{Id, MergeResult, Record, Records, Version};
 use crate::seal::{Keys, MOST_DATAGRAM, Reject, Seal};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
@@ -30,27 +30,27 @@
 
 /// What comes out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum Output {
     /// Send this datagram.
     Send(SocketAddr, Vec<u8>),
     /// A record is new or newer.
     Changed(Record),
     /// A message of another matter came along in a sealed datagram: who sent it, in which run of theirs.
-    Heard {
+    Received {
         /// Where it came from.
         from: SocketAddr,
         /// Number of the front that sealed it.
         sender: u64,
         /// Its run.
         run: u64,
-        /// The matter; see [`Exchange::carry`].
-        lane: u8,
+        /// The matter; see [`Exchange::send_on_channel`].
+        channel: u8,
         /// What it says.
         content: Vec<u8>,
     },
     /// The others know a later run of this front than its own (its clock went back over a restart); this is its
     /// run from now on.
-    Run(u64),
+    RunRaised(u64),
 }
 
 /// What was sent, taken and thrown away.
@@ -61,11 +61,13 @@
     /// Their bytes.
     pub sent_bytes: u64,
     /// Datagrams taken.
-    pub taken: u64,
+    #[serde(rename = "taken")]
+    pub accepted: u64,
     /// Thrown away, by reason.
     pub rejected: BTreeMap<&'static str, u64>,
     /// Records that were new or newer.
-    pub records: u64,
+    #[serde(rename = "records")]
+    pub records_applied: u64,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
@@ -77,9 +79,9 @@
     /// Records.
     Push(Vec<Record>),
     /// A message of another matter, handed on as it is.
-    Lane(u8, Vec<u8>),
+    Channel(u8, Vec<u8>),
     /// The receiver's datagrams are thrown away, since they belong to an earlier run than this one.
-    Behind(u64),
+    StaleRun(u64),
 }
 
 /// Entries of a digest: they fill a datagram.
@@ -91,7 +93,7 @@
 /// Datagrams taken from one peer a second, and at once.
 const TAKEN_RATE: f64 = 128.0;
 /// Bytes of a lane's message at most: what a datagram has beside its seal and the message's own head.
-pub const MOST_LANE: usize = MOST_DATAGRAM - 60;
+pub const MAX_CHANNEL_MESSAGE_BYTES: usize = MOST_DATAGRAM - 60;
 /// Runs that a front raises on the word of others, in a minute: two fronts of one name would go on for ever.
 const RAISES: f64 = 4.0;
 /// Records of soft spaces that wait to be passed on, at most.
@@ -181,27 +183,40 @@
     }
 
     /// Sends a message of another matter under the same seal; false where it is too long. It may be lost.
-    pub fn carry(&mut self, to: SocketAddr, lane: u8, content: &[u8], out: &mut Vec<Out>) -> bool {
-        let fits = content.len() <= MOST_LANE;
+    pub fn send_on_channel(
+        &mut self,
+        to: SocketAddr,
+        lane: u8,
+        content: &[u8],
+        out: &mut Vec<Output>,
+    ) -> bool {
+        let fits = content.len() <= MAX_CHANNEL_MESSAGE_BYTES;
         if fits {
-            self.send(to, &Message::Lane(lane, content.to_vec()), out);
+            self.send(to, &Message::Channel(lane, content.to_vec()), out);
         }
         fits
     }
 
     /// A new version of a record, made here: one more than the one that is held.
-    pub fn put(&mut self, now_ms: u64, id: Id, expires_ms: u64, body: Vec<u8>, out: &mut Vec<Out>) -> Merge {
+    pub fn put(
+        &mut self,
+        now_ms: u64,
+        id: Id,
+        expires_ms: u64,
+        body: Vec<u8>,
+        out: &mut Vec<Output>,
+    ) -> MergeResult {
         let counter = self.records.get(&id).map_or(0, |r| r.version.counter).saturating_add(1);
         let record = Record { id, version: Version { counter, author: self.settings.me }, expires_ms, body };
         let merge = self.records.merge(now_ms, record.clone());
-        if merge == Merge::Taken {
-            self.counters.records += 1;
+        if merge == MergeResult::Applied {
+            self.counters.records_applied += 1;
             // Whoever can be reached hears at once; the rounds are for the rest.
             let peers = self.some_peers(self.settings.fanout.max(1) * 2);
             for peer in peers {
                 self.send(peer, &Message::Push(vec![record.clone()]), out);
             }
-            out.push(Out::Changed(record));
+            out.push(Output::Changed(record));
         }
         merge
     }
@@ -213,7 +228,7 @@
     }
 
     /// Begins a round if one is due. Rounds of the fronts are spread by chance over the period.
-    pub fn tick(&mut self, now_ms: u64, out: &mut Vec<Out>) {
+    pub fn tick(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         let period = self.settings.period_ms.max(10);
         let due = *self.next_ms.get_or_insert(now_ms + self.rng.random_range(0..period));
         self.pass_on(now_ms, out);
@@ -230,7 +245,7 @@
     }
 
     /// Passes soft records on that were learned since the last tick, many to a datagram.
-    fn pass_on(&mut self, now_ms: u64, out: &mut Vec<Out>) {
+    fn pass_on(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         if self.soft.is_empty() {
             return;
         }
@@ -249,25 +264,25 @@
     /// The next stretch of records; the whole of them is told in as many rounds as it takes.
     fn digest(&mut self) -> Message {
         let from = self.cursor;
-        let mut rest = self.records.from(from).filter(|r| !r.id.is_soft());
+        let mut rest = self.records.from(from).filter(|r| !r.id.is_ephemeral());
         let entries: Vec<(Id, Version)> = rest.by_ref().take(DIGEST).map(|r| (r.id, r.version)).collect();
         let to = rest.next().map(|r| r.id);
         self.cursor = to;
         Message::Digest { from, to, entries }
     }
 
-    fn send(&mut self, to: SocketAddr, message: &Message, out: &mut Vec<Out>) {
+    fn send(&mut self, to: SocketAddr, message: &Message, out: &mut Vec<Output>) {
         // What cannot be written is no message of this module.
         let Ok(content) = postcard::to_stdvec(message) else { return };
         let datagram = self.seal.seal(&content);
         debug_assert!(datagram.len() <= MOST_DATAGRAM, "{} bytes", datagram.len());
         self.counters.sent += 1;
         self.counters.sent_bytes += datagram.len() as u64;
-        out.push(Out::Send(to, datagram));
+        out.push(Output::Send(to, datagram));
     }
 
     /// An answer to a peer, within its bound.
-    fn reply(&mut self, now_ms: u64, to: SocketAddr, message: &Message, out: &mut Vec<Out>) {
+    fn reply(&mut self, now_ms: u64, to: SocketAddr, message: &Message, out: &mut Vec<Output>) {
         // Only the peers of the settings are answered: an address that was made up has none.
         if !self.settings.peers.contains(&to) {
             return;
@@ -287,27 +302,27 @@
         now_ms: u64,
         from: SocketAddr,
         datagram: &[u8],
-        out: &mut Vec<Out>,
+        out: &mut Vec<Output>,
     ) -> Result<(), Reject> {
         let taken = self.open(now_ms, datagram);
         match taken {
             Ok((sender, run, message)) => {
-                self.counters.taken += 1;
+                self.counters.accepted += 1;
                 self.answer(now_ms, from, (sender, run), message, out);
                 Ok(())
             }
             Err(why) => {
                 // A front that came back with its clock behind is told so; anything else gets no answer.
-                if let Reject::Behind(known) = why {
-                    self.reply(now_ms, from, &Message::Behind(known), out);
+                if let Reject::StaleRun(known) = why {
+                    self.reply(now_ms, from, &Message::StaleRun(known), out);
                 }
                 let name = match why {
-                    Reject::Form => "form",
-                    Reject::Key => "key",
-                    Reject::Replay | Reject::Behind(_) => "replay",
-                    Reject::Content => "content",
-                    Reject::Rate => "rate",
-                    Reject::Own => "own",
+                    Reject::Malformed => "form",
+                    Reject::BadMac => "key",
+                    Reject::Replayed | Reject::StaleRun(_) => "replay",
+                    Reject::Undecodable => "content",
+                    Reject::RateLimited => "rate",
+                    Reject::OwnDatagram => "own",
                 };
                 *self.counters.rejected.entry(name).or_default() += 1;
                 Err(why)
@@ -322,9 +337,9 @@
         }
         let bucket = self.taken.entry(sender).or_insert(Bucket { left: TAKEN_RATE, at_ms: now_ms });
         if !bucket.take(now_ms, TAKEN_RATE, TAKEN_RATE) {
-            return Err(Reject::Rate);
+            return Err(Reject::RateLimited);
         }
-        Ok((sender, run, postcard::from_bytes(content).map_err(|_| Reject::Content)?))
+        Ok((sender, run, postcard::from_bytes(content).map_err(|_| Reject::Undecodable)?))
     }
 
     fn answer(
@@ -333,7 +348,7 @@
         from: SocketAddr,
         (sender, run): (u64, u64),
         message: Message,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Output>,
     ) {
         match message {
             Message::Digest { from: low, to: high, entries } => {
@@ -341,7 +356,7 @@
                 let newer = |id: &Id, v: &Version| self.records.get(id).is_none_or(|r| r.version < *v);
                 let wanted: Vec<Id> =
                     theirs.iter().filter(|(id, v)| newer(id, v)).map(|(id, _)| *id).take(PULL).collect();
-                let here = self.records.from(low).filter(|r| !r.id.is_soft());
+                let here = self.records.from(low).filter(|r| !r.id.is_ephemeral());
                 let here = here.take_while(|r| high.is_none_or(|h| r.id < h));
                 let ours: Vec<Record> =
                     here.filter(|r| theirs.get(&r.id).is_none_or(|v| *v < r.version)).cloned().collect();
@@ -356,13 +371,13 @@
             }
             Message::Push(records) => {
                 for record in records {
-                    if self.records.merge(now_ms, record.clone()) == Merge::Taken {
-                        self.counters.records += 1;
-                        if record.id.is_soft() {
+                    if self.records.merge(now_ms, record.clone()) == MergeResult::Applied {
+                        self.counters.records_applied += 1;
+                        if record.id.is_ephemeral() {
                             // It will soon be out of date, and there are many: they travel together.
                             self.soft.truncate(MOST_SOFT - 1);
                             self.soft.push(record.clone());
-                            out.push(Out::Changed(record));
+                            out.push(Output::Changed(record));
                             continue;
                         }
                         // Whoever learns something tells a few others, once: that reaches most within a few
@@ -372,23 +387,25 @@
                                 self.reply(now_ms, peer, &Message::Push(vec![record.clone()]), out);
                             }
                         }
-                        out.push(Out::Changed(record));
+                        out.push(Output::Changed(record));
                     }
                 }
             }
-            Message::Lane(lane, content) => out.push(Out::Heard { from, sender, run, lane, content }),
-            Message::Behind(known) => {
+            Message::Channel(lane, content) => {
+                out.push(Output::Received { from, sender, run, channel: lane, content })
+            }
+            Message::StaleRun(known) => {
                 if known > self.settings.run && self.raises.take(now_ms, RAISES / 60.0, RAISES) {
                     self.settings.run = known.saturating_add(1);
                     self.seal.raise(self.settings.run);
-                    out.push(Out::Run(self.settings.run));
+                    out.push(Output::RunRaised(self.settings.run));
                 }
             }
         }
     }
 
     /// Sends records, as many to a datagram as fit.
-    fn push(&mut self, now_ms: u64, to: SocketAddr, records: Vec<Record>, out: &mut Vec<Out>) {
+    fn push(&mut self, now_ms: u64, to: SocketAddr, records: Vec<Record>, out: &mut Vec<Output>) {
         /// What a record takes beside its body, and what a datagram has for records.
         const AROUND: usize = 48;
         const ROOM: usize = MOST_DATAGRAM - 80;
--- a/crates/exchange/src/core/tests.rs
+++ b/crates/exchange/src/core/tests.rs
@@ -1,7 +1,7 @@
 //! Many fronts over a network in memory that loses, repeats and reorders.
 
 use super::*;
-use crate::records::MOST_BODY;
+use crate::records::MAX_BODY_BYTES;
 use std::collections::VecDeque;
 
 fn address(i: usize) -> SocketAddr {
@@ -44,9 +44,9 @@
         }
     }
 
-    fn take(&mut self, from: usize, out: Vec<Out>) {
+    fn take(&mut self, from: usize, out: Vec<Output>) {
         for o in out {
-            let Out::Send(to, datagram) = o else { continue };
+            let Output::Send(to, datagram) = o else { continue };
             let Some(i) = (0..self.fronts.len()).find(|i| address(*i) == to) else { continue };
             let lost = self.rng.random_bool(self.loss) || self.cut.contains(&from) != self.cut.contains(&i);
             if !lost {
@@ -64,7 +64,7 @@
         let id = Id { space: 1, number };
         assert_eq!(
             self.fronts[i].put(self.now_ms, id, self.now_ms + 600_000, body.to_vec(), &mut out),
-            Merge::Taken
+            MergeResult::Applied
         );
         self.take(i, out);
     }
@@ -126,7 +126,7 @@
 fn more_records_than_a_digest_holds_spread_all_the_same() {
     let mut net = Net::new(4, 0.1);
     for n in 0..150 {
-        net.put((n % 4) as usize, n, &[7; MOST_BODY]);
+        net.put((n % 4) as usize, n, &[7; MAX_BODY_BYTES]);
     }
     assert!(net.settle(60_000).is_some());
     assert_eq!(net.fronts[2].records().len(), 150);
@@ -164,8 +164,8 @@
     let mut net = Net::new(2, 0.0);
     let mut out = Vec::new();
     let junk = Seal::new(Keys::new("k", None), 2, 9).seal(&[0xff; 40]);
-    assert_eq!(net.fronts[0].receive(0, address(1), &junk, &mut out), Err(Reject::Content));
-    assert_eq!(net.fronts[0].receive(0, address(1), b"x", &mut out), Err(Reject::Form));
+    assert_eq!(net.fronts[0].receive(0, address(1), &junk, &mut out), Err(Reject::Undecodable));
+    assert_eq!(net.fronts[0].receive(0, address(1), b"x", &mut out), Err(Reject::Malformed));
     assert!(out.is_empty());
 }
 
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -13,7 +13,7 @@
 mod seal;
 mod store;
 
-pub use self::core::{Counters, Exchange, MOST_LANE, Out, Settings};
-pub use records::{Id, MOST_BODY, Merge, Record, Records, SOFT, Version};
+pub use self::core::{Counters, Exchange, MAX_CHANNEL_MESSAGE_BYTES, Output, Settings};
+pub use records::{FIRST_EPHEMERAL_SPACE, Id, MAX_BODY_BYTES, MergeResult, Record, Records, Version};
 pub use seal::{Keys, Reject};
 pub use store::{Store, StoreError};
--- a/crates/exchange/src/records.rs
+++ b/crates/exchange/src/records.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 /// Bytes of a record's body at most: a record travels in one datagram.
-pub const MOST_BODY: usize = 900;
+pub const MAX_BODY_BYTES: usize = 900;
 /// Records held at most.
 const MOST: usize = 4_096;
 /// A record that is over stays for so long, so that an older version of it cannot come back from a front whose
@@ -16,7 +16,7 @@
 /// Which record: the space tells what it is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Id {
-    /// 1: announced peaks. From [`SOFT`] on: what is soon out of date.
+    /// 1: announced peaks. From [`FIRST_EPHEMERAL_SPACE`] on: what is soon out of date.
     pub space: u8,
     /// Number within the space.
     pub number: u64,
@@ -24,13 +24,13 @@
 
 /// Records of this space and higher ones say what will soon be said anew: they are passed on, but neither told in
 /// digests nor kept over a restart.
-pub const SOFT: u8 = 128;
+pub const FIRST_EPHEMERAL_SPACE: u8 = 128;
 
 impl Id {
-    /// See [`SOFT`].
+    /// See [`FIRST_EPHEMERAL_SPACE`].
     #[must_use]
-    pub fn is_soft(&self) -> bool {
-        self.space >= SOFT
+    pub fn is_ephemeral(&self) -> bool {
+        self.space >= FIRST_EPHEMERAL_SPACE
     }
 }
 
@@ -66,13 +66,13 @@
 
 /// What became of a record that came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Merge {
+pub enum MergeResult {
     /// It is newer than what was held.
-    Taken,
+    Applied,
     /// It is what was held, or older.
-    Known,
+    NotNewer,
     /// It is over, lasts too long, is too large, or there is no room.
-    Refused,
+    Rejected,
 }
 
 /// All records of a front.
@@ -81,23 +81,23 @@
 
 impl Records {
     /// Takes a record in if it is newer than what is held.
-    pub fn merge(&mut self, now_ms: u64, record: Record) -> Merge {
+    pub fn merge(&mut self, now_ms: u64, record: Record) -> MergeResult {
         let over = record.expires_ms.saturating_add(AFTERLIFE_MS) <= now_ms;
         let too_long = record.expires_ms > now_ms.saturating_add(LONGEST_MS);
-        if over || too_long || record.body.len() > MOST_BODY {
-            return Merge::Refused;
+        if over || too_long || record.body.len() > MAX_BODY_BYTES {
+            return MergeResult::Rejected;
         }
         let full = self.0.len() >= MOST;
         match self.0.get_mut(&record.id) {
-            Some(held) if held.rank() >= record.rank() => Merge::Known,
+            Some(held) if held.rank() >= record.rank() => MergeResult::NotNewer,
             Some(held) => {
                 *held = record;
-                Merge::Taken
+                MergeResult::Applied
             }
-            None if full => Merge::Refused,
+            None if full => MergeResult::Rejected,
             None => {
                 self.0.insert(record.id, record);
-                Merge::Taken
+                MergeResult::Applied
             }
         }
     }
@@ -193,11 +193,14 @@
             body: vec![],
         };
         let mut records = Records::default();
-        assert_eq!(records.merge(1_000_000, r(1_000_000)), Merge::Taken);
+        assert_eq!(records.merge(1_000_000, r(1_000_000)), MergeResult::Applied);
         assert_eq!(records.sweep(1_000_000 + AFTERLIFE_MS - 1), 0);
         assert_eq!(records.sweep(1_000_000 + AFTERLIFE_MS), 1);
-        assert_eq!(records.merge(1_000_000 + AFTERLIFE_MS, r(1_000_000)), Merge::Refused);
-        assert_eq!(records.merge(0, r(LONGEST_MS + 1)), Merge::Refused);
-        assert_eq!(records.merge(0, Record { body: vec![0; MOST_BODY + 1], ..r(5) }), Merge::Refused);
+        assert_eq!(records.merge(1_000_000 + AFTERLIFE_MS, r(1_000_000)), MergeResult::Rejected);
+        assert_eq!(records.merge(0, r(LONGEST_MS + 1)), MergeResult::Rejected);
+        assert_eq!(
+            records.merge(0, Record { body: vec![0; MAX_BODY_BYTES + 1], ..r(5) }),
+            MergeResult::Rejected
+        );
     }
 }
--- a/crates/exchange/src/seal.rs
+++ b/crates/exchange/src/seal.rs
@@ -38,22 +38,37 @@
 }
 
 /// Why a datagram is thrown away.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Reject {
     /// Too short, too long, or of another protocol.
-    Form,
+    Malformed,
     /// The MAC is wrong.
-    Key,
+    BadMac,
     /// It came before.
-    Replay,
+    Replayed,
     /// It belongs to an earlier run of its sender than this, the last one known.
-    Behind(u64),
+    StaleRun(u64),
     /// Its content is no message.
-    Content,
+    Undecodable,
     /// Its sender sends more than it may.
-    Rate,
+    RateLimited,
     /// It is this front's own.
-    Own,
+    OwnDatagram,
+}
+
+/// Prints the reason's name as it appears in the log of rejected datagrams.
+impl fmt::Debug for Reject {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Malformed => f.write_str("Form"),
+            Self::BadMac => f.write_str("Key"),
+            Self::Replayed => f.write_str("Replay"),
+            Self::StaleRun(known) => f.debug_tuple("Behind").field(known).finish(),
+            Self::Undecodable => f.write_str("Content"),
+            Self::RateLimited => f.write_str("Rate"),
+            Self::OwnDatagram => f.write_str("Own"),
+        }
+    }
 }
 
 /// The order in which one sender's datagrams came.
@@ -142,24 +157,24 @@
     /// Why it is thrown away.
     pub fn open<'a>(&mut self, datagram: &'a [u8]) -> Result<(u64, u64, &'a [u8]), Reject> {
         if !(HEAD + TAG..=MOST_DATAGRAM).contains(&datagram.len()) || datagram[..4] != MAGIC {
-            return Err(Reject::Form);
+            return Err(Reject::Malformed);
         }
         let (sealed, given) = datagram.split_at(datagram.len() - TAG);
         let fits = |key: &[u8; 32]| bool::from(tag(key, sealed).ct_eq(given));
         if !fits(&self.keys.current) && !self.keys.previous.as_ref().is_some_and(fits) {
-            return Err(Reject::Key);
+            return Err(Reject::BadMac);
         }
         let (sender, run, counter) = (word(sealed, 4), word(sealed, 12), word(sealed, 20));
         if sender == self.me {
-            return Err(Reject::Own);
+            return Err(Reject::OwnDatagram);
         }
         match self.senders.get_mut(&sender) {
             Some(window) => {
                 if run < window.run {
-                    return Err(Reject::Behind(window.run));
+                    return Err(Reject::StaleRun(window.run));
                 }
                 if !window.take(run, counter) {
-                    return Err(Reject::Replay);
+                    return Err(Reject::Replayed);
                 }
             }
             None => {
@@ -194,11 +209,11 @@
             assert!(b.open(&changed).is_err(), "byte {i} changed");
         }
         assert_eq!(b.open(&d), Ok((1, 10, &b"hello"[..])));
-        assert_eq!(Seal::new(Keys::new("x", None), 3, 1).open(&d), Err(Reject::Key));
+        assert_eq!(Seal::new(Keys::new("x", None), 3, 1).open(&d), Err(Reject::BadMac));
         let own = a.seal(b"x");
-        assert_eq!(a.open(&own), Err(Reject::Own));
+        assert_eq!(a.open(&own), Err(Reject::OwnDatagram));
         let long = a.seal(&[0; MOST_DATAGRAM]);
-        assert_eq!(b.open(&long), Err(Reject::Form));
+        assert_eq!(b.open(&long), Err(Reject::Malformed));
     }
 
     #[test]
@@ -207,7 +222,7 @@
             (Keys::new("old", None), Keys::new("new", Some("old")), Keys::new("new", None));
         let (mut a, mut b) = pair(&old, &both);
         assert!(b.open(&a.seal(b"x")).is_ok());
-        assert_eq!(a.open(&b.seal(b"x")), Err(Reject::Key), "the old one does not know the new key yet");
+        assert_eq!(a.open(&b.seal(b"x")), Err(Reject::BadMac), "the old one does not know the new key yet");
         let (mut c, mut d) = pair(&new, &both);
         assert!(c.open(&d.seal(b"x")).is_ok() && d.open(&c.seal(b"x")).is_ok());
     }
@@ -218,11 +233,11 @@
         let (mut a, mut b) = pair(&keys, &keys);
         let all: Vec<Vec<u8>> = (0..70).map(|_| a.seal(b"x")).collect();
         assert!(b.open(&all[5]).is_ok() && b.open(&all[3]).is_ok(), "out of order");
-        assert_eq!(b.open(&all[5]), Err(Reject::Replay));
+        assert_eq!(b.open(&all[5]), Err(Reject::Replayed));
         assert!(b.open(&all[69]).is_ok());
-        assert_eq!(b.open(&all[4]), Err(Reject::Replay), "too far behind to be told from a replay");
+        assert_eq!(b.open(&all[4]), Err(Reject::Replayed), "too far behind to be told from a replay");
         let mut restarted = Seal::new(keys, 1, 11);
         assert!(b.open(&restarted.seal(b"x")).is_ok());
-        assert_eq!(b.open(&all[68]), Err(Reject::Behind(11)), "of the run before");
+        assert_eq!(b.open(&all[68]), Err(Reject::StaleRun(11)), "of the run before");
     }
 }
--- a/crates/exchange/src/store.rs
+++ b/crates/exchange/src/store.rs
@@ -62,7 +62,7 @@
     ///
     /// # Errors
     /// When it cannot be written.
-    pub fn keep(&self, record: &Record) -> Result<(), StoreError> {
+    pub fn write(&self, record: &Record) -> Result<(), StoreError> {
         let write = self.0.begin_write()?;
         write
             .open_table(RECORDS)?
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     /// When it cannot be written.
-    pub fn sweep(&self, keep: impl Fn(&Record) -> bool) -> Result<(), StoreError> {
+    pub fn retain(&self, keep: impl Fn(&Record) -> bool) -> Result<(), StoreError> {
         let write = self.0.begin_write()?;
         write
             .open_table(RECORDS)?
@@ -101,15 +101,15 @@
         let file = dir.path().join("r.redb");
         {
             let store = Store::open(&file).expect("a store");
-            store.keep(&record(1, 1)).expect("kept");
-            store.keep(&record(1, 2)).expect("kept");
-            store.keep(&record(2, 1)).expect("kept");
+            store.write(&record(1, 1)).expect("kept");
+            store.write(&record(1, 2)).expect("kept");
+            store.write(&record(2, 1)).expect("kept");
             assert_eq!(store.next_run(1_000).expect("a run"), 1_000);
         }
         let store = Store::open(&file).expect("a store");
         assert_eq!(store.records().expect("records"), [record(1, 2), record(2, 1)]);
         assert_eq!(store.next_run(900).expect("a run"), 1_001, "though the clock went back");
-        store.sweep(|r| r.id.number == 2).expect("swept");
+        store.retain(|r| r.id.number == 2).expect("swept");
         assert_eq!(store.records().expect("records"), [record(2, 1)]);
         std::fs::write(dir.path().join("bad"), b"no store").expect("written");
         assert!(Store::open(&dir.path().join("bad")).is_err());
--- a/crates/fleet/src/copies.rs
+++ b/crates/fleet/src/copies.rs
@@ -1,6 +1,6 @@
 //! Copies of what fronts hold, on a lane of the exchange: who is where, and the replica's words with the sender's zone.
 
-use pepperhook_exchange::MOST_LANE;
+use pepperhook_exchange::MAX_CHANNEL_MESSAGE_BYTES;
 use pepperhook_membership::Member;
 use pepperhook_replica::{Counters, Out as Said, Peer, Refused, Replica, Settings, StreamRow};
 use std::collections::BTreeMap;
@@ -64,7 +64,7 @@
     pub fn content(&self, message: &[u8]) -> Option<Vec<u8>> {
         let mut content = self.zone.to_be_bytes().to_vec();
         content.extend_from_slice(message);
-        (content.len() <= MOST_LANE).then_some(content)
+        (content.len() <= MAX_CHANNEL_MESSAGE_BYTES).then_some(content)
     }
 
     pub fn keep(&mut self, now_ms: u64, key: u64, body: Option<Vec<u8>>) -> Result<(), Refused> {
--- a/crates/fleet/src/front.rs
+++ b/crates/fleet/src/front.rs
@@ -4,7 +4,7 @@
 use crate::copies::Copies;
 use crate::readings::{Reading, Readings, SPACE};
 use pepperhook_duties::{Claim, Counters, Duties, Duty, DutyRow, FleetClock, State, Target};
-use pepperhook_exchange::{Exchange, Id, MOST_LANE, Merge, Record, Records, Reject};
+use pepperhook_exchange::{Exchange, Id, MAX_CHANNEL_MESSAGE_BYTES, MergeResult, Record, Records, Reject};
 use pepperhook_membership::{Change, Member, Membership};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -159,7 +159,7 @@
                 period_ms: v.period_ms,
                 suspicion_ms: v.suspicion_ms,
                 fronts: v.fronts,
-                most_bytes: MOST_LANE - CLOCK,
+                most_bytes: MAX_CHANNEL_MESSAGE_BYTES - CLOCK,
                 seed,
             };
             Membership::new(settings, now_ms)
@@ -262,7 +262,14 @@
     }
 
     /// A new version of a record, made here.
-    pub fn put(&mut self, now_ms: u64, id: Id, expires_ms: u64, body: Vec<u8>, out: &mut Vec<Out>) -> Merge {
+    pub fn put(
+        &mut self,
+        now_ms: u64,
+        id: Id,
+        expires_ms: u64,
+        body: Vec<u8>,
+        out: &mut Vec<Out>,
+    ) -> MergeResult {
         let now_ms = self.steady(now_ms);
         let mut said = Vec::new();
         let merge = self.exchange.put(now_ms, id, expires_ms, body, &mut said);
@@ -402,20 +409,20 @@
 
     // ---- between the parts ---------------------------------------------------------------------
 
-    fn exchanged(&mut self, now_ms: u64, said: Vec<pepperhook_exchange::Out>, out: &mut Vec<Out>) {
-        use pepperhook_exchange::Out as Said;
+    fn exchanged(&mut self, now_ms: u64, said: Vec<pepperhook_exchange::Output>, out: &mut Vec<Out>) {
+        use pepperhook_exchange::Output as Said;
         for o in said {
             match o {
                 Said::Send(to, datagram) => out.push(Out::Send(to, datagram)),
                 Said::Changed(record) if record.id.space == SPACE => self.read(now_ms, &record, out),
                 Said::Changed(record) => out.push(Out::Changed(record)),
-                Said::Heard { sender, run, lane: AGREEMENT, content, .. } => {
+                Said::Received { sender, run, channel: AGREEMENT, content, .. } => {
                     self.with_agreed(out, |a, said| a.heard(now_ms, sender, run, &content, said));
                 }
-                Said::Heard { sender, lane, content, .. } => {
-                    self.heard(now_ms, sender, lane, &content, out);
+                Said::Received { sender, channel, content, .. } => {
+                    self.heard(now_ms, sender, channel, &content, out);
                 }
-                Said::Run(run) => {
+                Said::RunRaised(run) => {
                     out.push(Out::Note(Note::Run(run)));
                     if let Some(c) = &mut self.copies {
                         c.raise(run);
@@ -464,7 +471,7 @@
     /// Sends a message on a lane of the exchange.
     fn carry(&mut self, now_ms: u64, to: SocketAddr, lane: u8, content: &[u8], out: &mut Vec<Out>) {
         let mut sent = Vec::new();
-        self.exchange.carry(to, lane, content, &mut sent);
+        self.exchange.send_on_channel(to, lane, content, &mut sent);
         self.exchanged(now_ms, sent, out);
     }
 
@@ -575,7 +582,7 @@
                     let view = self.view();
                     let mut sent = Vec::new();
                     for at in fronts.iter().filter_map(|f| view.get(f)).map(|m| m.address) {
-                        self.exchange.carry(at, CLAIMS, &content, &mut sent);
+                        self.exchange.send_on_channel(at, CLAIMS, &content, &mut sent);
                     }
                     self.exchanged(self.last_ms, sent, out);
                 }
--- a/crates/fleet/src/readings.rs
+++ b/crates/fleet/src/readings.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// The records' space: soft, since the next reading takes its place.
-pub const SPACE: u8 = pepperhook_exchange::SOFT;
+pub const SPACE: u8 = pepperhook_exchange::FIRST_EPHEMERAL_SPACE;
 /// Values of one reading at most.
 const MOST_VALUES: usize = 8;
 /// Readings told in one record at most; with three values each they fit.
--- a/crates/front/src/spread.rs
+++ b/crates/front/src/spread.rs
@@ -7,7 +7,7 @@
 use crate::shell::Shell;
 use pepperhook::{ServerId, ServerState};
 use pepperhook_duties::{Duty, Kind, Target, TargetState};
-use pepperhook_exchange::{Id, Keys, Merge, Record, Store};
+use pepperhook_exchange::{Id, Keys, MergeResult, Record, Store};
 use pepperhook_fleet::{AgreedShown, Fleet, Note, Out, READS, Settings, View};
 use pepperhook_membership::Change;
 use pepperhook_peaks::{Announcement, Refused};
@@ -33,7 +33,7 @@
 
 /// Kind of duty that reads a node's list of sessions, and the space of what is told of it.
 const SESSIONS: u8 = 1;
-const LISTS: u8 = pepperhook_exchange::SOFT + 1;
+const LISTS: u8 = pepperhook_exchange::FIRST_EPHEMERAL_SPACE + 1;
 /// Time between the two lists on which something is believed.
 const TWICE: Duration = Duration::from_millis(1_000);
 /// What is told of a node's load, in this order; NaN for what its report lacks.
@@ -299,14 +299,14 @@
     }
     let peak = shell.engine(|e, now| e.admit_peak(now, &said)).map_err(NotTaken::Refused)?;
     let body = serde_json::to_vec(&said).map_err(|e| NotTaken::Store(e.to_string()))?;
-    if body.len() > pepperhook_exchange::MOST_BODY {
+    if body.len() > pepperhook_exchange::MAX_BODY_BYTES {
         return Err(NotTaken::Long);
     }
     let (now_ms, id) = (shell.fleet_time.now_ms(), id(&said.name));
     let mut out = Vec::new();
     let merge =
         spread.fleet.borrow_mut().put(now_ms, id, said.end_ms.saturating_add(OUTLAST_MS), body, &mut out);
-    if merge != Merge::Taken {
+    if merge != MergeResult::Applied {
         return Err(NotTaken::Store("there is no room for more records".into()));
     }
     for o in &out {
@@ -326,7 +326,7 @@
 /// Writes a record on a thread of its own: a disk that is slow must not hold up set-ups.
 async fn keep(store: Option<Arc<Store>>, record: Record) -> Result<(), String> {
     let Some(store) = store else { return Ok(()) };
-    let kept = tokio::task::spawn_blocking(move || store.keep(&record).map_err(|e| e.to_string())).await;
+    let kept = tokio::task::spawn_blocking(move || store.write(&record).map_err(|e| e.to_string())).await;
     kept.map_err(|e| e.to_string())?
 }
 
@@ -362,7 +362,7 @@
             Out::Send(to, datagram) => shell.spread.send(to, &datagram),
             Out::Changed(record) => {
                 heard(shell, &record);
-                if record.id.is_soft() {
+                if record.id.is_ephemeral() {
                     continue;
                 }
                 let store = shell.spread.store.clone();
