--- a/crates/fleet/src/front.rs
+++ b/crates/fleet/src/front.rs
@@ -152,15 +152,15 @@
         let (me, run) = (settings.exchange.me, settings.exchange.run);
         let (seeds, seed) = (settings.exchange.peers.clone(), settings.exchange.seed);
         let membership = settings.view.map(|v| {
-            let me = Member { front: me, run, renewed: 0, address: v.address, weight: v.weight };
+            let me = Member { front: me, run, renewals: 0, address: v.address, weight: v.weight };
             let settings = pepperhook_membership::Settings {
                 me,
                 seeds: seeds.clone(),
-                period_ms: v.period_ms,
-                suspicion_ms: v.suspicion_ms,
-                fronts: v.fronts,
-                most_bytes: MAX_CHANNEL_MESSAGE_BYTES - CLOCK,
-                seed,
+                probe_period_ms: v.period_ms,
+                suspicion_timeout_ms: v.suspicion_ms,
+                expected_fronts: v.fronts,
+                max_message_bytes: MAX_CHANNEL_MESSAGE_BYTES - CLOCK,
+                rng_seed: seed,
             };
             Membership::new(settings, now_ms)
         });
@@ -432,7 +432,7 @@
                     }
                     let mut said = Vec::new();
                     if let Some(m) = &mut self.membership {
-                        m.raise(run, &mut said);
+                        m.raise_run(run, &mut said);
                     }
                     self.viewed(now_ms, said, out);
                 }
@@ -521,8 +521,8 @@
         }
     }
 
-    fn viewed(&mut self, now_ms: u64, said: Vec<pepperhook_membership::Out>, out: &mut Vec<Out>) {
-        use pepperhook_membership::Out as Said;
+    fn viewed(&mut self, now_ms: u64, said: Vec<pepperhook_membership::Output>, out: &mut Vec<Out>) {
+        use pepperhook_membership::Output as Said;
         for o in said {
             match o {
                 Said::Send(to, message) => {
@@ -626,7 +626,7 @@
             front: m.front,
             address: m.address,
             run: m.run,
-            renewed: m.renewed,
+            renewed: m.renewals,
             weight: m.weight,
             own: m.front == self.me,
         };
@@ -703,6 +703,6 @@
     /// Messages of membership that were refused.
     #[must_use]
     pub fn refused(&self) -> u64 {
-        self.membership.as_ref().map_or(0, Membership::refused)
+        self.membership.as_ref().map_or(0, Membership::rejected_messages)
     }
 }
--- a/crates/front/src/spread.rs
+++ b/crates/front/src/spread.rs
@@ -485,7 +485,7 @@
             info!(event = "member-down", front = m.front, address = %m.address, run = m.run, "a front is gone");
         }
         Note::View(Change::Rejoined(m)) => {
-            warn!(event = "member-rejoined", renewed = m.renewed, "the others had given this front up");
+            warn!(event = "member-rejoined", renewed = m.renewals, "the others had given this front up");
         }
         Note::Agreed(note) => agreed::log(note),
         Note::Run(run) => {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -16,4 +16,4 @@
 mod swim;
 
 pub use member::Member;
-pub use swim::{Change, Membership, Out, Refused, Settings};
+pub use swim::{Change, Membership, Output, Rejection, Settings};
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -12,7 +12,7 @@
     /// Higher at each start, so that a restarted front is not taken for the one that was suspected or left.
     pub run: u64,
     /// Times that it came back in this run after the others had given it up.
-    pub renewed: u32,
+    pub renewals: u32,
     /// Where its datagrams come.
     pub address: SocketAddr,
     /// Its part of shared work against others'.
@@ -22,8 +22,8 @@
 impl Member {
     /// An address of which nothing more is known: only to announce oneself there.
     #[must_use]
-    pub fn seed(address: SocketAddr) -> Self {
-        Self { front: 0, run: 0, renewed: 0, address, weight: 0 }
+    pub fn unidentified(address: SocketAddr) -> Self {
+        Self { front: 0, run: 0, renewals: 0, address, weight: 0 }
     }
 }
 
@@ -31,7 +31,7 @@
     type Addr = SocketAddr;
 
     fn renew(&self) -> Option<Self> {
-        Some(Self { renewed: self.renewed.checked_add(1)?, ..*self })
+        Some(Self { renewals: self.renewals.checked_add(1)?, ..*self })
     }
 
     fn addr(&self) -> SocketAddr {
@@ -39,6 +39,6 @@
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
-        (self.run, self.renewed) > (other.run, other.renewed)
+        (self.run, self.renewals) > (other.run, other.renewals)
     }
 }
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -29,15 +29,15 @@
     /// Addresses that are asked who is there.
     pub seeds: Vec<SocketAddr>,
     /// Time between two looks at a member, milliseconds.
-    pub period_ms: u64,
+    pub probe_period_ms: u64,
     /// A member that does not answer is suspected, and given up after so long, milliseconds.
-    pub suspicion_ms: u64,
+    pub suspicion_timeout_ms: u64,
     /// Fronts that are expected: how often news is repeated grows with their logarithm.
-    pub fronts: u32,
+    pub expected_fronts: u32,
     /// Bytes of a message at most.
-    pub most_bytes: usize,
+    pub max_message_bytes: usize,
     /// Seed of its choices.
-    pub seed: u64,
+    pub rng_seed: u64,
 }
 
 /// A change of the view.
@@ -53,7 +53,7 @@
 
 /// What comes out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Out {
+pub enum Output {
     /// Send this message.
     Send(SocketAddr, Vec<u8>),
     /// The view changed.
@@ -62,11 +62,11 @@
 
 /// Why a message was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum Rejection {
     /// It speaks for another front than the one that sealed it.
-    Sender,
+    SenderMismatch,
     /// It is no message of the protocol, is too long, or names a run in the future.
-    Content,
+    InvalidContent,
 }
 
 /// The codec, with a bound on what is believed.
@@ -164,30 +164,30 @@
     seeds_due_ms: u64,
     left: bool,
     /// Messages that were not taken.
-    refused: u64,
+    rejected_messages: u64,
 }
 
 fn config(s: &Settings) -> Config {
-    let fronts = f64::from(s.fronts.max(2));
+    let fronts = f64::from(s.expected_fronts.max(2));
     // Few repeats are spent before a front that was cut off for a second can hear that it is suspected.
     let repeats = ((fronts + 1.0).log10() * 10.0).ceil().clamp(24.0, 60.0) as u8;
     let ms = Duration::from_millis;
     let few = |n| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
     Config {
-        probe_period: ms(s.period_ms),
-        probe_rtt: ms(s.period_ms * 2 / 5),
+        probe_period: ms(s.probe_period_ms),
+        probe_rtt: ms(s.probe_period_ms * 2 / 5),
         num_indirect_probes: few(3),
         max_transmissions: NonZeroU8::new(repeats).unwrap_or(NonZeroU8::MIN),
-        suspect_to_down_after: ms(s.suspicion_ms),
+        suspect_to_down_after: ms(s.suspicion_timeout_ms),
         remove_down_after: REMEMBER,
-        max_packet_size: few(s.most_bytes),
+        max_packet_size: few(s.max_message_bytes),
         notify_down_members: true,
-        periodic_announce: Some(PeriodicParams { frequency: ms(s.period_ms * 5), num_members: few(1) }),
+        periodic_announce: Some(PeriodicParams { frequency: ms(s.probe_period_ms * 5), num_members: few(1) }),
         periodic_announce_to_down_members: Some(PeriodicParams {
-            frequency: ms(s.period_ms * 3),
+            frequency: ms(s.probe_period_ms * 3),
             num_members: few(2),
         }),
-        periodic_gossip: Some(PeriodicParams { frequency: ms(s.period_ms / 4), num_members: few(2) }),
+        periodic_gossip: Some(PeriodicParams { frequency: ms(s.probe_period_ms / 4), num_members: few(2) }),
     }
 }
 
@@ -195,7 +195,7 @@
     /// A view that holds this front alone. `now_ms` is any steady time; runs are compared with `wall_ms`, Unix time.
     #[must_use]
     pub fn new(settings: Settings, wall_ms: u64) -> Self {
-        let mut rng = StdRng::seed_from_u64(settings.seed);
+        let mut rng = StdRng::seed_from_u64(settings.rng_seed);
         let latest_run = wall_ms.max(settings.me.run).saturating_add(RUN_AHEAD_MS);
         let codec = Sane { inner: PostcardCodec, latest_run };
         let foca_rng = StdRng::seed_from_u64(rng.random());
@@ -209,7 +209,7 @@
             called_ms: None,
             seeds_due_ms: 0,
             left: false,
-            refused: 0,
+            rejected_messages: 0,
             rng,
             settings,
         }
@@ -228,7 +228,7 @@
         let mut out = BTreeMap::from([(self.me.front, self.me)]);
         for m in self.foca.iter_members().map(foca::Member::id).filter(|m| m.front != self.me.front) {
             let known = out.entry(m.front).or_insert(*m);
-            if (m.run, m.renewed) > (known.run, known.renewed) {
+            if (m.run, m.renewals) > (known.run, known.renewals) {
                 *known = *m;
             }
         }
@@ -237,13 +237,13 @@
 
     /// Messages that were not taken.
     #[must_use]
-    pub fn refused(&self) -> u64 {
-        self.refused
+    pub fn rejected_messages(&self) -> u64 {
+        self.rejected_messages
     }
 
     /// This front's run is this from now on; the others know a later one than it had.
-    pub fn raise(&mut self, run: u64, out: &mut Vec<Out>) {
-        let me = Member { run, renewed: 0, ..self.me };
+    pub fn raise_run(&mut self, run: u64, out: &mut Vec<Output>) {
+        let me = Member { run, renewals: 0, ..self.me };
         if run > self.me.run && self.foca.change_identity(me, &mut self.runtime).is_ok() {
             self.me = me;
         }
@@ -251,7 +251,7 @@
     }
 
     /// Time passes. To be called every few tens of milliseconds.
-    pub fn tick(&mut self, now_ms: u64, out: &mut Vec<Out>) {
+    pub fn tick(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         let passed = now_ms.saturating_sub(self.called_ms.replace(now_ms).unwrap_or(now_ms));
         self.time_ms += passed.min(STEP_MS);
         if self.left {
@@ -273,7 +273,7 @@
             let spared = suspect.filter(|s| self.foca.iter_members().any(|m| m.id() == s));
             let mut said = Vec::new();
             self.drain(&mut said);
-            said.retain(|o| !matches!((o, spared), (Out::Send(to, _), Some(s)) if *to == s.address));
+            said.retain(|o| !matches!((o, spared), (Output::Send(to, _), Some(s)) if *to == s.address));
             out.append(&mut said);
         }
         self.drain(out);
@@ -292,9 +292,9 @@
             .collect();
         if !missing.is_empty() {
             let seed = missing[self.rng.random_range(0..missing.len())];
-            let _ = self.foca.announce(Member::seed(seed), &mut self.runtime);
+            let _ = self.foca.announce(Member::unidentified(seed), &mut self.runtime);
         }
-        let period = self.settings.period_ms;
+        let period = self.settings.probe_period_ms;
         let wait = if alone { period / 4 } else { period * 4 };
         self.seeds_due_ms = self.time_ms + wait + self.rng.random_range(0..=wait / 2);
     }
@@ -303,27 +303,27 @@
     ///
     /// # Errors
     /// Why it was not taken; nothing changed then.
-    pub fn receive(&mut self, sender: u64, message: &[u8], out: &mut Vec<Out>) -> Result<(), Refused> {
+    pub fn receive(&mut self, sender: u64, message: &[u8], out: &mut Vec<Output>) -> Result<(), Rejection> {
         let taken = self.check(sender, message).and_then(|()| {
             match self.foca.handle_data(message, &mut self.runtime) {
                 Ok(()) => Ok(()),
-                Err(Error::DataFromOurselves) => Err(Refused::Sender),
-                Err(_) => Err(Refused::Content),
+                Err(Error::DataFromOurselves) => Err(Rejection::SenderMismatch),
+                Err(_) => Err(Rejection::InvalidContent),
             }
         });
-        self.refused += u64::from(taken.is_err());
+        self.rejected_messages += u64::from(taken.is_err());
         self.drain(out);
         taken
     }
 
-    fn check(&self, sender: u64, message: &[u8]) -> Result<(), Refused> {
+    fn check(&self, sender: u64, message: &[u8]) -> Result<(), Rejection> {
         let mut codec = PostcardCodec;
-        let header: Header<Member> = codec.decode_header(message).map_err(|_| Refused::Content)?;
-        if header.src.front == sender { Ok(()) } else { Err(Refused::Sender) }
+        let header: Header<Member> = codec.decode_header(message).map_err(|_| Rejection::InvalidContent)?;
+        if header.src.front == sender { Ok(()) } else { Err(Rejection::SenderMismatch) }
     }
 
     /// Tells the others that this front goes.
-    pub fn leave(&mut self, out: &mut Vec<Out>) {
+    pub fn leave(&mut self, out: &mut Vec<Output>) {
         if !self.left {
             let _ = self.foca.leave_cluster(&mut self.runtime);
             self.drain(out);
@@ -331,9 +331,9 @@
         }
     }
 
-    fn drain(&mut self, out: &mut Vec<Out>) {
+    fn drain(&mut self, out: &mut Vec<Output>) {
         while let Some((to, bytes)) = self.runtime.to_send() {
-            out.push(Out::Send(to.address, bytes.to_vec()));
+            out.push(Output::Send(to.address, bytes.to_vec()));
         }
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.timer_number += 1;
@@ -342,11 +342,11 @@
         }
         while let Some(note) = self.runtime.to_notify() {
             match note {
-                OwnedNotification::MemberUp(m) => out.push(Out::Changed(Change::Up(m))),
-                OwnedNotification::MemberDown(m) => out.push(Out::Changed(Change::Down(m))),
+                OwnedNotification::MemberUp(m) => out.push(Output::Changed(Change::Up(m))),
+                OwnedNotification::MemberDown(m) => out.push(Output::Changed(Change::Down(m))),
                 OwnedNotification::Rejoin(me) => {
                     self.me = me;
-                    out.push(Out::Changed(Change::Rejoined(me)));
+                    out.push(Output::Changed(Change::Rejoined(me)));
                 }
                 OwnedNotification::Rename(..)
                 | OwnedNotification::Active
--- a/crates/membership/tests/swim.rs
+++ b/crates/membership/tests/swim.rs
@@ -1,6 +1,6 @@
 //! Membership among a few fronts, and what strangers, liars and lost messages do to it.
 
-use pepperhook_membership::{Change, Member, Membership, Out, Refused, Settings};
+use pepperhook_membership::{Change, Member, Membership, Output, Rejection, Settings};
 use proptest::prelude::*;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -10,18 +10,18 @@
 }
 
 fn member(i: usize, run: u64) -> Member {
-    Member { front: i as u64 + 1, run, renewed: 0, address: address(i), weight: 100 }
+    Member { front: i as u64 + 1, run, renewals: 0, address: address(i), weight: 100 }
 }
 
 fn settings(i: usize, run: u64) -> Settings {
     Settings {
         me: member(i, run),
         seeds: vec![address(0), address(1)],
-        period_ms: 1_000,
-        suspicion_ms: 3_000,
-        fronts: 4,
-        most_bytes: 1_000,
-        seed: i as u64 + run,
+        probe_period_ms: 1_000,
+        suspicion_timeout_ms: 3_000,
+        expected_fronts: 4,
+        max_message_bytes: 1_000,
+        rng_seed: i as u64 + run,
     }
 }
 
@@ -44,12 +44,12 @@
         few
     }
 
-    fn carry(&mut self, from: usize, out: Vec<Out>) {
-        let mut wire: VecDeque<(usize, Out)> = out.into_iter().map(|o| (from, o)).collect();
+    fn carry(&mut self, from: usize, out: Vec<Output>) {
+        let mut wire: VecDeque<(usize, Output)> = out.into_iter().map(|o| (from, o)).collect();
         while let Some((from, o)) = wire.pop_front() {
             match o {
-                Out::Changed(change) => self.changes.push((from, change)),
-                Out::Send(to, message) => {
+                Output::Changed(change) => self.changes.push((from, change)),
+                Output::Send(to, message) => {
                     self.last[from].clone_from(&message);
                     let to = usize::from(to.port() - 7_000);
                     if self.lost.contains(&(from, to)) {
@@ -122,7 +122,7 @@
     old.tick(0, &mut out);
     old.tick(20, &mut out);
     for o in out {
-        if let Out::Send(_, message) = o {
+        if let Output::Send(_, message) = o {
             let _ = few.fronts[0].as_mut().expect("front 0").receive(3, &message, &mut Vec::new());
         }
     }
@@ -155,22 +155,27 @@
     few.pass(1_000);
     let message = few.last[1].clone();
     let front = few.fronts[0].as_mut().expect("front 0");
-    assert_eq!(front.receive(3, &message, &mut Vec::new()), Err(Refused::Sender), "sealed by another");
+    assert_eq!(
+        front.receive(3, &message, &mut Vec::new()),
+        Err(Rejection::SenderMismatch),
+        "sealed by another"
+    );
     let view = front.view();
     let mut ahead = Membership::new(settings(2, u64::MAX / 2), 1_000_000);
     let mut out = Vec::new();
     ahead.tick(0, &mut out);
     let mut refused = 0;
     for o in out {
-        if let Out::Send(_, message) = o {
-            refused += u32::from(front.receive(3, &message, &mut Vec::new()) == Err(Refused::Content));
+        if let Output::Send(_, message) = o {
+            refused +=
+                u32::from(front.receive(3, &message, &mut Vec::new()) == Err(Rejection::InvalidContent));
         }
     }
     assert!(refused > 0 && front.view() == view);
     for cut in 0..message.len() {
         let _ = front.receive(2, &message[..cut], &mut Vec::new());
     }
-    assert_eq!(front.receive(2, &vec![7; 5_000], &mut Vec::new()), Err(Refused::Content));
+    assert_eq!(front.receive(2, &vec![7; 5_000], &mut Vec::new()), Err(Rejection::InvalidContent));
     assert_eq!(front.view(), view, "nothing of it changed the view");
 }
 
