--- a/crates/cli/tests/duties.rs
+++ b/crates/cli/tests/duties.rs
@@ -128,7 +128,7 @@
         let fleet = Fleet::new(2, DUTIES).await;
         fleet.stands[0].faults(Faults { hang: 1.0, ..Faults::default() });
         let failed = |f: &Fleet| {
-            let of = |f: &Front| f.snapshot().duty_counters.map_or(0, |c| c.failed + c.broken_off);
+            let of = |f: &Front| f.snapshot().duty_counters.map_or(0, |c| c.failed + c.timed_out);
             f.fronts.iter().flatten().map(of).sum::<u64>()
         };
         until("a duty failed", || failed(&fleet) >= 2).await;
--- a/crates/duties/src/clock.rs
+++ b/crates/duties/src/clock.rs
@@ -15,7 +15,7 @@
 impl FleetClock {
     /// A message of a front that said what its clock showed, as this front's clock showed `own_ms`. What the message
     /// was under way is taken for nothing: milliseconds, against rounds of a second.
-    pub fn heard(&mut self, front: u64, their_ms: u64, own_ms: u64) {
+    pub fn observe(&mut self, front: u64, their_ms: u64, own_ms: u64) {
         let offset = i128::from(their_ms) - i128::from(own_ms);
         let offset = offset.clamp(i128::from(i64::MIN / 2), i128::from(i64::MAX / 2)) as i64;
         if self.offsets.len() < MOST || self.offsets.contains_key(&front) {
@@ -24,7 +24,7 @@
     }
 
     /// Only these fronts count.
-    pub fn keep(&mut self, there: impl Fn(u64) -> bool) {
+    pub fn retain(&mut self, there: impl Fn(u64) -> bool) {
         self.offsets.retain(|front, _| there(*front));
     }
 
@@ -63,7 +63,7 @@
             .map(|me| {
                 let mut c = FleetClock::default();
                 for (other, clock) in clocks.iter().enumerate().filter(|(other, _)| *other != me) {
-                    c.heard(other as u64, *clock, clocks[me]);
+                    c.observe(other as u64, *clock, clocks[me]);
                 }
                 c.fleet_ms(clocks[me])
             })
@@ -75,14 +75,14 @@
     fn two_clocks_meet_half_way_and_one_alone_stays() {
         let (mut a, mut b) = (FleetClock::default(), FleetClock::default());
         assert_eq!(a.fleet_ms(5), 5);
-        a.heard(2, 30_000, 0);
-        b.heard(1, 0, 30_000);
+        a.observe(2, 30_000, 0);
+        b.observe(1, 0, 30_000);
         assert_eq!((a.fleet_ms(0), b.fleet_ms(30_000)), (15_000, 15_000));
         assert_eq!(a.own_ms(a.fleet_ms(77)), 77);
-        a.heard(3, u64::MAX, 0);
-        a.heard(4, 0, u64::MAX);
+        a.observe(3, u64::MAX, 0);
+        a.observe(4, 0, u64::MAX);
         assert_eq!(a.fleet_ms(1_000), 16_000, "senseless clocks are outvoted");
-        a.keep(|front| front == 9);
+        a.retain(|front| front == 9);
         assert_eq!(a.fleet_ms(5), 5);
     }
 }
--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -6,17 +6,18 @@
 //! of view, duty and round: nobody claims it, so no message can seize it, and a member that dies takes along only its
 //! own share.
 //!
-//! Whatever the views, a front acts only where its own draw is low enough ([`may_act`]): that it can tell alone, and
+//! Whatever the views, a front acts only where its own draw is low enough ([`is_eligible`]): that it can tell alone, and
 //! over all fronts it comes to `most` actions a round, even where each of them believes that it is the owner.
 //!
 //! Fronts agree on rounds by a clock of the fleet ([`FleetClock`]), the median of theirs.
 
-mod board;
 mod clock;
-mod draw;
+mod rendezvous;
+mod scheduler;
 
-pub use board::{
-    Claim, Counters, Duties, Duty, DutyRow, Kind, Out, Refused, Settings, State, Target, TargetState,
-};
 pub use clock::FleetClock;
-pub use draw::{ORDINARY, may_act, rank};
+pub use rendezvous::{DEFAULT_WEIGHT, is_eligible, rank};
+pub use scheduler::{
+    Counters, Duty, DutyKind, DutyReport, DutyRow, DutyScheduler, DutyState, Output, Rejection, Settings,
+    Target, TargetState,
+};
--- a/crates/duties/src/draw.rs
+++ b/crates/duties/src/rendezvous.rs
@@ -1,13 +1,13 @@
 //! Who comes first: weighted rendezvous hashing (Thaler, Ravishankar 1998; the weights by Schindelhauer, Schomaker
 //! 2005).
 
-use crate::board::Duty;
+use crate::scheduler::Duty;
 use siphasher::sip::SipHasher13;
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 
 /// Weight of an ordinary front.
-pub const ORDINARY: u16 = 100;
+pub const DEFAULT_WEIGHT: u16 = 100;
 
 /// A front's draw for a duty in a round: exponentially distributed, the smaller the larger its weight. The smallest
 /// of all draws is any front's with the odds of its weight.
@@ -17,7 +17,7 @@
     hash.write_u64(front);
     // Uniform between 0 and 1, both left out.
     let uniform = ((hash.finish() >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
-    -uniform.ln() * f64::from(ORDINARY) / f64::from(weight.max(1))
+    -uniform.ln() * f64::from(DEFAULT_WEIGHT) / f64::from(weight.max(1))
 }
 
 /// The fronts of a view in the order in which they are to do a duty in a round, the owner first; `most` of them.
@@ -37,7 +37,7 @@
 /// Whether a front may act on a duty in a round at all, whoever it believes to be there: over `fronts` fronts of
 /// ordinary weight on the mean, no more than `most` of them may, on the mean over rounds.
 #[must_use]
-pub fn may_act(duty: Duty, round: u64, front: u64, weight: u16, most: u32, fronts: u32) -> bool {
+pub fn is_eligible(duty: Duty, round: u64, front: u64, weight: u16, most: u32, fronts: u32) -> bool {
     most >= fronts || draw(duty, round, front, weight) < f64::from(most) / f64::from(fronts.max(1))
 }
 
@@ -51,7 +51,7 @@
     }
 
     fn view(n: u64) -> BTreeMap<u64, u16> {
-        (1..=n).map(|f| (f * 0x9e37_79b9, ORDINARY)).collect()
+        (1..=n).map(|f| (f * 0x9e37_79b9, DEFAULT_WEIGHT)).collect()
     }
 
     /// What a death moves, against the ideal of one in n, over duties and rounds.
@@ -107,7 +107,7 @@
             let (all, most, rounds) = (view(u64::from(n)), 5, 1_000u64);
             let (mut sum, mut without, mut worst) = (0, 0, 0);
             for round in 0..rounds {
-                let may = |f: &u64| may_act(duty(9), round, *f, ORDINARY, most, n);
+                let may = |f: &u64| is_eligible(duty(9), round, *f, DEFAULT_WEIGHT, most, n);
                 let acting = all.keys().filter(|f| may(f)).count();
                 (sum, worst) = (sum + acting, worst.max(acting));
                 without += u32::from(!may(&rank(duty(9), round, &all, 1)[0]));
--- a/crates/duties/src/board.rs
+++ b/crates/duties/src/scheduler.rs
@@ -1,6 +1,6 @@
 //! The board of duties: what is to be done in the round, by whom, and what was heard of it.
 
-use crate::draw::{may_act, rank};
+use crate::rendezvous::{is_eligible, rank};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hasher;
@@ -21,19 +21,19 @@
 
 /// A kind of duty.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Kind {
+pub struct DutyKind {
     /// Its name.
     pub name: String,
     /// Each target wants it once in this time, milliseconds.
     pub period_ms: u64,
     /// Who stands by acts so much later than the one before, milliseconds.
-    pub step_ms: u64,
+    pub stagger_ms: u64,
     /// It is given up after this time, milliseconds.
-    pub limit_ms: u64,
+    pub timeout_ms: u64,
     /// Times a period that a target may hear it from all fronts together.
-    pub most: u32,
+    pub max_runs_per_period: u32,
     /// It is done on targets that drain, too.
-    pub draining: bool,
+    pub include_draining: bool,
 }
 
 /// What a board is told at its start.
@@ -41,14 +41,14 @@
 pub struct Settings {
     /// This front.
     pub me: u64,
-    /// Its weight; [`crate::ORDINARY`] is one share.
+    /// Its weight; [`crate::DEFAULT_WEIGHT`] is one share.
     pub weight: u16,
     /// Fronts that there are at most, by the settings: the bound on what a target hears rests on it, not on the view.
-    pub fronts: u32,
+    pub max_fronts: u32,
     /// Nothing is done for so long after the start, until the others are known; milliseconds.
-    pub wait_ms: u64,
+    pub startup_delay_ms: u64,
     /// The kinds.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<DutyKind>,
 }
 
 /// How a target stands.
@@ -67,15 +67,15 @@
     pub id: u64,
     /// How it stands.
     pub state: TargetState,
-    /// Which life of it this is; what was done in an earlier one does not count.
-    pub life: u64,
+    /// Which incarnation of it this is; what was done in an earlier one does not count.
+    pub incarnation: u64,
 }
 
 /// How far a duty has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum State {
+pub enum DutyState {
     /// A front has begun it.
-    Begun,
+    Started,
     /// It was done.
     Done,
     /// It failed, or took too long.
@@ -84,64 +84,89 @@
 
 /// What a front tells of a duty. It claims nothing: who may act is computed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Claim {
+pub struct DutyReport {
     /// Which.
     pub duty: Duty,
     /// In which round.
     pub round: u64,
-    /// The target's life.
-    pub life: u64,
+    /// The target's incarnation.
+    pub incarnation: u64,
     /// How far.
-    pub state: State,
+    pub state: DutyState,
 }
 
 /// Why a claim was passed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Refused {
+pub enum Rejection {
     /// Its sender is not in the view.
-    Stranger,
-    /// No such duty here, or another life of its target.
-    Duty,
+    UnknownSender,
+    /// No such duty here, or another incarnation of its target.
+    UnknownDuty,
     /// Its round is neither this one nor a neighbour of it.
-    Round,
+    WrongRound,
     /// Its sender may not act in that round.
-    Turn,
+    NotEligible,
 }
 
-/// What is to be done.
+/// An action that the caller of the scheduler must carry out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Out {
-    /// Do this duty now, and say how it went; within so many milliseconds.
-    Run(Duty, u64, u64),
-    /// Break it off: its time is up.
-    Cancel(Duty, u64),
-    /// Tell these fronts.
-    Tell(Vec<u64>, Claim),
+pub enum Output {
+    /// Run this duty now and pass its result to [`DutyScheduler::finish`].
+    Run {
+        /// The duty to run.
+        duty: Duty,
+        /// The round for which it runs.
+        round: u64,
+        /// The time limit of the run, milliseconds.
+        timeout_ms: u64,
+    },
+    /// Abort this run: it exceeded its time limit, or its target is no longer eligible for it.
+    Cancel {
+        /// The duty that is running.
+        duty: Duty,
+        /// The round for which it was started.
+        round: u64,
+    },
+    /// Send a report to other fronts.
+    Report {
+        /// Numbers of the receiving fronts.
+        to: Vec<u64>,
+        /// The report.
+        report: DutyReport,
+    },
 }
 
 /// What happened since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize)]
 pub struct Counters {
     /// Begun here as owner.
-    pub owned: u64,
+    #[serde(rename = "owned")]
+    pub started_as_owner: u64,
     /// Begun here since nothing was heard of those before.
-    pub stood_in: u64,
+    #[serde(rename = "stood_in")]
+    pub started_as_standby: u64,
     /// Begun here on demand.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub started_on_request: u64,
     /// Done.
     pub done: u64,
     /// Failed.
     pub failed: u64,
     /// Broken off, their time being up.
-    pub broken_off: u64,
+    #[serde(rename = "broken_off")]
+    pub timed_out: u64,
     /// Not begun, since the last time had not ended.
-    pub overran: u64,
+    #[serde(rename = "overran")]
+    pub skipped_while_running: u64,
     /// Rounds in which it was this front's turn by its view, and its draw did not allow it.
-    pub barred: u64,
+    #[serde(rename = "barred")]
+    pub owner_not_eligible: u64,
     /// Heard to be done elsewhere, though also begun here in the same round.
-    pub twice: u64,
+    #[serde(rename = "twice")]
+    pub done_twice: u64,
     /// Claims passed over, by reason.
-    pub refused: BTreeMap<&'static str, u64>,
+    #[serde(rename = "refused")]
+    pub rejected_reports: BTreeMap<&'static str, u64>,
 }
 
 /// A duty as the console shows it.
@@ -156,9 +181,11 @@
     /// The owner by this front's view.
     pub owner: Option<u64>,
     /// This front's place in the order; 0 is the owner's.
-    pub place: Option<usize>,
+    #[serde(rename = "place")]
+    pub rank: Option<usize>,
     /// Why this front acts, waits or does not.
-    pub why: &'static str,
+    #[serde(rename = "why")]
+    pub status: &'static str,
     /// Milliseconds since it was last known to be done.
     pub done_ago_ms: Option<u64>,
     /// By whom.
@@ -188,11 +215,11 @@
     /// Turns of this round count from here, where something of an earlier one ended in it.
     from_ms: u64,
     /// How it ended is told once more at this time, in case the first word was lost.
-    echo: Option<(u64, u64, State)>,
+    echo: Option<(u64, u64, DutyState)>,
     /// It has been under way since an earlier round: those of this one are to be told.
     goes_on: bool,
     /// Heard ahead of time, of the round to come.
-    early: Option<(u64, u64, State)>,
+    early: Option<(u64, u64, DutyState)>,
     last: Option<(u64, u64)>,
     /// When something is due for it.
     due_ms: u64,
@@ -200,7 +227,7 @@
 
 /// One front's board.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Duties {
+pub struct DutyScheduler {
     settings: Settings,
     view: BTreeMap<u64, u16>,
     slots: BTreeMap<Duty, Slot>,
@@ -210,7 +237,7 @@
     counters: Counters,
 }
 
-impl Duties {
+impl DutyScheduler {
     /// A board without targets; times are those of the fleet's clock.
     #[must_use]
     pub fn new(settings: Settings, fleet_ms: u64) -> Self {
@@ -218,14 +245,14 @@
             view: BTreeMap::from([(settings.me, settings.weight)]),
             slots: BTreeMap::new(),
             due: BTreeSet::new(),
-            ready_ms: fleet_ms.saturating_add(settings.wait_ms),
+            ready_ms: fleet_ms.saturating_add(settings.startup_delay_ms),
             stopped: false,
             counters: Counters::default(),
             settings,
         }
     }
 
-    fn kind(&self, duty: Duty) -> Option<&Kind> {
+    fn kind(&self, duty: Duty) -> Option<&DutyKind> {
         self.settings.kinds.get(usize::from(duty.kind))
     }
 
@@ -246,8 +273,8 @@
 
     fn may(&self, duty: Duty, round: u64, front: u64) -> bool {
         let weight = self.view.get(&front).copied().unwrap_or(self.settings.weight);
-        let most = self.kind(duty).map_or(0, |k| k.most);
-        may_act(duty, round, front, weight, most, self.settings.fronts)
+        let most = self.kind(duty).map_or(0, |k| k.max_runs_per_period);
+        is_eligible(duty, round, front, weight, most, self.settings.max_fronts)
     }
 
     // ---- what comes in -------------------------------------------------------------------------
@@ -267,21 +294,25 @@
     }
 
     /// The targets of a kind are these from now on.
-    pub fn set_targets(&mut self, now_ms: u64, kind: u8, targets: &[Target], out: &mut Vec<Out>) {
-        let Some(draining) = self.settings.kinds.get(usize::from(kind)).map(|k| k.draining) else { return };
+    pub fn set_targets(&mut self, now_ms: u64, kind: u8, targets: &[Target], out: &mut Vec<Output>) {
+        let Some(draining) = self.settings.kinds.get(usize::from(kind)).map(|k| k.include_draining) else {
+            return;
+        };
         let wanted: BTreeMap<Duty, Target> = targets
             .iter()
             .filter(|t| draining || t.state == TargetState::Ready)
             .map(|t| (Duty { kind, target: t.id }, *t))
             .collect();
-        let same = |duty: &Duty, slot: &Slot| wanted.get(duty).is_some_and(|t| t.life == slot.target.life);
+        let same = |duty: &Duty, slot: &Slot| {
+            wanted.get(duty).is_some_and(|t| t.incarnation == slot.target.incarnation)
+        };
         let gone: Vec<Duty> =
             self.slots.iter().filter(|(d, s)| d.kind == kind && !same(d, s)).map(|(d, _)| *d).collect();
         for duty in gone {
             if let Some(slot) = self.slots.remove(&duty) {
                 self.due.remove(&(slot.due_ms, duty));
                 // What is under way on a target that drains, is gone or came back is of no use any more.
-                out.extend(slot.running.map(|(round, _)| Out::Cancel(duty, round)));
+                out.extend(slot.running.map(|(round, _)| Output::Cancel { duty, round }));
             }
         }
         for (duty, target) in wanted {
@@ -317,50 +348,50 @@
     ///
     /// # Errors
     /// Why that is passed over; nothing changed then.
-    pub fn heard(&mut self, now_ms: u64, from: u64, claim: Claim) -> Result<(), Refused> {
+    pub fn receive_report(&mut self, now_ms: u64, from: u64, claim: DutyReport) -> Result<(), Rejection> {
         let taken = self.take(now_ms, from, claim);
         if let Err(why) = taken {
             let name = match why {
-                Refused::Stranger => "stranger",
-                Refused::Duty => "duty",
-                Refused::Round => "round",
-                Refused::Turn => "turn",
+                Rejection::UnknownSender => "stranger",
+                Rejection::UnknownDuty => "duty",
+                Rejection::WrongRound => "round",
+                Rejection::NotEligible => "turn",
             };
-            *self.counters.refused.entry(name).or_default() += 1;
+            *self.counters.rejected_reports.entry(name).or_default() += 1;
         }
         taken
     }
 
-    fn take(&mut self, now_ms: u64, from: u64, claim: Claim) -> Result<(), Refused> {
-        let Claim { duty, round, life, state } = claim;
+    fn take(&mut self, now_ms: u64, from: u64, claim: DutyReport) -> Result<(), Rejection> {
+        let DutyReport { duty, round, incarnation, state } = claim;
         if from == self.settings.me || !self.view.contains_key(&from) {
-            return Err(Refused::Stranger);
+            return Err(Rejection::UnknownSender);
         }
-        if self.slots.get(&duty).is_none_or(|s| s.target.life != life) {
-            return Err(Refused::Duty);
+        if self.slots.get(&duty).is_none_or(|s| s.target.incarnation != incarnation) {
+            return Err(Rejection::UnknownDuty);
         }
         let (current, _) = self.round(duty, now_ms);
         // What takes longer than its period is told of in later rounds too.
-        let kind = self.kind(duty).map_or((1, 0), |k| (k.period_ms.max(1), k.limit_ms));
+        let kind = self.kind(duty).map_or((1, 0), |k| (k.period_ms.max(1), k.timeout_ms));
         if round > current + 1 || round + 1 + kind.1 / kind.0 < current {
-            return Err(Refused::Round);
+            return Err(Rejection::WrongRound);
         }
         // The epoch is computed, never taken on somebody's word: who may not act then did not.
         if !self.may(duty, round, from) {
-            return Err(Refused::Turn);
+            return Err(Rejection::NotEligible);
         }
         // The round may have begun since the last wake.
         self.enter(now_ms, duty);
-        let limit = self.kind(duty).map_or(0, |k| k.limit_ms);
-        let Some(slot) = self.slots.get_mut(&duty) else { return Err(Refused::Duty) };
-        if state == State::Done {
+        let limit = self.kind(duty).map_or(0, |k| k.timeout_ms);
+        let Some(slot) = self.slots.get_mut(&duty) else { return Err(Rejection::UnknownDuty) };
+        if state == DutyState::Done {
             slot.last = slot.last.max(Some((now_ms, from)));
         }
         if round == current + 1 {
             slot.early = Some((round, from, state));
             return Ok(());
         }
-        if let State::Begun = state {
+        if let DutyState::Started = state {
             // Wherever it was begun, nobody begins it again before its time is up.
             if slot.begun.is_none_or(|(_, known, _)| known <= round) {
                 slot.begun = Some((from, round, now_ms.saturating_add(limit)));
@@ -372,16 +403,16 @@
             }
         }
         if slot.round == Some(round) {
-            slot.finished |= state == State::Done;
-            slot.failures = slot.failures.saturating_add(u8::from(state == State::Failed));
-            self.counters.twice += u64::from(state == State::Done && slot.acted);
+            slot.finished |= state == DutyState::Done;
+            slot.failures = slot.failures.saturating_add(u8::from(state == DutyState::Failed));
+            self.counters.done_twice += u64::from(state == DutyState::Done && slot.acted);
         }
         self.arrange(now_ms, duty);
         Ok(())
     }
 
     /// A duty that was to be run has ended.
-    pub fn finished(&mut self, now_ms: u64, duty: Duty, round: u64, done: bool, out: &mut Vec<Out>) {
+    pub fn finish(&mut self, now_ms: u64, duty: Duty, round: u64, done: bool, out: &mut Vec<Output>) {
         let me = self.settings.me;
         let Some(slot) = self.slots.get_mut(&duty) else { return };
         if slot.running.is_none_or(|(r, _)| r != round) {
@@ -401,8 +432,10 @@
             slot.finished |= done;
             slot.failures = slot.failures.saturating_add(u8::from(!done));
         }
-        let (state, step) =
-            (if done { State::Done } else { State::Failed }, self.kind(duty).map_or(0, |k| k.step_ms));
+        let (state, step) = (
+            if done { DutyState::Done } else { DutyState::Failed },
+            self.kind(duty).map_or(0, |k| k.stagger_ms),
+        );
         self.tell(duty, round, state, out);
         if let Some(slot) = self.slots.get_mut(&duty) {
             slot.echo = Some((now_ms + step / 3, round, state));
@@ -417,7 +450,7 @@
     }
 
     /// Somebody wants a duty done now. It is, where this front may act on it and has not in this round.
-    pub fn ask(&mut self, now_ms: u64, duty: Duty, out: &mut Vec<Out>) -> bool {
+    pub fn request(&mut self, now_ms: u64, duty: Duty, out: &mut Vec<Output>) -> bool {
         let (round, _) = self.round(duty, now_ms);
         let fresh = |s: &Slot| {
             let acted = s.round == Some(round) && s.acted;
@@ -430,7 +463,7 @@
             return false;
         }
         self.enter(now_ms, duty);
-        self.counters.asked += 1;
+        self.counters.started_on_request += 1;
         self.begin(now_ms, duty, out);
         self.arrange(now_ms, duty);
         true
@@ -451,7 +484,7 @@
     }
 
     /// Does what is due.
-    pub fn wake(&mut self, now_ms: u64, out: &mut Vec<Out>) {
+    pub fn wake(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         // Each duty once a call, whatever is due for it then.
         let later = self.due.split_off(&(now_ms + 1, Duty { kind: 0, target: 0 }));
         let due = std::mem::replace(&mut self.due, later);
@@ -461,31 +494,31 @@
     }
 
     /// The clock was set: what is due is looked at anew.
-    pub fn clock_set(&mut self, now_ms: u64) {
+    pub fn clock_changed(&mut self, now_ms: u64) {
         let duties: Vec<Duty> = self.slots.keys().copied().collect();
         for duty in duties {
             self.due_at(duty, now_ms);
         }
-        self.ready_ms = self.ready_ms.min(now_ms.saturating_add(self.settings.wait_ms));
+        self.ready_ms = self.ready_ms.min(now_ms.saturating_add(self.settings.startup_delay_ms));
     }
 
     // ---- a round -------------------------------------------------------------------------------
 
-    fn step(&mut self, now_ms: u64, duty: Duty, out: &mut Vec<Out>) {
+    fn step(&mut self, now_ms: u64, duty: Duty, out: &mut Vec<Output>) {
         self.enter(now_ms, duty);
         let (ready, stopped) = (now_ms >= self.ready_ms, self.stopped);
         let Some(slot) = self.slots.get_mut(&duty) else { return };
         if let Some((round, _)) = slot.running.filter(|(_, until)| *until <= now_ms) {
             slot.running = None;
             slot.failures = slot.failures.saturating_add(u8::from(slot.round == Some(round)));
-            self.counters.broken_off += 1;
-            out.push(Out::Cancel(duty, round));
-            self.tell(duty, round, State::Failed, out);
+            self.counters.timed_out += 1;
+            out.push(Output::Cancel { duty, round });
+            self.tell(duty, round, DutyState::Failed, out);
         }
         let Some(slot) = self.slots.get_mut(&duty) else { return };
         let goes_on = std::mem::take(&mut slot.goes_on);
         if let Some((round, _)) = slot.running.filter(|_| goes_on) {
-            self.tell(duty, round, State::Begun, out);
+            self.tell(duty, round, DutyState::Started, out);
         }
         let Some(slot) = self.slots.get_mut(&duty) else { return };
         if let Some((_, round, state)) = slot.echo.take_if(|(at, ..)| *at <= now_ms) {
@@ -496,11 +529,11 @@
             if slot.running.is_some() {
                 // It takes longer than its period: one at a time is enough.
                 (slot.act_ms, slot.acted) = (None, true);
-                self.counters.overran += 1;
+                self.counters.skipped_while_running += 1;
             } else {
                 match slot.place {
-                    Some(0) => self.counters.owned += 1,
-                    _ => self.counters.stood_in += 1,
+                    Some(0) => self.counters.started_as_owner += 1,
+                    _ => self.counters.started_as_standby += 1,
                 }
                 self.begin(now_ms, duty, out);
             }
@@ -508,25 +541,28 @@
         self.arrange(now_ms, duty);
     }
 
-    fn begin(&mut self, now_ms: u64, duty: Duty, out: &mut Vec<Out>) {
-        let limit = self.kind(duty).map_or(0, |k| k.limit_ms);
+    fn begin(&mut self, now_ms: u64, duty: Duty, out: &mut Vec<Output>) {
+        let limit = self.kind(duty).map_or(0, |k| k.timeout_ms);
         let Some(slot) = self.slots.get_mut(&duty) else { return };
         let Some(round) = slot.round else { return };
         (slot.act_ms, slot.acted) = (None, true);
         slot.running = Some((round, now_ms.saturating_add(limit)));
-        out.push(Out::Run(duty, round, limit));
-        self.tell(duty, round, State::Begun, out);
+        out.push(Output::Run { duty, round, timeout_ms: limit });
+        self.tell(duty, round, DutyState::Started, out);
     }
 
     /// Tells those who stand by, and the owner of the next round.
-    fn tell(&self, duty: Duty, round: u64, state: State, out: &mut Vec<Out>) {
+    fn tell(&self, duty: Duty, round: u64, state: DutyState, out: &mut Vec<Output>) {
         let Some(slot) = self.slots.get(&duty) else { return };
         let mut to: Vec<u64> = slot.order.iter().chain(&slot.next).copied().collect();
         to.sort_unstable();
         to.dedup();
         to.retain(|front| *front != self.settings.me);
         if !to.is_empty() {
-            out.push(Out::Tell(to, Claim { duty, round, life: slot.target.life, state }));
+            out.push(Output::Report {
+                to,
+                report: DutyReport { duty, round, incarnation: slot.target.incarnation, state },
+            });
         }
     }
 
@@ -542,10 +578,10 @@
         (slot.round, slot.finished, slot.failures, slot.acted) = (Some(round), again, 0, again);
         (slot.from_ms, slot.goes_on) = (0, slot.running.is_some());
         if let Some((_, from, state)) = slot.early.take().filter(|(r, ..)| *r == round) {
-            slot.finished |= state == State::Done;
-            slot.failures += u8::from(state == State::Failed);
-            if state == State::Begun {
-                let limit = self.settings.kinds.get(usize::from(duty.kind)).map_or(0, |k| k.limit_ms);
+            slot.finished |= state == DutyState::Done;
+            slot.failures += u8::from(state == DutyState::Failed);
+            if state == DutyState::Started {
+                let limit = self.settings.kinds.get(usize::from(duty.kind)).map_or(0, |k| k.timeout_ms);
                 slot.begun = Some((from, round, now_ms.saturating_add(limit)));
             }
         }
@@ -553,7 +589,7 @@
         self.arrange(now_ms, duty);
         if let Some(slot) = self.slots.get(&duty) {
             let turn = slot.place == Some(0) && !slot.finished;
-            self.counters.barred += u64::from(turn && !self.may(duty, round, self.settings.me));
+            self.counters.owner_not_eligible += u64::from(turn && !self.may(duty, round, self.settings.me));
         }
     }
 
@@ -569,7 +605,7 @@
     /// Works out from order, round and what was heard when it is this front's turn, and when to look again.
     fn arrange(&mut self, now_ms: u64, duty: Duty) {
         let Some(kind) = self.kind(duty) else { return };
-        let (step, period) = (kind.step_ms, kind.period_ms);
+        let (step, period) = (kind.stagger_ms, kind.period_ms);
         let (current, began) = self.round(duty, now_ms);
         let Some(round) = self.slots.get(&duty).and_then(|s| s.round) else { return };
         if round != current {
@@ -619,8 +655,8 @@
             target: duty.target,
             round: s.round.unwrap_or(0),
             owner: s.order.first().copied(),
-            place: s.place,
-            why: self.why(now_ms, *duty, s),
+            rank: s.place,
+            status: self.why(now_ms, *duty, s),
             done_ago_ms: s.last.map(|(at, _)| now_ms.saturating_sub(at)),
             done_by: s.last.map(|(_, by)| by),
         };
--- a/crates/duties/tests/history.rs
+++ b/crates/duties/tests/history.rs
@@ -1,27 +1,30 @@
 //! Ownership is a function of view, duty and round: how a front came by its view does not matter.
 
-use pepperhook_duties::{Duties, Kind, ORDINARY, Out, Settings, Target, TargetState};
+use pepperhook_duties::{DEFAULT_WEIGHT, DutyKind, DutyScheduler, Output, Settings, Target, TargetState};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-fn board() -> Duties {
-    let kind = Kind {
+fn board() -> DutyScheduler {
+    let kind = DutyKind {
         name: "probe".into(),
         period_ms: 1_000,
-        step_ms: 250,
-        limit_ms: 500,
-        most: 9,
-        draining: false,
+        stagger_ms: 250,
+        timeout_ms: 500,
+        max_runs_per_period: 9,
+        include_draining: false,
     };
-    Duties::new(Settings { me: 1, weight: ORDINARY, fronts: 9, wait_ms: 0, kinds: vec![kind] }, 0)
+    DutyScheduler::new(
+        Settings { me: 1, weight: DEFAULT_WEIGHT, max_fronts: 9, startup_delay_ms: 0, kinds: vec![kind] },
+        0,
+    )
 }
 
 fn targets() -> Vec<Target> {
-    (0..20).map(|id| Target { id, state: TargetState::Ready, life: 0 }).collect()
+    (0..20).map(|id| Target { id, state: TargetState::Ready, incarnation: 0 }).collect()
 }
 
-fn owners(d: &Duties, now: u64) -> Vec<(u64, u64, Option<u64>, Option<usize>)> {
-    d.rows(now).into_iter().map(|r| (r.target, r.round, r.owner, r.place)).collect()
+fn owners(d: &DutyScheduler, now: u64) -> Vec<(u64, u64, Option<u64>, Option<usize>)> {
+    d.rows(now).into_iter().map(|r| (r.target, r.round, r.owner, r.rank)).collect()
 }
 
 proptest! {
@@ -37,16 +40,16 @@
         for (wait, view) in steps {
             now += wait;
             let mut out = Vec::new();
-            lived.set_view(now, view.into_iter().map(|f| (f, ORDINARY)).collect());
+            lived.set_view(now, view.into_iter().map(|f| (f, DEFAULT_WEIGHT)).collect());
             lived.wake(now, &mut out);
             for o in out {
-                if let Out::Run(duty, round, _) = o {
-                    lived.finished(now + 1, duty, round, true, &mut Vec::new());
+                if let Output::Run { duty, round, .. } = o {
+                    lived.finish(now + 1, duty, round, true, &mut Vec::new());
                 }
             }
         }
         now += 1_000;
-        let view: BTreeMap<u64, u16> = last.into_iter().map(|f| (f, ORDINARY)).collect();
+        let view: BTreeMap<u64, u16> = last.into_iter().map(|f| (f, DEFAULT_WEIGHT)).collect();
         lived.set_view(now, view.clone());
         lived.wake(now, &mut Vec::new());
         let mut fresh = board();
--- a/crates/duties/tests/model.rs
+++ b/crates/duties/tests/model.rs
@@ -1,7 +1,9 @@
 //! The board itself under a model checker: whatever few words are lost and whoever dies, no duty stays without an
 //! owner, and nobody acts twice in a round.
 
-use pepperhook_duties::{Claim, Duties, Duty, Kind, ORDINARY, Out, Settings, Target, TargetState};
+use pepperhook_duties::{
+    DEFAULT_WEIGHT, Duty, DutyKind, DutyReport, DutyScheduler, Output, Settings, Target, TargetState,
+};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeMap;
 
@@ -16,8 +18,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Fleet {
     step: u64,
-    fronts: Vec<Option<Duties>>,
-    words: Vec<(u64, u64, Claim)>,
+    fronts: Vec<Option<DutyScheduler>>,
+    words: Vec<(u64, u64, DutyReport)>,
     lost: u8,
     died: Option<(u64, u64)>,
     /// Acts in the round under way, by front, and rounds since the last one that had an act.
@@ -39,40 +41,40 @@
 }
 
 fn settings(me: u64) -> Settings {
-    let kind = Kind {
+    let kind = DutyKind {
         name: "probe".into(),
         period_ms: PERIOD,
-        step_ms: STEP,
-        limit_ms: 200,
-        most: 5,
-        draining: false,
+        stagger_ms: STEP,
+        timeout_ms: 200,
+        max_runs_per_period: 5,
+        include_draining: false,
     };
-    Settings { me, weight: ORDINARY, fronts: FRONTS as u32, wait_ms: 0, kinds: vec![kind] }
+    Settings { me, weight: DEFAULT_WEIGHT, max_fronts: FRONTS as u32, startup_delay_ms: 0, kinds: vec![kind] }
 }
 
 /// The first round of the duty begins here.
 fn start() -> u64 {
-    let probe = Duties::new(settings(1), 0);
+    let probe = DutyScheduler::new(settings(1), 0);
     (10_000..11_001).find(|t| probe.round_at(DUTY, *t) != probe.round_at(DUTY, t - 1)).expect("a round")
 }
 
 fn view(without: Option<u64>) -> BTreeMap<u64, u16> {
-    (1..=FRONTS).filter(|f| Some(*f) != without).map(|f| (f, ORDINARY)).collect()
+    (1..=FRONTS).filter(|f| Some(*f) != without).map(|f| (f, DEFAULT_WEIGHT)).collect()
 }
 
 impl Fleet {
     /// Carries out what a front says: a duty is done within the step, and words are on their way.
-    fn carry(&mut self, front: u64, now: u64, out: Vec<Out>) {
-        let mut out: Vec<Out> = out;
+    fn carry(&mut self, front: u64, now: u64, out: Vec<Output>) {
+        let mut out: Vec<Output> = out;
         while let Some(o) = out.pop() {
             match o {
-                Out::Run(duty, round, _) => {
+                Output::Run { duty, round, .. } => {
                     self.acts[front as usize - 1] += 1;
                     if let Some(d) = &mut self.fronts[front as usize - 1] {
-                        d.finished(now + 10, duty, round, true, &mut out);
+                        d.finish(now + 10, duty, round, true, &mut out);
                     }
                 }
-                Out::Tell(to, claim) => {
+                Output::Report { to, report: claim } => {
                     for to in to {
                         let word = (front, to, claim);
                         if !self.words.contains(&word) {
@@ -80,7 +82,7 @@
                         }
                     }
                 }
-                Out::Cancel(..) => {}
+                Output::Cancel { .. } => {}
             }
         }
         self.words.sort_by_key(|(a, b, c)| (*a, *b, c.round, c.state as u8));
@@ -93,9 +95,9 @@
 
     fn init_states(&self) -> Vec<Fleet> {
         let now = start();
-        let target = Target { id: DUTY.target, state: TargetState::Ready, life: 1 };
+        let target = Target { id: DUTY.target, state: TargetState::Ready, incarnation: 1 };
         let front = |me| {
-            let mut d = Duties::new(settings(me), now);
+            let mut d = DutyScheduler::new(settings(me), now);
             d.set_view(now, view(None));
             d.set_targets(now, 0, &[target], &mut Vec::new());
             Some(d)
@@ -150,7 +152,7 @@
             Act::Deliver(i) => {
                 let (from, to, claim) = s.words.remove(i);
                 if let Some(d) = &mut s.fronts[to as usize - 1] {
-                    d.heard(now - STEP + 20, from, claim).ok();
+                    d.receive_report(now - STEP + 20, from, claim).ok();
                 }
             }
             Act::Lose(i) => {
--- a/crates/fleet/src/front.rs
+++ b/crates/fleet/src/front.rs
@@ -3,7 +3,7 @@
 use crate::agreed::{Agreed, AgreedNote, AgreedSettings, AgreedShown, Force, Means, Said};
 use crate::copies::Copies;
 use crate::readings::{Reading, Readings, SPACE};
-use pepperhook_duties::{Claim, Counters, Duties, Duty, DutyRow, FleetClock, State, Target};
+use pepperhook_duties::{Counters, Duty, DutyReport, DutyRow, DutyScheduler, DutyState, FleetClock, Target};
 use pepperhook_exchange::{Exchange, Id, MAX_CHANNEL_MESSAGE_BYTES, MergeResult, Record, Records, Reject};
 use pepperhook_membership::{Change, Member, Membership};
 use serde::Serialize;
@@ -38,7 +38,7 @@
     pub exchange: pepperhook_exchange::Settings,
     /// Membership, where the fleet has one.
     pub view: Option<View>,
-    /// Duties; they need a view.
+    /// DutyScheduler; they need a view.
     pub duties: Option<pepperhook_duties::Settings>,
     /// Copies; they need a view.
     pub copies: Option<pepperhook_replica::Settings>,
@@ -124,7 +124,7 @@
 pub struct Fleet {
     exchange: Exchange,
     membership: Option<Membership>,
-    duties: Option<Duties>,
+    duties: Option<DutyScheduler>,
     copies: Option<Copies>,
     agreed: Option<Agreed>,
     clock: FleetClock,
@@ -171,7 +171,7 @@
             .unwrap_or(READING_LASTS_MS);
         Self {
             exchange: Exchange::new(settings.exchange, kept, now_ms),
-            duties: settings.duties.filter(|_| membership.is_some()).map(|d| Duties::new(d, now_ms)),
+            duties: settings.duties.filter(|_| membership.is_some()).map(|d| DutyScheduler::new(d, now_ms)),
             copies: settings.copies.filter(|_| membership.is_some()).map(|c| Copies::new(c, now_ms)),
             agreed: settings.agreed.filter(|_| membership.is_some()).map(|a| Agreed::new(a, now_ms)),
             membership,
@@ -343,7 +343,7 @@
         self.agreed.as_ref().is_some_and(|a| a.fenced(steady))
     }
 
-    /// Duties of a kind are done on these from now on.
+    /// DutyScheduler of a kind are done on these from now on.
     pub fn set_targets(&mut self, now_ms: u64, kind: u8, targets: &[Target], out: &mut Vec<Out>) {
         let fleet_ms = {
             let steady = self.steady(now_ms);
@@ -379,7 +379,7 @@
         }
         let mut work = Vec::new();
         if let Some(d) = &mut self.duties {
-            d.finished(fleet_ms, duty, round, done, &mut work);
+            d.finish(fleet_ms, duty, round, done, &mut work);
         }
         self.worked(work, out);
     }
@@ -389,7 +389,7 @@
         let steady = self.steady(now_ms);
         let fleet_ms = self.fleet_ms(steady);
         let mut work = Vec::new();
-        let done = self.duties.as_mut().is_some_and(|d| d.ask(fleet_ms, duty, &mut work));
+        let done = self.duties.as_mut().is_some_and(|d| d.request(fleet_ms, duty, &mut work));
         self.worked(work, out);
         done
     }
@@ -448,16 +448,16 @@
                 let Some(m) = &mut self.membership else { return };
                 // What is refused is counted there; nobody is answered.
                 if m.receive(sender, message, &mut said).is_ok() {
-                    self.clock.heard(sender, u64::from_be_bytes(*clock), now_ms);
+                    self.clock.observe(sender, u64::from_be_bytes(*clock), now_ms);
                 }
                 self.viewed(now_ms, said, out);
             }
             CLAIMS => {
-                let Ok(claim) = postcard::from_bytes::<Claim>(content) else { return };
+                let Ok(claim) = postcard::from_bytes::<DutyReport>(content) else { return };
                 let fleet_ms = self.fleet_ms(now_ms);
                 if let Some(d) = &mut self.duties {
                     // What is passed over is counted there.
-                    let _ = d.heard(fleet_ms, sender, claim);
+                    let _ = d.receive_report(fleet_ms, sender, claim);
                 }
             }
             COPIES => {
@@ -551,7 +551,7 @@
         if let Some(c) = &mut self.copies {
             c.set_view(&view);
         }
-        self.clock.keep(|front| view.contains_key(&front));
+        self.clock.retain(|front| view.contains_key(&front));
         self.set_clock(now_ms);
         let fleet_ms = self.fleet_ms(now_ms);
         if let Some(d) = &mut self.duties {
@@ -566,18 +566,18 @@
             self.offset_ms = offset;
             let fleet_ms = self.fleet_ms(now_ms);
             if let Some(d) = &mut self.duties {
-                d.clock_set(fleet_ms);
+                d.clock_changed(fleet_ms);
             }
         }
     }
 
-    fn worked(&mut self, work: Vec<pepperhook_duties::Out>, out: &mut Vec<Out>) {
-        use pepperhook_duties::Out as Work;
+    fn worked(&mut self, work: Vec<pepperhook_duties::Output>, out: &mut Vec<Out>) {
+        use pepperhook_duties::Output as Work;
         for o in work {
             match o {
-                Work::Run(duty, round, limit) => out.push(Out::Run(duty, round, limit)),
-                Work::Cancel(duty, round) => out.push(Out::Cancel(duty, round)),
-                Work::Tell(fronts, claim) => {
+                Work::Run { duty, round, timeout_ms } => out.push(Out::Run(duty, round, timeout_ms)),
+                Work::Cancel { duty, round } => out.push(Out::Cancel(duty, round)),
+                Work::Report { to: fronts, report: claim } => {
                     let Ok(content) = postcard::to_stdvec(&claim) else { continue };
                     let view = self.view();
                     let mut sent = Vec::new();
@@ -602,8 +602,8 @@
                     // Whoever read the node has done that round's duty: a second way on which that is heard.
                     let duty = Duty { kind: READS, target: reading.node };
                     let round = d.round_at(duty, reading.at_ms);
-                    let claim = Claim { duty, round, life: reading.life, state: State::Done };
-                    let _ = d.heard(fleet_ms, record.id.number, claim);
+                    let claim = DutyReport { duty, round, incarnation: reading.life, state: DutyState::Done };
+                    let _ = d.receive_report(fleet_ms, record.id.number, claim);
                 }
                 let age_ms = fleet_ms.saturating_sub(reading.at_ms);
                 out.push(Out::Seen(reading, age_ms));
@@ -633,7 +633,7 @@
         self.view().into_values().map(row).collect()
     }
 
-    /// Duties and why this front does or leaves them, at a moment of its clock.
+    /// DutyScheduler and why this front does or leaves them, at a moment of its clock.
     #[must_use]
     pub fn duty_rows(&self, now_ms: u64) -> Vec<DutyRow> {
         let fleet_ms = self.fleet_ms(now_ms.saturating_add(self.shift_ms));
@@ -643,7 +643,7 @@
     /// What became of duties here.
     #[must_use]
     pub fn duty_counters(&self) -> Option<&Counters> {
-        self.duties.as_ref().map(Duties::counters)
+        self.duties.as_ref().map(DutyScheduler::counters)
     }
 
     /// The last reading of a node, taken here or elsewhere, and its age in milliseconds.
--- a/crates/front/src/spread.rs
+++ b/crates/front/src/spread.rs
@@ -6,7 +6,7 @@
 use crate::engine::{DutyShown, ReplicaShown, Snapshot, life};
 use crate::shell::Shell;
 use pepperhook::{ServerId, ServerState};
-use pepperhook_duties::{Duty, Kind, Target, TargetState};
+use pepperhook_duties::{Duty, DutyKind, Target, TargetState};
 use pepperhook_exchange::{Id, Keys, MergeResult, Record, Store};
 use pepperhook_fleet::{AgreedShown, Fleet, Note, Out, READS, Settings, View};
 use pepperhook_membership::Change;
@@ -116,8 +116,8 @@
         let duties = x.zip(config.duties.as_ref()).map(|(x, d)| pepperhook_duties::Settings {
             me,
             weight: x.weight,
-            fronts,
-            wait_ms: 2 * x.look / 1_000_000,
+            max_fronts: fronts,
+            startup_delay_ms: 2 * x.look / 1_000_000,
             kinds: kinds(d),
         });
         let zone = config.decisions.zone.0;
@@ -220,23 +220,23 @@
 }
 
 /// The kinds of duty, in the order of [`READS`] and [`SESSIONS`].
-fn kinds(d: &DutySettings) -> Vec<Kind> {
+fn kinds(d: &DutySettings) -> Vec<DutyKind> {
     let ms = |t: u64| t / 1_000_000;
-    let reads = Kind {
+    let reads = DutyKind {
         name: "probe".into(),
         period_ms: ms(d.probe),
-        step_ms: ms(d.step),
-        limit_ms: ms(d.limit),
-        most: d.most,
-        draining: false,
+        stagger_ms: ms(d.step),
+        timeout_ms: ms(d.limit),
+        max_runs_per_period: d.most,
+        include_draining: false,
     };
-    let lists = d.sessions.map(|period| Kind {
+    let lists = d.sessions.map(|period| DutyKind {
         name: "sessions".into(),
         period_ms: ms(period),
-        step_ms: ms(period / 4),
-        limit_ms: ms(period / 2),
-        most: d.most,
-        draining: true,
+        stagger_ms: ms(period / 4),
+        timeout_ms: ms(period / 2),
+        max_runs_per_period: d.most,
+        include_draining: true,
     });
     [reads].into_iter().chain(lists).collect()
 }
@@ -556,7 +556,7 @@
             ServerState::Draining => TargetState::Draining,
             ServerState::Gone => return None,
         };
-        Some(Target { id: u64::from(n.entry.server.0), state, life: life(n) })
+        Some(Target { id: u64::from(n.entry.server.0), state, incarnation: life(n) })
     };
     let targets: Vec<Target> = shell.engine(|e, _| e.nodes().filter_map(target).collect());
     for kind in [READS, SESSIONS] {
--- a/crates/rehearse/src/duties/net.rs
+++ b/crates/rehearse/src/duties/net.rs
@@ -1,7 +1,7 @@
 //! Many fronts in one process: the very code that fronts run among themselves, on a network and clocks in memory.
 
 use super::coverage::{Life, Probe};
-use pepperhook_duties::{Counters, Duty, Kind, ORDINARY, Target, TargetState};
+use pepperhook_duties::{Counters, DEFAULT_WEIGHT, Duty, DutyKind, Target, TargetState};
 use pepperhook_exchange::Keys;
 use pepperhook_fleet::{Fleet, Note, Out, Settings, View};
 use rand::rngs::StdRng;
@@ -412,7 +412,7 @@
             },
             view: Some(View {
                 address: address(i),
-                weight: ORDINARY,
+                weight: DEFAULT_WEIGHT,
                 fronts: o.fronts as u32,
                 period_ms: 1_000,
                 suspicion_ms: o.suspicion_ms,
@@ -421,16 +421,16 @@
             agreed: None,
             duties: Some(pepperhook_duties::Settings {
                 me: number(i),
-                weight: ORDINARY,
-                fronts: o.fronts as u32,
-                wait_ms: 2_000,
-                kinds: vec![Kind {
+                weight: DEFAULT_WEIGHT,
+                max_fronts: o.fronts as u32,
+                startup_delay_ms: 2_000,
+                kinds: vec![DutyKind {
                     name: "probe".into(),
                     period_ms: o.period_ms,
-                    step_ms: o.step_ms,
-                    limit_ms: o.limit_ms,
-                    most: o.most,
-                    draining: false,
+                    stagger_ms: o.step_ms,
+                    timeout_ms: o.limit_ms,
+                    max_runs_per_period: o.most,
+                    include_draining: false,
                 }],
             }),
         }
@@ -441,7 +441,7 @@
         let target = |(i, n): (usize, &NodeState)| Target {
             id: i as u64,
             state: if n.draining { TargetState::Draining } else { TargetState::Ready },
-            life: n.life,
+            incarnation: n.life,
         };
         there.map(target).collect()
     }
--- a/crates/rehearse/tests/duties.rs
+++ b/crates/rehearse/tests/duties.rs
@@ -225,7 +225,7 @@
     // And one that never ends is broken off at its limit.
     net.at(40_000, Act::Takes(60_000, 70_000));
     net.run(60_000);
-    assert!(net.counters().iter().map(|c| c.broken_off).sum::<u64>() > 20);
+    assert!(net.counters().iter().map(|c| c.timed_out).sum::<u64>() > 20);
     assert!(net.most_at_once <= 2, "{}", net.most_at_once);
 }
 
