--- a/crates/fleet/src/front.rs
+++ b/crates/fleet/src/front.rs
@@ -3,8 +3,8 @@
 use crate::agreed::{Agreed, AgreedNote, AgreedSettings, AgreedShown, Force, Means, Said};
 use crate::copies::Copies;
 use crate::readings::{Reading, Readings, SPACE};
-use pepperhook_duties::{Claim, Counters, Duties, Duty, DutyRow, FleetClock, State, Target};
-use pepperhook_exchange::{Exchange, Id, MOST_LANE, Merge, Record, Records, Reject};
+use pepperhook_duties::{Counters, Duty, DutyReport, DutyRow, DutyScheduler, DutyState, FleetClock, Target};
+use pepperhook_exchange::{Exchange, Id, MAX_CHANNEL_MESSAGE_BYTES, MergeResult, Record, Records, Reject};
 use pepperhook_membership::{Change, Member, Membership};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -38,7 +38,7 @@
     pub exchange: pepperhook_exchange::Settings,
     /// Membership, where the fleet has one.
     pub view: Option<View>,
-    /// Duties; they need a view.
+    /// DutyScheduler; they need a view.
     pub duties: Option<pepperhook_duties::Settings>,
     /// Copies; they need a view.
     pub copies: Option<pepperhook_replica::Settings>,
@@ -124,7 +124,7 @@
 pub struct Fleet {
     exchange: Exchange,
     membership: Option<Membership>,
-    duties: Option<Duties>,
+    duties: Option<DutyScheduler>,
     copies: Option<Copies>,
     agreed: Option<Agreed>,
     clock: FleetClock,
@@ -152,15 +152,15 @@
         let (me, run) = (settings.exchange.me, settings.exchange.run);
         let (seeds, seed) = (settings.exchange.peers.clone(), settings.exchange.seed);
         let membership = settings.view.map(|v| {
-            let me = Member { front: me, run, renewed: 0, address: v.address, weight: v.weight };
+            let me = Member { front: me, run, renewals: 0, address: v.address, weight: v.weight };
             let settings = pepperhook_membership::Settings {
                 me,
                 seeds: seeds.clone(),
-                period_ms: v.period_ms,
-                suspicion_ms: v.suspicion_ms,
-                fronts: v.fronts,
-                most_bytes: MOST_LANE - CLOCK,
-                seed,
+                probe_period_ms: v.period_ms,
+                suspicion_timeout_ms: v.suspicion_ms,
+                expected_fronts: v.fronts,
+                max_message_bytes: MAX_CHANNEL_MESSAGE_BYTES - CLOCK,
+                rng_seed: seed,
             };
             Membership::new(settings, now_ms)
         });
@@ -171,7 +171,7 @@
             .unwrap_or(READING_LASTS_MS);
         Self {
             exchange: Exchange::new(settings.exchange, kept, now_ms),
-            duties: settings.duties.filter(|_| membership.is_some()).map(|d| Duties::new(d, now_ms)),
+            duties: settings.duties.filter(|_| membership.is_some()).map(|d| DutyScheduler::new(d, now_ms)),
             copies: settings.copies.filter(|_| membership.is_some()).map(|c| Copies::new(c, now_ms)),
             agreed: settings.agreed.filter(|_| membership.is_some()).map(|a| Agreed::new(a, now_ms)),
             membership,
@@ -262,7 +262,14 @@
     }
 
     /// A new version of a record, made here.
-    pub fn put(&mut self, now_ms: u64, id: Id, expires_ms: u64, body: Vec<u8>, out: &mut Vec<Out>) -> Merge {
+    pub fn put(
+        &mut self,
+        now_ms: u64,
+        id: Id,
+        expires_ms: u64,
+        body: Vec<u8>,
+        out: &mut Vec<Out>,
+    ) -> MergeResult {
         let now_ms = self.steady(now_ms);
         let mut said = Vec::new();
         let merge = self.exchange.put(now_ms, id, expires_ms, body, &mut said);
@@ -336,7 +343,7 @@
         self.agreed.as_ref().is_some_and(|a| a.fenced(steady))
     }
 
-    /// Duties of a kind are done on these from now on.
+    /// DutyScheduler of a kind are done on these from now on.
     pub fn set_targets(&mut self, now_ms: u64, kind: u8, targets: &[Target], out: &mut Vec<Out>) {
         let fleet_ms = {
             let steady = self.steady(now_ms);
@@ -372,7 +379,7 @@
         }
         let mut work = Vec::new();
         if let Some(d) = &mut self.duties {
-            d.finished(fleet_ms, duty, round, done, &mut work);
+            d.finish(fleet_ms, duty, round, done, &mut work);
         }
         self.worked(work, out);
     }
@@ -382,7 +389,7 @@
         let steady = self.steady(now_ms);
         let fleet_ms = self.fleet_ms(steady);
         let mut work = Vec::new();
-        let done = self.duties.as_mut().is_some_and(|d| d.ask(fleet_ms, duty, &mut work));
+        let done = self.duties.as_mut().is_some_and(|d| d.request(fleet_ms, duty, &mut work));
         self.worked(work, out);
         done
     }
@@ -402,20 +409,20 @@
 
     // ---- between the parts ---------------------------------------------------------------------
 
-    fn exchanged(&mut self, now_ms: u64, said: Vec<pepperhook_exchange::Out>, out: &mut Vec<Out>) {
-        use pepperhook_exchange::Out as Said;
+    fn exchanged(&mut self, now_ms: u64, said: Vec<pepperhook_exchange::Output>, out: &mut Vec<Out>) {
+        use pepperhook_exchange::Output as Said;
         for o in said {
             match o {
                 Said::Send(to, datagram) => out.push(Out::Send(to, datagram)),
                 Said::Changed(record) if record.id.space == SPACE => self.read(now_ms, &record, out),
                 Said::Changed(record) => out.push(Out::Changed(record)),
-                Said::Heard { sender, run, lane: AGREEMENT, content, .. } => {
+                Said::Received { sender, run, channel: AGREEMENT, content, .. } => {
                     self.with_agreed(out, |a, said| a.heard(now_ms, sender, run, &content, said));
                 }
-                Said::Heard { sender, lane, content, .. } => {
-                    self.heard(now_ms, sender, lane, &content, out);
+                Said::Received { sender, channel, content, .. } => {
+                    self.heard(now_ms, sender, channel, &content, out);
                 }
-                Said::Run(run) => {
+                Said::RunRaised(run) => {
                     out.push(Out::Note(Note::Run(run)));
                     if let Some(c) = &mut self.copies {
                         c.raise(run);
@@ -425,7 +432,7 @@
                     }
                     let mut said = Vec::new();
                     if let Some(m) = &mut self.membership {
-                        m.raise(run, &mut said);
+                        m.raise_run(run, &mut said);
                     }
                     self.viewed(now_ms, said, out);
                 }
@@ -441,16 +448,16 @@
                 let Some(m) = &mut self.membership else { return };
                 // What is refused is counted there; nobody is answered.
                 if m.receive(sender, message, &mut said).is_ok() {
-                    self.clock.heard(sender, u64::from_be_bytes(*clock), now_ms);
+                    self.clock.observe(sender, u64::from_be_bytes(*clock), now_ms);
                 }
                 self.viewed(now_ms, said, out);
             }
             CLAIMS => {
-                let Ok(claim) = postcard::from_bytes::<Claim>(content) else { return };
+                let Ok(claim) = postcard::from_bytes::<DutyReport>(content) else { return };
                 let fleet_ms = self.fleet_ms(now_ms);
                 if let Some(d) = &mut self.duties {
                     // What is passed over is counted there.
-                    let _ = d.heard(fleet_ms, sender, claim);
+                    let _ = d.receive_report(fleet_ms, sender, claim);
                 }
             }
             COPIES => {
@@ -464,7 +471,7 @@
     /// Sends a message on a lane of the exchange.
     fn carry(&mut self, now_ms: u64, to: SocketAddr, lane: u8, content: &[u8], out: &mut Vec<Out>) {
         let mut sent = Vec::new();
-        self.exchange.carry(to, lane, content, &mut sent);
+        self.exchange.send_on_channel(to, lane, content, &mut sent);
         self.exchanged(now_ms, sent, out);
     }
 
@@ -514,8 +521,8 @@
         }
     }
 
-    fn viewed(&mut self, now_ms: u64, said: Vec<pepperhook_membership::Out>, out: &mut Vec<Out>) {
-        use pepperhook_membership::Out as Said;
+    fn viewed(&mut self, now_ms: u64, said: Vec<pepperhook_membership::Output>, out: &mut Vec<Out>) {
+        use pepperhook_membership::Output as Said;
         for o in said {
             match o {
                 Said::Send(to, message) => {
@@ -544,7 +551,7 @@
         if let Some(c) = &mut self.copies {
             c.set_view(&view);
         }
-        self.clock.keep(|front| view.contains_key(&front));
+        self.clock.retain(|front| view.contains_key(&front));
         self.set_clock(now_ms);
         let fleet_ms = self.fleet_ms(now_ms);
         if let Some(d) = &mut self.duties {
@@ -559,23 +566,23 @@
             self.offset_ms = offset;
             let fleet_ms = self.fleet_ms(now_ms);
             if let Some(d) = &mut self.duties {
-                d.clock_set(fleet_ms);
+                d.clock_changed(fleet_ms);
             }
         }
     }
 
-    fn worked(&mut self, work: Vec<pepperhook_duties::Out>, out: &mut Vec<Out>) {
-        use pepperhook_duties::Out as Work;
+    fn worked(&mut self, work: Vec<pepperhook_duties::Output>, out: &mut Vec<Out>) {
+        use pepperhook_duties::Output as Work;
         for o in work {
             match o {
-                Work::Run(duty, round, limit) => out.push(Out::Run(duty, round, limit)),
-                Work::Cancel(duty, round) => out.push(Out::Cancel(duty, round)),
-                Work::Tell(fronts, claim) => {
+                Work::Run { duty, round, timeout_ms } => out.push(Out::Run(duty, round, timeout_ms)),
+                Work::Cancel { duty, round } => out.push(Out::Cancel(duty, round)),
+                Work::Report { to: fronts, report: claim } => {
                     let Ok(content) = postcard::to_stdvec(&claim) else { continue };
                     let view = self.view();
                     let mut sent = Vec::new();
                     for at in fronts.iter().filter_map(|f| view.get(f)).map(|m| m.address) {
-                        self.exchange.carry(at, CLAIMS, &content, &mut sent);
+                        self.exchange.send_on_channel(at, CLAIMS, &content, &mut sent);
                     }
                     self.exchanged(self.last_ms, sent, out);
                 }
@@ -595,8 +602,8 @@
                     // Whoever read the node has done that round's duty: a second way on which that is heard.
                     let duty = Duty { kind: READS, target: reading.node };
                     let round = d.round_at(duty, reading.at_ms);
-                    let claim = Claim { duty, round, life: reading.life, state: State::Done };
-                    let _ = d.heard(fleet_ms, record.id.number, claim);
+                    let claim = DutyReport { duty, round, incarnation: reading.life, state: DutyState::Done };
+                    let _ = d.receive_report(fleet_ms, record.id.number, claim);
                 }
                 let age_ms = fleet_ms.saturating_sub(reading.at_ms);
                 out.push(Out::Seen(reading, age_ms));
@@ -619,14 +626,14 @@
             front: m.front,
             address: m.address,
             run: m.run,
-            renewed: m.renewed,
+            renewed: m.renewals,
             weight: m.weight,
             own: m.front == self.me,
         };
         self.view().into_values().map(row).collect()
     }
 
-    /// Duties and why this front does or leaves them, at a moment of its clock.
+    /// DutyScheduler and why this front does or leaves them, at a moment of its clock.
     #[must_use]
     pub fn duty_rows(&self, now_ms: u64) -> Vec<DutyRow> {
         let fleet_ms = self.fleet_ms(now_ms.saturating_add(self.shift_ms));
@@ -636,7 +643,7 @@
     /// What became of duties here.
     #[must_use]
     pub fn duty_counters(&self) -> Option<&Counters> {
-        self.duties.as_ref().map(Duties::counters)
+        self.duties.as_ref().map(DutyScheduler::counters)
     }
 
     /// The last reading of a node, taken here or elsewhere, and its age in milliseconds.
@@ -696,6 +703,6 @@
     /// Messages of membership that were refused.
     #[must_use]
     pub fn refused(&self) -> u64 {
-        self.membership.as_ref().map_or(0, Membership::refused)
+        self.membership.as_ref().map_or(0, Membership::rejected_messages)
     }
 }
--- a/crates/front/src/spread.rs
+++ b/crates/front/src/spread.rs
@@ -6,8 +6,8 @@
 use crate::engine::{DutyShown, ReplicaShown, Snapshot, life};
 use crate::shell::Shell;
 use pepperhook::{ServerId, ServerState};
-use pepperhook_duties::{Duty, Kind, Target, TargetState};
-use pepperhook_exchange::{Id, Keys, Merge, Record, Store};
+use pepperhook_duties::{Duty, DutyKind, Target, TargetState};
+use pepperhook_exchange::{Id, Keys, MergeResult, Record, Store};
 use pepperhook_fleet::{AgreedShown, Fleet, Note, Out, READS, Settings, View};
 use pepperhook_membership::Change;
 use pepperhook_peaks::{Announcement, Refused};
@@ -33,7 +33,7 @@
 
 /// Kind of duty that reads a node's list of sessions, and the space of what is told of it.
 const SESSIONS: u8 = 1;
-const LISTS: u8 = pepperhook_exchange::SOFT + 1;
+const LISTS: u8 = pepperhook_exchange::FIRST_EPHEMERAL_SPACE + 1;
 /// Time between the two lists on which something is believed.
 const TWICE: Duration = Duration::from_millis(1_000);
 /// What is told of a node's load, in this order; NaN for what its report lacks.
@@ -116,8 +116,8 @@
         let duties = x.zip(config.duties.as_ref()).map(|(x, d)| pepperhook_duties::Settings {
             me,
             weight: x.weight,
-            fronts,
-            wait_ms: 2 * x.look / 1_000_000,
+            max_fronts: fronts,
+            startup_delay_ms: 2 * x.look / 1_000_000,
             kinds: kinds(d),
         });
         let zone = config.decisions.zone.0;
@@ -220,23 +220,23 @@
 }
 
 /// The kinds of duty, in the order of [`READS`] and [`SESSIONS`].
-fn kinds(d: &DutySettings) -> Vec<Kind> {
+fn kinds(d: &DutySettings) -> Vec<DutyKind> {
     let ms = |t: u64| t / 1_000_000;
-    let reads = Kind {
+    let reads = DutyKind {
         name: "probe".into(),
         period_ms: ms(d.probe),
-        step_ms: ms(d.step),
-        limit_ms: ms(d.limit),
-        most: d.most,
-        draining: false,
+        stagger_ms: ms(d.step),
+        timeout_ms: ms(d.limit),
+        max_runs_per_period: d.most,
+        include_draining: false,
     };
-    let lists = d.sessions.map(|period| Kind {
+    let lists = d.sessions.map(|period| DutyKind {
         name: "sessions".into(),
         period_ms: ms(period),
-        step_ms: ms(period / 4),
-        limit_ms: ms(period / 2),
-        most: d.most,
-        draining: true,
+        stagger_ms: ms(period / 4),
+        timeout_ms: ms(period / 2),
+        max_runs_per_period: d.most,
+        include_draining: true,
     });
     [reads].into_iter().chain(lists).collect()
 }
@@ -299,14 +299,14 @@
     }
     let peak = shell.engine(|e, now| e.admit_peak(now, &said)).map_err(NotTaken::Refused)?;
     let body = serde_json::to_vec(&said).map_err(|e| NotTaken::Store(e.to_string()))?;
-    if body.len() > pepperhook_exchange::MOST_BODY {
+    if body.len() > pepperhook_exchange::MAX_BODY_BYTES {
         return Err(NotTaken::Long);
     }
     let (now_ms, id) = (shell.fleet_time.now_ms(), id(&said.name));
     let mut out = Vec::new();
     let merge =
         spread.fleet.borrow_mut().put(now_ms, id, said.end_ms.saturating_add(OUTLAST_MS), body, &mut out);
-    if merge != Merge::Taken {
+    if merge != MergeResult::Applied {
         return Err(NotTaken::Store("there is no room for more records".into()));
     }
     for o in &out {
@@ -326,7 +326,7 @@
 /// Writes a record on a thread of its own: a disk that is slow must not hold up set-ups.
 async fn keep(store: Option<Arc<Store>>, record: Record) -> Result<(), String> {
     let Some(store) = store else { return Ok(()) };
-    let kept = tokio::task::spawn_blocking(move || store.keep(&record).map_err(|e| e.to_string())).await;
+    let kept = tokio::task::spawn_blocking(move || store.write(&record).map_err(|e| e.to_string())).await;
     kept.map_err(|e| e.to_string())?
 }
 
@@ -362,7 +362,7 @@
             Out::Send(to, datagram) => shell.spread.send(to, &datagram),
             Out::Changed(record) => {
                 heard(shell, &record);
-                if record.id.is_soft() {
+                if record.id.is_ephemeral() {
                     continue;
                 }
                 let store = shell.spread.store.clone();
@@ -485,7 +485,7 @@
             info!(event = "member-down", front = m.front, address = %m.address, run = m.run, "a front is gone");
         }
         Note::View(Change::Rejoined(m)) => {
-            warn!(event = "member-rejoined", renewed = m.renewed, "the others had given this front up");
+            warn!(event = "member-rejoined", renewed = m.renewals, "the others had given this front up");
         }
         Note::Agreed(note) => agreed::log(note),
         Note::Run(run) => {
@@ -556,7 +556,7 @@
             ServerState::Draining => TargetState::Draining,
             ServerState::Gone => return None,
         };
-        Some(Target { id: u64::from(n.entry.server.0), state, life: life(n) })
+        Some(Target { id: u64::from(n.entry.server.0), state, incarnation: life(n) })
     };
     let targets: Vec<Target> = shell.engine(|e, _| e.nodes().filter_map(target).collect());
     for kind in [READS, SESSIONS] {
