--- a/crates/agreement/src/learn.rs
+++ b/crates/agreement/src/catch_up.rs
@@ -5,7 +5,7 @@
 //! keeps nothing for an asker but its budget. The asker says what it misses; the chain of hashes is checked before
 //! anything is used.
 
-use crate::parcel::{Bucket, PIECE};
+use crate::fragments::{Bucket, PIECE};
 use crate::registers::{MOST_SNAPSHOT, Registers, first8};
 use crate::types::{Command, Entry, Hash, chain};
 use serde::{Deserialize, Serialize};
--- a/crates/agreement/src/lib.rs
+++ b/crates/agreement/src/lib.rs
@@ -4,14 +4,14 @@
 //! newer takes effect without it. Time, messages and the disk's answers are handed in; [`Store`](store::Store) alone
 //! does I/O.
 
+pub mod catch_up;
+pub mod fragments;
 pub mod genesis;
-pub mod hold;
 mod journal;
-pub mod learn;
+pub mod lease;
 pub mod node;
-pub mod parcel;
+pub mod progress;
 pub mod proposals;
-pub mod reach;
 pub mod registers;
 pub mod store;
 pub mod types;
--- a/crates/agreement/src/node.rs
+++ b/crates/agreement/src/node.rs
@@ -1,28 +1,28 @@
 //! One front's part in the agreement: it learns and holds, and votes if it is one of the voters. Without I/O: time,
 //! messages and the disk's answers are handed in, what is to be sent, written and told comes out.
 //!
-//! `front` has what every front does: holds, catch-up, proposals. `seat` has what a voter does beside.
+//! `front` has what every front does: holds, catch-up, proposals. `voting` has what a voter does beside.
 
 mod front;
-mod seat;
 mod view;
+mod voting;
 
 pub use view::View;
 
+use crate::catch_up::{Learner, Source};
+use crate::fragments::{Bucket, Parcels};
 use crate::genesis::Genesis;
-use crate::hold::Hold;
-use crate::learn::{Learner, Source};
-use crate::parcel::{Bucket, Parcels};
+use crate::lease::Hold;
+use crate::progress::{Remembered, Written};
 use crate::proposals::{Answer, Proposals};
-use crate::reach::{Remembered, Written};
 use crate::registers::{Outcome, Registers};
 use crate::store::{Kept, KeptLog, Op};
 use crate::types::{Command, Entry, Key, MOST_BODY, VoterId, What};
 use crate::wire::{Head, Heard, MOST_MESSAGE, Message, decode, encode};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use seat::{Begun, Seat};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use voting::{Begun, Seat};
 
 /// What a front is told once.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -156,9 +156,9 @@
     durable: u64,
     source: Option<Source>,
     batch: u64,
-    writes: VecDeque<(u64, seat::Asked)>,
+    writes: VecDeque<(u64, voting::Asked)>,
     written: Written,
-    synced: crate::reach::Reach,
+    synced: crate::progress::Reach,
     remembered: Remembered,
     welcomed: BTreeSet<u64>,
     admitted: bool,
@@ -211,7 +211,7 @@
             batch: 0,
             writes: VecDeque::new(),
             written: Written::default(),
-            synced: crate::reach::Reach::default(),
+            synced: crate::progress::Reach::default(),
             remembered: Remembered::default(),
             welcomed: BTreeSet::new(),
             admitted: false,
@@ -342,7 +342,7 @@
             self.id = Some(VoterId { front: self.s.me, store: kept.store });
             self.boots = kept.boots;
             self.written = Written::default();
-            self.synced = crate::reach::Reach::default();
+            self.synced = crate::progress::Reach::default();
         }
     }
 
--- a/crates/agreement/src/node/front.rs
+++ b/crates/agreement/src/node/front.rs
@@ -1,10 +1,10 @@
 //! What every front does: it asks for holds, learns what it misses, and has its proposals on their way.
 
 use super::{Node, Note, Out};
+use crate::catch_up::{Got, Reply};
+use crate::fragments::{Ack, Leaves, Piece};
 use crate::genesis::Genesis;
-use crate::hold::Granted;
-use crate::learn::{Got, Reply};
-use crate::parcel::{Ack, Leaves, Piece};
+use crate::lease::Granted;
 use crate::proposals::Answer;
 use crate::registers::first8;
 use crate::types::{Key, VoterId, What};
@@ -287,7 +287,7 @@
         self.look_soon |= !answer.granted && answer.floor > 0 && answer.floor <= self.hold.vouched();
     }
 
-    fn asked_by(&mut self, now_ms: u64, from: u64, want: &crate::learn::Want, out: &mut Vec<Out>) {
+    fn asked_by(&mut self, now_ms: u64, from: u64, want: &crate::catch_up::Want, out: &mut Vec<Out>) {
         let reply = match &mut self.source {
             Some(source) if !self.forked => source.asked(now_ms, from, want, &self.registers),
             _ => Reply::Nothing,
--- a/crates/agreement/src/node/seat.rs
+++ b/crates/agreement/src/node/voting.rs
@@ -1,10 +1,10 @@
 //! What a voter does: it is admitted, begins configurations, decides, grants, folds.
 
 use super::{Node, Note, Out};
-use crate::hold::{Granted, Grants};
-use crate::learn::Source;
-use crate::parcel::Bucket;
-use crate::reach::{Reach, Standing};
+use crate::catch_up::Source;
+use crate::fragments::Bucket;
+use crate::lease::{Granted, Grants};
+use crate::progress::{Reach, Standing};
 use crate::registers::{Registers, sound_voters};
 use crate::store::{KeptLog, Op};
 use crate::types::{Command, Config, Key, VoterId, What, majority};
--- a/crates/agreement/src/proposals.rs
+++ b/crates/agreement/src/proposals.rs
@@ -1,7 +1,7 @@
 //! Commands that this front proposed and that have not come yet. They are sent again under the same key, to one voter
 //! after another, until they are applied here or their time is over.
 
-use crate::parcel::Bucket;
+use crate::fragments::Bucket;
 use crate::registers::{Outcome, Registers};
 use crate::types::{Command, Key};
 use std::collections::BTreeMap;
--- a/crates/agreement/src/voter.rs
+++ b/crates/agreement/src/voter.rs
@@ -27,7 +27,7 @@
 use std::collections::VecDeque;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-mod sound;
+mod validate;
 
 /// Ticks of a round of heartbeats: a leader that is silent for one to two of them is replaced. At a tick of 50 ms,
 /// 250 ms.
@@ -233,7 +233,7 @@
         }
         let journal = Journal::of(kept).ok_or(Unfit::Kept)?;
         let count = config.voters.len() as u64;
-        if !journal.ballots().all(|b| sound::ballot(b, config.number, count)) {
+        if !journal.ballots().all(|b| validate::ballot(b, config.number, count)) {
             return Err(Unfit::Kept);
         }
         let synced = (journal.decided() as u64, journal.len() as u64);
@@ -326,7 +326,7 @@
             return Err(Refused::Old);
         }
         // A question for a heartbeat is how voters come to know each other's lives.
-        if head.to_boots != self.boots && !sound::is_question(&message) {
+        if head.to_boots != self.boots && !validate::is_question(&message) {
             return Err(Refused::Old);
         }
         let lane = lane(&message);
@@ -350,7 +350,7 @@
     /// Proposes: into the leader's log, or on to the leader, without a word on whether it came there. False if no
     /// leader is known, too much is undecided, or the log is to be folded first; try again later.
     pub fn append(&mut self, command: Command) -> bool {
-        if self.stopped.is_some() || !sound::command(&command) || !self.has_room(&[&command]) {
+        if self.stopped.is_some() || !validate::command(&command) || !self.has_room(&[&command]) {
             return false;
         }
         let Some((leader, true)) =
@@ -504,7 +504,7 @@
             return;
         };
         // Whoever does not know the receiver's life cannot say more than ask for a heartbeat.
-        if peer.boots == 0 && !sound::is_question(&message) {
+        if peer.boots == 0 && !validate::is_question(&message) {
             return;
         }
         let lane = lane(&message);
--- a/crates/agreement/src/wire.rs
+++ b/crates/agreement/src/wire.rs
@@ -1,7 +1,7 @@
 //! What fronts say to each other. A message fits into one datagram of the exchange, or goes as a parcel.
 
-use crate::learn::{Stretch, Want};
-use crate::reach::Standing;
+use crate::catch_up::{Stretch, Want};
+use crate::progress::Standing;
 use crate::types::{Command, Key};
 use serde::{Deserialize, Serialize};
 
--- a/crates/agreement/tests/hold_model.rs
+++ b/crates/agreement/tests/hold_model.rs
@@ -8,7 +8,7 @@
 //! any front ever sees.
 
 use pepperhook_agreement::VoterId;
-use pepperhook_agreement::hold::{Granted, Grants, Hold};
+use pepperhook_agreement::lease::{Granted, Grants, Hold};
 use stateright::{Checker, Model, Property};
 
 const HOLD: u64 = 2;
