--- a/crates/agreement/src/catch_up.rs
+++ b/crates/agreement/src/catch_up.rs
@@ -5,49 +5,49 @@
 //! keeps nothing for an asker but its budget. The asker says what it misses; the chain of hashes is checked before
 //! anything is used.
 
-use crate::fragments::{Bucket, PIECE};
-use crate::registers::{MOST_SNAPSHOT, Registers, first8};
-use crate::types::{Command, Entry, Hash, chain};
+use crate::fragments::{FRAGMENT_BYTES, TokenBucket};
+use crate::registers::{MAX_SNAPSHOT_BYTES, Registers, hash_prefix};
+use crate::types::{Command, Entry, Hash, chain_hash};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Entries and bytes of a stretch at most; one entry is always in it.
-const MOST_ENTRIES: usize = 64;
-const MOST_STRETCH: usize = 32 * 1024;
+const MAX_BATCH_ENTRIES: usize = 64;
+const MAX_BATCH_BYTES: usize = 32 * 1024;
 /// Entries, and bytes of their bodies, behind a base before there is another one.
-const BASE_ENTRIES: usize = 1_024;
-const BASE_BYTES: usize = 1 << 20;
+const SNAPSHOT_EVERY_ENTRIES: usize = 1_024;
+const SNAPSHOT_EVERY_BYTES: usize = 1 << 20;
 /// Pieces to one asker a second and at once, to all a second and at once, and askers with a budget.
-const RATE: u64 = 80;
-const BURST: u64 = 32;
-const ALL_RATE: u64 = 2_000;
-const ALL_BURST: u64 = 400;
-const MOST_ASKERS: usize = 512;
+const FRONT_CHUNKS_PER_S: u64 = 80;
+const FRONT_CHUNK_BURST: u64 = 32;
+const TOTAL_CHUNKS_PER_S: u64 = 2_000;
+const TOTAL_CHUNK_BURST: u64 = 400;
+const MAX_REQUESTERS: usize = 512;
 /// An answer is waited for so long, milliseconds; after two such another voter is asked.
-const WAIT_MS: u64 = 200;
+const REPLY_TIMEOUT_MS: u64 = 200;
 /// After a voter that has nothing.
-const SOON_MS: u64 = 30;
+const NEXT_VOTER_DELAY_MS: u64 = 30;
 
 /// What an asker has, and what it misses.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Want {
+pub struct CatchUpRequest {
     /// The last entry it has, 0 for none.
     pub number: u64,
     /// The first bytes of that entry's hash.
     pub hash: u64,
     /// Which fleet's, 0 if it has heard of none.
-    pub origin: u64,
+    pub log_id: u64,
     /// The stretch that it is taking.
-    pub taking: Option<Taking>,
+    pub transfer: Option<Transfer>,
 }
 
 /// A stretch under way, and pieces of it that are asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Taking {
+pub struct Transfer {
     /// It is a snapshot.
-    pub whole: bool,
+    pub is_snapshot: bool,
     /// Its last entry.
-    pub upto: u64,
+    pub last_entry: u64,
     /// The first piece that is missing.
     pub from: u16,
     /// One bit for each piece from there on, the lowest first: it is missing.
@@ -56,13 +56,13 @@
 
 /// A piece of a stretch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stretch {
+pub struct Chunk {
     /// It is a snapshot.
-    pub whole: bool,
+    pub is_snapshot: bool,
     /// It follows this entry; 0 for a snapshot.
     pub after: u64,
     /// Its last entry.
-    pub upto: u64,
+    pub last_entry: u64,
     /// Bytes of it.
     pub length: u32,
     /// Which piece.
@@ -73,9 +73,9 @@
 
 /// A voter's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Reply {
+pub enum CatchUpReply {
     /// Pieces, as many as the budget has.
-    Pieces(Vec<Stretch>),
+    Chunks(Vec<Chunk>),
     /// What the asker has is not what was agreed here.
     Fork {
         /// An entry that both have.
@@ -87,7 +87,7 @@
     Nothing,
 }
 
-struct Base {
+struct BaseSnapshot {
     number: u64,
     hash: Hash,
     snapshot: Vec<u8>,
@@ -95,20 +95,20 @@
 
 /// What a voter hands out.
 pub struct Source {
-    bases: VecDeque<Base>,
+    bases: VecDeque<BaseSnapshot>,
     /// All entries behind the older base.
     entries: VecDeque<Entry>,
     bytes: usize,
-    all: Bucket,
-    askers: BTreeMap<u64, (u64, Bucket)>,
+    all: TokenBucket,
+    requesters: BTreeMap<u64, (u64, TokenBucket)>,
 }
 
 /// Bytes of a command's body.
 #[must_use]
-pub fn body_len(command: &Command) -> usize {
-    match &command.what {
-        crate::types::What::Put { body, .. } => body.len(),
-        crate::types::What::Voters { voters, .. } => voters.len() * 20,
+pub fn body_bytes(command: &Command) -> usize {
+    match &command.operation {
+        crate::types::Operation::Put { body, .. } => body.len(),
+        crate::types::Operation::Voters { voters, .. } => voters.len() * 20,
     }
 }
 
@@ -120,17 +120,17 @@
             bases: VecDeque::new(),
             entries: VecDeque::new(),
             bytes: 0,
-            all: Bucket::new(now_ms, ALL_RATE, ALL_BURST),
-            askers: BTreeMap::new(),
+            all: TokenBucket::new(now_ms, TOTAL_CHUNKS_PER_S, TOTAL_CHUNK_BURST),
+            requesters: BTreeMap::new(),
         };
-        source.base(registers);
+        source.take_snapshot(registers);
         source
     }
 
     /// A new base; the one before the last goes, with the entries behind it.
-    pub fn base(&mut self, registers: &Registers) {
+    pub fn take_snapshot(&mut self, registers: &Registers) {
         let (number, hash) = (registers.number(), *registers.hash());
-        self.bases.push_back(Base { number, hash, snapshot: registers.snapshot() });
+        self.bases.push_back(BaseSnapshot { number, hash, snapshot: registers.snapshot() });
         while self.bases.len() > 2 {
             self.bases.pop_front();
         }
@@ -143,35 +143,37 @@
 
     /// An entry was applied; `registers` are after it.
     pub fn applied(&mut self, entry: &Entry, registers: &Registers) {
-        self.bytes += body_len(&entry.command);
+        self.bytes += body_bytes(&entry.command);
         self.entries.push_back(entry.clone());
         let base = self.bases.back().map_or(0, |b| b.number);
-        if self.bytes > BASE_BYTES || entry.number.saturating_sub(base) > BASE_ENTRIES as u64 {
-            self.base(registers);
+        if self.bytes > SNAPSHOT_EVERY_BYTES
+            || entry.number.saturating_sub(base) > SNAPSHOT_EVERY_ENTRIES as u64
+        {
+            self.take_snapshot(registers);
         }
     }
 
-    fn hash_of(&self, number: u64) -> Option<u64> {
-        let base = self.bases.iter().find(|b| b.number == number).map(|b| first8(&b.hash));
-        base.or_else(|| self.at(number).map(|e| first8(&e.hash)))
+    fn hash_prefix_of(&self, number: u64) -> Option<u64> {
+        let base = self.bases.iter().find(|b| b.number == number).map(|b| hash_prefix(&b.hash));
+        base.or_else(|| self.entry(number).map(|e| hash_prefix(&e.hash)))
     }
 
-    fn at(&self, number: u64) -> Option<&Entry> {
+    fn entry(&self, number: u64) -> Option<&Entry> {
         let first = self.entries.front()?.number;
         self.entries.get(usize::try_from(number.checked_sub(first)?).ok()?)
     }
 
-    /// Entries after `after`, to `upto` or to as many as a stretch may have: its last one, and its bytes.
-    fn stretch(&self, after: u64, upto: Option<u64>) -> Option<(u64, Vec<u8>)> {
+    /// Entries after `after`, to `last_entry` or to as many as a stretch may have: its last one, and its bytes.
+    fn batch(&self, after: u64, last_entry: Option<u64>) -> Option<(u64, Vec<u8>)> {
         let mut commands = Vec::new();
         let (mut bytes, mut last) = (0, None);
         let mut number = after.checked_add(1)?;
-        while let Some(e) = self.at(number) {
-            let more = body_len(&e.command) + 48;
+        while let Some(e) = self.entry(number) {
+            let more = body_bytes(&e.command) + 48;
             if !commands.is_empty()
-                && (upto.is_some_and(|u| number > u)
-                    || commands.len() >= MOST_ENTRIES
-                    || bytes + more > MOST_STRETCH)
+                && (last_entry.is_some_and(|u| number > u)
+                    || commands.len() >= MAX_BATCH_ENTRIES
+                    || bytes + more > MAX_BATCH_BYTES)
             {
                 break;
             }
@@ -185,82 +187,94 @@
     }
 
     /// Answers an asker; `here` is what this voter has.
-    pub fn asked(&mut self, now_ms: u64, front: u64, want: &Want, here: &Registers) -> Reply {
-        if want.origin != 0 && want.origin != here.origin() {
-            return Reply::Fork { number: 0, here: here.origin() };
+    pub fn answer(
+        &mut self,
+        now_ms: u64,
+        front: u64,
+        request: &CatchUpRequest,
+        here: &Registers,
+    ) -> CatchUpReply {
+        if request.log_id != 0 && request.log_id != here.log_id() {
+            return CatchUpReply::Fork { number: 0, here: here.log_id() };
         }
-        if want.number > here.number() {
-            return Reply::Nothing;
+        if request.number > here.number() {
+            return CatchUpReply::Nothing;
         }
-        let known = self.hash_of(want.number).filter(|_| want.origin != 0);
-        if let Some(hash) = known.filter(|h| *h != want.hash) {
-            return Reply::Fork { number: want.number, here: hash };
+        let known = self.hash_prefix_of(request.number).filter(|_| request.log_id != 0);
+        if let Some(hash) = known.filter(|h| *h != request.hash) {
+            return CatchUpReply::Fork { number: request.number, here: hash };
         }
-        if known.is_some() && want.number == here.number() {
-            return Reply::Nothing;
+        if known.is_some() && request.number == here.number() {
+            return CatchUpReply::Nothing;
         }
         // A stretch that another voter began may be longer here: the asker names its end.
-        let named = want.taking.filter(|t| t.whole != known.is_some());
-        let (upto, stretch);
+        let named = request.transfer.filter(|t| t.is_snapshot != known.is_some());
+        let (last_entry, batch);
         let bytes: &[u8] = if known.is_some() {
-            let Some(found) = self.stretch(want.number, named.map(|t| t.upto)) else { return Reply::Nothing };
-            (upto, stretch) = found;
-            &stretch
+            let Some(found) = self.batch(request.number, named.map(|t| t.last_entry)) else {
+                return CatchUpReply::Nothing;
+            };
+            (last_entry, batch) = found;
+            &batch
         } else {
-            let base = self.bases.iter().find(|b| named.is_some_and(|t| t.upto == b.number));
-            let Some(base) = base.or(self.bases.back()) else { return Reply::Nothing };
-            upto = base.number;
+            let base = self.bases.iter().find(|b| named.is_some_and(|t| t.last_entry == b.number));
+            let Some(base) = base.or(self.bases.back()) else { return CatchUpReply::Nothing };
+            last_entry = base.number;
             &base.snapshot
         };
-        let whole = known.is_none();
-        let (from, missing) =
-            named.filter(|t| t.upto == upto).map_or((0, u32::MAX), |t| (usize::from(t.from), t.missing));
-        let after = if whole { 0 } else { want.number };
+        let is_snapshot = known.is_none();
+        let (from, missing) = named
+            .filter(|t| t.last_entry == last_entry)
+            .map_or((0, u32::MAX), |t| (usize::from(t.from), t.missing));
+        let after = if is_snapshot { 0 } else { request.number };
         let length = u32::try_from(bytes.len()).unwrap_or(0);
-        if self.askers.len() >= MOST_ASKERS {
-            self.askers.retain(|_, (at, _)| now_ms.saturating_sub(*at) < 2_000);
+        if self.requesters.len() >= MAX_REQUESTERS {
+            self.requesters.retain(|_, (at, _)| now_ms.saturating_sub(*at) < 2_000);
         }
-        if self.askers.len() >= MOST_ASKERS && !self.askers.contains_key(&front) {
-            return Reply::Nothing;
+        if self.requesters.len() >= MAX_REQUESTERS && !self.requesters.contains_key(&front) {
+            return CatchUpReply::Nothing;
         }
-        let (at, budget) = self.askers.entry(front).or_insert((now_ms, Bucket::new(now_ms, RATE, BURST)));
+        let (at, budget) = self
+            .requesters
+            .entry(front)
+            .or_insert((now_ms, TokenBucket::new(now_ms, FRONT_CHUNKS_PER_S, FRONT_CHUNK_BURST)));
         *at = now_ms;
-        let mut pieces = Vec::new();
-        for (index, piece) in bytes.chunks(PIECE).enumerate().skip(from).take(32) {
-            let asked = missing >> (index - from) & 1 == 1;
-            if !asked {
+        let mut chunks = Vec::new();
+        for (index, chunk) in bytes.chunks(FRAGMENT_BYTES).enumerate().skip(from).take(32) {
+            let answer = missing >> (index - from) & 1 == 1;
+            if !answer {
                 continue;
             }
             if !budget.take(now_ms) || !self.all.take(now_ms) {
                 break;
             }
             let index = u16::try_from(index).unwrap_or(u16::MAX);
-            pieces.push(Stretch { whole, after, upto, length, index, bytes: piece.to_vec() });
+            chunks.push(Chunk { is_snapshot, after, last_entry, length, index, bytes: chunk.to_vec() });
         }
-        Reply::Pieces(pieces)
+        CatchUpReply::Chunks(chunks)
     }
 
     /// Bytes that it holds, about.
     #[must_use]
-    pub fn held(&self) -> usize {
-        let entries: usize = self.entries.iter().map(|e| body_len(&e.command) + 120).sum();
+    pub fn buffered_bytes(&self) -> usize {
+        let entries: usize = self.entries.iter().map(|e| body_bytes(&e.command) + 120).sum();
         entries + self.bases.iter().map(|b| b.snapshot.len()).sum::<usize>()
     }
 }
 
 /// What an asker got.
 #[derive(Debug)]
-pub enum Got {
+pub enum Received {
     /// The commands of the entries that follow; their chain is checked.
     Commands(Vec<Command>),
     /// A later state.
     Snapshot(Box<Registers>),
 }
 
-struct Part {
-    whole: bool,
+struct PartialTransfer {
+    is_snapshot: bool,
     after: u64,
-    upto: u64,
+    last_entry: u64,
     bytes: Vec<u8>,
     has: Vec<bool>,
     missing: usize,
@@ -270,110 +284,136 @@
 #[derive(Default)]
 pub struct Learner {
     /// The highest entry that anyone told of.
-    known: u64,
-    part: Option<Part>,
+    highest_known: u64,
+    part: Option<PartialTransfer>,
     /// When it asked last, how often in vain, and how many pieces it waits for.
-    asked_ms: Option<u64>,
-    vain: u32,
-    waits: usize,
-    turn: usize,
+    requested_ms: Option<u64>,
+    timeouts: u32,
+    outstanding: usize,
+    next_voter: usize,
     /// Voters in a row that had nothing.
-    nothing: u32,
+    empty_replies: u32,
 }
 
 impl Learner {
     /// Begins with the voter of this place, so that not all ask the same one.
     #[must_use]
-    pub fn new(turn: usize) -> Self {
-        Self { turn, ..Self::default() }
+    pub fn new(next_voter: usize) -> Self {
+        Self { next_voter, ..Self::default() }
     }
 
     /// A voter told that it has this entry.
-    pub fn told(&mut self, number: u64) {
-        self.known = self.known.max(number);
+    pub fn observe(&mut self, number: u64) {
+        self.highest_known = self.highest_known.max(number);
     }
 
     /// The highest entry that anyone told of.
     #[must_use]
-    pub fn known(&self) -> u64 {
-        self.known
+    pub fn highest_known(&self) -> u64 {
+        self.highest_known
     }
 
     /// Whether there is more than this.
     #[must_use]
     pub fn is_behind(&self, here: &Registers) -> bool {
-        self.known > here.number()
+        self.highest_known > here.number()
     }
 
     /// The question that is due, and to which of `of` voters.
-    pub fn tick(&mut self, now_ms: u64, here: &Registers, of: usize) -> Option<(usize, Want)> {
+    pub fn tick(&mut self, now_ms: u64, here: &Registers, of: usize) -> Option<(usize, CatchUpRequest)> {
         if of == 0 {
             return None;
         }
-        if let Some(asked) = self.asked_ms.filter(|_| self.waits > 0) {
-            if now_ms.saturating_sub(asked) < WAIT_MS {
+        if let Some(answer) = self.requested_ms.filter(|_| self.outstanding > 0) {
+            if now_ms.saturating_sub(answer) < REPLY_TIMEOUT_MS {
                 return None;
             }
-            self.vain = self.vain.saturating_add(1);
-            if self.vain >= 2 {
-                (self.turn, self.vain) = (self.turn.wrapping_add(1), 0);
+            self.timeouts = self.timeouts.saturating_add(1);
+            if self.timeouts >= 2 {
+                (self.next_voter, self.timeouts) = (self.next_voter.wrapping_add(1), 0);
             }
         }
         if self.part.as_ref().is_some_and(|p| {
-            if p.whole { p.upto <= here.number() && here.origin() != 0 } else { p.after != here.number() }
+            if p.is_snapshot {
+                p.last_entry <= here.number() && here.log_id() != 0
+            } else {
+                p.after != here.number()
+            }
         }) {
             self.part = None;
         }
-        let taking = self.part.as_ref().map(|p| {
+        let transfer = self.part.as_ref().map(|p| {
             let from = p.has.iter().position(|has| !has).unwrap_or(0);
             let bits = p.has.iter().skip(from).take(32).enumerate();
             let missing = bits.fold(0_u32, |m, (i, has)| if *has { m } else { m | 1 << i });
-            Taking { whole: p.whole, upto: p.upto, from: u16::try_from(from).unwrap_or(u16::MAX), missing }
+            Transfer {
+                is_snapshot: p.is_snapshot,
+                last_entry: p.last_entry,
+                from: u16::try_from(from).unwrap_or(u16::MAX),
+                missing,
+            }
         });
-        self.waits = taking.map_or(1, |t| t.missing.count_ones() as usize);
-        self.asked_ms = Some(now_ms);
-        let (number, origin) = (here.number(), here.origin());
-        Some((self.turn % of, Want { number, hash: first8(here.hash()), origin, taking }))
+        self.outstanding = transfer.map_or(1, |t| t.missing.count_ones() as usize);
+        self.requested_ms = Some(now_ms);
+        let (number, log_id) = (here.number(), here.log_id());
+        Some((
+            self.next_voter % of,
+            CatchUpRequest { number, hash: hash_prefix(here.hash()), log_id, transfer },
+        ))
     }
 
     /// The voter that was asked has nothing: another one next, soon. If none of `of` has anything, what was told is wrong.
     /// True then.
-    pub fn nothing(&mut self, of: usize) -> bool {
-        (self.turn, self.vain) = (self.turn.wrapping_add(1), 0);
-        self.asked_ms = self.asked_ms.map(|at| at.saturating_sub(WAIT_MS - SOON_MS));
-        self.nothing = self.nothing.saturating_add(1);
-        let wrong = self.nothing as usize > of;
+    pub fn nothing_newer(&mut self, of: usize) -> bool {
+        (self.next_voter, self.timeouts) = (self.next_voter.wrapping_add(1), 0);
+        self.requested_ms =
+            self.requested_ms.map(|at| at.saturating_sub(REPLY_TIMEOUT_MS - NEXT_VOTER_DELAY_MS));
+        self.empty_replies = self.empty_replies.saturating_add(1);
+        let wrong = self.empty_replies as usize > of;
         if wrong {
-            (self.nothing, self.known) = (0, 0);
+            (self.empty_replies, self.highest_known) = (0, 0);
         }
         wrong
     }
 
     /// A piece came.
-    pub fn piece(&mut self, s: &Stretch, here: &Registers) -> Option<Got> {
-        let most = if s.whole { MOST_SNAPSHOT } else { MOST_STRETCH + crate::types::MOST_BODY + 1_024 };
+    pub fn receive(&mut self, s: &Chunk, here: &Registers) -> Option<Received> {
+        let most = if s.is_snapshot {
+            MAX_SNAPSHOT_BYTES
+        } else {
+            MAX_BATCH_BYTES + crate::types::MAX_BODY_BYTES + 1_024
+        };
         let (length, index) = (s.length as usize, usize::from(s.index));
-        let at = index.saturating_mul(PIECE);
-        let later = s.upto > here.number() || (s.whole && here.origin() == 0);
+        let at = index.saturating_mul(FRAGMENT_BYTES);
+        let later = s.last_entry > here.number() || (s.is_snapshot && here.log_id() == 0);
         let sound = (1..=most).contains(&length)
             && at < length
-            && s.bytes.len() == PIECE.min(length - at)
+            && s.bytes.len() == FRAGMENT_BYTES.min(length - at)
             && later
-            && (s.whole || (s.after == here.number() && here.origin() != 0));
+            && (s.is_snapshot || (s.after == here.number() && here.log_id() != 0));
         if !sound {
             return None;
         }
-        let same = |p: &Part| (p.whole, p.after, p.upto, p.bytes.len()) == (s.whole, s.after, s.upto, length);
+        let same = |p: &PartialTransfer| {
+            (p.is_snapshot, p.after, p.last_entry, p.bytes.len())
+                == (s.is_snapshot, s.after, s.last_entry, length)
+        };
         if !self.part.as_ref().is_some_and(same) {
             // Another stretch than the one under way: that goes on as long as its pieces come.
-            if self.part.is_some() && self.vain == 0 {
+            if self.part.is_some() && self.timeouts == 0 {
                 return None;
             }
-            let pieces = length.div_ceil(PIECE);
-            let (bytes, has) = (vec![0; length], vec![false; pieces]);
-            self.part =
-                Some(Part { whole: s.whole, after: s.after, upto: s.upto, bytes, has, missing: pieces });
-            self.waits = pieces.min(32);
+            let chunks = length.div_ceil(FRAGMENT_BYTES);
+            let (bytes, has) = (vec![0; length], vec![false; chunks]);
+            self.part = Some(PartialTransfer {
+                is_snapshot: s.is_snapshot,
+                after: s.after,
+                last_entry: s.last_entry,
+                bytes,
+                has,
+                missing: chunks,
+            });
+            self.outstanding = chunks.min(32);
         }
         let part = self.part.as_mut()?;
         let (has, room) = (part.has.get_mut(index)?, part.bytes.get_mut(at..at + s.bytes.len())?);
@@ -383,26 +423,26 @@
         *has = true;
         room.copy_from_slice(&s.bytes);
         part.missing = part.missing.saturating_sub(1);
-        (self.vain, self.nothing) = (0, 0);
-        self.waits = self.waits.saturating_sub(1);
+        (self.timeouts, self.empty_replies) = (0, 0);
+        self.outstanding = self.outstanding.saturating_sub(1);
         if part.missing > 0 {
             return None;
         }
         let part = self.part.take()?;
-        (self.waits, self.asked_ms) = (0, None);
+        (self.outstanding, self.requested_ms) = (0, None);
         let got = read(&part, here);
         if got.is_none() {
-            self.turn = self.turn.wrapping_add(1);
+            self.next_voter = self.next_voter.wrapping_add(1);
         }
         got
     }
 }
 
-fn read(part: &Part, here: &Registers) -> Option<Got> {
-    if part.whole {
+fn read(part: &PartialTransfer, here: &Registers) -> Option<Received> {
+    if part.is_snapshot {
         let new = Registers::load(&part.bytes).ok()?;
-        let fits = new.number() == part.upto && (here.origin() == 0 || here.origin() == new.origin());
-        return fits.then(|| Got::Snapshot(Box::new(new)));
+        let fits = new.number() == part.last_entry && (here.log_id() == 0 || here.log_id() == new.log_id());
+        return fits.then(|| Received::Snapshot(Box::new(new)));
     }
     let (last, commands): (Hash, Vec<Command>) = match postcard::take_from_bytes(&part.bytes) {
         Ok((read, [])) => read,
@@ -411,15 +451,15 @@
     let (mut number, mut hash) = (here.number(), *here.hash());
     for command in &commands {
         number = number.checked_add(1)?;
-        hash = chain(&hash, number, command);
+        hash = chain_hash(&hash, number, command);
     }
-    (number == part.upto && hash == last).then_some(Got::Commands(commands))
+    (number == part.last_entry && hash == last).then_some(Received::Commands(commands))
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::types::{Key, Subject, VoterId, What};
+    use crate::types::{Key, Operation, Subject, VoterId};
     use rand::rngs::StdRng;
     use rand::{Rng, SeedableRng};
 
@@ -433,7 +473,7 @@
         Command {
             key: Key(u128::from(n)),
             author: 1,
-            what: What::Put { subject, expects: n.saturating_sub(49), body: vec![7; body] },
+            operation: Operation::Put { subject, expects: n.saturating_sub(49), body: vec![7; body] },
         }
     }
 
@@ -452,29 +492,29 @@
     fn catch_up(mut here: Registers, voters: &mut [(Registers, Source)], loss: f64) -> (Registers, u64, u64) {
         let mut random = StdRng::seed_from_u64(4);
         let (mut learner, mut datagrams) = (Learner::default(), 0);
-        learner.told(voters[0].0.number());
+        learner.observe(voters[0].0.number());
         for now in (1_000..120_000).step_by(10) {
-            if !learner.is_behind(&here) && here.origin() != 0 {
+            if !learner.is_behind(&here) && here.log_id() != 0 {
                 return (here, now - 1_000, datagrams);
             }
-            let Some((to, want)) = learner.tick(now, &here, voters.len()) else { continue };
+            let Some((to, request)) = learner.tick(now, &here, voters.len()) else { continue };
             if random.random_bool(loss) {
                 continue;
             }
             let (r, source) = &mut voters[to];
-            let Reply::Pieces(pieces) = source.asked(now, 77, &want, r) else {
-                learner.nothing(2);
+            let CatchUpReply::Chunks(chunks) = source.answer(now, 77, &request, r) else {
+                learner.nothing_newer(2);
                 continue;
             };
-            for p in pieces {
+            for p in chunks {
                 datagrams += 1;
                 assert!(postcard::to_stdvec(&p).expect("written").len() < 1_080);
                 if !random.random_bool(loss) {
-                    match learner.piece(&p, &here) {
-                        Some(Got::Commands(commands)) => {
+                    match learner.receive(&p, &here) {
+                        Some(Received::Commands(commands)) => {
                             commands.into_iter().for_each(|c| drop(here.apply(c)));
                         }
-                        Some(Got::Snapshot(new)) => here = *new,
+                        Some(Received::Snapshot(new)) => here = *new,
                         None => {}
                     }
                 }
@@ -498,12 +538,12 @@
     #[test]
     fn a_fork_is_told_and_another_fleets_state_too() {
         let (r, mut source) = voter(20, 10);
-        let mut want = Want { number: 10, hash: 1, origin: r.origin(), taking: None };
-        assert!(matches!(source.asked(0, 5, &want, &r), Reply::Fork { number: 10, .. }));
-        want.origin = 4;
-        assert!(matches!(source.asked(0, 5, &want, &r), Reply::Fork { number: 0, .. }));
-        (want.number, want.origin) = (21, r.origin());
-        assert_eq!(source.asked(0, 5, &want, &r), Reply::Nothing);
+        let mut request = CatchUpRequest { number: 10, hash: 1, log_id: r.log_id(), transfer: None };
+        assert!(matches!(source.answer(0, 5, &request, &r), CatchUpReply::Fork { number: 10, .. }));
+        request.log_id = 4;
+        assert!(matches!(source.answer(0, 5, &request, &r), CatchUpReply::Fork { number: 0, .. }));
+        (request.number, request.log_id) = (21, r.log_id());
+        assert_eq!(source.answer(0, 5, &request, &r), CatchUpReply::Nothing);
     }
 
     #[test]
@@ -513,37 +553,48 @@
         for n in 0..4 {
             here.apply(put(n, 10));
         }
-        let want = Want { number: 4, hash: first8(here.hash()), origin: r.origin(), taking: None };
-        let Reply::Pieces(pieces) = source.asked(0, 5, &want, &r) else { panic!() };
+        let request =
+            CatchUpRequest { number: 4, hash: hash_prefix(here.hash()), log_id: r.log_id(), transfer: None };
+        let CatchUpReply::Chunks(chunks) = source.answer(0, 5, &request, &r) else { panic!() };
         let mut learner = Learner::default();
-        for p in &pieces {
+        for p in &chunks {
             let mut other = p.clone();
             if let Some(b) = other.bytes.get_mut(40) {
                 *b ^= 1;
             }
-            assert!(learner.piece(&other, &here).is_none());
+            assert!(learner.receive(&other, &here).is_none());
         }
         let mut further = here.clone();
         further.apply(put(4, 10));
-        assert!(pieces.iter().all(|p| learner.piece(p, &further).is_none()), "never a gap");
-        let got = pieces.iter().filter_map(|p| learner.piece(p, &here)).next();
-        assert!(matches!(got, Some(Got::Commands(c)) if c.len() == 16));
+        assert!(chunks.iter().all(|p| learner.receive(p, &further).is_none()), "never a gap");
+        let got = chunks.iter().filter_map(|p| learner.receive(p, &here)).next();
+        assert!(matches!(got, Some(Received::Commands(c)) if c.len() == 16));
     }
 
     #[test]
     fn memory_and_answers_are_bounded() {
         let (r, mut source) = voter(5_000, 2_000);
-        assert!(source.entries.len() <= 2 * BASE_ENTRIES + 2 && source.held() < 4 << 20, "{}", source.held());
-        let want = Want { number: 0, hash: 0, origin: 0, taking: None };
+        assert!(
+            source.entries.len() <= 2 * SNAPSHOT_EVERY_ENTRIES + 2 && source.buffered_bytes() < 4 << 20,
+            "{}",
+            source.buffered_bytes()
+        );
+        let request = CatchUpRequest { number: 0, hash: 0, log_id: 0, transfer: None };
         let mut sent = 0;
         for front in 0..5_000 {
-            if let Reply::Pieces(p) = source.asked(0, front, &want, &r) {
+            if let CatchUpReply::Chunks(p) = source.answer(0, front, &request, &r) {
                 sent += p.len();
             }
         }
-        assert!(sent as u64 <= ALL_BURST && source.askers.len() <= MOST_ASKERS);
-        let huge =
-            Stretch { whole: true, after: 0, upto: 9, length: u32::MAX, index: 0, bytes: vec![0; PIECE] };
-        assert!(Learner::default().piece(&huge, &genesis()).is_none());
+        assert!(sent as u64 <= TOTAL_CHUNK_BURST && source.requesters.len() <= MAX_REQUESTERS);
+        let huge = Chunk {
+            is_snapshot: true,
+            after: 0,
+            last_entry: 9,
+            length: u32::MAX,
+            index: 0,
+            bytes: vec![0; FRAGMENT_BYTES],
+        };
+        assert!(Learner::default().receive(&huge, &genesis()).is_none());
     }
 }
--- a/crates/agreement/src/journal.rs
+++ b/crates/agreement/src/journal.rs
@@ -2,8 +2,8 @@
 //! handed to the disk. omnipaxos writes here and takes it for its storage; that a write is synced is
 //! [`Voter`](crate::voter::Voter)'s to see to, by holding back what rests on it.
 
-use crate::store::{KeptLog, Op};
-use crate::types::{Command, What};
+use crate::store::{StoreOp, StoredLog};
+use crate::types::{Command, Operation};
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::{Entry, NoSnapshot, StopSign, Storage, StorageOp, StorageResult};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,10 +13,10 @@
 }
 
 /// Bytes that a command takes in a message at most.
-pub(crate) fn size(command: &Command) -> usize {
-    64 + match &command.what {
-        What::Put { body, .. } => body.len(),
-        What::Voters { voters, .. } => 20 * voters.len(),
+pub(crate) fn message_bytes(command: &Command) -> usize {
+    64 + match &command.operation {
+        Operation::Put { body, .. } => body.len(),
+        Operation::Voters { voters, .. } => 20 * voters.len(),
     }
 }
 
@@ -28,16 +28,16 @@
     decided: usize,
     log: Vec<Command>,
     bytes: usize,
-    new_promise: bool,
-    new_accepted: bool,
-    new_decided: bool,
+    promise_changed: bool,
+    accepted_changed: bool,
+    decided_changed: bool,
     /// The log has changed from this index on.
-    changed: Option<usize>,
+    changed_from: Option<usize>,
 }
 
 impl Journal {
     /// As a store kept it; `None` if it cannot be read or contradicts itself.
-    pub(crate) fn of(kept: KeptLog) -> Option<Self> {
+    pub(crate) fn from_store(kept: StoredLog) -> Option<Self> {
         let ballot = |bytes: &[u8]| -> Option<Option<Ballot>> {
             if bytes.is_empty() { Some(None) } else { postcard::from_bytes(bytes).ok().map(Some) }
         };
@@ -46,7 +46,7 @@
             promise: ballot(&kept.promise)?,
             accepted: ballot(&kept.accepted)?,
             decided,
-            bytes: kept.commands.iter().map(size).sum(),
+            bytes: kept.commands.iter().map(message_bytes).sum(),
             log: kept.commands,
             ..Self::default()
         })
@@ -61,7 +61,7 @@
     }
 
     /// Bytes of the log in a message, at most.
-    pub(crate) fn bytes(&self) -> usize {
+    pub(crate) fn log_bytes(&self) -> usize {
         self.bytes
     }
 
@@ -76,66 +76,66 @@
 
     pub(crate) fn append(&mut self, commands: Vec<Command>) {
         if !commands.is_empty() {
-            self.changed = Some(self.changed.unwrap_or(self.log.len()).min(self.log.len()));
-            self.bytes += commands.iter().map(size).sum::<usize>();
+            self.changed_from = Some(self.changed_from.unwrap_or(self.log.len()).min(self.log.len()));
+            self.bytes += commands.iter().map(message_bytes).sum::<usize>();
             self.log.extend(commands);
         }
     }
 
-    pub(crate) fn decide(&mut self, decided: usize) {
-        self.new_decided |= self.decided != decided;
+    pub(crate) fn set_decided(&mut self, decided: usize) {
+        self.decided_changed |= self.decided != decided;
         self.decided = decided;
     }
 
     /// What has changed since, as one write. The order in it is of no account: it is one transaction.
-    pub(crate) fn drain(&mut self) -> Vec<Op> {
+    pub(crate) fn take_changes(&mut self) -> Vec<StoreOp> {
         let mut ops = Vec::new();
         // A ballot can always be written.
         let bytes =
             |ballot: &Option<Ballot>| postcard::to_stdvec(&ballot.unwrap_or_default()).unwrap_or_default();
-        if std::mem::take(&mut self.new_promise) {
-            ops.push(Op::Promise(bytes(&self.promise)));
+        if std::mem::take(&mut self.promise_changed) {
+            ops.push(StoreOp::Promise(bytes(&self.promise)));
         }
-        if std::mem::take(&mut self.new_accepted) {
-            ops.push(Op::Accepted(bytes(&self.accepted)));
+        if std::mem::take(&mut self.accepted_changed) {
+            ops.push(StoreOp::Accepted(bytes(&self.accepted)));
         }
-        if let Some(from) = self.changed.take() {
-            ops.push(Op::Log {
+        if let Some(from) = self.changed_from.take() {
+            ops.push(StoreOp::Log {
                 from: from as u64,
                 commands: self.log.get(from..).unwrap_or_default().to_vec(),
             });
         }
-        if std::mem::take(&mut self.new_decided) {
-            ops.push(Op::Decided(self.decided as u64));
+        if std::mem::take(&mut self.decided_changed) {
+            ops.push(StoreOp::Decided(self.decided as u64));
         }
         ops
     }
 
-    fn put_promise(&mut self, promise: Ballot) {
+    fn set_promise_if_changed(&mut self, promise: Ballot) {
         // At its start omnipaxos writes what it read, or a ballot of zeros if there was none: neither is news.
         if self.promise.unwrap_or_default() != promise {
             self.promise = Some(promise);
-            self.new_promise = true;
+            self.promise_changed = true;
         }
     }
 
-    fn put_accepted(&mut self, accepted: Ballot) {
+    fn set_accepted_if_changed(&mut self, accepted: Ballot) {
         if self.accepted != Some(accepted) {
             self.accepted = Some(accepted);
-            self.new_accepted = true;
+            self.accepted_changed = true;
         }
     }
 
-    fn put_suffix(&mut self, from: usize, commands: Vec<Command>) -> StorageResult<()> {
+    fn replace_suffix(&mut self, from: usize, commands: Vec<Command>) -> StorageResult<()> {
         if from > self.log.len() {
             return Err("a log with a gap".into());
         }
         // What stays the same need not be written again.
         let same = self.log[from..].iter().zip(&commands).take_while(|(a, b)| a == b).count();
         if from + same < self.log.len() {
-            self.changed = Some(self.changed.unwrap_or(usize::MAX).min(from + same));
+            self.changed_from = Some(self.changed_from.unwrap_or(usize::MAX).min(from + same));
             self.log.truncate(from + same);
-            self.bytes = self.log.iter().map(size).sum();
+            self.bytes = self.log.iter().map(message_bytes).sum();
         }
         self.append(commands.into_iter().skip(same).collect());
         Ok(())
@@ -144,9 +144,9 @@
 
 /// The journal as omnipaxos' storage. omnipaxos owns its storage and does not show it; hence shared.
 #[derive(Clone)]
-pub(crate) struct Shared(Arc<Mutex<Journal>>);
+pub(crate) struct SharedJournal(Arc<Mutex<Journal>>);
 
-impl Shared {
+impl SharedJournal {
     pub(crate) fn new(journal: Journal) -> Self {
         Self(Arc::new(Mutex::new(journal)))
     }
@@ -157,7 +157,7 @@
     }
 }
 
-impl Storage<Command> for Shared {
+impl Storage<Command> for SharedJournal {
     fn write_atomically(&mut self, ops: Vec<StorageOp<Command>>) -> StorageResult<()> {
         for op in ops {
             match op {
@@ -187,16 +187,16 @@
     }
 
     fn append_on_prefix(&mut self, from: usize, entries: Vec<Command>) -> StorageResult<()> {
-        self.lock().put_suffix(from, entries)
+        self.lock().replace_suffix(from, entries)
     }
 
     fn set_promise(&mut self, ballot: Ballot) -> StorageResult<()> {
-        self.lock().put_promise(ballot);
+        self.lock().set_promise_if_changed(ballot);
         Ok(())
     }
 
     fn set_decided_idx(&mut self, index: usize) -> StorageResult<()> {
-        self.lock().decide(index);
+        self.lock().set_decided(index);
         Ok(())
     }
 
@@ -205,7 +205,7 @@
     }
 
     fn set_accepted_round(&mut self, ballot: Ballot) -> StorageResult<()> {
-        self.lock().put_accepted(ballot);
+        self.lock().set_accepted_if_changed(ballot);
         Ok(())
     }
 
--- a/crates/agreement/src/lib.rs
+++ b/crates/agreement/src/lib.rs
@@ -1,8 +1,8 @@
-//! A log that the fleet agrees on. `docs/agreement.md` has the design and what is promised.
+//! A replicated log that the fronts of a fleet agree on. `docs/agreement.md` has the design and its guarantees.
 //!
-//! Few voters decide entries; every other front learns them. A front that *holds* knows for a stated time that nothing
-//! newer takes effect without it. Time, messages and the disk's answers are handed in; [`Store`](store::Store) alone
-//! does I/O.
+//! A few voters decide the entries; every other front learns them. A front that holds a *lease* knows that until the
+//! lease expires no newer entry takes effect in the fleet unless this front has confirmed it. Time, messages and the
+//! results of disk writes are passed in as arguments; only [`Store`](store::Store) does I/O.
 
 pub mod catch_up;
 pub mod fragments;
@@ -18,8 +18,8 @@
 pub mod voter;
 pub mod wire;
 
-pub use node::{Node, Note, Out, Settings, View};
-pub use proposals::Answer;
-pub use registers::{Outcome, Register, Registers, sound_voters};
-pub use store::{Kept, KeptLog, Op, Store, StoreError};
+pub use node::{Node, Note, Output, Settings, View};
+pub use proposals::ProposalResult;
+pub use registers::{Outcome, Register, Registers, valid_voters};
+pub use store::{Store, StoreError, StoreOp, StoredLog, StoredState};
 pub use types::*;
--- a/crates/agreement/src/node/view.rs
+++ b/crates/agreement/src/node/view.rs
@@ -21,11 +21,11 @@
     /// The highest that it has heard of.
     pub known: u64,
     /// Up to where it goes by what was agreed.
-    pub vouched: u64,
+    pub confirmed: u64,
     /// Up to where no front that holds goes by less.
-    pub settled: u64,
+    pub stable: u64,
     /// It holds for so long yet, milliseconds.
-    pub holds_ms: u64,
+    pub lease_remaining_ms: u64,
     /// What it has is not what was agreed.
     pub forked: bool,
     /// It must not vote in this run any more.
@@ -33,22 +33,22 @@
     /// Fronts that hold by its grant.
     pub grants: usize,
     /// What has to be vouched for at least, at this voter.
-    pub floor: u64,
+    pub min_confirmed: u64,
     /// What it has cleared.
-    pub cleared: Option<u64>,
+    pub watermark: Option<u64>,
     /// Its own proposals under way.
     pub proposals: usize,
     /// Registers that are not empty.
     pub registers: usize,
     /// Bytes that it keeps for others, about.
-    pub kept_bytes: usize,
+    pub buffered_bytes: usize,
 }
 
 impl Node {
     /// This front's number.
     #[must_use]
     pub fn number(&self) -> u64 {
-        self.s.me
+        self.settings.me
     }
 
     /// Whether this front leads the voters now.
@@ -61,32 +61,33 @@
     #[must_use]
     pub fn store_of(&self, front: u64) -> Option<u64> {
         let own = self.id.filter(|v| v.front == front).map(|v| v.store);
-        own.or_else(|| self.stores.get(&front).map(|(store, _)| *store)).filter(|s| *s != 0)
+        own.or_else(|| self.front_stores.get(&front).map(|(store, _)| *store)).filter(|s| *s != 0)
     }
 
     /// This front's part as it stands.
     #[must_use]
-    pub fn rows(&self, now_ms: u64) -> View {
-        let grants = self.seat.as_ref().map(|s| s.grants());
+    pub fn view(&self, now_ms: u64) -> View {
+        let grants = self.voting.as_ref().map(|s| s.grants());
         View {
             voter: self.id,
             boots: self.boots,
-            votes: self.seat.is_some(),
+            votes: self.voting.is_some(),
             config: self.registers.config().cloned(),
             leader: self.leader(),
             number: self.registers.number(),
-            known: self.learner.known().max(self.registers.number()),
-            vouched: self.hold.vouched(),
-            settled: self.hold.settled(),
-            holds_ms: if self.forked { 0 } else { self.hold.until_ms().saturating_sub(now_ms) },
+            known: self.learner.highest_known().max(self.registers.number()),
+            confirmed: self.lease.confirmed(),
+            stable: self.lease.stable(),
+            lease_remaining_ms: if self.forked { 0 } else { self.lease.until_ms().saturating_sub(now_ms) },
             forked: self.forked,
             stopped: self.stopped,
-            grants: grants.map_or(0, |g| g.valid(now_ms)),
-            floor: grants.map_or(0, |g| g.floor()),
-            cleared: grants.and_then(|g| g.cleared(now_ms)),
+            grants: grants.map_or(0, |g| g.unexpired(now_ms)),
+            min_confirmed: grants.map_or(0, |g| g.min_confirmed()),
+            watermark: grants.and_then(|g| g.watermark(now_ms)),
             proposals: self.proposals.len(),
             registers: self.registers.iter().count(),
-            kept_bytes: self.source.as_ref().map_or(0, |s| s.held()) + self.parcels.bytes(),
+            buffered_bytes: self.source.as_ref().map_or(0, |s| s.buffered_bytes())
+                + self.fragmenter.buffered_bytes(),
         }
     }
 }
--- a/crates/agreement/src/registers.rs
+++ b/crates/agreement/src/registers.rs
@@ -4,7 +4,8 @@
 //! bytes. A command applies only to the version that it expects; a key that came before has its first outcome again.
 
 use crate::types::{
-    Command, Config, Entry, Hash, Key, MOST_BODY, MOST_VOTERS, ORIGIN, Subject, VoterId, What, chain,
+    Command, Config, Entry, Hash, Key, MAX_BODY_BYTES, MAX_VOTERS, Operation, Subject, VoterId, ZERO_HASH,
+    chain_hash,
 };
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -12,23 +13,23 @@
 use thiserror::Error;
 
 /// Registers at most.
-pub const MOST_REGISTERS: usize = 4_096;
+pub const MAX_REGISTERS: usize = 4_096;
 /// Bytes of all bodies at most.
-pub const MOST_BYTES: usize = 4 << 20;
+pub const MAX_TOTAL_BYTES: usize = 4 << 20;
 /// Keys remembered with their outcomes.
-pub const MOST_KEYS: usize = 4_096;
+pub const MAX_KEYS: usize = 4_096;
 /// Bytes of a snapshot at most: all bodies, and 128 for each register and each key.
-pub const MOST_SNAPSHOT: usize = MOST_BYTES + 128 * (MOST_REGISTERS + MOST_KEYS) + 1_024;
+pub const MAX_SNAPSHOT_BYTES: usize = MAX_TOTAL_BYTES + 128 * (MAX_REGISTERS + MAX_KEYS) + 1_024;
 
 /// What a command came to. The same on every front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
     /// The register has the body.
-    Taken,
+    Applied,
     /// The register stood elsewhere, and still does.
     Conflict {
         /// Number of the entry that it stands at, 0 if it is empty.
-        stands: u64,
+        current: u64,
         /// Who wrote it, 0 if it is empty.
         author: u64,
         /// By which command, 0 if it is empty.
@@ -37,11 +38,11 @@
     /// There is no room for it.
     Full,
     /// It ended its configuration; the one of this number begins.
-    Ended(u32),
+    Reconfigured(u32),
     /// It would have ended another configuration than this, which goes on.
     Stale(u32),
     /// A body or voters that may not be.
-    Unsound,
+    Invalid,
 }
 
 /// A register that was written.
@@ -60,7 +61,7 @@
 /// Bytes that are no snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("not a snapshot of agreed state")]
-pub struct NoSnapshot;
+pub struct InvalidSnapshot;
 
 /// The agreed state after an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -68,15 +69,15 @@
     number: u64,
     hash: Hash,
     /// Drawn from the first voters: another fleet's state, or the same fleet's begun anew, has another.
-    origin: u64,
+    log_id: u64,
     config: Option<Config>,
     /// The configuration from which the voters have been the same. Holds go by it, so that folding does not touch them.
-    since: u32,
-    map: BTreeMap<Subject, Register>,
+    voters_since: u32,
+    registers: BTreeMap<Subject, Register>,
     /// The last keys with the entry that each came in first, oldest first.
     keys: VecDeque<(Key, u64, Outcome)>,
     #[serde(skip)]
-    index: BTreeMap<Key, (u64, Outcome)>,
+    outcomes: BTreeMap<Key, (u64, Outcome)>,
     #[serde(skip)]
     bytes: usize,
 }
@@ -85,22 +86,22 @@
     fn default() -> Self {
         Self {
             number: 0,
-            hash: ORIGIN,
-            origin: 0,
+            hash: ZERO_HASH,
+            log_id: 0,
             config: None,
-            since: 0,
-            map: BTreeMap::new(),
+            voters_since: 0,
+            registers: BTreeMap::new(),
             keys: VecDeque::new(),
-            index: BTreeMap::new(),
+            outcomes: BTreeMap::new(),
             bytes: 0,
         }
     }
 }
 
-/// Whether these may vote: 1 to [`MOST_VOTERS`], ascending, each front once.
+/// Whether these may vote: 1 to [`MAX_VOTERS`], ascending, each front once.
 #[must_use]
-pub fn sound_voters(voters: &[VoterId]) -> bool {
-    (1..=MOST_VOTERS).contains(&voters.len())
+pub fn valid_voters(voters: &[VoterId]) -> bool {
+    (1..=MAX_VOTERS).contains(&voters.len())
         && voters.iter().all(|v| v.store != 0)
         && voters.windows(2).all(|w| matches!(w, [a, b] if a.front < b.front))
 }
@@ -114,9 +115,9 @@
             h.update(v.front.to_be_bytes());
             h.update(v.store.to_be_bytes());
         }
-        let origin = first8(&h.finalize().into()).max(1);
+        let log_id = hash_prefix(&h.finalize().into()).max(1);
         let config = Some(Config { number: 1, first: 1, voters: voters.to_vec() });
-        sound_voters(voters).then(|| Self { origin, config, since: 1, ..Self::default() })
+        valid_voters(voters).then(|| Self { log_id, config, voters_since: 1, ..Self::default() })
     }
 
     /// Number of the last entry, 0 before the first.
@@ -133,8 +134,8 @@
 
     /// Which fleet's state it is, 0 for none.
     #[must_use]
-    pub fn origin(&self) -> u64 {
-        self.origin
+    pub fn log_id(&self) -> u64 {
+        self.log_id
     }
 
     /// The voters, once there are any.
@@ -151,31 +152,31 @@
 
     /// The configuration from which the voters have been the same.
     #[must_use]
-    pub fn since(&self) -> u32 {
-        self.since
+    pub fn voters_since(&self) -> u32 {
+        self.voters_since
     }
 
     /// A register, if it is not empty.
     #[must_use]
     pub fn get(&self, subject: Subject) -> Option<&Register> {
-        self.map.get(&subject)
+        self.registers.get(&subject)
     }
 
     /// All that are not empty.
     pub fn iter(&self) -> impl Iterator<Item = (&Subject, &Register)> {
-        self.map.iter()
+        self.registers.iter()
     }
 
     /// The entry a command first came in, and its outcome, if it is remembered.
     #[must_use]
     pub fn outcome(&self, key: Key) -> Option<(u64, Outcome)> {
-        self.index.get(&key).copied()
+        self.outcomes.get(&key).copied()
     }
 
     /// The next entry. A command that came before changes nothing and has its first outcome.
     pub fn apply(&mut self, command: Command) -> (Entry, Outcome) {
         let number = self.number.saturating_add(1);
-        let hash = chain(&self.hash, number, &command);
+        let hash = chain_hash(&self.hash, number, &command);
         (self.number, self.hash) = (number, hash);
         let outcome = match self.outcome(command.key) {
             Some((_, first)) => first,
@@ -189,59 +190,59 @@
     }
 
     fn change(&mut self, number: u64, command: &Command) -> Outcome {
-        match &command.what {
-            What::Put { subject, expects, body } => {
-                if body.len() > MOST_BODY {
-                    return Outcome::Unsound;
+        match &command.operation {
+            Operation::Put { subject, expects, body } => {
+                if body.len() > MAX_BODY_BYTES {
+                    return Outcome::Invalid;
                 }
-                let old = self.map.get(subject);
-                let stands = old.map_or(0, |r| r.number);
-                if stands != *expects {
+                let old = self.registers.get(subject);
+                let current = old.map_or(0, |r| r.number);
+                if current != *expects {
                     let (author, key) = old.map_or((0, Key(0)), |r| (r.author, r.key));
-                    return Outcome::Conflict { stands, author, key };
+                    return Outcome::Conflict { current, author, key };
                 }
                 let freed = old.map_or(0, |r| r.body.len());
                 if body.is_empty() {
-                    self.map.remove(subject);
+                    self.registers.remove(subject);
                     self.bytes = self.bytes.saturating_sub(freed);
-                    return Outcome::Taken;
+                    return Outcome::Applied;
                 }
                 let bytes = self.bytes.saturating_sub(freed).saturating_add(body.len());
-                if bytes > MOST_BYTES || (old.is_none() && self.map.len() >= MOST_REGISTERS) {
+                if bytes > MAX_TOTAL_BYTES || (old.is_none() && self.registers.len() >= MAX_REGISTERS) {
                     return Outcome::Full;
                 }
                 self.bytes = bytes;
                 let (key, author) = (command.key, command.author);
-                self.map.insert(*subject, Register { number, key, author, body: body.clone() });
-                Outcome::Taken
+                self.registers.insert(*subject, Register { number, key, author, body: body.clone() });
+                Outcome::Applied
             }
-            What::Voters { expects, voters } => {
+            Operation::Voters { expects, voters } => {
                 let here = self.config_number();
                 if *expects != here {
                     return Outcome::Stale(here);
                 }
-                if !sound_voters(voters) {
-                    return Outcome::Unsound;
+                if !valid_voters(voters) {
+                    return Outcome::Invalid;
                 }
                 let next = here.saturating_add(1);
                 if self.config.as_ref().is_none_or(|c| c.voters != *voters) {
-                    self.since = next;
+                    self.voters_since = next;
                 }
                 let first = number.saturating_add(1);
                 self.config = Some(Config { number: next, first, voters: voters.clone() });
-                Outcome::Ended(next)
+                Outcome::Reconfigured(next)
             }
         }
     }
 
     fn remember(&mut self, key: Key, number: u64, outcome: Outcome) {
-        if self.keys.len() >= MOST_KEYS
+        if self.keys.len() >= MAX_KEYS
             && let Some((old, ..)) = self.keys.pop_front()
         {
-            self.index.remove(&old);
+            self.outcomes.remove(&old);
         }
         self.keys.push_back((key, number, outcome));
-        self.index.insert(key, (number, outcome));
+        self.outcomes.insert(key, (number, outcome));
     }
 
     /// All of it as bytes.
@@ -255,41 +256,40 @@
     /// # Errors
     ///
     /// Bytes that no [`Registers::snapshot`] can have given.
-    pub fn load(bytes: &[u8]) -> Result<Self, NoSnapshot> {
-        if bytes.len() > MOST_SNAPSHOT {
-            return Err(NoSnapshot);
+    pub fn load(bytes: &[u8]) -> Result<Self, InvalidSnapshot> {
+        if bytes.len() > MAX_SNAPSHOT_BYTES {
+            return Err(InvalidSnapshot);
         }
         let mut new: Self = match postcard::take_from_bytes(bytes) {
             Ok((new, [])) => new,
-            _ => return Err(NoSnapshot),
+            _ => return Err(InvalidSnapshot),
         };
-        new.bytes = new.map.values().map(|r| r.body.len()).sum();
-        new.index = new.keys.iter().map(|(k, n, o)| (*k, (*n, *o))).collect();
-        let sound = new.map.len() <= MOST_REGISTERS
-            && new.bytes <= MOST_BYTES
-            && new
-                .map
-                .values()
-                .all(|r| (1..=MOST_BODY).contains(&r.body.len()) && (1..=new.number).contains(&r.number))
-            && new.keys.len() <= MOST_KEYS
-            && new.index.len() == new.keys.len()
+        new.bytes = new.registers.values().map(|r| r.body.len()).sum();
+        new.outcomes = new.keys.iter().map(|(k, n, o)| (*k, (*n, *o))).collect();
+        let sound = new.registers.len() <= MAX_REGISTERS
+            && new.bytes <= MAX_TOTAL_BYTES
+            && new.registers.values().all(|r| {
+                (1..=MAX_BODY_BYTES).contains(&r.body.len()) && (1..=new.number).contains(&r.number)
+            })
+            && new.keys.len() <= MAX_KEYS
+            && new.outcomes.len() == new.keys.len()
             && new.keys.iter().all(|(_, n, _)| (1..=new.number).contains(n))
             && new.config.as_ref().is_some_and(|c| {
                 c.number >= 1
-                    && (1..=c.number).contains(&new.since)
+                    && (1..=c.number).contains(&new.voters_since)
                     && (1..=new.number.saturating_add(1)).contains(&c.first)
-                    && sound_voters(&c.voters)
+                    && valid_voters(&c.voters)
             })
-            && new.origin != 0
-            && (new.number > 0 || new.hash == ORIGIN);
+            && new.log_id != 0
+            && (new.number > 0 || new.hash == ZERO_HASH);
         // Written again it has to be the same: no second form of one state.
-        if sound && new.snapshot() == bytes { Ok(new) } else { Err(NoSnapshot) }
+        if sound && new.snapshot() == bytes { Ok(new) } else { Err(InvalidSnapshot) }
     }
 }
 
 /// The first eight bytes of a hash: enough to tell that two differ.
 #[must_use]
-pub fn first8(hash: &Hash) -> u64 {
+pub fn hash_prefix(hash: &Hash) -> u64 {
     hash.iter().take(8).fold(0, |sum, b| sum << 8 | u64::from(*b))
 }
 
@@ -303,45 +303,49 @@
 
     fn put(key: u128, number: u64, expects: u64, body: &[u8]) -> Command {
         let subject = Subject { space: 1, number };
-        Command { key: Key(key), author: 7, what: What::Put { subject, expects, body: body.to_vec() } }
+        Command {
+            key: Key(key),
+            author: 7,
+            operation: Operation::Put { subject, expects, body: body.to_vec() },
+        }
     }
 
     #[test]
     fn a_command_applies_to_what_it_expects_and_counts_once() {
         let mut r = Registers::genesis(&voters()).expect("sound");
-        assert_eq!(r.apply(put(1, 0, 0, b"a")).1, Outcome::Taken);
-        let conflict = Outcome::Conflict { stands: 1, author: 7, key: Key(1) };
+        assert_eq!(r.apply(put(1, 0, 0, b"a")).1, Outcome::Applied);
+        let conflict = Outcome::Conflict { current: 1, author: 7, key: Key(1) };
         assert_eq!(r.apply(put(2, 0, 0, b"b")).1, conflict);
-        assert_eq!(r.apply(put(3, 0, 1, b"c")).1, Outcome::Taken);
+        assert_eq!(r.apply(put(3, 0, 1, b"c")).1, Outcome::Applied);
         // Again: the first outcome, though it would be another now.
         assert_eq!(
             (r.apply(put(1, 0, 0, b"a")).1, r.apply(put(2, 0, 0, b"b")).1),
-            (Outcome::Taken, conflict)
+            (Outcome::Applied, conflict)
         );
         assert_eq!(
             (r.number(), r.get(Subject { space: 1, number: 0 }).expect("set").body.as_slice()),
             (5, &b"c"[..])
         );
-        assert_eq!(r.apply(put(4, 0, 3, b"")).1, Outcome::Taken);
+        assert_eq!(r.apply(put(4, 0, 3, b"")).1, Outcome::Applied);
         assert!(r.get(Subject { space: 1, number: 0 }).is_none());
-        assert_eq!(r.apply(put(5, 0, 0, &vec![0; MOST_BODY + 1])).1, Outcome::Unsound);
+        assert_eq!(r.apply(put(5, 0, 0, &vec![0; MAX_BODY_BYTES + 1])).1, Outcome::Invalid);
     }
 
     #[test]
     fn registers_bytes_and_keys_are_bounded_and_a_full_snapshot_loads() {
         let mut r = Registers::genesis(&voters()).expect("sound");
-        let body = vec![9; MOST_BODY];
-        for n in 0..(MOST_BYTES / MOST_BODY) as u64 {
-            assert_eq!(r.apply(put(u128::MAX - u128::from(n), n, 0, &body)).1, Outcome::Taken);
+        let body = vec![9; MAX_BODY_BYTES];
+        for n in 0..(MAX_TOTAL_BYTES / MAX_BODY_BYTES) as u64 {
+            assert_eq!(r.apply(put(u128::MAX - u128::from(n), n, 0, &body)).1, Outcome::Applied);
         }
         assert_eq!(r.apply(put(1, 9_999, 0, b"x")).1, Outcome::Full);
-        assert_eq!(r.apply(put(2, 0, 1, b"x")).1, Outcome::Taken);
+        assert_eq!(r.apply(put(2, 0, 1, b"x")).1, Outcome::Applied);
         for n in 1_000..10_000_u64 {
             r.apply(put(u128::MAX / 2 + u128::from(n), n, 0, b"y"));
         }
-        assert_eq!((r.map.len(), r.keys.len(), r.index.len()), (MOST_REGISTERS, MOST_KEYS, MOST_KEYS));
+        assert_eq!((r.registers.len(), r.keys.len(), r.outcomes.len()), (MAX_REGISTERS, MAX_KEYS, MAX_KEYS));
         let bytes = r.snapshot();
-        assert!(bytes.len() <= MOST_SNAPSHOT, "{}", bytes.len());
+        assert!(bytes.len() <= MAX_SNAPSHOT_BYTES, "{}", bytes.len());
         assert_eq!(Registers::load(&bytes), Ok(r));
     }
 
@@ -351,14 +355,14 @@
         let change = |key, expects, voters: &[VoterId]| Command {
             key: Key(key),
             author: 1,
-            what: What::Voters { expects, voters: voters.to_vec() },
+            operation: Operation::Voters { expects, voters: voters.to_vec() },
         };
-        assert_eq!(r.apply(change(1, 1, &voters())).1, Outcome::Ended(2));
-        assert_eq!((r.since(), r.config().expect("there").first), (1, 2), "folded: the same voters");
+        assert_eq!(r.apply(change(1, 1, &voters())).1, Outcome::Reconfigured(2));
+        assert_eq!((r.voters_since(), r.config().expect("there").first), (1, 2), "folded: the same voters");
         assert_eq!(r.apply(change(2, 1, &voters())).1, Outcome::Stale(2));
-        assert_eq!(r.apply(change(3, 2, &[])).1, Outcome::Unsound);
-        assert_eq!(r.apply(change(4, 2, &voters()[..1])).1, Outcome::Ended(3));
-        assert_eq!(r.since(), 3);
+        assert_eq!(r.apply(change(3, 2, &[])).1, Outcome::Invalid);
+        assert_eq!(r.apply(change(4, 2, &voters()[..1])).1, Outcome::Reconfigured(3));
+        assert_eq!(r.voters_since(), 3);
     }
 
     #[test]
@@ -369,19 +373,19 @@
         }
         let bytes = r.snapshot();
         for cut in 0..bytes.len() {
-            assert_eq!(Registers::load(&bytes[..cut]), Err(NoSnapshot));
+            assert_eq!(Registers::load(&bytes[..cut]), Err(InvalidSnapshot));
         }
-        assert_eq!(Registers::load(&[0xff; 4_096]), Err(NoSnapshot));
-        assert_eq!(Registers::load(&Registers::default().snapshot()), Err(NoSnapshot), "no fleet's");
+        assert_eq!(Registers::load(&[0xff; 4_096]), Err(InvalidSnapshot));
+        assert_eq!(Registers::load(&Registers::default().snapshot()), Err(InvalidSnapshot), "no fleet's");
         let mut long = bytes.clone();
         long.push(0);
-        assert_eq!(Registers::load(&long), Err(NoSnapshot));
+        assert_eq!(Registers::load(&long), Err(InvalidSnapshot));
         for at in 0..bytes.len() {
             let mut other = bytes.clone();
             other[at] ^= 0x55;
             // It may load as another sound state, never as one that breaks a bound.
             if let Ok(other) = Registers::load(&other) {
-                assert!(other.map.len() <= MOST_REGISTERS && other.bytes <= MOST_BYTES);
+                assert!(other.registers.len() <= MAX_REGISTERS && other.bytes <= MAX_TOTAL_BYTES);
             }
         }
     }
--- a/crates/agreement/src/store.rs
+++ b/crates/agreement/src/store.rs
@@ -15,7 +15,7 @@
 
 /// A part of a write.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Op {
+pub enum StoreOp {
     /// A configuration begins behind a snapshot; promise, accepted round, decided index and log of the one before go.
     Begin {
         /// The configuration.
@@ -23,9 +23,9 @@
         /// The registers' bytes.
         snapshot: Vec<u8>,
     },
-    /// The round that was promised, as [`KeptLog::promise`].
+    /// The round that was promised, as [`StoredLog::promise`].
     Promise(Vec<u8>),
-    /// The round of the last accepted entry, as [`KeptLog::accepted`].
+    /// The round of the last accepted entry, as [`StoredLog::accepted`].
     Accepted(Vec<u8>),
     /// Entries that are known to be decided.
     Decided(u64),
@@ -40,9 +40,9 @@
 
 /// What a voter goes on from.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct KeptLog {
+pub struct StoredLog {
     /// Openings of the store, this one included. Who begins a configuration with an empty log takes it over from
-    /// [`Kept::boots`].
+    /// [`StoredState::boots`].
     pub boots: u64,
     /// The promised round, in a form of the voter's; empty if there is none.
     pub promise: Vec<u8>,
@@ -56,7 +56,7 @@
 
 /// What a store holds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kept {
+pub struct StoredState {
     /// The number that was drawn when it was made.
     pub store: u64,
     /// Openings, this one included.
@@ -66,7 +66,7 @@
     /// The registers before its first entry.
     pub snapshot: Vec<u8>,
     /// The log of it.
-    pub log: KeptLog,
+    pub log: StoredLog,
 }
 
 /// Why a store cannot be opened or written.
@@ -78,13 +78,13 @@
     /// The file is not a store of this form, is torn, or contradicts itself. To go on, put it out of the way: the
     /// front is then another voter.
     #[error("not a store, or a torn one: {0}")]
-    Foreign(String),
+    Invalid(String),
     /// The disk refused. What is on it is not known until it is opened again.
     #[error("the store cannot be written or read: {0}")]
     Io(String),
     /// A draw of 0.
     #[error("a store's number cannot be 0")]
-    Draw,
+    ZeroId,
 }
 
 impl From<DatabaseError> for StoreError {
@@ -92,7 +92,7 @@
         match error {
             DatabaseError::DatabaseAlreadyOpen => Self::InUse,
             DatabaseError::Storage(error) => error.into(),
-            other => Self::Foreign(other.to_string()),
+            other => Self::Invalid(other.to_string()),
         }
     }
 }
@@ -100,11 +100,11 @@
 impl From<redb::StorageError> for StoreError {
     fn from(error: redb::StorageError) -> Self {
         match error {
-            redb::StorageError::Corrupted(what) => Self::Foreign(what),
+            redb::StorageError::Corrupted(what) => Self::Invalid(what),
             redb::StorageError::Io(e)
                 if matches!(e.kind(), io::ErrorKind::InvalidData | io::ErrorKind::UnexpectedEof) =>
             {
-                Self::Foreign(e.to_string())
+                Self::Invalid(e.to_string())
             }
             other => Self::Io(other.to_string()),
         }
@@ -127,7 +127,7 @@
     fn from(error: redb::TableError) -> Self {
         match error {
             redb::TableError::Storage(error) => error.into(),
-            other => Self::Foreign(other.to_string()),
+            other => Self::Invalid(other.to_string()),
         }
     }
 }
@@ -140,32 +140,32 @@
 
 /// The store of one voter; held open, and locked, while it lives.
 pub struct Store {
-    base: Database,
+    database: Database,
 }
 
 impl Store {
-    /// Opens the store at `path`, or makes one numbered `draw` if nothing is there. Counts and syncs the opening.
+    /// Opens the store at `path`, or makes one numbered `id` if nothing is there. Counts and syncs the opening.
     ///
     /// # Errors
     ///
     /// [`StoreError`]; a file that is there is never replaced.
-    pub fn open(path: &Path, draw: u64) -> Result<(Self, Kept), StoreError> {
-        if draw == 0 {
-            return Err(StoreError::Draw);
+    pub fn open(path: &Path, id: u64) -> Result<(Self, StoredState), StoreError> {
+        if id == 0 {
+            return Err(StoreError::ZeroId);
         }
         if !path.try_exists()? {
-            make(path, draw)?;
+            create(path, id)?;
         }
         // redb asserts on some files that are not its own.
         let opened = catch_unwind(AssertUnwindSafe(|| {
-            let mut base = Database::open(path)?;
-            if !base.check_integrity()? {
-                return Err(StoreError::Foreign("damaged".into()));
+            let mut database = Database::open(path)?;
+            if !database.check_integrity()? {
+                return Err(StoreError::Invalid("damaged".into()));
             }
-            let kept = count(&base)?;
-            Ok((Self { base }, kept))
+            let kept = open_and_count(&database)?;
+            Ok((Self { database }, kept))
         }));
-        opened.unwrap_or_else(|_| Err(StoreError::Foreign("unreadable".into())))
+        opened.unwrap_or_else(|_| Err(StoreError::Invalid("unreadable".into())))
     }
 
     /// Writes all or nothing, and returns when it is on the disk. After an error the store is to be written no more:
@@ -174,9 +174,9 @@
     /// # Errors
     ///
     /// [`StoreError::Io`] if the disk refused.
-    pub fn write(&self, ops: &[Op]) -> Result<(), StoreError> {
+    pub fn write(&self, ops: &[StoreOp]) -> Result<(), StoreError> {
         let written = catch_unwind(AssertUnwindSafe(|| {
-            transact(&self.base, |meta, log| ops.iter().try_for_each(|op| put(op, meta, log)))
+            transact(&self.database, |meta, log| ops.iter().try_for_each(|op| apply(op, meta, log)))
         }));
         written.unwrap_or_else(|_| Err(StoreError::Io("the store broke".into())))
     }
@@ -187,10 +187,10 @@
 
 /// One synced transaction.
 fn transact<R>(
-    base: &Database,
+    database: &Database,
     f: impl FnOnce(&mut Meta<'_>, &mut Log<'_>) -> Result<R, StoreError>,
 ) -> Result<R, StoreError> {
-    let mut transaction = base.begin_write()?;
+    let mut transaction = database.begin_write()?;
     transaction.set_durability(Durability::Immediate);
     // Without it, a damaged last commit is taken for one that was never finished and the one before is gone by: a
     // promise would be forgotten without a word.
@@ -222,36 +222,36 @@
     Ok(())
 }
 
-fn put(op: &Op, meta: &mut Meta<'_>, log: &mut Log<'_>) -> Result<(), StoreError> {
+fn apply(op: &StoreOp, meta: &mut Meta<'_>, log: &mut Log<'_>) -> Result<(), StoreError> {
     match op {
-        Op::Begin { config, snapshot } => {
+        StoreOp::Begin { config, snapshot } => {
             log.retain(|_, _| false)?;
             for name in ["promise", "accepted", "decided"] {
                 meta.remove(name)?;
             }
-            meta.insert("config", bytes(config)?.as_slice())?;
+            meta.insert("config", encode(config)?.as_slice())?;
             meta.insert("snapshot", snapshot.as_slice())?;
         }
-        Op::Promise(round) => drop(meta.insert("promise", round.as_slice())?),
-        Op::Accepted(round) => drop(meta.insert("accepted", round.as_slice())?),
-        Op::Decided(count) => drop(meta.insert("decided", count.to_be_bytes().as_slice())?),
-        Op::Log { from, commands } => {
+        StoreOp::Promise(round) => drop(meta.insert("promise", round.as_slice())?),
+        StoreOp::Accepted(round) => drop(meta.insert("accepted", round.as_slice())?),
+        StoreOp::Decided(count) => drop(meta.insert("decided", count.to_be_bytes().as_slice())?),
+        StoreOp::Log { from, commands } => {
             log.retain_in(*from.., |_, _| false)?;
             for (index, command) in (*from..).zip(commands) {
-                log.insert(index, bytes(command)?.as_slice())?;
+                log.insert(index, encode(command)?.as_slice())?;
             }
         }
     }
     Ok(())
 }
 
-fn bytes<T: serde::Serialize>(what: &T) -> Result<Vec<u8>, StoreError> {
+fn encode<T: serde::Serialize>(what: &T) -> Result<Vec<u8>, StoreError> {
     postcard::to_stdvec(what).map_err(|e| StoreError::Io(e.to_string()))
 }
 
 /// Makes a store beside `path` and puts it there whole: a file at `path` that is not a store was never one of ours
 /// half made.
-fn make(path: &Path, draw: u64) -> Result<(), StoreError> {
+fn create(path: &Path, id: u64) -> Result<(), StoreError> {
     let beside: PathBuf = {
         let mut name =
             path.file_name().ok_or_else(|| StoreError::Io("a path without a name".into()))?.to_owned();
@@ -262,14 +262,14 @@
         Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e.into()),
         _ => {}
     }
-    let base = Database::create(&beside)?;
-    transact(&base, |meta, _| {
+    let database = Database::create(&beside)?;
+    transact(&database, |meta, _| {
         meta.insert("format", FORMAT)?;
-        meta.insert("store", draw.to_be_bytes().as_slice())?;
+        meta.insert("store", id.to_be_bytes().as_slice())?;
         meta.insert("boots", 0_u64.to_be_bytes().as_slice())?;
         Ok(())
     })?;
-    drop(base);
+    drop(database);
     fs::File::open(&beside)?.sync_all()?;
     fs::rename(&beside, path)?;
     if let Some(parent) = path.parent() {
@@ -280,40 +280,40 @@
 }
 
 /// Counts the opening and reads what is there, in one transaction.
-fn count(base: &Database) -> Result<Kept, StoreError> {
-    transact(base, |meta, log| {
-        let torn = |what: &str| StoreError::Foreign(what.into());
+fn open_and_count(database: &Database) -> Result<StoredState, StoreError> {
+    transact(database, |meta, log| {
+        let invalid = |what: &str| StoreError::Invalid(what.into());
         let blob = |name: &str| -> Result<Option<Vec<u8>>, StoreError> {
             Ok(meta.get(name)?.map(|v| v.value().to_vec()))
         };
         let number = |name: &str| -> Result<Option<u64>, StoreError> {
-            blob(name)?.map(|b| b.try_into().map(u64::from_be_bytes).map_err(|_| torn(name))).transpose()
+            blob(name)?.map(|b| b.try_into().map(u64::from_be_bytes).map_err(|_| invalid(name))).transpose()
         };
         if blob("format")?.as_deref() != Some(FORMAT) {
-            return Err(torn("another format"));
+            return Err(invalid("another format"));
         }
-        let store = number("store")?.filter(|&n| n != 0).ok_or_else(|| torn("store"))?;
-        let boots = number("boots")?.and_then(|n| n.checked_add(1)).ok_or_else(|| torn("boots"))?;
+        let store = number("store")?.filter(|&n| n != 0).ok_or_else(|| invalid("store"))?;
+        let boots = number("boots")?.and_then(|n| n.checked_add(1)).ok_or_else(|| invalid("boots"))?;
         let config: Option<Config> =
-            blob("config")?.map(|b| postcard::from_bytes(&b).map_err(|_| torn("config"))).transpose()?;
+            blob("config")?.map(|b| postcard::from_bytes(&b).map_err(|_| invalid("config"))).transpose()?;
         let mut commands = Vec::new();
         for (index, entry) in log.iter()?.enumerate() {
             let (at, value) = entry?;
             if at.value() != index as u64 {
-                return Err(torn("a log with a gap"));
+                return Err(invalid("a log with a gap"));
             }
-            commands.push(postcard::from_bytes(value.value()).map_err(|_| torn("log"))?);
+            commands.push(postcard::from_bytes(value.value()).map_err(|_| invalid("log"))?);
         }
         let decided = number("decided")?.unwrap_or(0);
         if decided > commands.len() as u64 {
-            return Err(torn("more decided than is there"));
+            return Err(invalid("more decided than is there"));
         }
-        let kept = Kept {
+        let kept = StoredState {
             store,
             boots,
             config,
             snapshot: blob("snapshot")?.unwrap_or_default(),
-            log: KeptLog {
+            log: StoredLog {
                 boots,
                 promise: blob("promise")?.unwrap_or_default(),
                 accepted: blob("accepted")?.unwrap_or_default(),
--- a/crates/agreement/src/types.rs
+++ b/crates/agreement/src/types.rs
@@ -1,110 +1,111 @@
-//! What is agreed on: commands, entries with a chained hash, configurations of voters.
+//! Types of the replicated log: commands, entries with a chained hash, and configurations of voters.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Bytes of a command's body at most: a policy of some hundred lines.
-pub const MOST_BODY: usize = 16 * 1024;
-/// Voters at most.
-pub const MOST_VOTERS: usize = 7;
+/// Maximum size of a command's body, in bytes. A policy of a few hundred lines fits.
+pub const MAX_BODY_BYTES: usize = 16 * 1024;
+/// Maximum number of voters in a configuration.
+pub const MAX_VOTERS: usize = 7;
 
-/// A voter: a front with the store it votes from. A front whose store was lost or replaced is another voter, so that it
-/// cannot contradict what it promised before.
+/// A voter: a front together with the store it votes from. A front whose store was lost or replaced counts as a
+/// different voter, because it no longer knows what it promised and might contradict it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VoterId {
     /// The front's number, as on the exchange.
     pub front: u64,
-    /// Drawn when the store was made, and kept in it; never 0.
+    /// Random id of the store, drawn when the store was created and kept in it; never 0.
     pub store: u64,
 }
 
-/// Voters that decide a stretch of the log.
+/// A configuration: the voters that decide a range of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Config {
-    /// 1 for the first; each next one is one more.
+    /// Number of the configuration: 1 for the first, then one more for each.
     pub number: u32,
-    /// Number of the first entry that they decide.
+    /// Number of the first log entry that these voters decide.
     pub first: u64,
-    /// Who they are, ascending; 1 to [`MOST_VOTERS`], an odd number in rest.
+    /// The voters in ascending order, 1 to [`MAX_VOTERS`]. The count is odd except while voters are being exchanged.
     pub voters: Vec<VoterId>,
 }
 
-/// Names a command, so that one that is sent again counts once. Drawn by who proposes it, or derived from what it follows.
+/// Idempotency key of a command: a command that is proposed again under the same key takes effect once. It is drawn by
+/// the proposer, or derived from the state that the command follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key(pub u128);
 
-/// What a command is about: one register of the agreed state.
+/// Address of one register of the agreed state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Subject {
-    /// The matter: 1 is policy.
+    /// Kind of content: 1 is policy.
     pub space: u8,
-    /// Which of that matter.
+    /// Number of the register within its space.
     pub number: u64,
 }
 
-/// A command: what the log's entries carry.
+/// A command: the content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Command {
-    /// Its name.
+    /// Idempotency key.
     pub key: Key,
     /// The front that proposed it.
     pub author: u64,
-    /// What it does.
-    pub what: What,
+    /// The change that it makes.
+    pub operation: Operation,
 }
 
-/// What a command does.
+/// The change that a command makes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum What {
-    /// Puts a body into a register; an empty one clears it.
+pub enum Operation {
+    /// Writes a body into a register; an empty body clears the register.
     Put {
         /// The register.
         subject: Subject,
-        /// Number of the entry that the register must stand at, 0 for one that is empty; otherwise the command changes
-        /// nothing.
+        /// Compare-and-set condition: number of the entry that last wrote the register, 0 if it must be empty. On a
+        /// mismatch the command changes nothing.
         expects: u64,
-        /// At most [`MOST_BODY`] bytes.
+        /// New content, at most [`MAX_BODY_BYTES`] bytes.
         body: Vec<u8>,
     },
-    /// These vote from the next entry on. What is decided after it under the configuration that it ends counts as never
-    /// decided. The same voters again fold the log: it begins anew behind a snapshot.
+    /// Replaces the voters from the next entry on. Entries that the ended configuration decides after this one are
+    /// discarded. The same voters again compact the log: it restarts from a snapshot.
     Voters {
-        /// The configuration that it ends; otherwise it changes nothing.
+        /// Number of the configuration that this command ends. On a mismatch the command changes nothing.
         expects: u32,
-        /// Who votes then.
+        /// The voters of the next configuration.
         voters: Vec<VoterId>,
     },
 }
 
-/// SHA-256 of an entry and all before it.
+/// SHA-256 over an entry and all entries before it.
 pub type Hash = [u8; 32];
 
-/// The hash before the first entry.
-pub const ORIGIN: Hash = [0; 32];
+/// The chain's initial value: the hash before the first entry.
+pub const ZERO_HASH: Hash = [0; 32];
 
-/// A decided entry. Numbers begin at 1 and have no gap.
+/// A decided entry. Entry numbers start at 1 and have no gaps.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its number.
+    /// Number of the entry in the log.
     pub number: u64,
-    /// [`chain`] of the entry before, its number and its command.
+    /// [`chain_hash`] of the previous entry's hash, this number and this command.
     pub hash: Hash,
-    /// What it carries.
+    /// Content of the entry.
     pub command: Command,
 }
 
-/// The hash of an entry that follows `before`.
+/// The hash of the entry that follows the entry with the hash `before`.
 #[must_use]
-pub fn chain(before: &Hash, number: u64, command: &Command) -> Hash {
+pub fn chain_hash(before: &Hash, number: u64, command: &Command) -> Hash {
     let mut h = Sha256::new();
     h.update(before);
     h.update(number.to_be_bytes());
-    // A command of these types can always be written.
+    // Serializing these types cannot fail.
     h.update(postcard::to_stdvec(command).unwrap_or_default());
     h.finalize().into()
 }
 
-/// More than half.
+/// Size of a strict majority of `of` voters.
 #[must_use]
 pub fn majority(of: usize) -> usize {
     of / 2 + 1
--- a/crates/agreement/src/voter/validate.rs
+++ b/crates/agreement/src/voter/validate.rs
@@ -1,124 +1,137 @@
 //! What of a message is checked before omnipaxos sees it: all that its code indexes, adds to, subtracts from or
 //! asserts (0.2.4). It takes messages for those of its own kind.
 
-use super::{Ballot, Command, MOST_BODY, MOST_SAID, MOST_VOTERS, Message, Peer, Refused, Voter, What, size};
+use super::{
+    Ballot, Command, MAX_BODY_BYTES, MAX_VOTER_MESSAGE_BYTES, MAX_VOTERS, Message, Operation, Peer,
+    ReceiveError, Voter, message_bytes,
+};
 use omnipaxos::messages::ballot_leader_election::HeartbeatMsg;
 use omnipaxos::messages::sequence_paxos::{AcceptSync, PaxosMsg, Promise};
 use omnipaxos::util::SequenceNumber;
 
 /// A voter that takes over adds 1 to the highest number that it has seen.
-const MOST_ROUNDS: u32 = u32::MAX / 2;
+const MAX_BALLOT_ROUND: u32 = u32::MAX / 2;
 /// omnipaxos adds 1 to these too.
-const MOST_NUMBER: u64 = u64::MAX / 2;
+const MAX_SEQUENCE_NUMBER: u64 = u64::MAX / 2;
 
 /// A ballot that a voter of this configuration can have.
-pub(super) fn ballot(ballot: &Ballot, number: u32, voters: u64) -> bool {
+pub(super) fn is_valid_ballot(ballot: &Ballot, number: u32, voters: u64) -> bool {
     ballot.config_id == number
-        && ballot.n <= MOST_ROUNDS
+        && ballot.n <= MAX_BALLOT_ROUND
         && ballot.priority == 0
         && (1..=voters).contains(&ballot.pid)
 }
 
 /// A command as the types bound it.
-pub(super) fn command(command: &Command) -> bool {
-    match &command.what {
-        What::Put { body, .. } => body.len() <= MOST_BODY,
-        What::Voters { voters, .. } => voters.len() <= MOST_VOTERS,
+pub(super) fn is_valid_command(command: &Command) -> bool {
+    match &command.operation {
+        Operation::Put { body, .. } => body.len() <= MAX_BODY_BYTES,
+        Operation::Voters { voters, .. } => voters.len() <= MAX_VOTERS,
     }
 }
 
 /// A question for a heartbeat. It changes nothing in who is asked.
-pub(super) fn is_question(message: &Message<Command>) -> bool {
+pub(super) fn is_heartbeat_request(message: &Message<Command>) -> bool {
     matches!(message, Message::BLE(ble) if matches!(ble.msg, HeartbeatMsg::Request(_)))
 }
 
-fn ensure(holds: bool) -> Result<(), Refused> {
-    if holds { Ok(()) } else { Err(Refused::Unsound) }
+fn ensure(holds: bool) -> Result<(), ReceiveError> {
+    if holds { Ok(()) } else { Err(ReceiveError::Invalid) }
 }
 
-fn number(number: &SequenceNumber) -> bool {
-    number.session <= MOST_NUMBER && number.counter <= MOST_NUMBER
+fn is_valid_sequence(number: &SequenceNumber) -> bool {
+    number.session <= MAX_SEQUENCE_NUMBER && number.counter <= MAX_SEQUENCE_NUMBER
 }
 
 impl Voter {
     /// Whether omnipaxos may see it. Sender and receiver agree with who sent it already.
-    pub(super) fn sound(&self, message: &Message<Command>, peer: &mut Peer) -> Result<(), Refused> {
+    pub(super) fn validate(&self, message: &Message<Command>, peer: &mut Peer) -> Result<(), ReceiveError> {
         let voters = self.config.voters.len() as u64;
-        let of = |b: &Ballot| ballot(b, self.config.number, voters);
-        let of_or_none = |b: &Ballot| *b == Ballot::default() || of(b);
+        let valid = |b: &Ballot| is_valid_ballot(b, self.config.number, voters);
+        let valid_or_default = |b: &Ballot| *b == Ballot::default() || valid(b);
         let from = message.get_sender();
         let paxos = match message {
             Message::BLE(ble) => {
                 return match &ble.msg {
                     HeartbeatMsg::Request(_) => Ok(()),
                     HeartbeatMsg::Reply(reply) => {
-                        ensure(of(&reply.ballot) && reply.ballot.pid == from && of(&reply.leader))?;
+                        ensure(valid(&reply.ballot) && reply.ballot.pid == from && valid(&reply.leader))?;
                         // omnipaxos counts answers, not who answered.
                         if reply.round <= peer.round {
-                            return Err(Refused::Old);
+                            return Err(ReceiveError::Outdated);
                         }
                         peer.round = reply.round;
-                        let since =
-                            peer.holds_to.filter(|(b, _)| *b == reply.leader).map_or(self.ticks, |(_, t)| t);
-                        peer.holds_to = (!reply.happy).then_some((reply.leader, since));
+                        let since = peer
+                            .unreachable_ballot
+                            .filter(|(b, _)| *b == reply.leader)
+                            .map_or(self.ticks, |(_, t)| t);
+                        peer.unreachable_ballot = (!reply.happy).then_some((reply.leader, since));
                         Ok(())
                     }
                 };
             }
             Message::SequencePaxos(paxos) => &paxos.msg,
         };
-        let Some(engine) = &self.engine else { return Err(Refused::Unsound) };
-        let leads = |b: &Ballot| of(b) && b.pid == from;
+        let Some(engine) = &self.engine else { return Err(ReceiveError::Invalid) };
+        let is_leaders = |b: &Ballot| valid(b) && b.pid == from;
         match paxos {
-            PaxosMsg::PrepareReq(m) => ensure(of_or_none(&m.n)),
+            PaxosMsg::PrepareReq(m) => ensure(valid_or_default(&m.n)),
             PaxosMsg::Prepare(m) => ensure(
-                leads(&m.n)
-                    && of_or_none(&m.n_accepted)
+                is_leaders(&m.n)
+                    && valid_or_default(&m.n_accepted)
                     && m.n_accepted <= m.n
                     && m.decided_idx <= m.accepted_idx,
             ),
             PaxosMsg::Promise(m) => {
-                ensure(of(&m.n) && m.n.pid == self.me && of_or_none(&m.n_accepted))?;
+                ensure(valid(&m.n) && m.n.pid == self.me && valid_or_default(&m.n_accepted))?;
                 if m.n != engine.get_promise() {
-                    return Err(Refused::Old);
+                    return Err(ReceiveError::Outdated);
                 }
-                let accepts = engine.get_current_leader().is_some_and(|(_, accepts)| accepts);
-                self.sound_promise(m, accepts)
+                let synchronized = engine.get_current_leader().is_some_and(|(_, synchronized)| synchronized);
+                self.validate_promise(m, synchronized)
             }
             PaxosMsg::AcceptSync(m) => {
-                ensure(leads(&m.n) && number(&m.seq_num))?;
-                self.sound_sync(m)
+                ensure(is_leaders(&m.n) && is_valid_sequence(&m.seq_num))?;
+                self.validate_sync(m)
             }
             PaxosMsg::AcceptDecide(m) => {
-                ensure(leads(&m.n) && number(&m.seq_num) && m.entries.iter().all(command))?;
-                let bytes: usize = m.entries.iter().map(size).sum();
-                ensure(self.log_bytes().saturating_add(bytes) <= MOST_SAID)
+                ensure(
+                    is_leaders(&m.n)
+                        && is_valid_sequence(&m.seq_num)
+                        && m.entries.iter().all(is_valid_command),
+                )?;
+                let bytes: usize = m.entries.iter().map(message_bytes).sum();
+                ensure(self.log_bytes().saturating_add(bytes) <= MAX_VOTER_MESSAGE_BYTES)
             }
             PaxosMsg::Accepted(m) => {
-                ensure(of(&m.n) && m.n.pid == self.me)?;
+                ensure(valid(&m.n) && m.n.pid == self.me)?;
                 // A leader decides up to what a majority says it has.
                 ensure(m.n != engine.get_promise() || m.accepted_idx <= self.journal.lock().len())
             }
-            PaxosMsg::NotAccepted(m) => ensure(of(&m.n)),
-            PaxosMsg::Decide(m) => ensure(leads(&m.n) && number(&m.seq_num)),
+            PaxosMsg::NotAccepted(m) => ensure(valid(&m.n)),
+            PaxosMsg::Decide(m) => ensure(is_leaders(&m.n) && is_valid_sequence(&m.seq_num)),
             PaxosMsg::ProposalForward(commands) => {
-                ensure(commands.iter().all(command))?;
+                ensure(commands.iter().all(is_valid_command))?;
                 // Who does not lead would hand it on, and two that take each other for the leader for ever; or keep
                 // it.
                 if engine.get_current_leader() != Some((self.me, true)) {
-                    return Err(Refused::NotLeader);
+                    return Err(ReceiveError::NotLeader);
                 }
                 let all: Vec<&Command> = commands.iter().collect();
-                if self.may_open(all.len()) && self.has_room(&all) { Ok(()) } else { Err(Refused::Full) }
+                if self.has_undecided_room(all.len()) && self.has_log_room(&all) {
+                    Ok(())
+                } else {
+                    Err(ReceiveError::Overloaded)
+                }
             }
             PaxosMsg::Compaction(_) | PaxosMsg::AcceptStopSign(_) | PaxosMsg::ForwardStopSign(_) => {
-                Err(Refused::Unsound)
+                Err(ReceiveError::Invalid)
             }
         }
     }
 
     /// A promise to this voter's present ballot.
-    fn sound_promise(&self, m: &Promise<Command>, accepts: bool) -> Result<(), Refused> {
+    fn validate_promise(&self, m: &Promise<Command>, synchronized: bool) -> Result<(), ReceiveError> {
         let (decided, length) = {
             let journal = self.journal.lock();
             (journal.decided(), journal.len())
@@ -126,11 +139,13 @@
         ensure(m.decided_idx <= m.accepted_idx && m.n_accepted <= m.n)?;
         if let Some(sync) = &m.log_sync {
             ensure(
-                sync.decided_snapshot.is_none() && sync.stopsign.is_none() && sync.suffix.iter().all(command),
+                sync.decided_snapshot.is_none()
+                    && sync.stopsign.is_none()
+                    && sync.suffix.iter().all(is_valid_command),
             )?;
             ensure(sync.sync_idx.checked_add(sync.suffix.len()) == Some(m.accepted_idx))?;
         }
-        if accepts {
+        if synchronized {
             // It will be sent the log from where it says it is.
             return ensure(m.decided_idx <= length && (m.n_accepted != m.n || m.accepted_idx <= length));
         }
@@ -141,16 +156,18 @@
     }
 
     /// A leader's log for this voter.
-    fn sound_sync(&self, m: &AcceptSync<Command>) -> Result<(), Refused> {
+    fn validate_sync(&self, m: &AcceptSync<Command>) -> Result<(), ReceiveError> {
         let (decided, length) = {
             let journal = self.journal.lock();
             (journal.decided(), journal.len())
         };
         let sync = &m.log_sync;
         ensure(
-            sync.decided_snapshot.is_none() && sync.stopsign.is_none() && sync.suffix.iter().all(command),
+            sync.decided_snapshot.is_none()
+                && sync.stopsign.is_none()
+                && sync.suffix.iter().all(is_valid_command),
         )?;
-        let end = sync.sync_idx.checked_add(sync.suffix.len()).ok_or(Refused::Unsound)?;
+        let end = sync.sync_idx.checked_add(sync.suffix.len()).ok_or(ReceiveError::Invalid)?;
         // Nothing that is decided is written over, nor is a gap left, nor more decided than is there.
         ensure((decided..=length).contains(&sync.sync_idx) && end >= decided && m.decided_idx <= end)
     }
--- a/crates/agreement/tests/fleet.rs
+++ b/crates/agreement/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 mod sim;
 
-use pepperhook_agreement::{Answer, Note};
+use pepperhook_agreement::{Note, ProposalResult};
 use rand::Rng;
 use sim::{HOLD_MS, World};
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
         // Voters with their stores that run, and did so for a while: only then others remember of them what there is.
         let sound = voters.iter().filter(|v| {
             let f = &world.fronts[&v.front];
-            f.node.as_ref().is_some_and(|n| n.rows(0).votes) && f.disk.store == v.store
+            f.node.as_ref().is_some_and(|n| n.view(0).votes) && f.disk.store == v.store
         });
         let all_there = voters.len() >= 3 && sound.count() == voters.len();
         match world.random.random_range(0..14) {
@@ -89,7 +89,7 @@
     world.loss = 0.0;
     let all: Vec<u64> = world.fronts.keys().copied().collect();
     for me in all {
-        let stopped = world.fronts[&me].node.as_ref().is_none_or(|n| n.rows(0).stopped);
+        let stopped = world.fronts[&me].node.as_ref().is_none_or(|n| n.view(0).stopped);
         if stopped {
             world.kill(me);
             world.restart(me);
@@ -126,9 +126,9 @@
     let keys = world.checker.keys();
     for (me, front) in &world.fronts {
         for (key, answer) in &front.proposed {
-            let came = matches!(answer, Some(Answer::Applied { .. } | Answer::Busy));
+            let came = matches!(answer, Some(ProposalResult::Applied { .. } | ProposalResult::Busy));
             assert!(came, "{again}\nfront {me}: {key:x} came to {answer:?}");
-            if let Some(Answer::Applied { number, .. }) = answer {
+            if let Some(ProposalResult::Applied { number, .. }) = answer {
                 assert!(
                     keys.contains_key(key),
                     "{again}\nfront {me}: {key:x} is nowhere, told to be at {number}"
@@ -210,10 +210,10 @@
 fn nothing_agreed_fences_nobody_and_one_voter_alone_agrees() {
     let mut world = World::new(4, 1, 1, 0.0);
     world.pass(8_000);
-    assert!(world.fronts.values().all(|f| f.node.as_ref().is_some_and(|n| !n.agreed())));
+    assert!(world.fronts.values().all(|f| f.node.as_ref().is_some_and(|n| !n.has_agreed())));
     world.put(3, 0, 10);
     assert!(world.until(12_000, World::converged).is_some(), "{}", world.report());
-    assert!(world.fronts.values().all(|f| f.node.as_ref().is_some_and(|n| n.agreed())));
+    assert!(world.fronts.values().all(|f| f.node.as_ref().is_some_and(|n| n.has_agreed())));
     assert_eq!(world.checker.wrong, Vec::<String>::new());
 }
 
@@ -232,7 +232,7 @@
     assert!(world.until(20_000, World::converged).is_some(), "{}", world.report());
     let noted = |note: fn(&Note) -> bool| world.notes.iter().any(|(_, me, n)| *me == 2 && note(n));
     assert!(noted(|n| *n == Note::OldStore) && noted(|n| matches!(n, Note::Replaces { .. })));
-    assert!(world.node(2).rows(0).votes && world.checker.wrong.is_empty());
+    assert!(world.node(2).view(0).votes && world.checker.wrong.is_empty());
     // The same store, not an older copy of it, is taken.
     let (notes, config) = (world.notes.len(), world.config());
     world.kill(3);
@@ -283,7 +283,7 @@
     let put = |key: u128| pepperhook_agreement::Command {
         key: pepperhook_agreement::Key(key),
         author: 1,
-        what: pepperhook_agreement::What::Put {
+        operation: pepperhook_agreement::Operation::Put {
             subject: pepperhook_agreement::Subject { space: 1, number: 1 },
             expects: 0,
             body: vec![1],
--- a/crates/agreement/tests/hold_model.rs
+++ b/crates/agreement/tests/hold_model.rs
@@ -8,7 +8,7 @@
 //! any front ever sees.
 
 use pepperhook_agreement::VoterId;
-use pepperhook_agreement::lease::{Granted, Grants, Hold};
+use pepperhook_agreement::lease::{GrantReply, Grants, Lease};
 use stateright::{Checker, Model, Property};
 
 const HOLD: u64 = 2;
@@ -36,7 +36,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Front {
-    hold: Hold,
+    hold: Lease,
     run: u64,
     question: u64,
     /// Its clock is behind by so much.
@@ -53,7 +53,7 @@
     /// On their way: voter, front, run, question, when it was asked by the front's clock, what it vouches for.
     looks: Vec<Look>,
     /// Of each set.
-    observers: [Hold; 2],
+    observers: [Lease; 2],
     asks: u8,
     faults: u8,
     /// The set that decided the entry; it is one or the other.
@@ -68,7 +68,7 @@
     }
 
     fn settled(&self) -> u64 {
-        self.observers.iter().map(Hold::settled).max().unwrap_or(0)
+        self.observers.iter().map(Lease::stable).max().unwrap_or(0)
     }
 }
 
@@ -137,18 +137,18 @@
         }
         let sealed = voter.sealed && self.wrong != Wrong::GrantsSealed;
         let now = w.now + voter.ahead;
-        voter.grants.raise(now, voter.durable);
-        let answer = voter.grants.asked(now, (f as u64, run), question, vouched, sealed);
-        let since = voter.grants.since();
+        voter.grants.raise_min_confirmed(now, voter.durable);
+        let answer = voter.grants.request(now, (f as u64, run), question, vouched, sealed);
+        let since = voter.grants.voters_since();
         // The observers see what is cleared.
-        let answer = Granted { cleared: None, ..answer };
+        let answer = GrantReply { watermark: None, ..answer };
         if w.fronts[f].run == run {
-            w.fronts[f].hold.answered(ids(&[v])[0], since, asked, &answer);
+            w.fronts[f].hold.on_reply(ids(&[v])[0], since, asked, &answer);
         }
     }
 
-    fn hold(&self, set: usize) -> Hold {
-        let mut hold = Hold::new(if self.wrong == Wrong::NoMargin { HOLD + 2 } else { HOLD });
+    fn hold(&self, set: usize) -> Lease {
+        let mut hold = Lease::new(if self.wrong == Wrong::NoMargin { HOLD + 2 } else { HOLD });
         hold.set_voters(set as u32 + 1, &ids(SETS[set]));
         hold
     }
@@ -226,7 +226,7 @@
         }
         for f in 0..2 {
             let front = &w.fronts[f];
-            if f == 0 && front.hold.vouched() == 0 && w.decided.is_some() {
+            if f == 0 && front.hold.confirmed() == 0 && w.decided.is_some() {
                 actions.push(Act::Vouch(f));
             }
             if f == 0 && w.ended() && !w.learned {
@@ -250,7 +250,7 @@
                 let front = &mut w.fronts[f];
                 front.question += 1;
                 let asked = w.now - front.behind;
-                let look = |v| (v, f, front.run, front.question, asked, front.hold.vouched());
+                let look = |v| (v, f, front.run, front.question, asked, front.hold.confirmed());
                 let arrive: Vec<Look> = (0..4).filter(|v| mask >> v & 1 == 1).map(look).collect();
                 w.looks.extend(late.map(look));
                 arrive.into_iter().for_each(|l| self.arrive(&mut w, l));
@@ -266,10 +266,10 @@
                 if v == 0 {
                     w.voters[1].durable = 1;
                     // The other front goes by it at once.
-                    w.fronts[1].hold.vouch(1);
+                    w.fronts[1].hold.confirm(1);
                 }
             }
-            Act::Vouch(f) => w.fronts[f].hold.vouch(1),
+            Act::Vouch(f) => w.fronts[f].hold.confirm(1),
             Act::Restart(v) => {
                 w.faults += 1;
                 let now = w.now + w.voters[v].ahead;
@@ -297,9 +297,10 @@
         }
         for (v, voter) in w.voters.iter_mut().enumerate().filter(|(_, v)| v.votes) {
             let (now, set) = (w.now + voter.ahead, usize::from(v == 3));
-            voter.grants.raise(now, voter.durable);
-            let seen = Granted { granted: false, floor: 0, cleared: voter.grants.cleared(now) };
-            w.observers[set].answered(ids(&[v])[0], set as u32 + 1, 0, &seen);
+            voter.grants.raise_min_confirmed(now, voter.durable);
+            let seen =
+                GrantReply { granted: false, min_confirmed: 0, watermark: voter.grants.watermark(now) };
+            w.observers[set].on_reply(ids(&[v])[0], set as u32 + 1, 0, &seen);
         }
         Some(w)
     }
@@ -308,14 +309,14 @@
         vec![
             Property::always("nothing is settled that a holder does not go by", |_, w: &World| {
                 let settled = w.settled();
-                w.fronts.iter().all(|f| !f.hold.holds(w.now - f.behind) || f.hold.vouched() >= settled)
+                w.fronts.iter().all(|f| !f.hold.is_held(w.now - f.behind) || f.hold.confirmed() >= settled)
             }),
             Property::sometimes("a front holds and vouches", |_, w: &World| {
-                w.fronts[0].hold.holds(w.now) && w.fronts[0].hold.vouched() == 1
+                w.fronts[0].hold.is_held(w.now) && w.fronts[0].hold.confirmed() == 1
             }),
             Property::sometimes("it is settled while another held before", |m: &Self, w: &World| {
                 let by = if m.change { 1 } else { 0 };
-                w.observers[by].settled() == 1 && w.fronts[0].hold.until_ms() > FIRST
+                w.observers[by].stable() == 1 && w.fronts[0].hold.until_ms() > FIRST
             }),
         ]
     }
--- a/crates/agreement/tests/hostile.rs
+++ b/crates/agreement/tests/hostile.rs
@@ -5,9 +5,9 @@
 
 mod sim;
 
-use pepperhook_agreement::store::{Kept, KeptLog};
-use pepperhook_agreement::wire::{MOST_MESSAGE, decode, encode};
-use pepperhook_agreement::{Node, Out, Registers, Settings};
+use pepperhook_agreement::store::{StoredLog, StoredState};
+use pepperhook_agreement::wire::{MAX_MESSAGE_BYTES, decode, encode};
+use pepperhook_agreement::{Node, Output, Registers, Settings};
 use proptest::prelude::*;
 use sim::World;
 use std::sync::OnceLock;
@@ -39,17 +39,25 @@
 }
 
 fn settings(me: u64) -> Settings {
-    Settings { me, run: 1, voters: vec![1, 2, 3], hold_ms: 4_000, look_ms: 500, propose_ms: 10_000, seed: 7 }
+    Settings {
+        me,
+        run: 1,
+        voters: vec![1, 2, 3],
+        lease_ms: 4_000,
+        renew_ms: 500,
+        proposal_timeout_ms: 10_000,
+        seed: 7,
+    }
 }
 
 /// A named voter with an empty store, one without, one that votes alone, and one that only learns.
 fn nodes() -> Vec<Node> {
-    let kept = |store| Kept {
+    let kept = |store| StoredState {
         store,
         boots: 1,
         config: None,
         snapshot: vec![],
-        log: KeptLog { boots: 1, ..KeptLog::default() },
+        log: StoredLog { boots: 1, ..StoredLog::default() },
     };
     let alone = Settings { voters: vec![1], ..settings(1) };
     vec![
@@ -69,18 +77,18 @@
         node.tick(now, &mut out);
         let writes: Vec<u64> = out
             .iter()
-            .filter_map(|o| if let Out::Write { batch, .. } = o { Some(*batch) } else { None })
+            .filter_map(|o| if let Output::Write { batch, .. } = o { Some(*batch) } else { None })
             .collect();
         assert!(out.len() < 2_000, "{}", out.len());
         for o in &out {
-            if let Out::Send { message, .. } = o {
-                assert!(message.len() <= MOST_MESSAGE);
+            if let Output::Send { message, .. } = o {
+                assert!(message.len() <= MAX_MESSAGE_BYTES);
             }
         }
         for batch in writes {
             node.written(now, batch, true, &mut Vec::new());
         }
-        assert!(node.rows(now).kept_bytes < 24 << 20);
+        assert!(node.view(now).buffered_bytes < 24 << 20);
     }
 }
 
--- a/crates/agreement/tests/measure.rs
+++ b/crates/agreement/tests/measure.rs
@@ -39,7 +39,7 @@
                         .all(|f| f.node.as_ref().is_some_and(|n| n.registers().number() >= number))
                 };
                 applied.extend(world.until(60_000, all));
-                world.until(60_000, |w| w.node(who).settled() >= number);
+                world.until(60_000, |w| w.node(who).stable() >= number);
                 settled.push(world.now - began);
                 let ms = world.random.random_range(0..1_500);
                 world.pass(ms);
@@ -91,7 +91,7 @@
         (syncs(&world) - before) as f64 / entries as f64
     );
     world.pass(3_000);
-    println!("a voter keeps {} bytes for others", world.node(1).rows(0).kept_bytes);
+    println!("a voter keeps {} bytes for others", world.node(1).view(0).buffered_bytes);
     let (datagrams, at) = (world.datagrams, world.now);
     world.restart(9);
     let took = world.until(120_000, |w| w.node(9).registers().number() == w.checker.len());
--- a/crates/agreement/tests/sim/checker.rs
+++ b/crates/agreement/tests/sim/checker.rs
@@ -1,6 +1,6 @@
 //! Judges what fronts said, by a model of its own: it shares the types of commands with what it judges, and no code.
 
-use pepperhook_agreement::{Command, Entry, Subject, What};
+use pepperhook_agreement::{Command, Entry, Operation, Subject};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -64,8 +64,8 @@
         if !self.seen.insert(command.key.0) {
             return;
         }
-        match &command.what {
-            What::Put { subject, expects, body } => {
+        match &command.operation {
+            Operation::Put { subject, expects, body } => {
                 let stands = self.model.get(subject).map_or(0, |(n, _)| *n);
                 if stands == *expects && body.is_empty() {
                     self.model.remove(subject);
@@ -73,7 +73,7 @@
                     self.model.insert(*subject, (number, body.clone()));
                 }
             }
-            What::Voters { expects, .. } => self.config += u32::from(*expects == self.config),
+            Operation::Voters { expects, .. } => self.config += u32::from(*expects == self.config),
         }
     }
 
--- a/crates/agreement/tests/sim/mod.rs
+++ b/crates/agreement/tests/sim/mod.rs
@@ -4,8 +4,10 @@
 pub mod checker;
 
 use checker::Checker;
-use pepperhook_agreement::store::{Kept, KeptLog, Op};
-use pepperhook_agreement::{Answer, Command, Config, Key, Node, Note, Out, Settings, Subject, VoterId, What};
+use pepperhook_agreement::store::{StoreOp, StoredLog, StoredState};
+use pepperhook_agreement::{
+    Command, Config, Key, Node, Note, Operation, Output, ProposalResult, Settings, Subject, VoterId,
+};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
@@ -31,18 +33,18 @@
 }
 
 impl Disk {
-    fn write(&mut self, ops: &[Op]) {
+    fn write(&mut self, ops: &[StoreOp]) {
         for op in ops {
             match op {
-                Op::Begin { config, snapshot } => {
+                StoreOp::Begin { config, snapshot } => {
                     let (store, boots) = (self.store, self.boots);
                     *self = Self { store, boots, ..Self::default() };
                     (self.config, self.snapshot) = (Some(config.clone()), snapshot.clone());
                 }
-                Op::Promise(p) => self.promise.clone_from(p),
-                Op::Accepted(a) => self.accepted.clone_from(a),
-                Op::Decided(n) => self.decided = *n,
-                Op::Log { from, commands } => {
+                StoreOp::Promise(p) => self.promise.clone_from(p),
+                StoreOp::Accepted(a) => self.accepted.clone_from(a),
+                StoreOp::Decided(n) => self.decided = *n,
+                StoreOp::Log { from, commands } => {
                     self.log.truncate(*from as usize);
                     assert_eq!(self.log.len() as u64, *from, "no gap on a disk");
                     self.log.extend(commands.iter().cloned());
@@ -51,14 +53,14 @@
         }
     }
 
-    fn open(&mut self) -> Kept {
+    fn open(&mut self) -> StoredState {
         self.boots += 1;
-        Kept {
+        StoredState {
             store: self.store,
             boots: self.boots,
             config: self.config.clone(),
             snapshot: self.snapshot.clone(),
-            log: KeptLog {
+            log: StoredLog {
                 boots: self.boots,
                 promise: self.promise.clone(),
                 accepted: self.accepted.clone(),
@@ -79,7 +81,7 @@
     pub disk: Disk,
     copies: Vec<Disk>,
     /// Writes under way: when each is synced.
-    writes: VecDeque<(u64, u64, Vec<Op>)>,
+    writes: VecDeque<(u64, u64, Vec<StoreOp>)>,
     fails: bool,
     pub hold_ms: u64,
     /// The application goes by entries a little later.
@@ -87,7 +89,7 @@
     vouched: u64,
     pub slow: u64,
     /// Keys that it proposed in this run, and what came of them.
-    pub proposed: BTreeMap<u128, Option<Answer>>,
+    pub proposed: BTreeMap<u128, Option<ProposalResult>>,
     pub syncs: u64,
 }
 
@@ -219,9 +221,9 @@
             me,
             run: f.run,
             voters,
-            hold_ms: f.hold_ms,
-            look_ms: LOOK_MS,
-            propose_ms: PROPOSE_MS,
+            lease_ms: f.hold_ms,
+            renew_ms: LOOK_MS,
+            proposal_timeout_ms: PROPOSE_MS,
             seed,
         };
         let kept = f.disk.open();
@@ -291,7 +293,7 @@
         let expects = self.node(me).registers().get(subject).map_or(0, |r| r.number);
         let key = self.key();
         let body: Vec<u8> = (0..length).map(|_| self.random.random()).collect();
-        self.propose(me, Command { key, author: me, what: What::Put { subject, expects, body } });
+        self.propose(me, Command { key, author: me, operation: Operation::Put { subject, expects, body } });
         key
     }
 
@@ -306,7 +308,10 @@
             voters.sort();
         }
         let key = self.key();
-        self.propose(me, Command { key, author: me, what: What::Voters { expects: config.number, voters } });
+        self.propose(
+            me,
+            Command { key, author: me, operation: Operation::Voters { expects: config.number, voters } },
+        );
     }
 
     fn propose(&mut self, me: u64, command: Command) {
@@ -318,11 +323,11 @@
         self.carry(me, out);
     }
 
-    fn carry(&mut self, me: u64, said: Vec<Out>) {
+    fn carry(&mut self, me: u64, said: Vec<Output>) {
         for out in said {
             match out {
-                Out::Send { to, message } => self.post(me, to, message),
-                Out::Write { batch, ops } => {
+                Output::Send { to, message } => self.post(me, to, message),
+                Output::Write { batch, ops } => {
                     // Mostly quick, sometimes not.
                     let late = if self.random.random_bool(0.02) { 400 } else { 12 };
                     let at = self.now + self.random.random_range(1..late);
@@ -330,34 +335,34 @@
                     let at = f.writes.back().map_or(at, |(last, ..)| at.max(*last));
                     f.writes.push_back((at, batch, ops));
                 }
-                Out::Applied { entry, .. } => {
+                Output::Applied { entry, .. } => {
                     self.checker.applied(me, &entry);
                     let now = self.now;
                     let f = self.front(me);
                     f.vouches.push_back((now + f.slow, entry.number));
                 }
-                Out::Replaced => {
+                Output::Replaced => {
                     let now = self.now;
                     let f = self.front(me);
                     let number = f.node.as_ref().expect("it runs").registers().number();
                     f.vouches.push_back((now + f.slow, number));
                 }
-                Out::Settled(number) => self.checker.told_settled(number),
-                Out::Held(holds) => self.lapses += u64::from(!holds),
-                Out::Proposed { key, answer } => {
+                Output::Stable(number) => self.checker.told_settled(number),
+                Output::LeaseHeld(holds) => self.lapses += u64::from(!holds),
+                Output::Proposed { key, result: answer } => {
                     if let Some(slot) = self.front(me).proposed.get_mut(&key.0) {
                         assert!(slot.is_none(), "a proposal is answered once");
                         *slot = Some(answer);
                     }
                 }
-                Out::Remake => {
+                Output::RecreateStore => {
                     self.wipe(me);
                     let f = self.front(me);
                     f.writes.clear();
                     let kept = f.disk.open();
-                    f.node.as_mut().expect("it runs").remade(kept);
+                    f.node.as_mut().expect("it runs").store_recreated(kept);
                 }
-                Out::Note(note) => {
+                Output::Note(note) => {
                     if std::env::var("AGREEMENT_TELL").is_ok() {
                         println!("{} ms: front {me}: {note:?}", self.now);
                     }
@@ -368,7 +373,7 @@
     }
 
     fn post(&mut self, me: u64, to: u64, message: Vec<u8>) {
-        assert!(message.len() <= pepperhook_agreement::wire::MOST_MESSAGE);
+        assert!(message.len() <= pepperhook_agreement::wire::MAX_MESSAGE_BYTES);
         *self.sent.entry(me).or_insert(0) += message.len() as u64;
         if self.listen && self.heard.len() < 4_000 {
             self.heard.push(message.clone());
@@ -451,7 +456,7 @@
             while let Some((_, number)) = f.vouches.front().copied().filter(|v| v.0 <= now) {
                 f.vouches.pop_front();
                 f.vouched = f.vouched.max(number);
-                node.vouch(number);
+                node.confirm(number);
             }
             node.tick(clock, &mut out);
             self.carry(me, out);
@@ -465,7 +470,7 @@
         for (me, f) in &self.fronts {
             let Some(node) = &f.node else { continue };
             let clock = f.offset + self.now * f.rate / 1_000;
-            if node.holds(clock) {
+            if node.holds_lease(clock) {
                 self.checker.holds(*me, f.vouched, self.now);
             }
             let r = node.registers();
@@ -479,7 +484,7 @@
     pub fn holders(&self) -> usize {
         self.fronts
             .iter()
-            .filter(|(me, f)| f.node.as_ref().is_some_and(|n| n.holds(self.clock(**me))))
+            .filter(|(me, f)| f.node.as_ref().is_some_and(|n| n.holds_lease(self.clock(**me))))
             .count()
     }
 
@@ -490,8 +495,7 @@
     /// All have the same, and it is settled.
     pub fn converged(&self) -> bool {
         let most = self.checker.len();
-        let all =
-            self.fronts.values().map(|f| f.node.as_ref().map(|n| (n.registers().number(), n.settled())));
+        let all = self.fronts.values().map(|f| f.node.as_ref().map(|n| (n.registers().number(), n.stable())));
         all.into_iter().all(|n| n.is_some_and(|(number, settled)| number == most && settled == most))
             && self.all_hold()
             && self.fronts.values().all(|f| f.proposed.values().all(Option::is_some))
@@ -516,7 +520,7 @@
                 text += &format!("{me}: down\n");
                 continue;
             };
-            let v = node.rows(self.clock(*me));
+            let v = node.view(self.clock(*me));
             text += &format!(
                 "{me}: run {} votes {} leader {:?} config {:?} number {} known {} vouched {} settled {} holds {} grants {} floor {} cleared {:?} proposals {} stopped {} forked {}\n",
                 f.run,
@@ -529,12 +533,12 @@
                 )),
                 v.number,
                 v.known,
-                v.vouched,
-                v.settled,
-                v.holds_ms,
+                v.confirmed,
+                v.stable,
+                v.lease_remaining_ms,
                 v.grants,
-                v.floor,
-                v.cleared,
+                v.min_confirmed,
+                v.watermark,
                 v.proposals,
                 v.stopped,
                 v.forked
--- a/crates/agreement/tests/store.rs
+++ b/crates/agreement/tests/store.rs
@@ -1,6 +1,6 @@
 //! The store: what was written is there, in one piece, or it is said that it is not.
 
-use pepperhook_agreement::store::{Kept, Op, Store, StoreError};
+use pepperhook_agreement::store::{Store, StoreError, StoreOp, StoredState};
 use pepperhook_agreement::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -14,12 +14,12 @@
 }
 
 fn command(n: u64) -> Command {
-    let what = What::Put {
+    let operation = Operation::Put {
         subject: Subject { space: 1, number: n % 3 },
         expects: n,
         body: vec![n as u8; n as usize % 50],
     };
-    Command { key: Key(n.into()), author: 4, what }
+    Command { key: Key(n.into()), author: 4, operation }
 }
 
 fn config(number: u32) -> Config {
@@ -27,20 +27,20 @@
 }
 
 /// What a store should hold.
-fn model(kept: &mut Kept, ops: &[Op]) {
+fn model(kept: &mut StoredState, ops: &[StoreOp]) {
     for op in ops.iter().cloned() {
         match op {
-            Op::Begin { config, snapshot } => {
+            StoreOp::Begin { config, snapshot } => {
                 kept.log.promise.clear();
                 kept.log.accepted.clear();
                 kept.log.commands.clear();
                 kept.log.decided = 0;
                 (kept.config, kept.snapshot) = (Some(config), snapshot);
             }
-            Op::Promise(p) => kept.log.promise = p,
-            Op::Accepted(a) => kept.log.accepted = a,
-            Op::Decided(d) => kept.log.decided = d,
-            Op::Log { from, commands } => {
+            StoreOp::Promise(p) => kept.log.promise = p,
+            StoreOp::Accepted(a) => kept.log.accepted = a,
+            StoreOp::Decided(d) => kept.log.decided = d,
+            StoreOp::Log { from, commands } => {
                 kept.log.commands.truncate(from as usize);
                 kept.log.commands.extend(commands);
             }
@@ -48,24 +48,30 @@
     }
 }
 
-fn some_ops(rng: &mut StdRng, kept: &Kept, n: u64) -> Vec<Op> {
+fn some_ops(rng: &mut StdRng, kept: &StoredState, n: u64) -> Vec<StoreOp> {
     let length = kept.log.commands.len() as u64;
     match rng.random_range(0..8) {
-        0 => vec![Op::Begin { config: config(n as u32), snapshot: vec![n as u8; rng.random_range(0..9000)] }],
-        1 => vec![Op::Promise(vec![n as u8; 4]), Op::Accepted(vec![n as u8; 5])],
-        2 => vec![Op::Decided(length)],
+        0 => vec![StoreOp::Begin {
+            config: config(n as u32),
+            snapshot: vec![n as u8; rng.random_range(0..9000)],
+        }],
+        1 => vec![StoreOp::Promise(vec![n as u8; 4]), StoreOp::Accepted(vec![n as u8; 5])],
+        2 => vec![StoreOp::Decided(length)],
         3 => {
             let from = rng.random_range(kept.log.decided..=length);
-            vec![Op::Log { from, commands: (0..rng.random_range(0..5)).map(|k| command(n + k)).collect() }]
+            vec![StoreOp::Log {
+                from,
+                commands: (0..rng.random_range(0..5)).map(|k| command(n + k)).collect(),
+            }]
         }
-        _ => vec![Op::Promise(vec![n as u8]), Op::Log { from: length, commands: vec![command(n)] }],
+        _ => vec![StoreOp::Promise(vec![n as u8]), StoreOp::Log { from: length, commands: vec![command(n)] }],
     }
 }
 
 #[test]
 fn made_once_and_openings_are_counted() {
     let (_dir, path) = place();
-    assert!(matches!(Store::open(&path, 0), Err(StoreError::Draw)));
+    assert!(matches!(Store::open(&path, 0), Err(StoreError::ZeroId)));
     for boots in 1..5 {
         let (store, kept) = Store::open(&path, 70 + boots).expect("opens");
         assert_eq!((kept.store, kept.boots, kept.log.boots), (71, boots, boots));
@@ -105,12 +111,12 @@
         let bytes: Vec<u8> = (0..length).map(|_| rng.random()).collect();
         fs::write(&path, &bytes).expect("written");
         let opened = Store::open(&path, 1).map(|o| o.1);
-        assert!(matches!(opened, Err(StoreError::Foreign(_))), "{length}: {opened:?}");
+        assert!(matches!(opened, Err(StoreError::Invalid(_))), "{length}: {opened:?}");
         assert_eq!(fs::read(&path).expect("read"), bytes);
     }
     fs::remove_file(&path).expect("removed");
     redb::Database::create(&path).expect("another's base");
-    assert!(matches!(Store::open(&path, 1), Err(StoreError::Foreign(_))));
+    assert!(matches!(Store::open(&path, 1), Err(StoreError::Invalid(_))));
 }
 
 /// Cut short or with bytes turned, a store is refused or is just what it was; it never comes up with less.
@@ -143,7 +149,7 @@
         }
         fs::write(&path, &bytes).expect("written");
         match Store::open(&path, 1) {
-            Err(StoreError::Foreign(_) | StoreError::Io(_)) => refused += 1,
+            Err(StoreError::Invalid(_) | StoreError::Io(_)) => refused += 1,
             Err(other) => panic!("{other}"),
             Ok((_, found)) => {
                 assert_eq!(found, kept, "round {round}");
@@ -168,7 +174,7 @@
     let missing = dir.path().join("none").join("agreement.redb");
     assert!(matches!(Store::open(&missing, 3), Err(StoreError::Io(_))));
     fs::create_dir(&path).expect("a directory");
-    assert!(matches!(Store::open(&path, 3), Err(StoreError::Io(_) | StoreError::Foreign(_))));
+    assert!(matches!(Store::open(&path, 3), Err(StoreError::Io(_) | StoreError::Invalid(_))));
 }
 
 /// Printed with `--nocapture`.
@@ -178,7 +184,7 @@
     let (store, _) = Store::open(&path, 5).expect("opens");
     let began = std::time::Instant::now();
     for n in 0..50 {
-        store.write(&[Op::Log { from: n, commands: vec![command(n)] }]).expect("written");
+        store.write(&[StoreOp::Log { from: n, commands: vec![command(n)] }]).expect("written");
     }
     let write = began.elapsed() / 50;
     drop(store);
@@ -194,11 +200,11 @@
 
     const WHERE: &str = "AGREEMENT_STORE_OF_A_CHILD";
 
-    fn ops() -> Vec<Op> {
+    fn ops() -> Vec<StoreOp> {
         vec![
-            Op::Promise(vec![9]),
-            Op::Log { from: 0, commands: vec![command(7), command(8)] },
-            Op::Decided(1),
+            StoreOp::Promise(vec![9]),
+            StoreOp::Log { from: 0, commands: vec![command(7), command(8)] },
+            StoreOp::Decided(1),
         ]
     }
 
--- a/crates/agreement/tests/voter_bytes.rs
+++ b/crates/agreement/tests/voter_bytes.rs
@@ -7,8 +7,8 @@
 use omnipaxos::messages::Message;
 use omnipaxos::messages::ballot_leader_election::HeartbeatMsg;
 use omnipaxos::messages::sequence_paxos::{Compaction, Decide, PaxosMsg};
-use pepperhook_agreement::store::KeptLog;
-use pepperhook_agreement::voter::{MOST_SAID, Refused, Voter};
+use pepperhook_agreement::store::StoredLog;
+use pepperhook_agreement::voter::{MAX_VOTER_MESSAGE_BYTES, ReceiveError, Voter};
 use pepperhook_agreement::*;
 use proptest::prelude::*;
 use rand::rngs::StdRng;
@@ -19,7 +19,7 @@
 type Head = (u32, [u8; 8], u64, u64, u64, u64, u64);
 
 fn lone() -> Voter {
-    let kept = KeptLog { boots: 1, ..KeptLog::default() };
+    let kept = StoredLog { boots: 1, ..StoredLog::default() };
     Voter::new(config(3).voters[0], config(3), kept, 1).expect("fit")
 }
 
@@ -30,7 +30,7 @@
     fn any_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let mut voter = lone();
         prop_assert!(voter.receive(config(3).voters[1], &bytes).is_err());
-        prop_assert_eq!(voter.is_stopped(), None);
+        prop_assert_eq!(voter.stop_reason(), None);
     }
 }
 
@@ -38,23 +38,24 @@
 fn too_long_and_strange_and_of_another_configuration() {
     let mut voter = lone();
     let other = config(3).voters[1];
-    assert_eq!(voter.receive(other, &vec![0; MOST_SAID + 1]), Err(Refused::TooLong));
+    assert_eq!(voter.receive(other, &vec![0; MAX_VOTER_MESSAGE_BYTES + 1]), Err(ReceiveError::TooLong));
     let mut world = World::new(3, 1, FAIR);
     world.run(20);
     let (i, j, message) = world.tap.back().expect("said").clone();
     let me = world.config.voters[j];
     let mut later = config(3);
     later.number = 2;
-    let mut voter = Voter::new(me, later, KeptLog { boots: 1, ..KeptLog::default() }, 1).expect("fit");
-    assert_eq!(voter.receive(world.config.voters[i], &message), Err(Refused::OtherConfig { number: 1 }));
+    let mut voter = Voter::new(me, later, StoredLog { boots: 1, ..StoredLog::default() }, 1).expect("fit");
+    assert_eq!(voter.receive(world.config.voters[i], &message), Err(ReceiveError::OtherConfig { number: 1 }));
     let mut also = config(3);
     also.first = 7;
-    let mut voter = Voter::new(me, also, KeptLog { boots: 1, ..KeptLog::default() }, 1).expect("fit");
-    assert_eq!(voter.receive(world.config.voters[i], &message), Err(Refused::OtherConfig { number: 1 }));
-    let mut voter = Voter::new(me, config(3), KeptLog { boots: 1, ..KeptLog::default() }, 1).expect("fit");
+    let mut voter = Voter::new(me, also, StoredLog { boots: 1, ..StoredLog::default() }, 1).expect("fit");
+    assert_eq!(voter.receive(world.config.voters[i], &message), Err(ReceiveError::OtherConfig { number: 1 }));
+    let mut voter =
+        Voter::new(me, config(3), StoredLog { boots: 1, ..StoredLog::default() }, 1).expect("fit");
     let stranger = VoterId { front: 99, store: 1 };
-    assert_eq!(voter.receive(stranger, &message), Err(Refused::Stranger));
-    assert_eq!(voter.receive(me, &message), Err(Refused::Stranger));
+    assert_eq!(voter.receive(stranger, &message), Err(ReceiveError::NotAPeer));
+    assert_eq!(voter.receive(me, &message), Err(ReceiveError::NotAPeer));
 }
 
 /// Bytes of true messages, some turned.
--- a/crates/agreement/tests/voter_ends.rs
+++ b/crates/agreement/tests/voter_ends.rs
@@ -3,27 +3,30 @@
 #[allow(dead_code)]
 mod voters;
 
-use pepperhook_agreement::store::{KeptLog, Op};
-use pepperhook_agreement::voter::{DISK_PATIENCE, MOST_LOG, Stopped, Unfit, Voter, VoterOut};
+use pepperhook_agreement::store::{StoreOp, StoredLog};
+use pepperhook_agreement::voter::{
+    DISK_TIMEOUT_TICKS, MAX_LOG_BYTES, StopReason, Voter, VoterError, VoterOutput,
+};
 use pepperhook_agreement::*;
 use voters::{FAIR, World, config};
 
-fn first_life() -> KeptLog {
-    KeptLog { boots: 1, ..KeptLog::default() }
+fn first_life() -> StoredLog {
+    StoredLog { boots: 1, ..StoredLog::default() }
 }
 
-fn alone(kept: KeptLog) -> Voter {
+fn alone(kept: StoredLog) -> Voter {
     Voter::new(config(1).voters[0], config(1), kept, 0).expect("fit")
 }
 
 fn put(n: u128, length: usize) -> Command {
-    let what = What::Put { subject: Subject { space: 1, number: 0 }, expects: 0, body: vec![0; length] };
-    Command { key: Key(n), author: 1, what }
+    let operation =
+        Operation::Put { subject: Subject { space: 1, number: 0 }, expects: 0, body: vec![0; length] };
+    Command { key: Key(n), author: 1, operation }
 }
 
-fn taken(voter: &mut Voter) -> Vec<VoterOut> {
+fn taken(voter: &mut Voter) -> Vec<VoterOutput> {
     let mut out = Vec::new();
-    voter.take(&mut out);
+    voter.take_output(&mut out);
     out
 }
 
@@ -32,22 +35,25 @@
     let me = config(3).voters[0];
     let new = |me, config, kept| Voter::new(me, config, kept, 0).err();
     assert_eq!(new(me, config(3), first_life()), None);
-    assert_eq!(new(VoterId { front: 1, store: 1 }, config(3), first_life()), Some(Unfit::NotAVoter));
-    assert_eq!(new(me, config(3), KeptLog::default()), Some(Unfit::Boots));
+    assert_eq!(new(VoterId { front: 1, store: 1 }, config(3), first_life()), Some(VoterError::NotAVoter));
+    assert_eq!(new(me, config(3), StoredLog::default()), Some(VoterError::MissingBoots));
     let mut of = config(3);
     of.voters.reverse();
-    assert_eq!(new(me, of, first_life()), Some(Unfit::Config));
-    assert_eq!(new(me, config(MOST_VOTERS + 1), first_life()), Some(Unfit::Config));
-    assert_eq!(new(me, Config { voters: vec![], ..config(3) }, first_life()), Some(Unfit::Config));
-    assert_eq!(new(me, Config { number: 0, ..config(3) }, first_life()), Some(Unfit::Config));
+    assert_eq!(new(me, of, first_life()), Some(VoterError::InvalidConfig));
+    assert_eq!(new(me, config(MAX_VOTERS + 1), first_life()), Some(VoterError::InvalidConfig));
+    assert_eq!(
+        new(me, Config { voters: vec![], ..config(3) }, first_life()),
+        Some(VoterError::InvalidConfig)
+    );
+    assert_eq!(new(me, Config { number: 0, ..config(3) }, first_life()), Some(VoterError::InvalidConfig));
     for kept in [
-        KeptLog { decided: 1, ..first_life() },
-        KeptLog { promise: vec![255; 3], ..first_life() },
+        StoredLog { decided: 1, ..first_life() },
+        StoredLog { promise: vec![255; 3], ..first_life() },
         // Of configuration 2, and of a voter 9.
-        KeptLog { promise: vec![2, 1, 0, 1], ..first_life() },
-        KeptLog { accepted: vec![1, 1, 0, 9], ..first_life() },
+        StoredLog { promise: vec![2, 1, 0, 1], ..first_life() },
+        StoredLog { accepted: vec![1, 1, 0, 9], ..first_life() },
     ] {
-        assert_eq!(new(me, config(3), kept), Some(Unfit::Kept));
+        assert_eq!(new(me, config(3), kept), Some(VoterError::InvalidLog));
     }
 }
 
@@ -56,18 +62,19 @@
     let mut voter = alone(first_life());
     assert_eq!(voter.leader(), Some(config(1).voters[0]));
     assert!(voter.append(put(1, 3)) && voter.append(put(2, 3)));
-    let ops = vec![Op::Log { from: 0, commands: vec![put(1, 3), put(2, 3)] }, Op::Decided(2)];
-    assert_eq!(taken(&mut voter), [VoterOut::Write { batch: 1, ops }]);
+    let ops = vec![StoreOp::Log { from: 0, commands: vec![put(1, 3), put(2, 3)] }, StoreOp::Decided(2)];
+    assert_eq!(taken(&mut voter), [VoterOutput::Write { batch: 1, ops }]);
     assert!(voter.append(put(3, 3)));
-    let ops = vec![Op::Log { from: 2, commands: vec![put(3, 3)] }, Op::Decided(3)];
-    assert_eq!(taken(&mut voter), [VoterOut::Write { batch: 2, ops }]);
+    let ops = vec![StoreOp::Log { from: 2, commands: vec![put(3, 3)] }, StoreOp::Decided(3)];
+    assert_eq!(taken(&mut voter), [VoterOutput::Write { batch: 2, ops }]);
     voter.written(1, true);
-    let decided = |index: u64| VoterOut::Decided { index, command: put(u128::from(index) + 1, 3) };
+    let decided = |index: u64| VoterOutput::Decided { index, command: put(u128::from(index) + 1, 3) };
     assert_eq!(taken(&mut voter), [decided(0), decided(1)]);
     voter.written(2, true);
     assert_eq!(taken(&mut voter), [decided(2)]);
     // And again in the next life.
-    let kept = KeptLog { boots: 2, decided: 2, commands: vec![put(1, 3), put(2, 3)], ..KeptLog::default() };
+    let kept =
+        StoredLog { boots: 2, decided: 2, commands: vec![put(1, 3), put(2, 3)], ..StoredLog::default() };
     assert_eq!(taken(&mut alone(kept)), [decided(0), decided(1)]);
 }
 
@@ -77,24 +84,25 @@
     assert!(voter.append(put(1, 3)));
     taken(&mut voter);
     voter.written(1, false);
-    assert_eq!((voter.is_stopped(), voter.leader()), (Some(Stopped::Disk), None));
+    assert_eq!((voter.stop_reason(), voter.leader()), (Some(StopReason::WriteFailed), None));
     voter.written(1, true);
     voter.tick();
     assert!(!voter.append(put(2, 3)) && taken(&mut voter).is_empty());
     let mut voter = alone(first_life());
     voter.written(4, true);
-    assert_eq!(voter.is_stopped(), Some(Stopped::Order));
+    assert_eq!(voter.stop_reason(), Some(StopReason::WriteOrder));
 }
 
 #[test]
 fn what_is_too_long_or_too_much_is_not_taken() {
     let mut voter = alone(first_life());
-    assert!(!voter.append(put(1, MOST_BODY + 1)));
-    let fold = |voters| Command { key: Key(1), author: 1, what: What::Voters { expects: 1, voters } };
-    assert!(!voter.append(fold(vec![VoterId { front: 1, store: 1 }; MOST_VOTERS + 1])));
-    let taken = (0..).take_while(|&n| voter.append(put(n, MOST_BODY))).count();
-    assert_eq!(taken, MOST_LOG / (MOST_BODY + 64));
-    assert!(voter.log_bytes() <= MOST_LOG);
+    assert!(!voter.append(put(1, MAX_BODY_BYTES + 1)));
+    let fold =
+        |voters| Command { key: Key(1), author: 1, operation: Operation::Voters { expects: 1, voters } };
+    assert!(!voter.append(fold(vec![VoterId { front: 1, store: 1 }; MAX_VOTERS + 1])));
+    let taken = (0..).take_while(|&n| voter.append(put(n, MAX_BODY_BYTES))).count();
+    assert_eq!(taken, MAX_LOG_BYTES / (MAX_BODY_BYTES + 64));
+    assert!(voter.log_bytes() <= MAX_LOG_BYTES);
     // A full log is folded all the same.
     assert!(voter.append(fold(config(3).voters)));
 }
@@ -114,15 +122,15 @@
     let leader = world.leader().expect("a leader");
     let away = (leader + 1) % 3;
     world.kill(away, 30_000);
-    let body = vec![1; MOST_BODY];
-    let what = What::Put { subject: Subject { space: 1, number: 0 }, expects: 0, body };
+    let body = vec![1; MAX_BODY_BYTES];
+    let operation = Operation::Put { subject: Subject { space: 1, number: 0 }, expects: 0, body };
     let mut count = 0;
-    while world.propose_what(leader, what.clone()).is_some() {
+    while world.propose_what(leader, operation.clone()).is_some() {
         count += 1;
         world.run(2);
     }
-    assert_eq!(count, MOST_LOG / (MOST_BODY + 64));
-    let key = world.propose_what(leader, What::Voters { expects: 1, voters: vec![] }).expect("folds");
+    assert_eq!(count, MAX_LOG_BYTES / (MAX_BODY_BYTES + 64));
+    let key = world.propose_what(leader, Operation::Voters { expects: 1, voters: vec![] }).expect("folds");
     world.run(40);
     assert!(!world.is_up(away) && world.has(leader, key));
     world.run(600);
@@ -161,7 +169,7 @@
                 key = world.propose(others[0]);
             }
         }
-        assert!((world.now - began) / 50 > DISK_PATIENCE / 2, "the disk did not hang");
+        assert!((world.now - began) / 50 > DISK_TIMEOUT_TICKS / 2, "the disk did not hang");
         assert!(world.calm(300).is_some(), "{}", world.report());
         assert_eq!(world.checker.wrong, Vec::<String>::new());
     }
--- a/crates/agreement/tests/voters/mod.rs
+++ b/crates/agreement/tests/voters/mod.rs
@@ -1,8 +1,8 @@
 //! Voters in one process over a network and disks that lose, delay, double and cut, all drawn from one seed; and a
 //! checker of what they decide that shares nothing with them.
 
-use pepperhook_agreement::store::{KeptLog, Op};
-use pepperhook_agreement::voter::{Refused, Stopped, Voter, VoterOut};
+use pepperhook_agreement::store::{StoreOp, StoredLog};
+use pepperhook_agreement::voter::{ReceiveError, StopReason, Voter, VoterOutput};
 use pepperhook_agreement::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -82,10 +82,10 @@
     me: VoterId,
     voter: Option<Voter>,
     /// What a crash leaves.
-    kept: KeptLog,
+    kept: StoredLog,
     /// As of the write before the last few, for a disk that lies.
-    older: VecDeque<KeptLog>,
-    writes: VecDeque<(u64, u64, Vec<Op>)>,
+    older: VecDeque<StoredLog>,
+    writes: VecDeque<(u64, u64, Vec<StoreOp>)>,
     back_at: u64,
     slow: u64,
     /// Confirmed writes, for measures.
@@ -112,18 +112,18 @@
     pub tap: VecDeque<(usize, usize, Vec<u8>)>,
 }
 
-fn apply(kept: &mut KeptLog, ops: &[Op]) {
+fn apply(kept: &mut StoredLog, ops: &[StoreOp]) {
     for op in ops {
         match op {
-            Op::Promise(p) => kept.promise = p.clone(),
-            Op::Accepted(a) => kept.accepted = a.clone(),
-            Op::Decided(d) => kept.decided = *d,
-            Op::Log { from, commands } => {
+            StoreOp::Promise(p) => kept.promise = p.clone(),
+            StoreOp::Accepted(a) => kept.accepted = a.clone(),
+            StoreOp::Decided(d) => kept.decided = *d,
+            StoreOp::Log { from, commands } => {
                 assert!(*from as usize <= kept.commands.len(), "a gap in what was written");
                 kept.commands.truncate(*from as usize);
                 kept.commands.extend(commands.iter().cloned());
             }
-            Op::Begin { .. } => {}
+            StoreOp::Begin { .. } => {}
         }
     }
 }
@@ -145,7 +145,7 @@
             .map(|&me| Node {
                 me,
                 voter: None,
-                kept: KeptLog::default(),
+                kept: StoredLog::default(),
                 older: VecDeque::new(),
                 writes: VecDeque::new(),
                 back_at: 0,
@@ -203,7 +203,7 @@
     }
 
     pub fn reach(&self, i: usize) -> (u32, u64) {
-        self.nodes[i].voter.as_ref().map_or((0, 0), Voter::reach)
+        self.nodes[i].voter.as_ref().map_or((0, 0), Voter::promise_and_log_len)
     }
 
     pub fn is_up(&self, i: usize) -> bool {
@@ -211,7 +211,7 @@
     }
 
     /// Hands over a message that may never have been said.
-    pub fn hand(&mut self, from: usize, to: usize, message: &[u8]) -> Option<Result<(), Refused>> {
+    pub fn hand(&mut self, from: usize, to: usize, message: &[u8]) -> Option<Result<(), ReceiveError>> {
         let from = self.nodes[from].me;
         let answer = self.nodes[to].voter.as_mut().map(|v| v.receive(from, message));
         self.pump(to);
@@ -229,12 +229,12 @@
 
     pub fn propose(&mut self, i: usize) -> Option<u128> {
         let body = vec![self.keys as u8; self.rng.random_range(0..300)];
-        self.propose_what(i, What::Put { subject: Subject { space: 1, number: 0 }, expects: 0, body })
+        self.propose_what(i, Operation::Put { subject: Subject { space: 1, number: 0 }, expects: 0, body })
     }
 
-    pub fn propose_what(&mut self, i: usize, what: What) -> Option<u128> {
+    pub fn propose_what(&mut self, i: usize, operation: Operation) -> Option<u128> {
         self.keys += 1;
-        let command = Command { key: Key(self.keys), author: self.nodes[i].me.front, what };
+        let command = Command { key: Key(self.keys), author: self.nodes[i].me.front, operation };
         self.checker.proposed.insert(self.keys);
         let taken = self.nodes[i].voter.as_mut().is_some_and(|v| v.append(command));
         self.pump(i);
@@ -254,20 +254,20 @@
     fn pump(&mut self, i: usize) {
         let mut out = Vec::new();
         let Some(voter) = self.nodes[i].voter.as_mut() else { return };
-        voter.take(&mut out);
-        let stopped = voter.is_stopped();
+        voter.take_output(&mut out);
+        let stopped = voter.stop_reason();
         assert!(
-            stopped.is_none() || self.astray && stopped == Some(Stopped::Contradicted),
+            stopped.is_none() || self.astray && stopped == Some(StopReason::Inconsistent),
             "stopped: {stopped:?}"
         );
         for o in out {
             match o {
-                VoterOut::Write { batch, ops } => {
+                VoterOutput::Write { batch, ops } => {
                     let after = self.nodes[i].writes.back().map_or(0, |w| w.0);
                     let time = self.rng.random_range(0..=self.weather.disk) * self.nodes[i].slow;
                     self.nodes[i].writes.push_back((after.max(self.now + time), batch, ops));
                 }
-                VoterOut::Say { to, message } => {
+                VoterOutput::Send { to, message } => {
                     let j = self.config.voters.iter().position(|&v| v == to).expect("a voter");
                     self.said += 1;
                     self.tap.push_back((i, j, message.clone()));
@@ -287,7 +287,7 @@
                         }
                     }
                 }
-                VoterOut::Decided { index, command } => {
+                VoterOutput::Decided { index, command } => {
                     self.checker.decided(self.nodes[i].me.front, index, &command);
                 }
             }
@@ -396,7 +396,7 @@
                 "{}: leads {:?}, reach {:?}, decided {:?}\n",
                 n.me.front,
                 voter.leader(),
-                voter.reach(),
+                voter.promise_and_log_len(),
                 self.checker.next.get(&n.me.front)
             ))
         };
--- a/crates/fleet/src/agreed.rs
+++ b/crates/fleet/src/agreed.rs
@@ -3,7 +3,9 @@
 //! taken under what stood before.
 
 use pepperhook_agreement::node::{self, Node};
-use pepperhook_agreement::{Command, Entry, Kept, Key, Outcome, Registers, Subject, VoterId, What};
+use pepperhook_agreement::{
+    Command, Entry, Key, Operation, Outcome, Registers, StoredState, Subject, VoterId,
+};
 use pepperhook_policy::{Around, Ask, Effect, Fits, Governor, Pace, Policy};
 use serde::Serialize;
 use std::collections::VecDeque;
@@ -23,7 +25,7 @@
     /// The log's part.
     pub node: node::Settings,
     /// What the store of a voter has.
-    pub kept: Option<Kept>,
+    pub kept: Option<StoredState>,
     /// The policy of this front's file, if it may begin with it where none stands.
     pub seed: Option<Policy>,
     /// The longest patience by the file, milliseconds.
@@ -82,7 +84,7 @@
     /// To a front.
     Send(u64, Vec<u8>),
     /// To the store, in order.
-    Write(u64, Vec<pepperhook_agreement::Op>),
+    Write(u64, Vec<pepperhook_agreement::StoreOp>),
     /// The store is to be put away and a new one made.
     Remake,
     /// This policy comes into force, before anything that follows is sent.
@@ -174,7 +176,7 @@
 impl Agreed {
     pub fn new(settings: AgreedSettings, now_ms: u64) -> Self {
         let me = settings.node.me;
-        let hold_ms = settings.node.hold_ms;
+        let hold_ms = settings.node.lease_ms;
         // A change waits for fronts that are cut off as long as their holds last, and some time for messages.
         let pace = Pace {
             first_ms: u32::try_from(hold_ms.saturating_mul(4)).unwrap_or(u32::MAX),
@@ -204,16 +206,16 @@
     }
 
     pub fn raise(&mut self, run: u64) {
-        self.node.raise(run);
+        self.node.raise_run(run);
     }
 
     /// It cannot know what the fleet agreed, for as long as a request that is taken now may wait. One that objects to a
     /// policy goes on by the former: nobody goes further than the step between while it holds.
     pub fn fenced(&self, now_ms: u64) -> bool {
-        if !self.node.knows() {
+        if !self.node.knows_voters() {
             return !self.serve_unknown;
         }
-        !self.node.holds(now_ms.saturating_add(self.patience_ms))
+        !self.node.holds_lease(now_ms.saturating_add(self.patience_ms))
     }
 
     pub fn tick(&mut self, now_ms: u64, out: &mut Vec<Said>) {
@@ -223,7 +225,7 @@
         self.take(now_ms, said, out);
         if now_ms >= self.governed_ms.saturating_add(GOVERN_MS) {
             self.governed_ms = now_ms;
-            let agreed = self.node.knows() && !self.node.forked();
+            let agreed = self.node.knows_voters() && !self.node.forked();
             let around = Around { agreed, leads: self.node.leads() };
             let entry = self.register();
             self.govern(now_ms, entry, out, |g, _, fits, effects| g.tick(now_ms, around, fits, effects));
@@ -243,8 +245,8 @@
         self.take(now_ms, said, out);
     }
 
-    pub fn remade(&mut self, kept: Kept) {
-        self.node.remade(kept);
+    pub fn remade(&mut self, kept: StoredState) {
+        self.node.store_recreated(kept);
     }
 
     pub fn ask(&mut self, now_ms: u64, ask: Ask, out: &mut Vec<Said>) {
@@ -280,33 +282,33 @@
             voters.push(VoterId { front: comes, store });
         }
         voters.sort_unstable();
-        if !pepperhook_agreement::sound_voters(&voters) {
+        if !pepperhook_agreement::valid_voters(&voters) {
             return Err("there are 1 to 7 voters".into());
         }
         let fronts = voters.iter().map(|v| v.front).collect();
-        let what = What::Voters { expects: config.number, voters };
-        let command = Command { key, author: self.node.number(), what };
+        let operation = Operation::Voters { expects: config.number, voters };
+        let command = Command { key, author: self.node.number(), operation };
         let mut said = Vec::new();
         self.node.propose(now_ms, command, &mut said);
         self.take(now_ms, said, out);
         Ok(fronts)
     }
 
-    fn take(&mut self, now_ms: u64, said: Vec<node::Out>, out: &mut Vec<Said>) {
-        use node::Out as From;
+    fn take(&mut self, now_ms: u64, said: Vec<node::Output>, out: &mut Vec<Said>) {
+        use node::Output as From;
         for o in said {
             match o {
                 From::Send { to, message } => out.push(Said::Send(to, message)),
                 From::Write { batch, ops } => out.push(Said::Write(batch, ops)),
                 From::Applied { entry, outcome } => self.applied(now_ms, &entry, outcome, out),
                 From::Replaced => self.replaced(now_ms, out),
-                From::Settled(number) => {
+                From::Stable(number) => {
                     self.govern(now_ms, number, out, |g, _, _, effects| g.settled(now_ms, number, effects));
                 }
-                From::Held(held) => out.push(Said::Note(AgreedNote::Held(held))),
+                From::LeaseHeld(held) => out.push(Said::Note(AgreedNote::Held(held))),
                 // The governor looks at the register, and proposes again where it did not move.
                 From::Proposed { .. } => {}
-                From::Remake => out.push(Said::Remake),
+                From::RecreateStore => out.push(Said::Remake),
                 From::Note(note) => out.push(Said::Note(AgreedNote::Node(note))),
             }
         }
@@ -377,7 +379,7 @@
             return;
         }
         while let Some((number, _)) = self.due.front().filter(|(_, force)| *force <= by).copied() {
-            self.node.vouch(number);
+            self.node.confirm(number);
             self.due.pop_front();
         }
     }
@@ -392,7 +394,7 @@
     }
 
     pub fn shown(&self, now_ms: u64) -> AgreedShown {
-        let v = self.node.rows(now_ms);
+        let v = self.node.view(now_ms);
         AgreedShown {
             votes: v.votes,
             stopped: v.stopped,
@@ -401,9 +403,9 @@
             leader: v.leader.map(|l| l.front),
             number: v.number,
             known: v.known,
-            vouched: v.vouched,
-            settled: v.settled,
-            holds_ms: v.holds_ms,
+            vouched: v.confirmed,
+            settled: v.stable,
+            holds_ms: v.lease_remaining_ms,
             fenced: self.fenced(now_ms),
             forked: v.forked,
             version: self.in_force().map(|(version, ..)| version),
--- a/crates/fleet/src/front.rs
+++ b/crates/fleet/src/front.rs
@@ -92,7 +92,7 @@
     /// An adopted key had ended already.
     Ended(u64),
     /// Write this to the store of what was promised, in order; [`Fleet::written`] takes the disk's answer.
-    Write(u64, Vec<pepperhook_agreement::Op>),
+    Write(u64, Vec<pepperhook_agreement::StoreOp>),
     /// Put that store away and make a new one; [`Fleet::remade`] takes it.
     Remake,
     /// A policy that the fleet agreed on comes into force, before anything that follows is sent.
@@ -298,7 +298,7 @@
     }
 
     /// The store that [`Out::Remake`] asked for.
-    pub fn remade(&mut self, kept: pepperhook_agreement::Kept) {
+    pub fn remade(&mut self, kept: pepperhook_agreement::StoredState) {
         if let Some(a) = &mut self.agreed {
             a.remade(kept);
         }
--- a/crates/front/src/agreed.rs
+++ b/crates/front/src/agreed.rs
@@ -4,7 +4,7 @@
 use crate::engine::types::Input;
 use crate::shell::Shell;
 use crate::spread::with;
-use pepperhook_agreement::{Kept, Op, Store, StoreError};
+use pepperhook_agreement::{Store, StoreError, StoreOp, StoredState};
 use pepperhook_fleet::{AgreedNote, AgreedSettings, Force, Means};
 use pepperhook_policy::{Answer, Ask, Policy};
 use pepperhook_settings::{ClassSettings, Config, name_hash};
@@ -30,7 +30,7 @@
 /// What the store is to do.
 pub enum Job {
     /// Write a batch.
-    Write(u64, Vec<Op>),
+    Write(u64, Vec<StoreOp>),
     /// Put the file away and make another.
     Remake,
 }
@@ -51,10 +51,10 @@
 
 /// Opens a store. One that is torn or no store is put beside it under another name, and a new one made: this front is
 /// another voter then, and cannot contradict what the former promised.
-fn open(path: &Path) -> io::Result<(Store, Kept)> {
+fn open(path: &Path) -> io::Result<(Store, StoredState)> {
     let draw = || rand::random::<u64>().max(1);
     match Store::open(path, draw()) {
-        Err(StoreError::Foreign(why)) => {
+        Err(StoreError::Invalid(why)) => {
             let away = put_away(path)?;
             warn!(event = "agreement-store-new", why, away = %away.display(), "its store could not be read");
             Store::open(path, draw())
@@ -99,9 +99,9 @@
             me,
             run,
             voters,
-            hold_ms: ms(a.hold),
-            look_ms: ms(a.look),
-            propose_ms: PROPOSE_MS,
+            lease_ms: ms(a.hold),
+            renew_ms: ms(a.look),
+            proposal_timeout_ms: PROPOSE_MS,
             seed: rand::random(),
         },
         kept,
--- a/crates/policy/src/change.rs
+++ b/crates/policy/src/change.rs
@@ -2,7 +2,7 @@
 
 use crate::policy::{MOST_TEXT, Policy};
 use crate::trial::{Counts, Trial};
-use pepperhook_agreement::{MOST_BODY, Subject};
+use pepperhook_agreement::{MAX_BODY_BYTES, Subject};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -120,7 +120,7 @@
     #[must_use]
     pub fn encode(&self) -> Option<Vec<u8>> {
         let bytes = postcard::to_stdvec(&Wire::V1(self.clone())).ok()?;
-        (bytes.len() <= MOST_BODY).then_some(bytes)
+        (bytes.len() <= MAX_BODY_BYTES).then_some(bytes)
     }
 
     /// Reads them.
@@ -128,7 +128,7 @@
     /// # Errors
     /// They are none, too many, of a later edition, or hold a policy that is none.
     pub fn decode(bytes: &[u8]) -> Result<Self, Unread> {
-        if bytes.len() > MOST_BODY {
+        if bytes.len() > MAX_BODY_BYTES {
             return Err(Unread);
         }
         let (Wire::V1(change), rest) = postcard::take_from_bytes(bytes).map_err(|_| Unread)?;
--- a/crates/policy/src/governor.rs
+++ b/crates/policy/src/governor.rs
@@ -9,7 +9,7 @@
 use crate::policy::Policy;
 use crate::tighter::tighter;
 use crate::trial::{History, Sums, Verdict};
-use pepperhook_agreement::{Command, Entry, Key, Outcome, Registers, What};
+use pepperhook_agreement::{Command, Entry, Key, Operation, Outcome, Registers};
 use pepperhook_settings::Config;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -150,9 +150,9 @@
             return;
         }
         self.seen = entry.number;
-        if let What::Put { subject: SUBJECT, expects, body } = &entry.command.what {
+        if let Operation::Put { subject: SUBJECT, expects, body } = &entry.command.operation {
             // A command that comes a second time has its first outcome again and changes nothing.
-            if *outcome == Outcome::Taken && *expects == self.register {
+            if *outcome == Outcome::Applied && *expects == self.register {
                 self.adopt(now_ms, entry.number, body, fits, out);
             } else {
                 self.lost(entry.command.key.0, outcome, out);
@@ -342,8 +342,8 @@
     }
 
     fn put(&self, key: Key, expects: u64, body: Vec<u8>) -> Effect {
-        let what = What::Put { subject: SUBJECT, expects, body };
-        Effect::Propose(Command { key, author: self.me, what })
+        let operation = Operation::Put { subject: SUBJECT, expects, body };
+        Effect::Propose(Command { key, author: self.me, operation })
     }
 
     /// The register has a new body.
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,6 +1,6 @@
 //! The document: the fleet's part of the settings, in their form.
 
-use pepperhook_agreement::MOST_BODY;
+use pepperhook_agreement::MAX_BODY_BYTES;
 use pepperhook_settings::{Config, Fleet, FleetClass};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,7 +9,7 @@
 use thiserror::Error;
 
 /// Bytes of the text that an operator hands in at most, comments and all.
-pub const MOST_ASKED: usize = MOST_BODY;
+pub const MOST_ASKED: usize = MAX_BODY_BYTES;
 /// Bytes of a policy as it is written by [`Policy::text`] at most: a step of a change carries two, and the names.
 pub const MOST_TEXT: usize = 7 * 1024 + 256;
 /// Faults of a document that are told at most.
--- a/crates/policy/tests/governor.rs
+++ b/crates/policy/tests/governor.rs
@@ -1,6 +1,6 @@
 //! A governor alone: what it takes from the log, its bounds, and bytes that are no change.
 
-use pepperhook_agreement::{Command, Entry, Key, Outcome, Registers, Subject, What};
+use pepperhook_agreement::{Command, Entry, Key, Operation, Outcome, Registers, Subject};
 use pepperhook_policy::{Answer, Around, Ask, Change, Effect, Fits, Governor, Made, Pace, Policy, SUBJECT};
 use pepperhook_settings::Config;
 
@@ -18,7 +18,7 @@
 }
 
 fn put(key: u128, expects: u64, body: Vec<u8>) -> Command {
-    Command { key: Key(key), author: 9, what: What::Put { subject: SUBJECT, expects, body } }
+    Command { key: Key(key), author: 9, operation: Operation::Put { subject: SUBJECT, expects, body } }
 }
 
 fn stands(version: u64, text: &str) -> Vec<u8> {
@@ -58,8 +58,8 @@
 #[test]
 fn what_others_write_is_vouched_for_and_changes_nothing() {
     let mut one = One::new();
-    let other = What::Put { subject: Subject { space: 2, number: 0 }, expects: 0, body: vec![1] };
-    let (entry, out) = one.decide(Command { key: Key(5), author: 2, what: other });
+    let other = Operation::Put { subject: Subject { space: 2, number: 0 }, expects: 0, body: vec![1] };
+    let (entry, out) = one.decide(Command { key: Key(5), author: 2, operation: other });
     assert_eq!(out, [Effect::Vouch(entry.number)]);
     assert_eq!(one.governor.in_force().map(|f| (f.0, f.1)), Some((1, "stands")));
 }
@@ -75,7 +75,7 @@
     assert_eq!(one.governor.in_force().map(|f| f.0), Some(3));
     // An entry that was handed in already is passed over.
     let mut out = vec![];
-    one.governor.applied(0, &entry, &Outcome::Taken, &Any, &mut out);
+    one.governor.applied(0, &entry, &Outcome::Applied, &Any, &mut out);
     assert!(out.is_empty());
 }
 
--- a/crates/policy/tests/steps.rs
+++ b/crates/policy/tests/steps.rs
@@ -4,7 +4,7 @@
 //! What stands in for the agreement: a log in which a command applies only to the entry that it expects, and *settled*, a
 //! number that every front with a hold vouches for. A front without a hold is fenced: what it goes by does not matter.
 
-use pepperhook_agreement::{Command, Entry, Key, ORIGIN, Outcome, What};
+use pepperhook_agreement::{Command, Entry, Key, Operation, Outcome, ZERO_HASH};
 use pepperhook_policy::{
     Around, Ask, Change, Counts, Effect, Fits, Governor, Made, Pace, Policy, SUBJECT, Sums, Trial, Watch,
     neighbours, tighter,
@@ -184,9 +184,11 @@
         let number = w.log.len() as u64 + 1;
         let stands = taken(w).last().map_or(0, |e| e.number);
         let before = w.log.iter().find(|e| e.0.command.key == command.key).map(|e| e.1);
-        let What::Put { expects, .. } = &command.what else { panic!("no other command is proposed") };
-        let now = if *expects == stands { Outcome::Taken } else { Outcome::Stale(0) };
-        (Entry { number, hash: ORIGIN, command }, before.unwrap_or(now))
+        let Operation::Put { expects, .. } = &command.operation else {
+            panic!("no other command is proposed")
+        };
+        let now = if *expects == stands { Outcome::Applied } else { Outcome::Stale(0) };
+        (Entry { number, hash: ZERO_HASH, command }, before.unwrap_or(now))
     }
 
     fn begin(&self, w: &mut World, i: usize) {
@@ -194,7 +196,7 @@
         let mut out = Vec::new();
         let (now, number) = (w.fronts.get(i).map_or(0, |f| f.now), w.log.len());
         let last = taken(w).last().expect("what stands").clone();
-        let What::Put { body, .. } = last.command.what else { panic!("a policy") };
+        let Operation::Put { body, .. } = last.command.operation else { panic!("a policy") };
         let at = last.number;
         governor.replaced_up_to(now, number as u64, Some((at, &body)), &self.means(i), &mut out);
         let front = Front {
@@ -216,11 +218,11 @@
 }
 
 fn taken(w: &World) -> impl Iterator<Item = &Entry> {
-    w.log.iter().filter(|e| e.1 == Outcome::Taken).map(|e| &e.0)
+    w.log.iter().filter(|e| e.1 == Outcome::Applied).map(|e| &e.0)
 }
 
 fn change(entry: &Entry) -> Change {
-    let What::Put { body, .. } = &entry.command.what else { panic!("a policy") };
+    let Operation::Put { body, .. } = &entry.command.operation else { panic!("a policy") };
     Change::decode(body).expect("what a governor wrote")
 }
 
@@ -233,10 +235,13 @@
         let policy = self.policies[0].text().to_owned();
         let body =
             Change::Stands { version: 1, last: 1, policy, made, undone: None }.encode().expect("a body");
-        let command =
-            Command { key: Key(1), author: 0, what: What::Put { subject: SUBJECT, expects: 0, body } };
+        let command = Command {
+            key: Key(1),
+            author: 0,
+            operation: Operation::Put { subject: SUBJECT, expects: 0, body },
+        };
         let mut w = World {
-            log: vec![Arc::new((Entry { number: 1, hash: ORIGIN, command }, Outcome::Taken))],
+            log: vec![Arc::new((Entry { number: 1, hash: ZERO_HASH, command }, Outcome::Applied))],
             flight: vec![],
             settled: 1,
             fronts: vec![],
--- a/crates/policy/tests/transcripts.rs
+++ b/crates/policy/tests/transcripts.rs
@@ -3,7 +3,7 @@
 //! What stands in for the agreement here: proposals are decided in the order they come, each front hears of an entry a tenth
 //! of a second later, a hold lasts 3 s and is renewed for as long as a front is up and vouches for all that was decided.
 
-use pepperhook_agreement::{Command, Entry, Outcome, Registers, What};
+use pepperhook_agreement::{Command, Entry, Operation, Outcome, Registers};
 use pepperhook_policy::{
     Around, Ask, Change, Counts, Effect, Fits, Governor, Pace, Policy, SUBJECT, Sums, Trial, Watch,
 };
@@ -151,7 +151,9 @@
 
     fn decide(&mut self) {
         for command in std::mem::take(&mut self.flight) {
-            let What::Put { subject: SUBJECT, body, .. } = &command.what else { panic!("another subject") };
+            let Operation::Put { subject: SUBJECT, body, .. } = &command.operation else {
+                panic!("another subject")
+            };
             let change = Change::decode(body).expect("what a governor wrote");
             let (version, step, by) = (change.version(), change.step(), command.author);
             let mut what = format!("version {version}, {step}");
@@ -167,7 +169,7 @@
             let (entry, outcome) = self.state.apply(command);
             let taken = match outcome {
                 _ if again => " - the same again, it changes nothing",
-                Outcome::Taken => "",
+                Outcome::Applied => "",
                 _ => " - too late, it changes nothing",
             };
             self.say(&format!("entry {} is decided: {what} (from front {by}){taken}", entry.number));
