--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,19 +1,19 @@
-//! Versioned records that spread from front to front without anybody in charge.
+//! Replicates versioned records among fronts by anti-entropy, without a leader.
 //!
-//! Each front now and then tells a few others what it has, in digests; who hears of something newer pulls it,
-//! who has something newer pushes it (anti-entropy). Records merge by a total order of versions, so that the
-//! order, loss and repetition of messages do not matter. Every datagram carries a keyed MAC and a counter;
-//! sizes and rates are bounded. Nothing may depend on a message arriving.
+//! Every round, each front sends a few random peers a digest: the ids and versions of a range of its records. The
+//! receiver pulls the records that are newer at the sender and pushes those that are newer here. Records merge by a
+//! total order of versions, so the order, loss and duplication of messages do not affect the result. Every datagram
+//! carries a keyed MAC and a counter; sizes and rates are bounded. Delivery of any single message is not guaranteed.
 //!
-//! [`Exchange`] is without I/O: datagrams and time go in, datagrams and changes come out. [`Store`] keeps
-//! records over a crash.
+//! [`Exchange`] does no I/O: datagrams and times go in, datagrams and changed records come out. [`Store`] keeps
+//! records on disk across restarts and crashes.
 
-mod core;
+mod protocol;
 mod records;
 mod seal;
 mod store;
 
-pub use self::core::{Counters, Exchange, MAX_CHANNEL_MESSAGE_BYTES, Output, Settings};
+pub use protocol::{Counters, Exchange, MAX_CHANNEL_MESSAGE_BYTES, Output, Settings};
 pub use records::{FIRST_EPHEMERAL_SPACE, Id, MAX_BODY_BYTES, MergeResult, Record, Records, Version};
 pub use seal::{Keys, Reject};
 pub use store::{Store, StoreError};
--- a/crates/exchange/src/records.rs
+++ b/crates/exchange/src/records.rs
@@ -1,95 +1,95 @@
-//! Records and how they merge.
+//! Records and the rules by which two versions of a record merge.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Bytes of a record's body at most: a record travels in one datagram.
+/// Maximum size of a record's body, bytes: a record must fit into one datagram.
 pub const MAX_BODY_BYTES: usize = 900;
-/// Records held at most.
-const MOST: usize = 4_096;
-/// A record that is over stays for so long, so that an older version of it cannot come back from a front whose
-/// clock is behind; milliseconds.
-const AFTERLIFE_MS: u64 = 120_000;
-/// No record lasts longer from now; milliseconds (31 days).
-const LONGEST_MS: u64 = 31 * 86_400_000;
-
-/// Which record: the space tells what it is about.
+/// Maximum number of records held.
+const MAX_RECORDS: usize = 4_096;
+/// An expired record is kept this long, so that a front whose clock is behind cannot bring back an older version of
+/// it; milliseconds.
+const EXPIRED_RETENTION_MS: u64 = 120_000;
+/// Maximum time from now to a record's expiry, milliseconds (31 days).
+const MAX_LIFETIME_MS: u64 = 31 * 86_400_000;
+
+/// Identifies a record. The space determines the kind of content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Id {
-    /// 1: announced peaks. From [`FIRST_EPHEMERAL_SPACE`] on: what is soon out of date.
+    /// 1: announced peaks. [`FIRST_EPHEMERAL_SPACE`] and above: ephemeral records.
     pub space: u8,
     /// Number within the space.
     pub number: u64,
 }
 
-/// Records of this space and higher ones say what will soon be said anew: they are passed on, but neither told in
-/// digests nor kept over a restart.
+/// Records of this space and above are ephemeral: a new version soon replaces them. They are pushed to peers, but
+/// are neither listed in digests nor kept across a restart.
 pub const FIRST_EPHEMERAL_SPACE: u8 = 128;
 
 impl Id {
-    /// See [`FIRST_EPHEMERAL_SPACE`].
+    /// Whether the record is ephemeral; see [`FIRST_EPHEMERAL_SPACE`].
     #[must_use]
     pub fn is_ephemeral(&self) -> bool {
         self.space >= FIRST_EPHEMERAL_SPACE
     }
 }
 
-/// Versions are ordered by counter, then by author: no clock is needed.
+/// Versions are ordered by counter, then by author, independently of any clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// One more than the version that its author knew.
+    /// One more than the counter of the version that the author held before.
     pub counter: u64,
-    /// The front that made it.
+    /// Number of the front that created this version.
     pub author: u64,
 }
 
-/// A record.
+/// One version of a record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// Which.
+    /// Identifies the record.
     pub id: Id,
-    /// Its version.
+    /// The version.
     pub version: Version,
-    /// It means nothing after this moment, Unix milliseconds.
+    /// The record has no effect after this time, Unix milliseconds.
     pub expires_ms: u64,
-    /// What it says; the exchange does not read it.
+    /// Content, opaque to this crate.
     pub body: Vec<u8>,
 }
 
 impl Record {
-    /// The order by which one of two records of an id wins. Body and expiry only decide between two records of
-    /// one author and counter, which an honest author never makes.
-    fn rank(&self) -> (Version, u64, &[u8]) {
+    /// The key by which one of two records with the same id wins. Expiry and body only break a tie between two records
+    /// with the same author and counter, which a correct author never creates.
+    fn precedence(&self) -> (Version, u64, &[u8]) {
         (self.version, self.expires_ms, &self.body)
     }
 }
 
-/// What became of a record that came.
+/// The result of merging a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeResult {
-    /// It is newer than what was held.
+    /// The record is new or newer than the one held, and was stored.
     Applied,
-    /// It is what was held, or older.
+    /// The record is the same as the one held, or older.
     NotNewer,
-    /// It is over, lasts too long, is too large, or there is no room.
+    /// The record expired, expires too far in the future or is too large, or the maximum number of records is held.
     Rejected,
 }
 
-/// All records of a front.
+/// All records that a front holds, by id.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Records(BTreeMap<Id, Record>);
 
 impl Records {
-    /// Takes a record in if it is newer than what is held.
+    /// Stores a record if it is valid and newer than the one held.
     pub fn merge(&mut self, now_ms: u64, record: Record) -> MergeResult {
-        let over = record.expires_ms.saturating_add(AFTERLIFE_MS) <= now_ms;
-        let too_long = record.expires_ms > now_ms.saturating_add(LONGEST_MS);
-        if over || too_long || record.body.len() > MAX_BODY_BYTES {
+        let expired = record.expires_ms.saturating_add(EXPIRED_RETENTION_MS) <= now_ms;
+        let too_long = record.expires_ms > now_ms.saturating_add(MAX_LIFETIME_MS);
+        if expired || too_long || record.body.len() > MAX_BODY_BYTES {
             return MergeResult::Rejected;
         }
-        let full = self.0.len() >= MOST;
+        let full = self.0.len() >= MAX_RECORDS;
         match self.0.get_mut(&record.id) {
-            Some(held) if held.rank() >= record.rank() => MergeResult::NotNewer,
+            Some(held) if held.precedence() >= record.precedence() => MergeResult::NotNewer,
             Some(held) => {
                 *held = record;
                 MergeResult::Applied
@@ -102,37 +102,37 @@
         }
     }
 
-    /// Forgets what has been over for long enough; returns how many.
-    pub fn sweep(&mut self, now_ms: u64) -> usize {
+    /// Removes records whose retention after expiry has ended; returns how many were removed.
+    pub fn remove_expired(&mut self, now_ms: u64) -> usize {
         let before = self.0.len();
-        self.0.retain(|_, r| r.expires_ms.saturating_add(AFTERLIFE_MS) > now_ms);
+        self.0.retain(|_, r| r.expires_ms.saturating_add(EXPIRED_RETENTION_MS) > now_ms);
         before - self.0.len()
     }
 
-    /// One record.
+    /// Returns the record with this id.
     #[must_use]
     pub fn get(&self, id: &Id) -> Option<&Record> {
         self.0.get(id)
     }
 
-    /// All records, by id.
+    /// All records in order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = &Record> {
         self.0.values()
     }
 
-    /// Records from an id on, in order.
+    /// Records in order of their ids, starting at `id`; all records if it is `None`.
     pub fn from(&self, id: Option<Id>) -> impl Iterator<Item = &Record> {
         let first = Id { space: 0, number: 0 };
         self.0.range(id.unwrap_or(first)..).map(|(_, r)| r)
     }
 
-    /// How many.
+    /// Number of records held.
     #[must_use]
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// None.
+    /// Whether no records are held.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
@@ -145,61 +145,64 @@
     use proptest::prelude::*;
 
     fn record() -> impl Strategy<Value = Record> {
-        (0u64..3, 0u64..4, 0u64..3, 0u64..3, 0u8..3).prop_map(|(number, counter, author, late, byte)| {
+        (0u64..3, 0u64..4, 0u64..3, 0u64..3, 0u8..3).prop_map(|(number, counter, author, extra_ms, byte)| {
             Record {
                 id: Id { space: 1, number },
                 version: Version { counter, author },
-                expires_ms: 1_000_000 + late,
+                expires_ms: 1_000_000 + extra_ms,
                 body: vec![byte],
             }
         })
     }
 
     fn merged(all: &[Record]) -> Records {
-        let mut out = Records::default();
-        all.iter().for_each(|r| {
-            out.merge(1_000, r.clone());
+        let mut records = Records::default();
+        all.iter().for_each(|record| {
+            records.merge(1_000, record.clone());
         });
-        out
+        records
     }
 
     proptest! {
-        /// In any order, any grouping and any number of repetitions, the same records come out.
+        /// Merging is commutative, associative and idempotent.
         #[test]
-        fn merges_commute_associate_and_repeat(all in prop::collection::vec(record(), 0..12), cut in 0usize..12, seed: u64) {
-            let whole = merged(&all);
+        fn merges_commute_associate_and_repeat(all in prop::collection::vec(record(), 0..12), split in 0usize..12, seed: u64) {
+            let expected = merged(&all);
             let mut shuffled = all.clone();
             let mut state = seed | 1;
             for i in (1..shuffled.len()).rev() {
                 state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
                 shuffled.swap(i, (state >> 33) as usize % (i + 1));
             }
-            prop_assert_eq!(&merged(&shuffled), &whole);
-            let cut = cut.min(all.len());
-            let (left, right) = (merged(&all[..cut]), merged(&all[cut..]));
+            prop_assert_eq!(&merged(&shuffled), &expected);
+            let split = split.min(all.len());
+            let (left, right) = (merged(&all[..split]), merged(&all[split..]));
             let grouped: Vec<Record> = right.iter().chain(left.iter()).cloned().collect();
-            prop_assert_eq!(&merged(&grouped), &whole);
+            prop_assert_eq!(&merged(&grouped), &expected);
             let twice: Vec<Record> = all.iter().chain(&all).cloned().collect();
-            prop_assert_eq!(&merged(&twice), &whole);
+            prop_assert_eq!(&merged(&twice), &expected);
         }
     }
 
     #[test]
-    fn what_is_over_cannot_come_back_and_nothing_lasts_for_ever() {
-        let r = |expires_ms| Record {
+    fn expired_records_do_not_return_and_lifetimes_are_bounded() {
+        let expiring_at = |expires_ms| Record {
             id: Id { space: 1, number: 1 },
             version: Version { counter: 1, author: 1 },
             expires_ms,
             body: vec![],
         };
         let mut records = Records::default();
-        assert_eq!(records.merge(1_000_000, r(1_000_000)), MergeResult::Applied);
-        assert_eq!(records.sweep(1_000_000 + AFTERLIFE_MS - 1), 0);
-        assert_eq!(records.sweep(1_000_000 + AFTERLIFE_MS), 1);
-        assert_eq!(records.merge(1_000_000 + AFTERLIFE_MS, r(1_000_000)), MergeResult::Rejected);
-        assert_eq!(records.merge(0, r(LONGEST_MS + 1)), MergeResult::Rejected);
+        assert_eq!(records.merge(1_000_000, expiring_at(1_000_000)), MergeResult::Applied);
+        assert_eq!(records.remove_expired(1_000_000 + EXPIRED_RETENTION_MS - 1), 0);
+        assert_eq!(records.remove_expired(1_000_000 + EXPIRED_RETENTION_MS), 1);
+        assert_eq!(
+            records.merge(1_000_000 + EXPIRED_RETENTION_MS, expiring_at(1_000_000)),
+            MergeResult::Rejected
+        );
+        assert_eq!(records.merge(0, expiring_at(MAX_LIFETIME_MS + 1)), MergeResult::Rejected);
         assert_eq!(
-            records.merge(0, Record { body: vec![0; MAX_BODY_BYTES + 1], ..r(5) }),
+            records.merge(0, Record { body: vec![0; MAX_BODY_BYTES + 1], ..expiring_at(5) }),
             MergeResult::Rejected
         );
     }
--- a/crates/fleet/src/front.rs
+++ b/crates/fleet/src/front.rs
@@ -38,7 +38,7 @@
     pub exchange: pepperhook_exchange::Settings,
     /// Membership, where the fleet has one.
     pub view: Option<View>,
-    /// DutyScheduler; they need a view.
+    /// Duties; they need a view.
     pub duties: Option<pepperhook_duties::Settings>,
     /// Copies; they need a view.
     pub copies: Option<pepperhook_replica::Settings>,
@@ -343,7 +343,7 @@
         self.agreed.as_ref().is_some_and(|a| a.fenced(steady))
     }
 
-    /// DutyScheduler of a kind are done on these from now on.
+    /// Duties of a kind are done on these from now on.
     pub fn set_targets(&mut self, now_ms: u64, kind: u8, targets: &[Target], out: &mut Vec<Out>) {
         let fleet_ms = {
             let steady = self.steady(now_ms);
@@ -633,7 +633,7 @@
         self.view().into_values().map(row).collect()
     }
 
-    /// DutyScheduler and why this front does or leaves them, at a moment of its clock.
+    /// Duties and why this front does or leaves them, at a moment of its clock.
     #[must_use]
     pub fn duty_rows(&self, now_ms: u64) -> Vec<DutyRow> {
         let fleet_ms = self.fleet_ms(now_ms.saturating_add(self.shift_ms));
