--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,16 +1,15 @@
-//! Which fronts are there: SWIM (Das, Gupta, Motivala 2002) with suspicion and incarnation numbers, by the foca
-//! crate.
+//! Membership of the fronts: SWIM (Das, Gupta, Motivala 2002) with suspicion and incarnation numbers, based on the
+//! foca crate.
 //!
-//! [`Membership`] is without I/O: messages and time go in, messages and changes of the view come out. How they
-//! travel, sealed and checked for who sent them, is the exchange's. Nothing of the six rules needs the view: it says
-//! who shares the work, not what may be done.
+//! [`Membership`] does no I/O: messages and times go in, messages and changes of the view come out. Transport and
+//! authentication of messages are the task of the exchange. None of the six rules of the service depends on the view:
+//! it determines which fronts share work, not which actions are allowed.
 //!
-//! What is added to the protocol:
-//! - A member is told from its earlier runs by its run number, which only rises; see [`Member`].
-//! - A front that stood still does not hold it against the others: time that passed unseen does not count as time in
-//!   which they did not answer.
-//! - Seeds are asked again as long as they are not in the view, so that a partition heals however long it lasted.
-//! - A message speaks for the front whose seal it came under, and no run is believed that lies in the future.
+//! In addition to the protocol:
+//! - Runs of a front are distinguished by a run number that only rises; see [`Member`].
+//! - Time during which this front did not run does not count as time in which other members failed to answer.
+//! - Seeds that are not in the view are contacted again and again, so that a partition of any length heals.
+//! - A message is accepted only if its sender is the front that sealed it. Runs too far in the future are rejected.
 
 mod member;
 mod swim;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,26 +1,27 @@
-//! Who a member is.
+//! The identity of a member.
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A front as the others know it.
+/// A front's identity in the membership protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// Its number: a stable hash of its name. 0 where only the address is known yet.
+    /// The front's number, a stable hash of its name; 0 if only the address is known.
     pub front: u64,
-    /// Higher at each start, so that a restarted front is not taken for the one that was suspected or left.
+    /// Number of the front's run, higher at each start. It distinguishes a restarted front from its earlier run, which
+    /// may be suspected or have left.
     pub run: u64,
-    /// Times that it came back in this run after the others had given it up.
+    /// How often the front rejoined in this run after the others had declared it down.
     pub renewals: u32,
-    /// Where its datagrams come.
+    /// Address that receives its datagrams.
     pub address: SocketAddr,
-    /// Its part of shared work against others'.
+    /// Weight of its share of the common work, relative to other members.
     pub weight: u16,
 }
 
 impl Member {
-    /// An address of which nothing more is known: only to announce oneself there.
+    /// A member of which only the address is known. It serves only as the destination of an announcement.
     #[must_use]
     pub fn unidentified(address: SocketAddr) -> Self {
         Self { front: 0, run: 0, renewals: 0, address, weight: 0 }
--- a/crates/membership/tests/swim.rs
+++ b/crates/membership/tests/swim.rs
@@ -1,4 +1,4 @@
-//! Membership among a few fronts, and what strangers, liars and lost messages do to it.
+//! Membership of a few fronts, with lost, invalid and forged messages.
 
 use pepperhook_membership::{Change, Member, Membership, Output, Rejection, Settings};
 use proptest::prelude::*;
@@ -25,48 +25,49 @@
     }
 }
 
-/// Fronts whose messages arrive at once, in order, unless they are kept back.
-struct Few {
+/// Fronts whose messages arrive immediately and in order, except those that are lost.
+struct Cluster {
     fronts: Vec<Option<Membership>>,
     now_ms: u64,
     changes: Vec<(usize, Change)>,
-    /// Messages from the first to the second are lost.
+    /// Pairs of sender and receiver whose messages are lost.
     lost: Vec<(usize, usize)>,
-    /// The last message that each sent.
-    last: Vec<Vec<u8>>,
+    /// The last message that each front sent.
+    last_sent: Vec<Vec<u8>>,
 }
 
-impl Few {
+impl Cluster {
     fn new(n: usize) -> Self {
         let fronts = (0..n).map(|i| Some(Membership::new(settings(i, 1_000), 1_000_000))).collect();
-        let mut few = Self { fronts, now_ms: 0, changes: vec![], lost: vec![], last: vec![vec![]; n] };
-        few.pass(4_000);
-        few
+        let mut cluster =
+            Self { fronts, now_ms: 0, changes: vec![], lost: vec![], last_sent: vec![vec![]; n] };
+        cluster.run_for(4_000);
+        cluster
     }
 
-    fn carry(&mut self, from: usize, out: Vec<Output>) {
-        let mut wire: VecDeque<(usize, Output)> = out.into_iter().map(|o| (from, o)).collect();
-        while let Some((from, o)) = wire.pop_front() {
-            match o {
+    fn transmit(&mut self, from: usize, out: Vec<Output>) {
+        let mut in_flight: VecDeque<(usize, Output)> = out.into_iter().map(|o| (from, o)).collect();
+        while let Some((from, output)) = in_flight.pop_front() {
+            match output {
                 Output::Changed(change) => self.changes.push((from, change)),
                 Output::Send(to, message) => {
-                    self.last[from].clone_from(&message);
+                    self.last_sent[from].clone_from(&message);
                     let to = usize::from(to.port() - 7_000);
                     if self.lost.contains(&(from, to)) {
                         continue;
                     }
                     if let Some(front) = &mut self.fronts[to] {
-                        let mut more = Vec::new();
-                        front.receive(from as u64 + 1, &message, &mut more).expect("an honest message");
-                        wire.extend(more.into_iter().map(|o| (to, o)));
+                        let mut replies = Vec::new();
+                        front.receive(from as u64 + 1, &message, &mut replies).expect("valid message");
+                        in_flight.extend(replies.into_iter().map(|o| (to, o)));
                     }
                 }
             }
         }
     }
 
-    fn pass(&mut self, ms: u64) {
-        let end = self.now_ms + ms;
+    fn run_for(&mut self, duration_ms: u64) {
+        let end = self.now_ms + duration_ms;
         while self.now_ms < end {
             self.now_ms += 20;
             for i in 0..self.fronts.len() {
@@ -74,7 +75,7 @@
                 if let Some(front) = &mut self.fronts[i] {
                     front.tick(self.now_ms, &mut out);
                 }
-                self.carry(i, out);
+                self.transmit(i, out);
             }
         }
     }
@@ -83,138 +84,152 @@
         self.fronts[i].as_ref().map(|f| f.view().into_keys().collect()).unwrap_or_default()
     }
 
-    fn all_know_all(&self) -> bool {
+    fn all_views_complete(&self) -> bool {
         let n = self.fronts.len();
         (0..n).all(|i| self.view(i).len() == n)
     }
 }
 
 #[test]
-fn fronts_meet_by_seeds_leave_in_order_and_are_given_up_after_the_suspicion() {
-    let mut few = Few::new(4);
-    assert!(few.all_know_all());
+fn fronts_join_by_seeds_leave_at_once_and_are_declared_down_after_the_suspicion_timeout() {
+    let mut cluster = Cluster::new(4);
+    assert!(cluster.all_views_complete());
     let mut out = Vec::new();
-    few.fronts[3].as_mut().expect("front 3").leave(&mut out);
-    few.carry(3, out);
-    few.fronts[3] = None;
-    few.pass(500);
-    assert!((0..3).all(|i| few.view(i) == [1, 2, 3]), "who leaves is gone at once");
-    let killed_ms = few.now_ms;
-    few.fronts[2] = None;
-    while few.view(0).len() > 2 || few.view(1).len() > 2 {
-        few.pass(20);
-        // Looked at within two periods and a bit, suspected, given up three seconds later.
-        assert!(few.now_ms < killed_ms + 7_000, "never given up");
+    cluster.fronts[3].as_mut().expect("front 3").leave(&mut out);
+    cluster.transmit(3, out);
+    cluster.fronts[3] = None;
+    cluster.run_for(500);
+    assert!(
+        (0..3).all(|i| cluster.view(i) == [1, 2, 3]),
+        "a front that leaves is removed from the view at once"
+    );
+    let killed_ms = cluster.now_ms;
+    cluster.fronts[2] = None;
+    while cluster.view(0).len() > 2 || cluster.view(1).len() > 2 {
+        cluster.run_for(20);
+        // Probed within little more than two periods, then suspected, and declared down three seconds later.
+        assert!(cluster.now_ms < killed_ms + 7_000, "not declared down in time");
     }
-    assert!(few.now_ms >= killed_ms + 3_000, "nobody is given up before the suspicion's time");
+    assert!(cluster.now_ms >= killed_ms + 3_000, "declared down before the suspicion timeout");
 }
 
 #[test]
-fn a_restarted_front_is_known_by_its_later_run_at_once() {
-    let mut few = Few::new(3);
-    few.fronts[2] = Some(Membership::new(settings(2, 2_000), 1_000_000));
-    few.pass(2_000);
-    assert!(few.all_know_all());
-    assert_eq!(few.fronts[0].as_ref().expect("front 0").view()[&3].run, 2_000);
-    // What its earlier run said late does not bring that back.
-    let mut old = Membership::new(settings(2, 1_000), 1_000_000);
+fn a_restarted_front_replaces_its_earlier_run_at_once() {
+    let mut cluster = Cluster::new(3);
+    cluster.fronts[2] = Some(Membership::new(settings(2, 2_000), 1_000_000));
+    cluster.run_for(2_000);
+    assert!(cluster.all_views_complete());
+    assert_eq!(cluster.fronts[0].as_ref().expect("front 0").view()[&3].run, 2_000);
+    // Late messages of the earlier run do not bring it back.
+    let mut earlier = Membership::new(settings(2, 1_000), 1_000_000);
     let mut out = Vec::new();
-    old.tick(0, &mut out);
-    old.tick(20, &mut out);
-    for o in out {
-        if let Output::Send(_, message) = o {
-            let _ = few.fronts[0].as_mut().expect("front 0").receive(3, &message, &mut Vec::new());
+    earlier.tick(0, &mut out);
+    earlier.tick(20, &mut out);
+    for output in out {
+        if let Output::Send(_, message) = output {
+            let _ = cluster.fronts[0].as_mut().expect("front 0").receive(3, &message, &mut Vec::new());
         }
     }
-    assert_eq!(few.fronts[0].as_ref().expect("front 0").view()[&3].run, 2_000);
+    assert_eq!(cluster.fronts[0].as_ref().expect("front 0").view()[&3].run, 2_000);
 }
 
 #[test]
-fn who_is_suspected_refutes_it_and_who_was_given_up_comes_back() {
-    let mut few = Few::new(4);
-    // Front 3 hears nobody and nobody hears it, for less than the suspicion.
-    let cut = |few: &mut Few| few.lost = (0..3).flat_map(|i| [(i, 3), (3, i)]).collect();
-    cut(&mut few);
-    few.pass(1_500);
-    few.lost.clear();
-    few.pass(6_000);
-    assert!(few.all_know_all());
-    assert!(!few.changes.iter().any(|(_, c)| matches!(c, Change::Rejoined(_))), "refuted in time");
-    cut(&mut few);
-    few.pass(15_000);
-    assert_eq!(few.view(0), [1, 2, 3]);
-    few.lost.clear();
-    few.pass(10_000);
-    assert!(few.all_know_all(), "{:?}", (0..4).map(|i| few.view(i)).collect::<Vec<_>>());
-    assert!(few.changes.iter().any(|(_, c)| matches!(c, Change::Rejoined(_))), "under a new identity");
+fn a_suspected_front_refutes_and_a_front_declared_down_rejoins() {
+    let mut cluster = Cluster::new(4);
+    // Front 3 is partitioned from the others for less than the suspicion timeout.
+    let partition = |cluster: &mut Cluster| cluster.lost = (0..3).flat_map(|i| [(i, 3), (3, i)]).collect();
+    partition(&mut cluster);
+    cluster.run_for(1_500);
+    cluster.lost.clear();
+    cluster.run_for(6_000);
+    assert!(cluster.all_views_complete());
+    assert!(
+        !cluster.changes.iter().any(|(_, c)| matches!(c, Change::Rejoined(_))),
+        "the suspicion is refuted in time"
+    );
+    partition(&mut cluster);
+    cluster.run_for(15_000);
+    assert_eq!(cluster.view(0), [1, 2, 3]);
+    cluster.lost.clear();
+    cluster.run_for(10_000);
+    assert!(cluster.all_views_complete(), "{:?}", (0..4).map(|i| cluster.view(i)).collect::<Vec<_>>());
+    assert!(
+        cluster.changes.iter().any(|(_, c)| matches!(c, Change::Rejoined(_))),
+        "no front rejoined under a new identity"
+    );
 }
 
 #[test]
-fn a_message_speaks_for_its_sealer_alone_and_no_run_of_the_future_is_believed() {
-    let mut few = Few::new(3);
-    few.pass(1_000);
-    let message = few.last[1].clone();
-    let front = few.fronts[0].as_mut().expect("front 0");
+fn messages_with_a_foreign_sender_or_a_run_in_the_future_are_rejected() {
+    let mut cluster = Cluster::new(3);
+    cluster.run_for(1_000);
+    let message = cluster.last_sent[1].clone();
+    let front = cluster.fronts[0].as_mut().expect("front 0");
     assert_eq!(
         front.receive(3, &message, &mut Vec::new()),
         Err(Rejection::SenderMismatch),
-        "sealed by another"
+        "sealed by another front"
     );
     let view = front.view();
     let mut ahead = Membership::new(settings(2, u64::MAX / 2), 1_000_000);
     let mut out = Vec::new();
     ahead.tick(0, &mut out);
-    let mut refused = 0;
-    for o in out {
-        if let Output::Send(_, message) = o {
-            refused +=
+    let mut rejected = 0;
+    for output in out {
+        if let Output::Send(_, message) = output {
+            rejected +=
                 u32::from(front.receive(3, &message, &mut Vec::new()) == Err(Rejection::InvalidContent));
         }
     }
-    assert!(refused > 0 && front.view() == view);
+    assert!(rejected > 0 && front.view() == view);
     for cut in 0..message.len() {
         let _ = front.receive(2, &message[..cut], &mut Vec::new());
     }
     assert_eq!(front.receive(2, &vec![7; 5_000], &mut Vec::new()), Err(Rejection::InvalidContent));
-    assert_eq!(front.view(), view, "nothing of it changed the view");
+    assert_eq!(front.view(), view, "rejected messages changed the view");
 }
 
-/// A key holder who lies about another's incarnation: the member refutes it, or comes back under a new identity.
+/// Guards against a front with the key that forges another member's state: the member refutes it or rejoins under a new
+/// identity.
 #[test]
-fn forged_suspicions_and_deaths_do_not_last() {
-    let mut few = Few::new(4);
+fn forged_suspicions_and_down_states_do_not_last() {
+    let mut cluster = Cluster::new(4);
     for incarnation in [0, 5, u16::MAX] {
         for state in [foca::State::Suspect, foca::State::Down] {
-            let rogue = member(3, 1_000);
-            let victim = few.fronts[2].as_ref().expect("front 2").me();
+            let forger = member(3, 1_000);
+            let victim = cluster.fronts[2].as_ref().expect("front 2").me();
             let update = foca::Member::new(victim, incarnation, state);
             let mut message = Vec::new();
             let header = foca::Header {
-                src: rogue,
+                src: forger,
                 src_incarnation: 0,
-                dst: few.fronts[0].as_ref().expect("front 0").me(),
+                dst: cluster.fronts[0].as_ref().expect("front 0").me(),
                 message: foca::Message::Gossip,
             };
             let mut codec = foca::PostcardCodec;
-            foca::Codec::encode_header(&mut codec, &header, &mut message).expect("encoded");
+            foca::Codec::encode_header(&mut codec, &header, &mut message).expect("encoded message");
             message.extend_from_slice(&1u16.to_be_bytes());
-            foca::Codec::encode_member(&mut codec, &update, &mut message).expect("encoded");
+            foca::Codec::encode_member(&mut codec, &update, &mut message).expect("encoded message");
             let mut out = Vec::new();
-            few.fronts[0].as_mut().expect("front 0").receive(4, &message, &mut out).expect("well formed");
-            few.carry(0, out);
-            few.pass(8_000);
-            assert!(few.all_know_all(), "{state:?} at {incarnation}");
+            cluster.fronts[0]
+                .as_mut()
+                .expect("front 0")
+                .receive(4, &message, &mut out)
+                .expect("valid message");
+            cluster.transmit(0, out);
+            cluster.run_for(8_000);
+            assert!(cluster.all_views_complete(), "{state:?} at {incarnation}");
         }
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
-    /// Whatever bytes come, nothing panics and the fronts still know each other afterwards.
+    /// Arbitrary bytes cause no panic, and the views are complete afterwards.
     #[test]
-    fn no_content_harms(messages in prop::collection::vec((0u64..5, prop::collection::vec(any::<u8>(), 0..200)), 0..40), flips in prop::collection::vec((0usize..200, any::<u8>()), 0..8)) {
-        let mut few = Few::new(3);
-        let mut changed = few.last[1].clone();
+    fn arbitrary_content_does_no_harm(messages in prop::collection::vec((0u64..5, prop::collection::vec(any::<u8>(), 0..200)), 0..40), flips in prop::collection::vec((0usize..200, any::<u8>()), 0..8)) {
+        let mut cluster = Cluster::new(3);
+        let mut changed = cluster.last_sent[1].clone();
         for (at, byte) in flips {
             if let Some(b) = changed.get_mut(at) {
                 *b ^= byte;
@@ -222,10 +237,10 @@
         }
         for (sender, bytes) in messages.into_iter().chain([(2, changed)]) {
             let mut out = Vec::new();
-            let _ = few.fronts[0].as_mut().expect("front 0").receive(sender, &bytes, &mut out);
-            // What it answers to nonsense goes nowhere: the senders were made up.
+            let _ = cluster.fronts[0].as_mut().expect("front 0").receive(sender, &bytes, &mut out);
+            // Its replies are dropped, because the senders do not exist.
         }
-        few.pass(12_000);
-        prop_assert!((0..3).all(|i| [1, 2, 3].iter().all(|m| few.view(i).contains(m))), "{:?}", few.view(0));
+        cluster.run_for(12_000);
+        prop_assert!((0..3).all(|i| [1, 2, 3].iter().all(|m| cluster.view(i).contains(m))), "{:?}", cluster.view(0));
     }
 }
