--- a/crates/fleet/src/copies.rs
+++ b/crates/fleet/src/copies.rs
@@ -2,7 +2,7 @@
 
 use pepperhook_exchange::MOST_LANE;
 use pepperhook_membership::Member;
-use pepperhook_replica::{Counters, Out as Said, Peer, Refused, Replica, Settings, StreamRow};
+use pepperhook_replica::{Counters, Output as Said, Peer, PutError, Replica, Settings, StreamRow};
 use std::collections::BTreeMap;
 
 /// Bytes of the zone before a message.
@@ -39,7 +39,7 @@
     }
 
     pub fn raise(&mut self, run: u64) {
-        self.replica.raise(run);
+        self.replica.set_run(run);
     }
 
     pub fn tick(&mut self, now_ms: u64) -> Vec<Said> {
@@ -67,7 +67,7 @@
         (content.len() <= MOST_LANE).then_some(content)
     }
 
-    pub fn keep(&mut self, now_ms: u64, key: u64, body: Option<Vec<u8>>) -> Result<(), Refused> {
+    pub fn keep(&mut self, now_ms: u64, key: u64, body: Option<Vec<u8>>) -> Result<(), PutError> {
         match body {
             Some(body) => self.replica.put(now_ms, key, body),
             None => {
--- a/crates/fleet/src/front.rs
+++ b/crates/fleet/src/front.rs
@@ -279,7 +279,7 @@
         now_ms: u64,
         key: u64,
         body: Option<Vec<u8>>,
-    ) -> Result<(), pepperhook_replica::Refused> {
+    ) -> Result<(), pepperhook_replica::PutError> {
         let now_ms = self.steady(now_ms);
         self.copies.as_mut().map_or(Ok(()), |c| c.keep(now_ms, key, body))
     }
@@ -468,8 +468,8 @@
         self.exchanged(now_ms, sent, out);
     }
 
-    fn copied(&mut self, said: Vec<pepperhook_replica::Out>, out: &mut Vec<Out>) {
-        use pepperhook_replica::Out as Said;
+    fn copied(&mut self, said: Vec<pepperhook_replica::Output>, out: &mut Vec<Out>) {
+        use pepperhook_replica::Output as Said;
         if said.is_empty() {
             return;
         }
@@ -484,7 +484,7 @@
                 }
                 Said::Adopted(_, keys) => out.push(Out::Adopted(keys)),
                 Said::Lost(_, keys) => out.push(Out::Lost(keys)),
-                Said::Ended(_, key) => out.push(Out::Ended(key)),
+                Said::Deleted(_, key) => out.push(Out::Ended(key)),
             }
         }
     }
--- a/crates/front/src/spread.rs
+++ b/crates/front/src/spread.rs
@@ -126,7 +126,7 @@
             run,
             zone,
             copies: r.copies,
-            guards: r.guards,
+            grantors: r.guards,
             lease_ms: r.lease / 1_000_000,
             period_ms: r.look / 1_000_000,
             bytes_per_s: r.rate,
@@ -191,8 +191,8 @@
         let (streams, counters) = fleet.copies(now_ms)?;
         let adopted = self.adopted.borrow().len();
         let keys = |of: &dyn Fn(&StreamRow) -> bool| streams.iter().filter(|r| of(r)).map(|r| r.keys).sum();
-        let written: usize = keys(&|r| r.writes || r.fenced);
-        let (kept, fenced) = (keys(&|r| !r.writes && !r.fenced), keys(&|r| r.fenced));
+        let written: usize = keys(&|r| r.writable || r.fenced);
+        let (kept, fenced) = (keys(&|r| !r.writable && !r.fenced), keys(&|r| r.fenced));
         let own = written.saturating_sub(adopted);
         Some(ReplicaShown { own, adopted, kept, fenced, streams, counters: counters.clone() })
     }
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,20 +1,21 @@
-//! The state of a front that lives on others too, so that a front's death does not take along what only it knew.
+//! Replicates the session records of a front to other fronts, so that they survive the front's death.
 //!
-//! [`Replica`] is without I/O: messages and time go in, messages and changes come out. How they travel, sealed and
-//! checked for who sent them, is the exchange's; who is there is membership's. It does not know what a session is: it
-//! keeps bodies under keys.
+//! [`Replica`] does no I/O: messages and time go in, messages and changes come out. The exchange transports messages and
+//! authenticates their senders; membership supplies the view of live fronts. The crate stores opaque bodies under keys
+//! and knows nothing about sessions.
 //!
-//! - What a front holds is spread over a few [`StreamId`]s, each a log with **one writer at a time** (`log`). Others keep
-//!   copies: a prefix of the log, or, when they have missed more than is remembered, the whole anew. A copy never writes,
-//!   so that two copies cannot contradict each other and what was deleted cannot come back from one.
-//! - Who may write a stream, and act on its sessions, is settled by **leases of a majority of guards** (`lease`; Gray and
-//!   Cheriton 1989, with the epochs of Vertical Paxos, Lamport, Malkhi and Zhou 2009). The writer stops by itself before
-//!   any guard may grant the stream to another, by a stated bound on how far clocks' rates differ. No clock is compared
-//!   with another front's.
-//! - Copies and guards are chosen by rendezvous hashing over the view, copies in other zones first (`place`). The view is
-//!   a hint: a wrong one costs copies or time, never two writers.
-//! - When a writer falls silent, of those who hold a copy the one that holds most asks the guards for the stream under a
-//!   higher epoch, and goes on with the very log: its sessions are **adopted**.
+//! - A front's records are split over a few [`StreamId`]s. Each stream is a log with **one writer at a time** (`log`).
+//!   Other fronts, its followers, keep copies: a prefix of the log, or a new snapshot if they missed more changes than
+//!   the log remembers. A copy is never written locally, so two copies cannot contradict each other and a deleted key
+//!   cannot come back from one.
+//! - The right to write a stream, and to act on its sessions, is a **lease granted by a majority of grantors** (`lease`;
+//!   Gray and Cheriton 1989, with the epochs of Vertical Paxos, Lamport, Malkhi and Zhou 2009). The writer stops by
+//!   itself before any grantor may grant the stream to another front, given a bound on how much the rates of the fronts'
+//!   clocks differ. Clock readings of different fronts are never compared.
+//! - Followers and grantors are chosen by rendezvous hashing over the view, followers in other zones first
+//!   (`placement`). The view is only a hint: a wrong view costs copies or time, but never allows two writers.
+//! - When a writer falls silent, the follower with the most complete copy requests the lease under a higher epoch and
+//!   continues the same log: it **adopts** the stream's sessions.
 
 #[cfg(test)]
 mod contest;
@@ -24,8 +25,8 @@
 mod replica;
 mod wire;
 
-pub use lease::{Answer, Config, Guard, Guardian, Question, Tenure, majority};
-pub use log::{Applied, Change, Copy, Grade, Key, Log, Position};
-pub use place::{Peer, holders, rank, wanted_guards};
-pub use replica::{Counters, Out, Refused, Replica, Settings, StreamRow};
+pub use lease::{Grant, GrantorId, GrantorSet, Lease, LeaseAnswer, LeaseRequest, majority};
+pub use log::{ApplyResult, Change, Completeness, Key, Log, LogCopy, Position, SnapshotProgress};
+pub use place::{Peer, choose_followers, choose_grantors, rank_fronts};
+pub use replica::{Counters, Output, PutError, Replica, Settings, StreamRow};
 pub use wire::{Message, StreamId};
--- a/crates/replica/src/wire.rs
+++ b/crates/replica/src/wire.rs
@@ -1,139 +1,143 @@
-//! What fronts say to each other. A message fits into one datagram of the exchange.
+//! Messages between fronts. Each message fits into one datagram of the exchange. The encoding is postcard, so the order
+//! and types of fields and variants are part of the protocol.
 
-use crate::lease::{Answer, Config};
-use crate::log::{Change, Key, Position};
+use crate::lease::{GrantorSet, LeaseAnswer};
+use crate::log::{Change, Key, Position, SnapshotProgress};
 use serde::{Deserialize, Serialize};
 
-/// A log and who began it.
+/// Identifies a stream: a log of session records and the front that created it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StreamId {
-    /// The front that began it.
+    /// Number of the front that created the stream.
     pub front: u64,
-    /// Its run then.
+    /// The run (incarnation) of that front when it created the stream.
     pub run: u64,
-    /// Which part of its sessions.
+    /// Shard of the front's keys.
     pub shard: u8,
-    /// How often that part had to be begun anew, after it had been lost to another writer.
-    pub turn: u32,
+    /// Counts how often the front replaced this shard's stream with a new one because it lost the previous one's lease.
+    pub generation: u32,
 }
 
-/// One message.
+/// A message from one front to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Writer to holder: changes after `from` up to `upto`, none of them to learn where the holder stands.
+    /// Writer to follower: changes after `after_seq` up to `last_seq`. Without changes it only asks for the follower's
+    /// status.
     Changes {
-        /// Of this stream.
+        /// The stream.
         stream: StreamId,
-        /// Under this epoch.
+        /// The writer's epoch.
         epoch: u32,
-        /// The epoch went on from here: an epoch, and a change under it.
+        /// The position that the epoch started from: the previous epoch and the sequence number in it.
         base: (u32, u64),
-        /// The log goes on from here ...
-        from: u64,
-        /// ... to here with this message.
-        upto: u64,
-        /// A digest of the whole log, where `upto` is its end.
+        /// Sequence number before the first change.
+        after_seq: u64,
+        /// Sequence number of the last change.
+        last_seq: u64,
+        /// Digest of all entries of the log; present only if `last_seq` is the end of the log.
         digest: Option<u64>,
-        /// The changes, in order.
+        /// The changes in order.
         changes: Vec<Change>,
     },
-    /// Writer to holder: who else holds copies and who guards the stream, for the time after the writer's death.
-    Kept {
-        /// Of this stream.
+    /// Writer to follower: the stream's followers and grantors, which a follower needs if the writer dies.
+    Placement {
+        /// The stream.
         stream: StreamId,
-        /// Under this epoch.
+        /// The writer's epoch.
         epoch: u32,
-        /// Fronts that hold copies.
-        holders: Vec<u64>,
-        /// Its guards.
-        config: Config,
+        /// Fronts with copies of the stream.
+        followers: Vec<u64>,
+        /// The stream's grantors.
+        grantor_set: GrantorSet,
     },
-    /// Writer to holder: all that lives with keys after `after` up to `until`, as the log was at `cut` or later.
-    Whole {
-        /// Of this stream.
+    /// Writer to follower: all entries with keys after `after_key` up to `last_key`, as of `snapshot_seq` or later.
+    SnapshotChunk {
+        /// The stream.
         stream: StreamId,
-        /// Under this epoch.
+        /// The writer's epoch.
         epoch: u32,
-        /// The log's end when the whole was begun.
-        cut: u64,
-        /// The log's end now.
-        head: u64,
-        /// Keys after this one, or from the first.
-        after: Option<Key>,
-        /// Keys up to this one, or to the last.
-        until: Option<Key>,
-        /// Key, number of the change, body.
+        /// Sequence number of the log's last change when the snapshot was started.
+        snapshot_seq: u64,
+        /// Sequence number of the log's last change now.
+        head_seq: u64,
+        /// The chunk starts after this key; `None` starts with the first key.
+        after_key: Option<Key>,
+        /// The chunk ends with this key; `None` ends with the last key.
+        last_key: Option<Key>,
+        /// Key, sequence number of the change that wrote it, and body.
         entries: Vec<(Key, u64, Vec<u8>)>,
     },
-    /// Holder to writer: where it stands.
-    Stands {
-        /// Of this stream.
+    /// Follower to writer: the position of its copy.
+    CopyStatus {
+        /// The stream.
         stream: StreamId,
-        /// Its position.
-        at: Position,
-        /// The whole that it is taking: its cut, and the last key that it has.
-        taking: Option<(u64, Option<Key>)>,
+        /// Position of the copy.
+        position: Position,
+        /// Progress of the snapshot that the follower is receiving.
+        snapshot_progress: Option<SnapshotProgress>,
     },
-    /// Writer to former holder: no copy of this is wanted there any more.
-    Forget {
-        /// Of this stream.
+    /// Writer to former follower: the copy is no longer needed.
+    DropCopy {
+        /// The stream.
         stream: StreamId,
-        /// Under this epoch.
+        /// The writer's epoch.
         epoch: u32,
     },
-    /// Holder to holder, when the writer is silent: where it stands.
-    Bid {
-        /// Of this stream.
+    /// Follower to the other followers, the grantors and the last writer, if the writer is silent: it intends to take the
+    /// stream over from its copy. Also the reply to a candidate with an older copy.
+    Candidate {
+        /// The stream.
         stream: StreamId,
-        /// Its position.
-        at: Position,
+        /// Position of the copy.
+        position: Position,
     },
-    /// Former writer to the present one: these keys had ended after the position that it went on from.
-    Ended {
-        /// Of this stream.
+    /// Former writer to present writer: keys that the former writer had deleted after the position that the present
+    /// writer continued from.
+    DeletedKeys {
+        /// The stream.
         stream: StreamId,
-        /// The change that the present writer went on from.
-        from: u64,
-        /// The keys.
+        /// Sequence number of the last change that the present writer took over.
+        after_seq: u64,
+        /// The deleted keys.
         keys: Vec<Key>,
     },
-    /// Writer or claimant to guard: the stream under this epoch is to be granted, or granted on.
-    Hold {
-        /// Of this stream.
+    /// Writer or candidate to grantor: requests or renews the lease of the stream under this epoch.
+    LeaseRequest {
+        /// The stream.
         stream: StreamId,
-        /// Under this epoch.
+        /// The epoch that is requested.
         epoch: u32,
-        /// The asker's own time, given back in the answer.
-        asked_ms: u64,
-        /// The guards that it goes by.
-        config: Config,
-        /// What all holders of copies have, or what the claimant has.
-        at: Position,
-        /// Where the asker goes on from, or went on from.
-        from: Position,
-        /// It has held the stream under this epoch.
-        writes: bool,
+        /// The requester's clock when it sent the request, milliseconds; the reply repeats it.
+        sent_ms: u64,
+        /// The grantors as the requester knows them.
+        grantor_set: GrantorSet,
+        /// From the writer: the lowest position of all followers. From a candidate: the position of its copy.
+        position: Position,
+        /// The position that the requester continues, or continued, from.
+        base: Position,
+        /// The requester has already held the lease under this epoch.
+        has_held: bool,
     },
-    /// Guard to asker.
-    Held {
-        /// Of this stream.
+    /// Grantor to requester.
+    LeaseReply {
+        /// The stream.
         stream: StreamId,
-        /// As asked.
-        asked_ms: u64,
-        /// The guard's run.
+        /// `sent_ms` of the request.
+        sent_ms: u64,
+        /// The grantor's run.
         run: u64,
-        /// Its answer.
-        answer: Answer,
+        /// The answer.
+        answer: LeaseAnswer,
     },
 }
 
-/// A message as bytes.
+/// Encodes a message.
 #[must_use]
 pub fn encode(message: &Message) -> Vec<u8> {
     postcard::to_stdvec(message).unwrap_or_default()
 }
 
-/// Bytes as a message.
+/// Decodes a message; `None` if the bytes are malformed or continue after the message.
 #[must_use]
 pub fn decode(bytes: &[u8]) -> Option<Message> {
     match postcard::take_from_bytes(bytes) {
--- a/crates/replica/tests/fleet.rs
+++ b/crates/replica/tests/fleet.rs
@@ -2,7 +2,7 @@
 //! both, fronts die, stand still and come back. After each step no two running fronts may act on one key; at the end
 //! each key that a copy survived of has one front, and nothing that was let go lives.
 
-use pepperhook_replica::{Key, Out, Peer, Replica, Settings};
+use pepperhook_replica::{Key, Output, Peer, Replica, Settings};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -28,7 +28,7 @@
     wire: VecDeque<(u64, u64, u64, Vec<u8>)>,
     cut: BTreeSet<(u64, u64)>,
     loss: f64,
-    guards: usize,
+    grantors: usize,
     random: StdRng,
     /// Keys that ought to live, and since when; those that were let go.
     lives: BTreeMap<Key, u64>,
@@ -43,13 +43,13 @@
 }
 
 /// The lease is long against what is lost: at a half, one of twelve looks may get no majority.
-fn settings(me: u64, run: u64, loss: f64, guards: usize) -> Settings {
+fn settings(me: u64, run: u64, loss: f64, grantors: usize) -> Settings {
     Settings {
         me,
         run,
         zone: (me % 3) as u16,
         copies: 2,
-        guards,
+        grantors,
         lease_ms: if loss > 0.3 { 4 * LEASE_MS } else { LEASE_MS },
         period_ms: PERIOD_MS,
         bytes_per_s: 400_000,
@@ -57,12 +57,12 @@
 }
 
 impl World {
-    fn new(n: u64, seed: u64, loss: f64, guards: usize) -> Self {
+    fn new(n: u64, seed: u64, loss: f64, grantors: usize) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let mut fronts = BTreeMap::new();
         for me in 1..=n {
             let (offset, rate) = (random.random_range(0..90_000), random.random_range(998..=1_002));
-            let replica = Some(Replica::new(settings(me, 1, loss, guards), offset));
+            let replica = Some(Replica::new(settings(me, 1, loss, grantors), offset));
             fronts.insert(me, Front { replica, run: 1, still: 0, offset, rate, view: BTreeMap::new() });
         }
         let mut world = Self {
@@ -71,7 +71,7 @@
             wire: VecDeque::new(),
             cut: BTreeSet::new(),
             loss,
-            guards,
+            grantors,
             random,
             lives: BTreeMap::new(),
             gone: BTreeSet::new(),
@@ -112,10 +112,10 @@
         }
     }
 
-    fn carry(&mut self, from: u64, said: Vec<Out>) {
+    fn carry(&mut self, from: u64, said: Vec<Output>) {
         for out in said {
             match out {
-                Out::Send(to, bytes) => {
+                Output::Send(to, bytes) => {
                     if self.random.random_bool(self.loss) {
                         continue;
                     }
@@ -126,8 +126,8 @@
                         self.wire.push_back((at, from, to, bytes.clone()));
                     }
                 }
-                Out::Adopted(_, keys) => self.adopted += keys.len() as u64,
-                Out::Lost(..) | Out::Ended(..) => {}
+                Output::Adopted(_, keys) => self.adopted += keys.len() as u64,
+                Output::Lost(..) | Output::Deleted(..) => {}
             }
         }
     }
@@ -240,7 +240,7 @@
         if let Some(front) = self.fronts.get_mut(&me) {
             front.run += 1;
             front.view.clear();
-            front.replica = Some(Replica::new(settings(me, front.run, self.loss, self.guards), clock));
+            front.replica = Some(Replica::new(settings(me, front.run, self.loss, self.grantors), clock));
         }
     }
 
@@ -248,7 +248,7 @@
     fn known(&self, without: &[u64]) -> BTreeSet<Key> {
         let rest = self.fronts.iter().filter(|(f, _)| !without.contains(f));
         let rest = rest.filter_map(|(_, front)| front.replica.as_ref());
-        rest.flat_map(|r| r.keys().chain(r.copied()).collect::<Vec<_>>()).collect()
+        rest.flat_map(|r| r.keys().chain(r.copied_keys()).collect::<Vec<_>>()).collect()
     }
 
     /// What was never elsewhere when its fronts died is lost, and is no longer looked for.
@@ -266,7 +266,7 @@
         for (me, front) in &self.fronts {
             let Some(replica) = front.replica.as_ref().filter(|_| self.runs(*me)) else { continue };
             let rows = replica.rows(self.clock(front));
-            stuck.extend(rows.iter().filter(|r| r.fenced || r.behind > 0).map(|r| format!("{me}: {r:?}")));
+            stuck.extend(rows.iter().filter(|r| r.fenced || r.max_lag > 0).map(|r| format!("{me}: {r:?}")));
         }
         stuck
     }
@@ -277,7 +277,7 @@
         for front in self.fronts.values() {
             let Some(replica) = &front.replica else { continue };
             let rows = replica.rows(self.clock(front));
-            for row in rows.iter().filter(|r| r.writes) {
+            for row in rows.iter().filter(|r| r.writable) {
                 sum = sum.wrapping_add(u64::from_str_radix(&row.digest, 16).expect("hex"));
             }
         }
@@ -397,8 +397,8 @@
 #[test]
 fn a_front_killed_right_after_halves_are_one_again_is_gone_on_for() {
     let mut lost = 0;
-    for (seed, guards) in (60..68).flat_map(|seed| [(seed, 3), (seed, 5)]) {
-        let mut world = filled_with(World::new(4, seed, 0.0, guards));
+    for (seed, grantors) in (60..68).flat_map(|seed| [(seed, 3), (seed, 5)]) {
+        let mut world = filled_with(World::new(4, seed, 0.0, grantors));
         for (a, b) in [(1, 3), (1, 4), (2, 3), (2, 4)] {
             world.cut.extend([(a, b), (b, a)]);
         }
@@ -417,8 +417,8 @@
         lost += world.forget_unknown();
         let left = world.actors();
         let nobody = world.lives.keys().filter(|k| left.get(*k).is_none_or(|a| a.len() != 1)).count();
-        assert_eq!(nobody, 0, "seed {seed}, {guards} guards: sessions with copies and nobody");
-        assert_eq!(world.stuck(), [""; 0], "seed {seed}, {guards} guards");
+        assert_eq!(nobody, 0, "seed {seed}, {grantors} grantors: sessions with copies and nobody");
+        assert_eq!(world.stuck(), [""; 0], "seed {seed}, {grantors} grantors");
     }
     assert!(lost < 4, "{lost} of some 2,000");
 }
