--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -17,16 +17,16 @@
 //! - When a writer falls silent, the follower with the most complete copy requests the lease under a higher epoch and
 //!   continues the same log: it **adopts** the stream's sessions.
 
-#[cfg(test)]
-mod contest;
 mod lease;
 mod log;
-mod place;
+mod placement;
 mod replica;
+#[cfg(test)]
+mod takeover_tests;
 mod wire;
 
 pub use lease::{Grant, GrantorId, GrantorSet, Lease, LeaseAnswer, LeaseRequest, majority};
 pub use log::{ApplyResult, Change, Completeness, Key, Log, LogCopy, Position, SnapshotProgress};
-pub use place::{Peer, choose_followers, choose_grantors, rank_fronts};
+pub use placement::{Peer, choose_followers, choose_grantors, rank_fronts};
 pub use replica::{Counters, Output, PutError, Replica, Settings, StreamRow};
 pub use wire::{Message, StreamId};
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -3,7 +3,7 @@
 
 use crate::lease::{Grant, GrantorId, GrantorSet, Lease, LeaseAnswer, LeaseRequest, MAX_NAMED_FRONTS};
 use crate::log::{ApplyResult, Completeness, Key, Log, LogCopy, Position, SnapshotProgress};
-use crate::place::{Peer, choose_followers, choose_grantors};
+use crate::placement::{Peer, choose_followers, choose_grantors};
 use crate::wire::{Message, StreamId, decode, encode};
 use serde::Serialize;
 use siphasher::sip::SipHasher13;
