--- a/crates/replica/src/lease.rs
+++ b/crates/replica/src/lease.rs
@@ -1,14 +1,15 @@
 //! The lease of a stream: the right to write it, granted by a majority of its grantors.
 //!
-//! A grantor grants a stream to one front at a time, for the lease time counted from when it receives the request. The
-//! holder counts from when it sent the request, and subtracts from the lease time a margin for the difference between
-//! clock rates, so that it stops before any grantor may grant the stream to another front. A later holder has a higher
-//! epoch; a grantor denies requests with an epoch that is not higher than the one it granted. Grantors are identified by
-//! front and run, because a grantor that restarts has lost its grants and counts as a different grantor.
+//! A grantor grants a stream to one front at a time, for the lease time counted from when it receives the
+//! request. The holder counts from when it sent the request, and subtracts from the lease time a margin for
+//! the difference between clock rates. It therefore stops before any grantor may grant the stream to another
+//! front. A later holder has a higher epoch; a grantor denies requests with an epoch that is not higher than
+//! the one it granted. Grantors are identified by front and run, because a grantor that restarts has lost its
+//! grants and counts as a different grantor.
 //!
-//! The lease holder replaces grantors in two phases: the old grantors promise to refer other requesters to the new set,
-//! then the new ones grant the lease. Once a majority of the old grantors has promised, no other front can get a majority
-//! of them.
+//! The lease holder replaces grantors in two phases: the old grantors promise to refer other requesters to
+//! the new set, then the new ones grant the lease. Once a majority of the old grantors has promised, no other
+//! front can get a majority of them.
 
 use crate::log::Position;
 use serde::{Deserialize, Serialize};
@@ -32,7 +33,7 @@
 pub const MAX_NAMED_FRONTS: usize = 64;
 
 impl GrantorSet {
-    /// Returns whether each set has at least one and at most [`MAX_NAMED_FRONTS`] grantors.
+    /// Returns whether each set has at least one and at most `MAX_NAMED_FRONTS` grantors.
     #[must_use]
     pub fn is_valid(&self) -> bool {
         let fits = |grantors: &Vec<GrantorId>| (1..=MAX_NAMED_FRONTS).contains(&grantors.len());
@@ -58,13 +59,15 @@
         /// The request named the next grantors, and the grantor refers other requesters to them from now on.
         promised_next: bool,
     },
-    /// Another front holds the lease or requests it, or the requested epoch is not higher than the last one granted.
+    /// Another front holds the lease or requests it, or the requested epoch is not higher than the last one
+    /// granted.
     Denied {
         /// The epoch of the last grant.
         epoch: u32,
         /// The front that it was granted to.
         holder: u64,
-        /// The position that the holder continued from; `None` while it has not reported that it held the lease.
+        /// The position that the holder continued from; `None` while it has not reported that it held the
+        /// lease.
         base: Option<Position>,
     },
     /// The requester's copy is older than a position that all followers had reached.
@@ -168,8 +171,8 @@
     /// The epoch that is held or requested.
     pub epoch: u32,
     grantor_set: GrantorSet,
-    /// By grantor: when the last request that it granted was sent (milliseconds), the version of the grantor set, and
-    /// whether it promised to refer others to the next set.
+    /// By grantor: when the last request that it granted was sent (milliseconds), the version of the grantor
+    /// set, and whether it promised to refer others to the next set.
     grants: BTreeMap<GrantorId, (u64, u32, bool)>,
     /// The lease time as the holder counts it, that is, less the margin for clock rates.
     duration_ms: u64,
@@ -178,8 +181,8 @@
 }
 
 impl Lease {
-    /// A lease without grants. `lease_ms` is the time that grantors grant; the holder uses a hundredth less, because the
-    /// rates of the fronts' clocks differ by less than that.
+    /// A lease without grants. `lease_ms` is the time that grantors grant; the holder uses a hundredth less,
+    /// because the rates of the fronts' clocks differ by less than that.
     #[must_use]
     pub fn new(epoch: u32, grantor_set: GrantorSet, lease_ms: u64) -> Self {
         let joint = grantor_set.next.is_some();
@@ -220,7 +223,8 @@
         }
         let last = self.grants.entry(grantor).or_insert((sent_ms, set_version, promised_next));
         *last = (last.0.max(sent_ms), set_version, last.2 || promised_next);
-        // The replacement is complete once majorities of the old and of the new grantors have promised the new set.
+        // The replacement is complete once majorities of the old and of the new grantors have promised the
+        // new set.
         let Some(next) = &self.grantor_set.next else { return };
         let majority_promised = |set: &[GrantorId]| {
             set.iter().filter(|g| self.grants.get(g).is_some_and(|(.., promised)| *promised)).count()
--- a/crates/replica/src/log.rs
+++ b/crates/replica/src/log.rs
@@ -1,7 +1,7 @@
-//! The log of a stream, which has one writer, and copies of it. The writer numbers its changes and keeps the most recent
-//! ones unmodified, so two copies at the same position of the same writer are equal. A copy that missed more than those
-//! receives a snapshot, key by key while the log goes on, and is complete again once it has also applied the changes of
-//! that time.
+//! The log of a stream, which has one writer, and copies of it. The writer numbers its changes and keeps the
+//! most recent ones unmodified, so two copies at the same position of the same writer are equal. A copy that
+//! missed more than those receives a snapshot, key by key while the writer continues, and is complete again
+//! once it has also applied the changes of that time.
 
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
@@ -12,7 +12,8 @@
 pub type Entry = (Key, u64, Vec<u8>);
 /// A key within a stream.
 pub type Key = u64;
-/// Progress of a snapshot: the log's last sequence number when the snapshot was started, and the last key received.
+/// Progress of a snapshot: the log's last sequence number when the snapshot was started, and the last key
+/// received.
 pub type SnapshotProgress = (u64, Option<Key>);
 
 /// Number of recent changes that a log keeps; a copy that missed more receives a snapshot.
@@ -30,7 +31,8 @@
     Complete,
 }
 
-/// How far a copy has progressed. Positions are ordered: completeness first, then epoch, then sequence number.
+/// How far a copy has progressed. Positions are ordered: completeness first, then epoch, then sequence
+/// number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Position {
     /// How complete the copy is; only a complete copy may be adopted.
@@ -82,8 +84,8 @@
     hash.finish()
 }
 
-/// Returns whether a copy is a prefix of the log whose epoch continued from `base`. A copy that is still catching up under
-/// an earlier epoch is not: the changes that it waits for will not come.
+/// Returns whether a copy is a prefix of the log whose epoch continued from `base`. A copy that is still
+/// catching up under an earlier epoch is not: the changes that it waits for will never be sent.
 fn is_prefix(position: Position, epoch: u32, base: (u32, u64)) -> bool {
     match position.completeness {
         Completeness::Partial => false,
@@ -98,8 +100,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     epoch: u32,
-    /// The position that this epoch continued from: the previous epoch and its last sequence number in this log. Later
-    /// changes of that epoch's writer are not part of this log; whether changes of other epochs are is not known.
+    /// The position that this epoch continued from: the previous epoch and its last sequence number in this
+    /// log. Later changes of that epoch's writer are not part of this log; whether changes of other epochs
+    /// are is not known.
     base: (u32, u64),
     /// Sequence number of the last change.
     head_seq: u64,
@@ -158,7 +161,8 @@
         self.entries.iter().map(|(key, (_, body))| (*key, body.as_slice()))
     }
 
-    /// Returns whether this writer created a key after a change; a front that continued from that change cannot have it.
+    /// Returns whether this writer created a key after a change; a front that continued from that change
+    /// cannot have it.
     #[must_use]
     pub fn was_created_after(&self, key: Key, seq: u64) -> bool {
         self.created_seqs.get(&key).is_some_and(|created_seq| *created_seq > seq)
@@ -238,22 +242,22 @@
         digest_of(&self.entries)
     }
 
-    /// Returns whether a copy at this position can catch up by changes alone: it is a prefix of this log, and all changes
-    /// that it lacks are among the recent ones.
+    /// Returns whether a copy at this position can catch up by changes alone: it is a prefix of this log, and
+    /// all changes that it lacks are among the recent ones.
     #[must_use]
     pub fn can_catch_up(&self, position: Position) -> bool {
         is_prefix(position, self.epoch, self.base) && self.has_changes_since(position.seq)
     }
 
-    /// Returns whether all changes after `seq` are among the recent ones. A snapshot that was started at `seq` can be
-    /// continued only then.
+    /// Returns whether all changes after `seq` are among the recent ones. A snapshot that was started at
+    /// `seq` can be continued only then.
     #[must_use]
     pub fn has_changes_since(&self, seq: u64) -> bool {
         (self.trimmed_seq()..=self.head_seq).contains(&seq)
     }
 
-    /// Changes after `after_seq` up to about `max_bytes`, but at least one if there are any, and the sequence number of
-    /// the last one.
+    /// Changes after `after_seq` up to about `max_bytes`, but at least one if there are any, and the sequence
+    /// number of the last one.
     #[must_use]
     pub fn changes_after(&self, after_seq: u64, max_bytes: usize) -> (Vec<Change>, u64) {
         let skip = after_seq.saturating_sub(self.trimmed_seq()) as usize;
@@ -269,8 +273,8 @@
         (changes, last_seq)
     }
 
-    /// Entries with keys after `after_key`, up to about `max_bytes`, and the last key of them; `None` if they reach the
-    /// end of the log's keys.
+    /// Entries with keys after `after_key`, up to about `max_bytes`, and the last key of them; `None` if they
+    /// reach the end of the log's keys.
     #[must_use]
     pub fn entries_after(&self, after_key: Option<Key>, max_bytes: usize) -> (Vec<Entry>, Option<Key>) {
         let (mut entries, mut used): (Vec<Entry>, usize) = (Vec::new(), 0);
@@ -338,8 +342,8 @@
         digest_of(&self.entries)
     }
 
-    /// Applies the changes after `after_seq` up to `last_seq`. Changes that the copy already has, or that are received
-    /// twice, have no effect.
+    /// Applies the changes after `after_seq` up to `last_seq`. Changes that the copy already has, or that are
+    /// received twice, have no effect.
     pub fn apply_changes(
         &mut self,
         epoch: u32,
@@ -378,9 +382,9 @@
         ApplyResult::Applied
     }
 
-    /// Applies a chunk of a snapshot; `head_seq` was the log's last sequence number when the chunk was sent. Chunks have
-    /// to arrive in order: one that does not follow the last is rejected, and the writer continues from the progress that
-    /// the copy reports.
+    /// Applies a chunk of a snapshot; `head_seq` was the log's last sequence number when the chunk was sent.
+    /// Chunks have to arrive in order: one that does not follow the last is rejected, and the writer
+    /// continues from the progress that the copy reports.
     pub fn apply_snapshot_chunk(
         &mut self,
         epoch: u32,
@@ -494,15 +498,16 @@
     proptest! {
         #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
-        /// Messages are lost or duplicated and writers are replaced: the copies still become equal to the log, and every
-        /// complete copy equals the log as it was at the copy's position.
+        /// Messages are lost or duplicated and writers are replaced: the copies still become equal to the
+        /// log, and every complete copy equals the log as it was at the copy's position.
         #[test]
         fn copies_become_equal(steps in proptest::collection::vec(step(), 1..120)) {
             let mut log = Log::default();
             let complete = Position { completeness: Completeness::Complete, ..Position::default() };
             let mut copies = [LogCopy { position: complete, ..LogCopy::default() }, LogCopy::default()];
             let mut states: BTreeMap<(u32, u64), BTreeMap<Key, Vec<u8>>> = BTreeMap::new();
-            let log_entries = |log: &Log| log.iter().map(|(k, b)| (k, b.to_vec())).collect::<BTreeMap<_, _>>();
+            let log_entries =
+                |log: &Log| log.iter().map(|(k, b)| (k, b.to_vec())).collect::<BTreeMap<_, _>>();
             states.insert((0, 0), log_entries(&log));
             let mut checked = 0u32;
             for step in steps {
@@ -521,7 +526,8 @@
                     // Only states of the same epoch count: another writer reuses the sequence numbers.
                     let position = copy.position();
                     if let Some(state) = states.get(&(position.epoch, position.seq)) {
-                        let copied: BTreeMap<Key, Vec<u8>> = copy.iter().map(|(k, b)| (k, b.to_vec())).collect();
+                        let copied: BTreeMap<Key, Vec<u8>> =
+                            copy.iter().map(|(k, b)| (k, b.to_vec())).collect();
                         prop_assert_eq!(&copied, state, "at {:?}", position);
                         checked += 1;
                     }
--- a/crates/replica/src/placement.rs
+++ b/crates/replica/src/placement.rs
@@ -1,5 +1,5 @@
-//! Chooses the followers and grantors of a stream by rendezvous hashing (Thaler and Ravishankar 1998): a change of the
-//! view moves only the copies that it has to.
+//! Chooses the followers and grantors of a stream by rendezvous hashing (Thaler and Ravishankar 1998): a
+//! change of the view moves only the copies that it has to.
 
 use crate::lease::GrantorId;
 use crate::wire::StreamId;
@@ -31,8 +31,8 @@
     order.into_iter().map(|(_, front)| front).collect()
 }
 
-/// The `count` fronts that keep copies of a stream for `writer`: first the best ranked front of each other zone, then the
-/// remaining fronts by rank.
+/// The `count` fronts that keep copies of a stream for `writer`: first the best ranked front of each other
+/// zone, then the remaining fronts by rank.
 #[must_use]
 pub fn choose_followers(
     stream: StreamId,
@@ -54,12 +54,13 @@
 /// Minimum number of grantors where more are requested: with fewer, the death of one would leave no majority.
 const MIN_GRANTORS: usize = 3;
 
-/// The grantors that a stream should have, ordered by front number: those of `current` that are in the view, then other
-/// fronts of the view by rank, up to `max`.
+/// The grantors that a stream should have, ordered by front number: those of `current` that are in the view,
+/// then other fronts of the view by rank, up to `max`.
 ///
-/// The number is odd where possible. An even number is never better than the next lower odd one, which survives as many
-/// deaths, nor than the next higher one, which has the same majority. If the view has too few fronts, absent grantors stay
-/// and departed fronts are added until there are at least three and an odd number; they count again once they return.
+/// The number is odd where possible. An even number is never better than the next lower odd one, which
+/// survives as many deaths, nor than the next higher one, which has the same majority. If the view has too
+/// few fronts, absent grantors stay and departed fronts are added until there are at least three and an odd
+/// number; they count again once they return.
 #[must_use]
 pub fn choose_grantors(
     stream: StreamId,
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -1,5 +1,5 @@
-//! One front's part in the replication: the streams that it writes, the copies that it keeps for other fronts, and the
-//! leases that it grants.
+//! One front's part in the replication: the streams that it writes, the copies that it keeps for other
+//! fronts, and the leases that it grants.
 
 use crate::lease::{Grant, GrantorId, GrantorSet, Lease, LeaseAnswer, LeaseRequest, MAX_NAMED_FRONTS};
 use crate::log::{ApplyResult, Completeness, Key, Log, LogCopy, Position, SnapshotProgress};
@@ -10,8 +10,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hasher;
 
-/// Number of shards of a front's keys. Each shard is a stream with its own followers, so several fronts share the work
-/// when a front dies.
+/// Number of shards of a front's keys. Each shard is a stream with its own followers, so several fronts share
+/// the work when a front dies.
 const SHARDS: u8 = 4;
 /// Maximum length of a body, bytes.
 const MAX_BODY_BYTES: usize = 512;
@@ -19,7 +19,8 @@
 const MAX_CHUNK_BYTES: usize = 800;
 /// An unanswered message with changes is sent again after this time, milliseconds.
 const RESEND_MS: u64 = 300;
-/// Maximum number of streams of other fronts that this front keeps copies of.
+/// Maximum number of streams of other fronts that this front keeps copies of, and of former streams whose
+/// deleted keys it still has to send to the successor.
 const MAX_COPIES: usize = 2_048;
 /// Maximum number of keys in this front's streams, and in all copies together.
 const MAX_KEYS: usize = 131_072;
@@ -27,8 +28,8 @@
 const MAX_GRANTS: usize = 16_384;
 /// A copy is dropped if no writer has sent anything for this time, milliseconds.
 const COPY_RETENTION_MS: u64 = 600_000;
-/// Grantors forget a stream this long after its grant expired, milliseconds. A writer that lost its lease requests it
-/// again only during the first half of this time, while the grantors still know the stream.
+/// Grantors forget a stream this long after its grant expired, milliseconds. A writer that lost its lease
+/// requests it again only during the first half of this time, while the grantors still know the stream.
 const GRANT_RETENTION_MS: u64 = 600_000;
 /// Maximum number of deleted keys that a former writer reports to its successor.
 const MAX_DELETED_KEYS: usize = 1_024;
@@ -58,7 +59,8 @@
     pub grantors: usize,
     /// How long a grantor grants a lease, milliseconds.
     pub lease_ms: u64,
-    /// Time between two rounds, in which leases are renewed and followers checked, milliseconds; well below the lease.
+    /// Time between two rounds, in which leases are renewed and followers checked, milliseconds; well below
+    /// the lease.
     pub period_ms: u64,
     /// Maximum rate of changes and snapshots that are sent, bytes per second.
     pub bytes_per_s: u64,
@@ -67,13 +69,13 @@
 /// Why a body was not stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PutError {
-    /// The body exceeds [`MAX_BODY_BYTES`].
+    /// The body exceeds `MAX_BODY_BYTES`.
     #[error("a body of {bytes} bytes exceeds the limit of {max} bytes", max = MAX_BODY_BYTES)]
     BodyTooLong {
         /// Length of the body.
         bytes: usize,
     },
-    /// This front's streams hold [`MAX_KEYS`] keys.
+    /// This front's streams hold `MAX_KEYS` keys.
     #[error("no room for a new key: the limit of {max} keys is reached", max = MAX_KEYS)]
     Full,
 }
@@ -130,8 +132,8 @@
     pub epoch: u32,
     /// Number of keys.
     pub keys: usize,
-    /// Sum of the hashes of all keys modulo 2^64, in hexadecimal. A copy with the same keys has the same sum, and the
-    /// sums of streams add up to the sum over all their keys, whichever stream each key is in.
+    /// Sum of the hashes of all keys modulo 2^64, in hexadecimal. A copy with the same keys has the same sum,
+    /// and the sums of streams add up to the sum over all their keys, whichever stream each key is in.
     pub digest: String,
     /// Number of the writer, as far as this front knows.
     pub writer: u64,
@@ -167,13 +169,14 @@
     lapsed_since_ms: Option<u64>,
     /// The lease was held under the present epoch.
     has_held: bool,
-    /// The last epoch under which the lease was held: a front that holds it under a later one is this front's successor.
+    /// The last epoch under which the lease was held: a front that holds it under a later one is this front's
+    /// successor.
     last_held_epoch: u32,
     /// The highest epoch under which another front requested the lease without being known to hold it.
     contested_epoch: u32,
 }
 
-/// How far this front has come in taking over a stream whose writer is silent.
+/// Progress of this front in taking over a stream whose writer is silent.
 enum Takeover {
     Idle,
     /// The other fronts were informed of this candidate's position.
@@ -186,7 +189,7 @@
     Requesting {
         since_ms: u64,
         lease: Lease,
-        /// Another front has to come first; if the request fails, this front waits before the next one.
+        /// Another front has precedence; if the request fails, this front waits before the next one.
         defer: bool,
     },
 }
@@ -203,7 +206,7 @@
     takeover: Takeover,
     /// The highest epoch known from the writer or from denials; the next takeover uses a higher one.
     highest_epoch: u32,
-    /// No takeover starts before this time, since another front goes first; milliseconds.
+    /// No takeover starts before this time, because another front has precedence; milliseconds.
     deferred_until_ms: u64,
 }
 
@@ -327,8 +330,8 @@
         Ok(())
     }
 
-    /// The stream that takes new keys of a shard. A shared stream whose lease is not held may already belong to another
-    /// front; it is replaced by a new stream, of which no other front has a copy.
+    /// The stream that takes new keys of a shard. A shared stream whose lease is not held may already belong
+    /// to another front; it is replaced by a new stream, of which no other front has a copy.
     fn stream_for_new_key(&mut self, now_ms: u64, shard: u8) -> StreamId {
         let stream = self.current[usize::from(shard)];
         let fenced = self.own.get(&stream).is_none_or(|own| own.shared && !own.lease.is_held(now_ms));
@@ -414,8 +417,8 @@
         }
     }
 
-    /// Requests or renews the lease of an own stream, replaces its grantors if necessary, and drops the stream once it is
-    /// no longer needed.
+    /// Requests or renews the lease of an own stream, replaces its grantors if necessary, and drops the
+    /// stream once it is no longer needed.
     fn maintain_lease(&mut self, now_ms: u64, stream: StreamId, out: &mut Vec<Output>) {
         let grantors =
             self.own.get(&stream).map(|own| own.lease.grantor_set().grantors.clone()).unwrap_or_default();
@@ -429,8 +432,8 @@
             return;
         }
         if own.log.is_empty() && !is_current && own.lease.is_held(now_ms) {
-            // All keys of an adopted or replaced stream are deleted: followers drop their copies, and grantors forget
-            // the stream after a while.
+            // All keys of an adopted or replaced stream are deleted: followers drop their copies, and
+            // grantors forget the stream after a while.
             let (epoch, followers) = (own.log.epoch(), own.followers.keys().copied().collect::<Vec<_>>());
             self.own.remove(&stream);
             followers
@@ -442,12 +445,13 @@
         let is_held = own.lease.is_held(now_ms);
         own.lapsed_since_ms = if is_held { None } else { own.lapsed_since_ms.or(Some(now_ms)) };
         if own.shared && own.lapsed_since_ms.is_some_and(|since| since + GRANT_RETENTION_MS / 2 <= now_ms) {
-            // Grantors may soon forget the stream; they could then not distinguish this front from a new holder.
+            // Grantors may soon forget the stream; they could then not distinguish this front from a new
+            // holder.
             return self.lose_stream(now_ms, stream, None, out);
         }
         own.update_has_held(now_ms);
-        // A front that requested the lease has not obtained it in time: this front requests it again under a higher
-        // epoch, with all its entries.
+        // A front that requested the lease has not obtained it in time: this front requests it again under a
+        // higher epoch, with all its entries.
         let takeover_ms = self.settings.lease_ms + 2 * self.settings.period_ms;
         let same_epoch = own.contested_epoch == own.log.epoch() && own.contested_epoch > own.last_held_epoch;
         if (own.contested_epoch > own.log.epoch() || same_epoch)
@@ -522,8 +526,8 @@
         }
     }
 
-    /// Sends the next changes or snapshot chunk to a follower. With `ask_status` a message is sent even if there is
-    /// nothing new, so that the follower reports its position.
+    /// Sends the next changes or snapshot chunk to a follower. With `ask_status` a message is sent even if
+    /// there is nothing new, because the follower answers it with its position.
     fn send_next(
         &mut self,
         now_ms: u64,
@@ -585,8 +589,8 @@
             return;
         }
         let Some(grantor_set) = copied.grantor_set.clone() else { return };
-        // Followers start at different times: of two that request the lease at once, each would get some of the
-        // grantors.
+        // Followers start at different times: of two that request the lease at once, each would get some of
+        // the grantors.
         let lower_numbered =
             copied.followers.iter().filter(|front| **front < self.settings.me).count() as u64;
         let patience_ms = lease_ms + 2 * period_ms + lower_numbered * (lease_ms / 2);
@@ -597,7 +601,8 @@
         match &copied.takeover {
             Takeover::Idle if is_round && copied.deferred_until_ms <= now_ms => {
                 copied.takeover = Takeover::Announced { since_ms: now_ms, other_is_better: false };
-                // The writer and the grantors may have later copies, from a writer that this front never heard from.
+                // The writer and the grantors may have later copies, from a writer that this front never
+                // heard from.
                 let mut others: BTreeSet<u64> = copied.followers.iter().copied().collect();
                 others.extend(grantor_set.grantors.iter().map(|g| g.0));
                 others.insert(copied.writer);
@@ -606,7 +611,7 @@
             }
             Takeover::Announced { since_ms, other_is_better } if since_ms + 2 * period_ms <= now_ms => {
                 if *other_is_better {
-                    // The better candidate goes first; if it does not take over, this front tries again.
+                    // The better candidate has precedence; if it does not take over, this front tries again.
                     if since_ms + 6 * period_ms <= now_ms {
                         copied.takeover = Takeover::Idle;
                     }
@@ -621,11 +626,12 @@
                 if lease.is_held(now_ms) {
                     return self.adopt(stream, out);
                 }
-                // Two fronts that request the lease at once may each get some grantors. A jitter of 0 to 7 periods makes
-                // them start again at different times.
+                // Two fronts that request the lease at once may each get some grantors. A jitter of 0 to 7
+                // periods makes them start again at different times.
                 let jitter = (self.settings.me ^ now_ms).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 60;
                 if since_ms + lease_ms + period_ms * (2 + jitter % 8) <= now_ms {
-                    // Meanwhile this front's grants expire, and the other front learns of them and requests again.
+                    // Meanwhile this front's grants expire, and the other front learns of them and requests
+                    // again.
                     let wait_ms = if *defer { 3 * lease_ms + 4 * period_ms } else { 0 };
                     (copied.takeover, copied.deferred_until_ms) =
                         (Takeover::Idle, now_ms.saturating_add(wait_ms));
@@ -680,9 +686,9 @@
         out.push(Output::Adopted(stream, entries));
     }
 
-    /// Handles that another front has continued a stream from a copy at the given position. No log contains what this
-    /// front wrote after that position: keys created since stay here, in a new stream, and the successor is informed of
-    /// the keys deleted since.
+    /// Handles that another front has continued a stream from a copy at the given position. No log contains
+    /// what this front wrote after that position: keys created since stay here, in a new stream, and the
+    /// successor is informed of the keys deleted since.
     fn lose_stream(
         &mut self,
         now_ms: u64,
@@ -823,7 +829,7 @@
             Message::Candidate { stream, position } => {
                 let me = self.settings.me;
                 let Some(copied) = self.copies.get_mut(&stream) else { return };
-                // The better copy goes first, then the lower front number.
+                // The better copy has precedence, then the lower front number.
                 let own_position = copied.copy.position();
                 match &mut copied.takeover {
                     Takeover::Announced { other_is_better, .. } => {
@@ -836,8 +842,8 @@
                     }
                     _ => {}
                 }
-                // The writer may have dropped the sender as a follower before it fell silent, so this front's candidacy
-                // did not reach the sender: reply with the better position.
+                // The writer may have dropped the sender as a follower before it fell silent, so this front's
+                // candidacy did not reach the sender: reply with the better position.
                 if own_position.is_complete() && own_position > position {
                     self.send(sender, &Message::Candidate { stream, position: own_position }, out);
                 }
@@ -845,8 +851,8 @@
             Message::DeletedKeys { stream, after_seq, keys } => {
                 let Some(own) = self.own.get_mut(&stream) else { return };
                 for key in keys {
-                    // Only keys that are still as the former writer left them are deleted, not those that this front
-                    // wrote since.
+                    // Only keys that are still as the former writer left them are deleted, not those that
+                    // this front wrote since.
                     if own.log.base().1 == after_seq && own.log.is_unchanged_since_base(key) {
                         own.log.remove(key);
                         self.stream_of.remove(&key);
@@ -875,16 +881,17 @@
         }
     }
 
-    /// Returns whether `more` keys would exceed the limit for all copies together, and counts the message as rejected
-    /// then. Changes of existing keys count as new ones.
+    /// Returns whether `more` keys would exceed the limit for all copies together, and counts the message as
+    /// rejected then. Changes of existing keys count as new ones.
     fn exceeds_max_keys(&mut self, more: usize) -> bool {
         let exceeds = more > 0 && more + self.copies.values().map(|c| c.copy.len()).sum::<usize>() > MAX_KEYS;
         self.counters.rejected += u64::from(exceeds);
         exceeds
     }
 
-    /// Returns the copy of a stream for a message from its writer under this epoch, creating it if necessary; `None` if
-    /// the message is from an earlier writer. `base` is the position that the writer continued from.
+    /// Returns the copy of a stream for a message from its writer under this epoch, creating it if necessary;
+    /// `None` if the message is from an earlier writer. `base` is the position that the writer continued
+    /// from.
     fn accept_writer(
         &mut self,
         now_ms: u64,
@@ -939,8 +946,8 @@
         self.send(writer, &message, out);
     }
 
-    /// Answers a lease request as grantor; `None` if this front is not a grantor of the stream, the grantor set is
-    /// invalid, or the maximum number of grants is reached.
+    /// Answers a lease request as grantor; `None` if this front is not a grantor of the stream, the grantor
+    /// set is invalid, or the maximum number of grants is reached.
     fn answer_request(
         &mut self,
         now_ms: u64,
@@ -979,7 +986,8 @@
                     own.lease.record_grant(grantor, sent_ms, set_version, promised_next);
                     own.update_has_held(now_ms);
                 }
-                // A grantor answers with a lower epoch only while that grant lasts: the other front holds the lease now.
+                // A grantor answers with a lower epoch only while that grant lasts: the other front holds the
+                // lease now.
                 LeaseAnswer::Denied { epoch, holder, base: Some(base) }
                     if holder != self.settings.me && own.is_superseded_by(now_ms, epoch) =>
                 {
@@ -988,7 +996,8 @@
                 LeaseAnswer::Denied { epoch, .. } => {
                     own.contested_epoch = own.contested_epoch.max(epoch);
                 }
-                // The front that replaced the grantors holds the lease; the new grantors report which front that is.
+                // The front that replaced the grantors holds the lease; the new grantors report which front
+                // that is.
                 LeaseAnswer::Reconfigured(grantor_set)
                     if own.is_newer_set(now_ms, &grantor_set) && grantor_set.is_valid() =>
                 {
@@ -1010,10 +1019,11 @@
             }
             LeaseAnswer::Denied { epoch, holder, base } => {
                 copied.highest_epoch = copied.highest_epoch.max(epoch);
-                // The writer, which has all entries, requests the lease again. Without a wait each of the two fronts
-                // would keep its own grantors from the other.
+                // The writer, which has all entries, requests the lease again. Without a wait each of the two
+                // fronts would hold grants that the other needs.
                 *defer |= base.is_none() && holder == copied.writer;
-                // A requester with a lower number goes first; this front's requests must not keep grantors from it.
+                // A requester with a lower number has precedence; this front must not hold grants that it
+                // needs.
                 if base.is_none() && holder < self.settings.me {
                     (copied.takeover, copied.deferred_until_ms) = (Takeover::Idle, now_ms + 2 * lease_ms);
                 }
@@ -1032,7 +1042,8 @@
         }
     }
 
-    /// Sends a message. A lease request to this front itself is answered at once; other messages to itself are dropped.
+    /// Sends a message. A lease request to this front itself is answered at once; other messages to itself
+    /// are dropped.
     fn send(&mut self, to: u64, message: &Message, out: &mut Vec<Output>) {
         if to == self.settings.me {
             if let Message::LeaseRequest { stream, epoch, sent_ms, grantor_set, position, base, has_held } =
@@ -1127,17 +1138,18 @@
         }
     }
 
-    /// Returns whether this front has to release the stream to a front that held its lease under `epoch`: a later epoch
-    /// than this front's, or, while this front requests the lease again without success, a later epoch than the last one
-    /// that it held itself. Without the second case it would stay fenced for as long as the other front lives.
+    /// Returns whether this front has to release the stream to a front that held its lease under `epoch`: a
+    /// later epoch than this front's, or, while this front requests the lease again without success, a later
+    /// epoch than the last one that it held itself. Without the second case it would stay fenced for as long
+    /// as the other front lives.
     fn is_superseded_by(&self, now_ms: u64, epoch: u32) -> bool {
         let is_requesting = !self.has_held && !self.lease.is_held(now_ms);
         epoch > self.log.epoch() || (is_requesting && epoch > self.last_held_epoch)
     }
 
-    /// Returns whether this front has to switch to `grantor_set`, which came after its own. The lease holder starts
-    /// replacements itself and does not switch to a set in replacement; a front without the lease has to, because the
-    /// grantors that it asks only refer it to the next set and do not report the holder.
+    /// Returns whether this front has to switch to `grantor_set`, which came after its own. The lease holder
+    /// starts replacements itself and does not switch to a set in replacement; a front without the lease has
+    /// to, because the grantors that it asks only refer it to the next set and do not report the holder.
     fn is_newer_set(&self, now_ms: u64, grantor_set: &GrantorSet) -> bool {
         let own_set = self.lease.grantor_set();
         let in_replacement =
@@ -1157,8 +1169,8 @@
         Position { completeness, epoch, seq }
     }
 
-    /// The lowest position of all followers; the default position while any of them is not known to have a complete copy
-    /// of this epoch.
+    /// The lowest position of all followers; the default position while any of them is not known to have a
+    /// complete copy of this epoch.
     fn min_follower_position(&self) -> Position {
         let is_usable = |p: &Position| p.is_complete() && p.epoch == self.log.epoch();
         let positions = self.followers.values().map(|f| f.position.filter(is_usable).unwrap_or_default());
--- a/crates/replica/src/takeover_tests.rs
+++ b/crates/replica/src/takeover_tests.rs
@@ -1,5 +1,5 @@
-//! Two fronts compete for one stream: a writer whose lease expired requests it again, and a follower takes over from a
-//! silent writer. The test plays the grantors and the other fronts.
+//! Two fronts compete for one stream: a writer whose lease expired requests it again, and a follower takes
+//! over from a silent writer. The test plays the grantors and the other fronts.
 
 use crate::lease::LeaseAnswer;
 use crate::log::{Change, Completeness, Position};
@@ -20,8 +20,8 @@
 }
 
 impl Contest {
-    /// Advances time. `answer` answers the writer's lease requests by grantor, epoch and version of the grantor set; `None`
-    /// loses the request. Returns all outputs that are not messages.
+    /// Advances time. `answer` answers the writer's lease requests by grantor, epoch and version of the
+    /// grantor set; `None` loses the request. Returns all outputs that are not messages.
     fn advance(&mut self, ms: u64, answer: &dyn Fn(u64, u32, u32) -> Option<LeaseAnswer>) -> Vec<Output> {
         let end_ms = self.now_ms + ms;
         let mut outputs = Vec::new();
@@ -74,7 +74,8 @@
     }
 }
 
-/// A writer of two keys that lost its lease to a front that only requested epoch 1, and requests it again under epoch 2.
+/// A writer of two keys that lost its lease to a front that only requested epoch 1, and requests it again
+/// under epoch 2.
 fn requesting_again() -> Contest {
     let mut writer = Replica::new(settings(), 0);
     writer.set_view((1..=5).map(|f| (f, Peer { run: 1, zone: f as u16 })).collect());
--- a/crates/replica/src/wire.rs
+++ b/crates/replica/src/wire.rs
@@ -1,5 +1,5 @@
-//! Messages between fronts. Each message fits into one datagram of the exchange. The encoding is postcard, so the order
-//! and types of fields and variants are part of the protocol.
+//! Messages between fronts. Each message fits into one datagram of the exchange. The encoding is postcard, so
+//! the order and types of fields and variants are part of the protocol.
 
 use crate::lease::{GrantorSet, LeaseAnswer};
 use crate::log::{Change, Key, Position, SnapshotProgress};
@@ -14,15 +14,16 @@
     pub run: u64,
     /// Shard of the front's keys.
     pub shard: u8,
-    /// Counts how often the front replaced this shard's stream with a new one because it lost the previous one's lease.
+    /// Counts how often the front replaced this shard's stream with a new one because it lost the previous
+    /// one's lease.
     pub generation: u32,
 }
 
 /// A message from one front to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Writer to follower: changes after `after_seq` up to `last_seq`. Without changes it only asks for the follower's
-    /// status.
+    /// Writer to follower: changes after `after_seq` up to `last_seq`. Without changes it only asks for the
+    /// follower's status.
     Changes {
         /// The stream.
         stream: StreamId,
@@ -50,7 +51,8 @@
         /// The stream's grantors.
         grantor_set: GrantorSet,
     },
-    /// Writer to follower: all entries with keys after `after_key` up to `last_key`, as of `snapshot_seq` or later.
+    /// Writer to follower: all entries with keys after `after_key` up to `last_key`, as of `snapshot_seq` or
+    /// later.
     SnapshotChunk {
         /// The stream.
         stream: StreamId,
@@ -83,16 +85,16 @@
         /// The writer's epoch.
         epoch: u32,
     },
-    /// Follower to the other followers, the grantors and the last writer, if the writer is silent: it intends to take the
-    /// stream over from its copy. Also the reply to a candidate with an older copy.
+    /// Follower to the other followers, the grantors and the last writer, if the writer is silent: it intends
+    /// to take the stream over from its copy. Also the reply to a candidate with an older copy.
     Candidate {
         /// The stream.
         stream: StreamId,
         /// Position of the copy.
         position: Position,
     },
-    /// Former writer to present writer: keys that the former writer had deleted after the position that the present
-    /// writer continued from.
+    /// Former writer to present writer: keys that the former writer had deleted after the position that the
+    /// present writer continued from.
     DeletedKeys {
         /// The stream.
         stream: StreamId,
--- a/crates/replica/tests/fleet.rs
+++ b/crates/replica/tests/fleet.rs
@@ -1,6 +1,7 @@
-//! Replicas on a simulated network with a seed, each with its own clock. Messages are lost, duplicated and late; links are
-//! cut in one or both directions; fronts die, pause and restart. After each step no two running fronts may act on the same
-//! key. At the end exactly one front may act on each key that still has a copy, and no deleted key exists again.
+//! Replicas on a simulated network with a seed, each with its own clock. Messages are lost, duplicated and
+//! late; links are cut in one or both directions; fronts die, pause and restart. After each step no two
+//! running fronts may act on the same key. At the end exactly one front may act on each key that still has a
+//! copy, and no deleted key exists again.
 
 use pepperhook_replica::{Key, Output, Peer, Replica, Settings};
 use rand::rngs::StdRng;
@@ -53,8 +54,8 @@
     paused_fronts_act: bool,
 }
 
-/// The lease is four times as long where half of the messages are lost: one round in twelve may then fail to reach a
-/// majority.
+/// The lease is four times as long where half of the messages are lost: one round in twelve may then fail to
+/// reach a majority.
 fn settings(me: u64, run: u64, loss: f64, grantors: usize) -> Settings {
     Settings {
         me,
@@ -111,8 +112,8 @@
         self.fronts[&me].replica.is_some() && self.fronts[&me].paused_until_ms <= self.now_ms
     }
 
-    /// Simulates membership: each front's view contains the running fronts whose link to it is not cut in both
-    /// directions. Called once a second, so views are up to a second old.
+    /// Simulates membership: each front's view contains the running fronts whose link to it is not cut in
+    /// both directions. Called once a second, so views are up to a second old.
     fn update_views(&mut self) {
         let running: Vec<u64> = self.fronts.keys().copied().filter(|f| self.is_running(*f)).collect();
         let peers: BTreeMap<u64, Peer> =
@@ -225,7 +226,8 @@
         }
     }
 
-    /// Creates `count` keys at random running fronts; each of these fronts also changes a key and deletes one.
+    /// Creates `count` keys at random running fronts; each of these fronts also changes a key and deletes
+    /// one.
     fn traffic(&mut self, count: usize) {
         let running: Vec<u64> = self.fronts.keys().copied().filter(|f| self.is_running(*f)).collect();
         for _ in 0..count {
@@ -282,7 +284,8 @@
         before - self.live_keys.len()
     }
 
-    /// Streams that a front keeps although it may not write them, and streams with a follower that lags behind.
+    /// Streams that a front keeps although it may not write them, and streams with a follower that lags
+    /// behind.
     fn stuck_streams(&self) -> Vec<String> {
         let mut stuck = Vec::new();
         for (me, front) in &self.fronts {
@@ -425,8 +428,9 @@
     }
 }
 
-/// Guards against streams that depend on two fronts alone. During a cut a half with two fronts must not choose only those
-/// two as grantors: one of them dies right after the cut, and the other could then never get a majority.
+/// Guards against streams that depend on two fronts alone. During a cut a half with two fronts must not
+/// choose only those two as grantors: one of them dies right after the cut, and the other could then never
+/// get a majority.
 #[test]
 fn streams_of_a_front_killed_right_after_a_cut_are_adopted() {
     let mut lost = 0;
@@ -459,8 +463,8 @@
     assert!(lost < 4, "{lost} of some 2,000");
 }
 
-/// The digests of the writable streams add up to the digest of all keys, whichever front writes them. A missing or changed
-/// key changes the sum.
+/// The digests of the writable streams add up to the digest of all keys, whichever front writes them. A
+/// missing or changed key changes the sum.
 #[test]
 fn digests_distinguish_a_missing_and_a_duplicate_key_from_the_right_total() {
     let mut world = filled(6, 70, 0.0);
@@ -530,7 +534,8 @@
     }
 }
 
-/// Checks the simulation itself: it must detect a paused front that acts on by a clock that stands still.
+/// Checks the simulation itself: it must detect a paused front that continues to act because its clock stands
+/// still.
 #[test]
 fn a_front_whose_clock_stands_still_is_found() {
     let mut world = filled(6, 50, 0.0);
@@ -562,8 +567,8 @@
 #[ignore = "prints figures"]
 fn measure() {
     println!(
-        "fronts, keys per front: bytes/s per front when idle; with 5 new keys/s per front; s until a dead front's \
-         keys are adopted"
+        "fronts, keys per front: bytes/s per front when idle; with 5 new keys/s per front; \
+         s until a dead front's keys are adopted"
     );
     for (fronts, keys) in [(8, 100), (8, 1_000), (24, 100), (24, 1_000)] {
         let mut world = World::new(fronts, 1, 0.0, 5);
--- a/crates/replica/tests/lease.rs
+++ b/crates/replica/tests/lease.rs
@@ -1,6 +1,6 @@
-//! Model checking of the lease. Requests may be lost, duplicated or late; still no two fronts hold a stream at the same
-//! time, and a front can obtain the lease. A writer that requests its lease again releases the stream only to a front that
-//! held it. Variants with a planted fault check that the checker finds it.
+//! Model checking of the lease. Requests may be lost, duplicated or late; still no two fronts hold a stream
+//! at the same time, and a front can obtain the lease. A writer that requests its lease again releases the
+//! stream only to a front that held it. Variants with a planted fault check that the checker finds it.
 
 use pepperhook_replica::{Completeness, Grant, GrantorSet, Lease, LeaseAnswer, LeaseRequest, Position};
 use stateright::{Checker, Model, Property};
@@ -9,7 +9,8 @@
 const LEASE: u64 = 2;
 const GRANTORS: [u64; 3] = [11, 12, 13];
 
-/// A request in transit. Its answer arrives at once: a late answer would only tell the requester later that it may act.
+/// A request in transit. Its answer arrives at once: a late answer would only delay the time at which the
+/// requester may act.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Request {
     /// Index of the requester.
@@ -33,7 +34,8 @@
     sent: u8,
     /// The first writer has requested the lease again, under a higher epoch than the other front's.
     requested_again: bool,
-    /// Set once the first writer released the stream to the other front: whether that front had held the lease.
+    /// Set once the first writer released the stream to the other front: whether that front had held the
+    /// lease.
     released_to_holder: Option<bool>,
 }
 
@@ -246,8 +248,8 @@
     assert!(checker.discovery("one holder at a time").is_some());
 }
 
-/// Guards against two holders after a replacement of grantors: a requester that knows only the old set must be referred to
-/// the new one.
+/// Guards against two holders after a replacement of grantors: a requester that knows only the old set must
+/// be referred to the new one.
 #[test]
 fn replaced_grantors_refer_a_requester_to_the_new_ones() {
     let position = Position::default();
@@ -299,8 +301,8 @@
     holder.record_grant(id(1), 10, set_version, promised_next);
     assert_eq!(holder.grantor_set().version, 1, "majorities of both sets have granted");
     assert!(holder.is_held(500));
-    // Much later a front requests the lease from the old set: the third grantor grants it, the others refer it to the
-    // new set.
+    // Much later a front requests the lease from the old set: the third grantor grants it, the others refer
+    // it to the new set.
     assert!(matches!(request(&mut grants, 2, 9, 1, &old_set, 5_000), LeaseAnswer::Granted { .. }));
     assert!(matches!(request(&mut grants, 0, 9, 1, &old_set, 5_000), LeaseAnswer::Reconfigured(_)));
     let LeaseAnswer::Reconfigured(referred_set) = request(&mut grants, 1, 9, 1, &old_set, 5_000) else {
