--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -55,7 +55,7 @@
     pub zone: u16,
     /// Number of copies of each stream on other fronts.
     pub copies: usize,
-    /// Number of grantors of each stream; odd.
+    /// Number of grantors of each stream; odd. The settings file calls it `guards`.
     pub grantors: usize,
     /// How long a grantor grants a lease, milliseconds.
     pub lease_ms: u64,
