--- a/crates/duties/src/rendezvous.rs
+++ b/crates/duties/src/rendezvous.rs
@@ -1,44 +1,46 @@
-//! Who comes first: weighted rendezvous hashing (Thaler, Ravishankar 1998; the weights by Schindelhauer, Schomaker
-//! 2005).
+//! Weighted rendezvous hashing, which ranks the fronts for a duty (Thaler, Ravishankar 1998; weights after
+//! Schindelhauer, Schomaker 2005).
 
 use crate::scheduler::Duty;
 use siphasher::sip::SipHasher13;
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 
-/// Weight of an ordinary front.
+/// Weight of a front with one share of the work.
 pub const DEFAULT_WEIGHT: u16 = 100;
 
-/// A front's draw for a duty in a round: exponentially distributed, the smaller the larger its weight. The smallest
-/// of all draws is any front's with the odds of its weight.
-fn draw(duty: Duty, round: u64, front: u64, weight: u16) -> f64 {
+/// A front's score for a duty in a round. Scores are distributed exponentially with a rate proportional to
+/// the weight, so each front has the lowest score with a probability proportional to its weight.
+fn score(duty: Duty, round: u64, front: u64, weight: u16) -> f64 {
     let mut hash = SipHasher13::new_with_keys(u64::from(duty.kind), duty.target);
     hash.write_u64(round);
     hash.write_u64(front);
-    // Uniform between 0 and 1, both left out.
+    // Uniform in the open interval (0, 1).
     let uniform = ((hash.finish() >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
     -uniform.ln() * f64::from(DEFAULT_WEIGHT) / f64::from(weight.max(1))
 }
 
-/// The fronts of a view in the order in which they are to do a duty in a round, the owner first; `most` of them.
+/// The first `limit` fronts of a view (number to weight) in the order in which they run a duty in a round,
+/// the owner first.
 #[must_use]
-pub fn rank(duty: Duty, round: u64, view: &BTreeMap<u64, u16>, most: usize) -> Vec<u64> {
+pub fn rank(duty: Duty, round: u64, view: &BTreeMap<u64, u16>, limit: usize) -> Vec<u64> {
     let mut order: Vec<(f64, u64)> =
-        view.iter().map(|(front, weight)| (draw(duty, round, *front, *weight), *front)).collect();
-    let by = |a: &(f64, u64), b: &(f64, u64)| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1));
-    if order.len() > most {
-        order.select_nth_unstable_by(most, by);
-        order.truncate(most);
+        view.iter().map(|(front, weight)| (score(duty, round, *front, *weight), *front)).collect();
+    let by_score = |a: &(f64, u64), b: &(f64, u64)| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1));
+    if order.len() > limit {
+        order.select_nth_unstable_by(limit, by_score);
+        order.truncate(limit);
     }
-    order.sort_by(by);
+    order.sort_by(by_score);
     order.into_iter().map(|(_, front)| front).collect()
 }
 
-/// Whether a front may act on a duty in a round at all, whoever it believes to be there: over `fronts` fronts of
-/// ordinary weight on the mean, no more than `most` of them may, on the mean over rounds.
+/// Whether a front may run a duty in a round, independently of its view. Among `max_fronts` fronts whose mean
+/// weight is [`DEFAULT_WEIGHT`], at most `max_runs` are eligible per round, averaged over rounds.
 #[must_use]
-pub fn is_eligible(duty: Duty, round: u64, front: u64, weight: u16, most: u32, fronts: u32) -> bool {
-    most >= fronts || draw(duty, round, front, weight) < f64::from(most) / f64::from(fronts.max(1))
+pub fn is_eligible(duty: Duty, round: u64, front: u64, weight: u16, max_runs: u32, max_fronts: u32) -> bool {
+    max_runs >= max_fronts
+        || score(duty, round, front, weight) < f64::from(max_runs) / f64::from(max_fronts.max(1))
 }
 
 #[cfg(test)]
@@ -54,84 +56,91 @@
         (1..=n).map(|f| (f * 0x9e37_79b9, DEFAULT_WEIGHT)).collect()
     }
 
-    /// What a death moves, against the ideal of one in n, over duties and rounds.
+    /// Counts the duties whose owner changes when one of `n` fronts is removed; returns that and the number
+    /// of duties and rounds examined. Ideally one in `n` changes.
     fn moved(n: u64) -> (u32, u32) {
-        let (all, mut moved, mut rounds) = (view(n), 0u32, 0u32);
-        for gone in all.keys().copied().take(8) {
+        let (all, mut moved, mut examined) = (view(n), 0u32, 0u32);
+        for removed in all.keys().copied().take(8) {
             let mut rest = all.clone();
-            rest.remove(&gone);
+            rest.remove(&removed);
             for target in 0..200 {
                 for round in 0..3 {
-                    let (was, is) =
+                    let (before, after) =
                         (rank(duty(target), round, &all, 1)[0], rank(duty(target), round, &rest, 1)[0]);
-                    assert!(was == is || was == gone, "only what the dead one owned changes hands");
-                    moved += u32::from(was != is);
-                    rounds += 1;
+                    assert!(
+                        before == after || before == removed,
+                        "a duty that the removed front did not own changed owner"
+                    );
+                    moved += u32::from(before != after);
+                    examined += 1;
                 }
             }
         }
-        (moved, rounds)
+        (moved, examined)
     }
 
     #[test]
-    fn a_death_moves_one_share_and_no_other() {
+    fn removing_a_front_moves_only_its_share() {
         for n in [10, 80, 240] {
-            let (moved, rounds) = moved(n);
+            let (moved, examined) = moved(n);
             // Within four standard deviations of one share in n.
-            let ideal = f64::from(rounds) / n as f64;
+            let ideal = f64::from(examined) / n as f64;
             assert!(
                 (f64::from(moved) - ideal).abs() < 4.0 * ideal.sqrt(),
-                "{n} members: {moved}, ideal {ideal}"
+                "{n} fronts: {moved} duties moved, {ideal} expected"
             );
         }
     }
 
     #[test]
-    fn weights_are_kept() {
+    fn shares_are_proportional_to_weights() {
         let view = BTreeMap::from([(1, 100), (2, 300), (3, 50)]);
         let mut owned = BTreeMap::new();
         for target in 0..4_000 {
             *owned.entry(rank(duty(target), 7, &view, 1)[0]).or_insert(0.0) += 1.0 / 4_000.0;
         }
         for (front, weight) in [(1, 100.0), (2, 300.0), (3, 50.0)] {
-            let part = owned[&front];
-            assert!((part - weight / 450.0_f64).abs() < 0.03, "front {front}: {part}");
+            let share = owned[&front];
+            assert!((share - weight / 450.0_f64).abs() < 0.03, "front {front}: share {share}");
         }
     }
 
-    /// Though each front acts wherever it may, a target hears of no more than `most` a round on the mean; and where
-    /// all are there the first in order may nearly always act.
+    /// If every eligible front runs a duty, the mean number of runs per round is at most `max_runs`. If all
+    /// fronts are in the view, the owner is nearly always eligible.
     #[test]
-    fn the_bound_holds_whatever_the_views() {
+    fn the_limit_holds_for_any_views() {
         for n in [3u32, 8, 80, 240] {
-            let (all, most, rounds) = (view(u64::from(n)), 5, 1_000u64);
-            let (mut sum, mut without, mut worst) = (0, 0, 0);
+            let (all, max_runs, rounds) = (view(u64::from(n)), 5, 1_000u64);
+            let (mut runs, mut without, mut worst) = (0, 0, 0);
             for round in 0..rounds {
-                let may = |f: &u64| is_eligible(duty(9), round, *f, DEFAULT_WEIGHT, most, n);
-                let acting = all.keys().filter(|f| may(f)).count();
-                (sum, worst) = (sum + acting, worst.max(acting));
-                without += u32::from(!may(&rank(duty(9), round, &all, 1)[0]));
+                let eligible = |f: &u64| is_eligible(duty(9), round, *f, DEFAULT_WEIGHT, max_runs, n);
+                let running = all.keys().filter(|f| eligible(f)).count();
+                (runs, worst) = (runs + running, worst.max(running));
+                without += u32::from(!eligible(&rank(duty(9), round, &all, 1)[0]));
             }
-            let mean = sum as f64 / rounds as f64;
-            assert!(mean <= 5.3 && worst <= 18, "{n} fronts: {mean} a round, {worst} at most");
-            assert!(f64::from(without) / (rounds as f64) < 0.015, "{n} fronts: {without} rounds without");
+            let mean = runs as f64 / rounds as f64;
+            assert!(mean <= 5.3 && worst <= 18, "{n} fronts: {mean} runs per round, {worst} at most");
+            assert!(
+                f64::from(without) / (rounds as f64) < 0.015,
+                "{n} fronts: owner not eligible in {without} rounds"
+            );
         }
     }
 
     proptest! {
-        /// The order is that of the draws: leaving one out leaves the others as they were, and a shorter list is the
-        /// beginning of a longer one.
+        /// Removing a front does not change the order of the others, and a limited ranking is the beginning
+        /// of the full one.
         #[test]
-        fn the_order_is_the_views(fronts in prop::collection::btree_map(any::<u64>(), 1u16..500, 1..40), target: u64, round: u64, at in 0usize..40) {
-            let whole = rank(duty(target), round, &fronts, usize::MAX);
-            prop_assert_eq!(whole.len(), fronts.len());
-            let gone = whole[at % whole.len()];
+        fn ranking_is_consistent(fronts in prop::collection::btree_map(any::<u64>(), 1u16..500, 1..40), target: u64, round: u64, at in 0usize..40) {
+            let full = rank(duty(target), round, &fronts, usize::MAX);
+            prop_assert_eq!(full.len(), fronts.len());
+            let removed = full[at % full.len()];
             let mut rest = fronts.clone();
-            rest.remove(&gone);
-            let without: Vec<u64> = whole.iter().copied().filter(|f| *f != gone).collect();
+            rest.remove(&removed);
+            let without: Vec<u64> = full.iter().copied().filter(|f| *f != removed).collect();
             prop_assert_eq!(&rank(duty(target), round, &rest, usize::MAX), &without);
-            let few = at % whole.len();
-            prop_assert_eq!(&rank(duty(target), round, &fronts, few)[..], &whole[..few]);
+            let limit = at % full.len();
+            prop_assert_eq!(&rank(duty(target), round, &fronts, limit)[..], &full[..limit]);
         }
     }
 }
--- a/crates/duties/src/scheduler.rs
+++ b/crates/duties/src/scheduler.rs
@@ -1,14 +1,16 @@
-//! The board of duties: what is to be done in the round, by whom, and what was heard of it.
+//! The scheduler of one front: which duties it runs in the current round, and what other fronts reported
+//! about them.
 
 use crate::rendezvous::{is_eligible, rank};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hasher;
 
-/// Fronts that do a duty in a round at the most: the owner and those who stand by.
-const STANDBYS: usize = 4;
-/// A duty that failed so often in a round is left alone until the next one: it is the target that fails.
-const FAILURES: u8 = 2;
+/// Maximum number of fronts that may run a duty in a round: the owner and its standbys.
+const MAX_CANDIDATES: usize = 4;
+/// After this many failures in a round a duty is not tried again until the next round, because the target is
+/// the likely cause.
+const MAX_FAILURES_PER_ROUND: u8 = 2;
 
 /// A kind of work on a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -19,44 +21,45 @@
     pub target: u64,
 }
 
-/// A kind of duty.
+/// Settings of a kind of duty.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct DutyKind {
     /// Its name.
     pub name: String,
-    /// Each target wants it once in this time, milliseconds.
+    /// Duration of a round, milliseconds: each target needs the duty once in this time.
     pub period_ms: u64,
-    /// Who stands by acts so much later than the one before, milliseconds.
+    /// Delay of each standby after the front ranked before it, milliseconds.
     pub stagger_ms: u64,
-    /// It is given up after this time, milliseconds.
+    /// Maximum duration of a run, milliseconds.
     pub timeout_ms: u64,
-    /// Times a period that a target may hear it from all fronts together.
+    /// Limit of the mean number of runs per target and period by all fronts together; see [`is_eligible`].
     pub max_runs_per_period: u32,
-    /// It is done on targets that drain, too.
+    /// Whether the duty is also done on draining targets.
     pub include_draining: bool,
 }
 
-/// What a board is told at its start.
+/// Settings of a scheduler.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// This front.
+    /// This front's number.
     pub me: u64,
-    /// Its weight; [`crate::DEFAULT_WEIGHT`] is one share.
+    /// This front's weight; [`crate::DEFAULT_WEIGHT`] is one share.
     pub weight: u16,
-    /// Fronts that there are at most, by the settings: the bound on what a target hears rests on it, not on the view.
+    /// Maximum number of fronts. The limit of runs per period is based on it, not on the view.
     pub max_fronts: u32,
-    /// Nothing is done for so long after the start, until the others are known; milliseconds.
+    /// No duty starts on schedule for this time after the start, until the other fronts are known;
+    /// milliseconds.
     pub startup_delay_ms: u64,
-    /// The kinds.
+    /// The kinds of duty.
     pub kinds: Vec<DutyKind>,
 }
 
-/// How a target stands.
+/// State of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum TargetState {
-    /// As usual.
+    /// In normal operation.
     Ready,
-    /// It drains: nothing new goes there.
+    /// Receives no new sessions.
     Draining,
 }
 
@@ -65,46 +68,47 @@
 pub struct Target {
     /// Its id.
     pub id: u64,
-    /// How it stands.
+    /// Its state.
     pub state: TargetState,
-    /// Which incarnation of it this is; what was done in an earlier one does not count.
+    /// Identifies its incarnation. Results from another incarnation do not count.
     pub incarnation: u64,
 }
 
-/// How far a duty has come.
+/// Progress of a duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum DutyState {
-    /// A front has begun it.
+    /// A front started it.
     Started,
-    /// It was done.
+    /// It succeeded.
     Done,
-    /// It failed, or took too long.
+    /// It failed or timed out.
     Failed,
 }
 
-/// What a front tells of a duty. It claims nothing: who may act is computed.
+/// What a front reports to others about a duty that it runs. A report grants no right to run the duty:
+/// eligibility is computed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DutyReport {
-    /// Which.
+    /// The duty.
     pub duty: Duty,
-    /// In which round.
+    /// The round for which it runs.
     pub round: u64,
     /// The target's incarnation.
     pub incarnation: u64,
-    /// How far.
+    /// Its progress.
     pub state: DutyState,
 }
 
-/// Why a claim was passed over.
+/// Why a report was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rejection {
     /// Its sender is not in the view.
     UnknownSender,
-    /// No such duty here, or another incarnation of its target.
+    /// The duty is unknown here, or the target's incarnation differs.
     UnknownDuty,
-    /// Its round is neither this one nor a neighbour of it.
+    /// Its round is later than the next one, or too early to be still under way.
     WrongRound,
-    /// Its sender may not act in that round.
+    /// Its sender is not eligible in that round.
     NotEligible,
 }
 
@@ -136,35 +140,35 @@
     },
 }
 
-/// What happened since the start.
+/// Counts of runs and reports since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize)]
 pub struct Counters {
-    /// Begun here as owner.
+    /// Runs started here as owner.
     #[serde(rename = "owned")]
     pub started_as_owner: u64,
-    /// Begun here since nothing was heard of those before.
+    /// Runs started here as standby, because no report of an earlier candidate arrived or its run had failed.
     #[serde(rename = "stood_in")]
     pub started_as_standby: u64,
-    /// Begun here on demand.
+    /// Runs started here on request; see [`DutyScheduler::request`].
     #[serde(rename = "asked")]
     pub started_on_request: u64,
-    /// Done.
+    /// Runs here that succeeded.
     pub done: u64,
-    /// Failed.
+    /// Runs here that failed.
     pub failed: u64,
-    /// Broken off, their time being up.
+    /// Runs here that exceeded their time limit.
     #[serde(rename = "broken_off")]
     pub timed_out: u64,
-    /// Not begun, since the last time had not ended.
+    /// Runs not started here because the previous run of the duty was still under way.
     #[serde(rename = "overran")]
     pub skipped_while_running: u64,
-    /// Rounds in which it was this front's turn by its view, and its draw did not allow it.
+    /// Rounds in which this front was the owner by its view, but was not eligible.
     #[serde(rename = "barred")]
     pub owner_not_eligible: u64,
-    /// Heard to be done elsewhere, though also begun here in the same round.
+    /// Reports that another front did a duty in a round in which this front ran it too.
     #[serde(rename = "twice")]
     pub done_twice: u64,
-    /// Claims passed over, by reason.
+    /// Reports rejected, by reason.
     #[serde(rename = "refused")]
     pub rejected_reports: BTreeMap<&'static str, u64>,
 }
@@ -174,78 +178,124 @@
 pub struct DutyRow {
     /// Name of the kind.
     pub kind: String,
-    /// The target.
+    /// Id of the target.
     pub target: u64,
-    /// The round.
+    /// The current round.
     pub round: u64,
     /// The owner by this front's view.
     pub owner: Option<u64>,
-    /// This front's place in the order; 0 is the owner's.
+    /// This front's rank among the candidates; 0 is the owner.
     #[serde(rename = "place")]
     pub rank: Option<usize>,
-    /// Why this front acts, waits or does not.
+    /// Why this front runs the duty, waits or does not run it.
     #[serde(rename = "why")]
     pub status: &'static str,
-    /// Milliseconds since it was last known to be done.
+    /// Time since the duty was last known to be done, milliseconds.
     pub done_ago_ms: Option<u64>,
-    /// By whom.
+    /// The front that did it then.
     pub done_by: Option<u64>,
 }
 
-/// One duty in its round.
+/// A run by another front.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct RemoteRun {
+    front: u64,
+    round: u64,
+    timeout_at_ms: u64,
+}
+
+/// A run by this front.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct LocalRun {
+    round: u64,
+    timeout_at_ms: u64,
+}
+
+/// A result of this front that is to be reported a second time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct RepeatedReport {
+    at_ms: u64,
+    round: u64,
+    state: DutyState,
+}
+
+/// A report of the next round that arrived before that round began here.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct EarlyReport {
+    round: u64,
+    front: u64,
+    state: DutyState,
+}
+
+/// When the duty was last done, and by which front. The order of the fields matters: the latest time is the
+/// maximum.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct LastDone {
+    at_ms: u64,
+    front: u64,
+}
+
+/// The schedule of one duty.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Slot {
     target: Target,
+    /// The current round; `None` before the first one.
     round: Option<u64>,
-    /// The order, as far as it matters, and one more for the news.
-    order: Vec<u64>,
-    /// The owner of the next round hears of this one too.
-    next: Option<u64>,
-    place: Option<usize>,
-    /// When it is this front's turn, if nothing is heard before.
-    act_ms: Option<u64>,
-    /// Another front has begun it and not ended it: who, in which round, and when its time is up.
-    begun: Option<(u64, u64, u64)>,
-    finished: bool,
+    /// The candidates of the current round, the owner first. They receive the reports.
+    candidates: Vec<u64>,
+    /// The owner of the next round, which receives the reports too.
+    next_owner: Option<u64>,
+    /// This front's rank among the candidates.
+    rank: Option<usize>,
+    /// When this front starts the duty unless a report prevents it.
+    start_at_ms: Option<u64>,
+    /// Another front's run that is under way.
+    remote_run: Option<RemoteRun>,
+    /// Whether the duty was done in the current round.
+    done: bool,
+    /// Failures in the current round.
     failures: u8,
-    /// This front acted in this round.
-    acted: bool,
-    /// It is being done here: in which round, and until when.
-    running: Option<(u64, u64)>,
-    /// Turns of this round count from here, where something of an earlier one ended in it.
-    from_ms: u64,
-    /// How it ended is told once more at this time, in case the first word was lost.
-    echo: Option<(u64, u64, DutyState)>,
-    /// It has been under way since an earlier round: those of this one are to be told.
-    goes_on: bool,
-    /// Heard ahead of time, of the round to come.
-    early: Option<(u64, u64, DutyState)>,
-    last: Option<(u64, u64)>,
-    /// When something is due for it.
+    /// Whether this front started the duty, or skipped it, in the current round.
+    attempted: bool,
+    /// This front's run that is under way.
+    local_run: Option<LocalRun>,
+    /// Start times in the current round count from here, if a run of an earlier round ended in it.
+    earliest_start_ms: u64,
+    /// The result is reported once more, in case the first report was lost.
+    repeated_report: Option<RepeatedReport>,
+    /// The local run started in an earlier round: the current candidates must be notified of it.
+    notify_carried_over: bool,
+    /// A report of the next round.
+    early_report: Option<EarlyReport>,
+    last_done: Option<LastDone>,
+    /// When the scheduler next handles this duty.
     due_ms: u64,
 }
 
-/// One front's board.
+/// The scheduler of one front. All times are those of the fleet's clock, milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct DutyScheduler {
     settings: Settings,
+    /// Weights of the fronts that are up, by number.
     view: BTreeMap<u64, u16>,
     slots: BTreeMap<Duty, Slot>,
+    /// The duties in the order in which they are due.
     due: BTreeSet<(u64, Duty)>,
+    /// No duty starts on schedule before this time.
     ready_ms: u64,
     stopped: bool,
     counters: Counters,
 }
 
 impl DutyScheduler {
-    /// A board without targets; times are those of the fleet's clock.
+    /// A scheduler without targets.
     #[must_use]
-    pub fn new(settings: Settings, fleet_ms: u64) -> Self {
+    pub fn new(settings: Settings, now_ms: u64) -> Self {
         Self {
             view: BTreeMap::from([(settings.me, settings.weight)]),
             slots: BTreeMap::new(),
             due: BTreeSet::new(),
-            ready_ms: fleet_ms.saturating_add(settings.startup_delay_ms),
+            ready_ms: now_ms.saturating_add(settings.startup_delay_ms),
             stopped: false,
             counters: Counters::default(),
             settings,
@@ -256,30 +306,31 @@
         self.settings.kinds.get(usize::from(duty.kind))
     }
 
-    /// Rounds of the duties begin spread over the period.
-    fn phase(duty: Duty, period_ms: u64) -> u64 {
+    /// Offset of a duty's rounds within the period. It spreads the rounds of the duties over the period.
+    fn phase_ms(duty: Duty, period_ms: u64) -> u64 {
         let mut hash = siphasher::sip::SipHasher13::new_with_keys(u64::from(duty.kind), 1);
         hash.write_u64(duty.target);
         hash.finish() % period_ms.max(1)
     }
 
-    /// The round of a duty at a time, and when it began.
+    /// The round of a duty at a time, and the start of that round, milliseconds.
     fn round(&self, duty: Duty, now_ms: u64) -> (u64, u64) {
         let period = self.kind(duty).map_or(1, |k| k.period_ms.max(1));
-        let phase = Self::phase(duty, period);
+        let phase = Self::phase_ms(duty, period);
         let round = (now_ms + period - phase) / period;
         (round, (round * period + phase).saturating_sub(period))
     }
 
-    fn may(&self, duty: Duty, round: u64, front: u64) -> bool {
+    /// Whether a front may run a duty in a round.
+    fn eligible(&self, duty: Duty, round: u64, front: u64) -> bool {
         let weight = self.view.get(&front).copied().unwrap_or(self.settings.weight);
-        let most = self.kind(duty).map_or(0, |k| k.max_runs_per_period);
-        is_eligible(duty, round, front, weight, most, self.settings.max_fronts)
+        let max_runs = self.kind(duty).map_or(0, |k| k.max_runs_per_period);
+        is_eligible(duty, round, front, weight, max_runs, self.settings.max_fronts)
     }
 
-    // ---- what comes in -------------------------------------------------------------------------
+    // ---- input ---------------------------------------------------------------------------------
 
-    /// The fronts that are there, with their weights; this one is always one of them.
+    /// Replaces the view: the fronts that are up, with their weights. This front is always part of it.
     pub fn set_view(&mut self, now_ms: u64, mut view: BTreeMap<u64, u16>) {
         view.insert(self.settings.me, self.settings.weight);
         if view == self.view {
@@ -288,31 +339,36 @@
         self.view = view;
         let duties: Vec<Duty> = self.slots.keys().copied().collect();
         for duty in duties {
-            self.draw(duty);
-            self.arrange(now_ms, duty);
+            self.rank_candidates(duty);
+            self.reschedule(now_ms, duty);
         }
     }
 
-    /// The targets of a kind are these from now on.
+    /// Replaces the targets of a kind.
     pub fn set_targets(&mut self, now_ms: u64, kind: u8, targets: &[Target], out: &mut Vec<Output>) {
-        let Some(draining) = self.settings.kinds.get(usize::from(kind)).map(|k| k.include_draining) else {
+        let Some(include_draining) = self.settings.kinds.get(usize::from(kind)).map(|k| k.include_draining)
+        else {
             return;
         };
         let wanted: BTreeMap<Duty, Target> = targets
             .iter()
-            .filter(|t| draining || t.state == TargetState::Ready)
+            .filter(|t| include_draining || t.state == TargetState::Ready)
             .map(|t| (Duty { kind, target: t.id }, *t))
             .collect();
-        let same = |duty: &Duty, slot: &Slot| {
+        let unchanged = |duty: &Duty, slot: &Slot| {
             wanted.get(duty).is_some_and(|t| t.incarnation == slot.target.incarnation)
         };
-        let gone: Vec<Duty> =
-            self.slots.iter().filter(|(d, s)| d.kind == kind && !same(d, s)).map(|(d, _)| *d).collect();
-        for duty in gone {
+        let removed: Vec<Duty> = self
+            .slots
+            .iter()
+            .filter(|(duty, slot)| duty.kind == kind && !unchanged(duty, slot))
+            .map(|(duty, _)| *duty)
+            .collect();
+        for duty in removed {
             if let Some(slot) = self.slots.remove(&duty) {
                 self.due.remove(&(slot.due_ms, duty));
-                // What is under way on a target that drains, is gone or came back is of no use any more.
-                out.extend(slot.running.map(|(round, _)| Output::Cancel { duty, round }));
+                // The result of a run on a target that drains, is gone or has a new incarnation is of no use.
+                out.extend(slot.local_run.map(|run| Output::Cancel { duty, round: run.round }));
             }
         }
         for (duty, target) in wanted {
@@ -323,20 +379,20 @@
             let slot = Slot {
                 target,
                 round: None,
-                order: Vec::new(),
-                next: None,
-                place: None,
-                act_ms: None,
-                begun: None,
-                finished: false,
+                candidates: Vec::new(),
+                next_owner: None,
+                rank: None,
+                start_at_ms: None,
+                remote_run: None,
+                done: false,
                 failures: 0,
-                acted: false,
-                running: None,
-                from_ms: 0,
-                echo: None,
-                goes_on: false,
-                early: None,
-                last: None,
+                attempted: false,
+                local_run: None,
+                earliest_start_ms: 0,
+                repeated_report: None,
+                notify_carried_over: false,
+                early_report: None,
+                last_done: None,
                 due_ms: now_ms,
             };
             self.slots.insert(duty, slot);
@@ -344,14 +400,14 @@
         }
     }
 
-    /// Another front told how far a duty has come.
+    /// Handles a report from another front.
     ///
     /// # Errors
-    /// Why that is passed over; nothing changed then.
-    pub fn receive_report(&mut self, now_ms: u64, from: u64, claim: DutyReport) -> Result<(), Rejection> {
-        let taken = self.take(now_ms, from, claim);
-        if let Err(why) = taken {
-            let name = match why {
+    /// Why the report was rejected. A rejected report has no effect but on the counters.
+    pub fn receive_report(&mut self, now_ms: u64, from: u64, report: DutyReport) -> Result<(), Rejection> {
+        let result = self.apply_report(now_ms, from, report);
+        if let Err(reason) = result {
+            let name = match reason {
                 Rejection::UnknownSender => "stranger",
                 Rejection::UnknownDuty => "duty",
                 Rejection::WrongRound => "round",
@@ -359,11 +415,11 @@
             };
             *self.counters.rejected_reports.entry(name).or_default() += 1;
         }
-        taken
+        result
     }
 
-    fn take(&mut self, now_ms: u64, from: u64, claim: DutyReport) -> Result<(), Rejection> {
-        let DutyReport { duty, round, incarnation, state } = claim;
+    fn apply_report(&mut self, now_ms: u64, from: u64, report: DutyReport) -> Result<(), Rejection> {
+        let DutyReport { duty, round, incarnation, state } = report;
         if from == self.settings.me || !self.view.contains_key(&from) {
             return Err(Rejection::UnknownSender);
         }
@@ -371,310 +427,316 @@
             return Err(Rejection::UnknownDuty);
         }
         let (current, _) = self.round(duty, now_ms);
-        // What takes longer than its period is told of in later rounds too.
-        let kind = self.kind(duty).map_or((1, 0), |k| (k.period_ms.max(1), k.timeout_ms));
-        if round > current + 1 || round + 1 + kind.1 / kind.0 < current {
+        // A run that takes longer than the period is also reported in later rounds.
+        let (period_ms, timeout_ms) = self.kind(duty).map_or((1, 0), |k| (k.period_ms.max(1), k.timeout_ms));
+        if round > current + 1 || round + 1 + timeout_ms / period_ms < current {
             return Err(Rejection::WrongRound);
         }
-        // The epoch is computed, never taken on somebody's word: who may not act then did not.
-        if !self.may(duty, round, from) {
+        // Eligibility is computed here, never taken from the message: a front that is not eligible did not
+        // run the duty.
+        if !self.eligible(duty, round, from) {
             return Err(Rejection::NotEligible);
         }
-        // The round may have begun since the last wake.
-        self.enter(now_ms, duty);
-        let limit = self.kind(duty).map_or(0, |k| k.timeout_ms);
+        // A round may have begun since the last wake.
+        self.enter_round(now_ms, duty);
+        let timeout_ms = self.kind(duty).map_or(0, |k| k.timeout_ms);
         let Some(slot) = self.slots.get_mut(&duty) else { return Err(Rejection::UnknownDuty) };
         if state == DutyState::Done {
-            slot.last = slot.last.max(Some((now_ms, from)));
+            slot.last_done = slot.last_done.max(Some(LastDone { at_ms: now_ms, front: from }));
         }
         if round == current + 1 {
-            slot.early = Some((round, from, state));
+            slot.early_report = Some(EarlyReport { round, front: from, state });
             return Ok(());
         }
         if let DutyState::Started = state {
-            // Wherever it was begun, nobody begins it again before its time is up.
-            if slot.begun.is_none_or(|(_, known, _)| known <= round) {
-                slot.begun = Some((from, round, now_ms.saturating_add(limit)));
+            // No other front starts the duty before this run ends or times out.
+            if slot.remote_run.is_none_or(|known| known.round <= round) {
+                let timeout_at_ms = now_ms.saturating_add(timeout_ms);
+                slot.remote_run = Some(RemoteRun { front: from, round, timeout_at_ms });
             }
-        } else if slot.begun.is_some_and(|(by, known, _)| (by, known) == (from, round)) {
-            slot.begun = None;
+        } else if slot.remote_run.is_some_and(|run| (run.front, run.round) == (from, round)) {
+            slot.remote_run = None;
             if slot.round != Some(round) {
-                slot.from_ms = now_ms;
+                slot.earliest_start_ms = now_ms;
             }
         }
         if slot.round == Some(round) {
-            slot.finished |= state == DutyState::Done;
+            slot.done |= state == DutyState::Done;
             slot.failures = slot.failures.saturating_add(u8::from(state == DutyState::Failed));
-            self.counters.done_twice += u64::from(state == DutyState::Done && slot.acted);
+            self.counters.done_twice += u64::from(state == DutyState::Done && slot.attempted);
         }
-        self.arrange(now_ms, duty);
+        self.reschedule(now_ms, duty);
         Ok(())
     }
 
-    /// A duty that was to be run has ended.
+    /// Handles the end of a run that [`Output::Run`] started; `done` is whether it succeeded.
     pub fn finish(&mut self, now_ms: u64, duty: Duty, round: u64, done: bool, out: &mut Vec<Output>) {
         let me = self.settings.me;
         let Some(slot) = self.slots.get_mut(&duty) else { return };
-        if slot.running.is_none_or(|(r, _)| r != round) {
+        if slot.local_run.is_none_or(|run| run.round != round) {
             return;
         }
-        slot.running = None;
+        slot.local_run = None;
         if slot.round != Some(round) {
-            slot.from_ms = now_ms;
+            slot.earliest_start_ms = now_ms;
         }
         if done {
-            slot.last = Some((now_ms, me));
+            slot.last_done = Some(LastDone { at_ms: now_ms, front: me });
             self.counters.done += 1;
         } else {
             self.counters.failed += 1;
         }
         if slot.round == Some(round) {
-            slot.finished |= done;
+            slot.done |= done;
             slot.failures = slot.failures.saturating_add(u8::from(!done));
         }
-        let (state, step) = (
-            if done { DutyState::Done } else { DutyState::Failed },
-            self.kind(duty).map_or(0, |k| k.stagger_ms),
-        );
-        self.tell(duty, round, state, out);
+        let state = if done { DutyState::Done } else { DutyState::Failed };
+        let stagger_ms = self.kind(duty).map_or(0, |k| k.stagger_ms);
+        self.report(duty, round, state, out);
         if let Some(slot) = self.slots.get_mut(&duty) {
-            slot.echo = Some((now_ms + step / 3, round, state));
+            slot.repeated_report = Some(RepeatedReport { at_ms: now_ms + stagger_ms / 3, round, state });
         }
-        self.arrange(now_ms, duty);
+        self.reschedule(now_ms, duty);
     }
 
-    /// The round in which a time lies for a duty.
+    /// The round of a duty at a time.
     #[must_use]
     pub fn round_at(&self, duty: Duty, at_ms: u64) -> u64 {
         self.round(duty, at_ms).0
     }
 
-    /// Somebody wants a duty done now. It is, where this front may act on it and has not in this round.
+    /// Starts a duty now, independently of the schedule. Returns whether it was started: this front must be
+    /// eligible and must not have attempted the duty in this round.
     pub fn request(&mut self, now_ms: u64, duty: Duty, out: &mut Vec<Output>) -> bool {
         let (round, _) = self.round(duty, now_ms);
-        let fresh = |s: &Slot| {
-            let acted = s.round == Some(round) && s.acted;
-            s.running.is_none() && !acted
+        let idle = |s: &Slot| {
+            let attempted = s.round == Some(round) && s.attempted;
+            s.local_run.is_none() && !attempted
         };
         if self.stopped
-            || !self.slots.get(&duty).is_some_and(fresh)
-            || !self.may(duty, round, self.settings.me)
+            || !self.slots.get(&duty).is_some_and(idle)
+            || !self.eligible(duty, round, self.settings.me)
         {
             return false;
         }
-        self.enter(now_ms, duty);
+        self.enter_round(now_ms, duty);
         self.counters.started_on_request += 1;
-        self.begin(now_ms, duty, out);
-        self.arrange(now_ms, duty);
+        self.start(now_ms, duty, out);
+        self.reschedule(now_ms, duty);
         true
     }
 
-    /// Nothing is begun from now on: this front leaves.
+    /// Starts no more runs: this front is about to leave.
     pub fn stop(&mut self) {
         self.stopped = true;
         for slot in self.slots.values_mut() {
-            (slot.act_ms, slot.echo) = (None, None);
+            (slot.start_at_ms, slot.repeated_report) = (None, None);
         }
     }
 
-    /// When something is due, by the fleet's clock.
+    /// When the next duty is due.
     #[must_use]
     pub fn next_wake_ms(&self) -> Option<u64> {
-        self.due.first().map(|(at, _)| *at)
+        self.due.first().map(|(at_ms, _)| *at_ms)
     }
 
-    /// Does what is due.
+    /// Handles the duties that are due.
     pub fn wake(&mut self, now_ms: u64, out: &mut Vec<Output>) {
-        // Each duty once a call, whatever is due for it then.
+        // Each duty is handled once per call, even if it is due again afterwards.
         let later = self.due.split_off(&(now_ms + 1, Duty { kind: 0, target: 0 }));
         let due = std::mem::replace(&mut self.due, later);
         for (_, duty) in due {
-            self.step(now_ms, duty, out);
+            self.handle_due(now_ms, duty, out);
         }
     }
 
-    /// The clock was set: what is due is looked at anew.
+    /// The fleet's clock was set: all duties are due now.
     pub fn clock_changed(&mut self, now_ms: u64) {
         let duties: Vec<Duty> = self.slots.keys().copied().collect();
         for duty in duties {
-            self.due_at(duty, now_ms);
+            self.set_due(duty, now_ms);
         }
         self.ready_ms = self.ready_ms.min(now_ms.saturating_add(self.settings.startup_delay_ms));
     }
 
-    // ---- a round -------------------------------------------------------------------------------
+    // ---- rounds --------------------------------------------------------------------------------
 
-    fn step(&mut self, now_ms: u64, duty: Duty, out: &mut Vec<Output>) {
-        self.enter(now_ms, duty);
+    fn handle_due(&mut self, now_ms: u64, duty: Duty, out: &mut Vec<Output>) {
+        self.enter_round(now_ms, duty);
         let (ready, stopped) = (now_ms >= self.ready_ms, self.stopped);
         let Some(slot) = self.slots.get_mut(&duty) else { return };
-        if let Some((round, _)) = slot.running.filter(|(_, until)| *until <= now_ms) {
-            slot.running = None;
-            slot.failures = slot.failures.saturating_add(u8::from(slot.round == Some(round)));
+        if let Some(run) = slot.local_run.filter(|run| run.timeout_at_ms <= now_ms) {
+            slot.local_run = None;
+            slot.failures = slot.failures.saturating_add(u8::from(slot.round == Some(run.round)));
             self.counters.timed_out += 1;
-            out.push(Output::Cancel { duty, round });
-            self.tell(duty, round, DutyState::Failed, out);
+            out.push(Output::Cancel { duty, round: run.round });
+            self.report(duty, run.round, DutyState::Failed, out);
         }
         let Some(slot) = self.slots.get_mut(&duty) else { return };
-        let goes_on = std::mem::take(&mut slot.goes_on);
-        if let Some((round, _)) = slot.running.filter(|_| goes_on) {
-            self.tell(duty, round, DutyState::Started, out);
+        let notify = std::mem::take(&mut slot.notify_carried_over);
+        if let Some(run) = slot.local_run.filter(|_| notify) {
+            self.report(duty, run.round, DutyState::Started, out);
         }
         let Some(slot) = self.slots.get_mut(&duty) else { return };
-        if let Some((_, round, state)) = slot.echo.take_if(|(at, ..)| *at <= now_ms) {
-            self.tell(duty, round, state, out);
+        if let Some(repeated) = slot.repeated_report.take_if(|repeated| repeated.at_ms <= now_ms) {
+            self.report(duty, repeated.round, repeated.state, out);
         }
         let Some(slot) = self.slots.get_mut(&duty) else { return };
-        if slot.act_ms.is_some_and(|at| at <= now_ms) && ready && !stopped {
-            if slot.running.is_some() {
-                // It takes longer than its period: one at a time is enough.
-                (slot.act_ms, slot.acted) = (None, true);
+        if slot.start_at_ms.is_some_and(|at_ms| at_ms <= now_ms) && ready && !stopped {
+            if slot.local_run.is_some() {
+                // The run takes longer than the period; runs of a duty do not overlap.
+                (slot.start_at_ms, slot.attempted) = (None, true);
                 self.counters.skipped_while_running += 1;
             } else {
-                match slot.place {
+                match slot.rank {
                     Some(0) => self.counters.started_as_owner += 1,
                     _ => self.counters.started_as_standby += 1,
                 }
-                self.begin(now_ms, duty, out);
+                self.start(now_ms, duty, out);
             }
         }
-        self.arrange(now_ms, duty);
+        self.reschedule(now_ms, duty);
     }
 
-    fn begin(&mut self, now_ms: u64, duty: Duty, out: &mut Vec<Output>) {
-        let limit = self.kind(duty).map_or(0, |k| k.timeout_ms);
+    /// Starts a run for the current round.
+    fn start(&mut self, now_ms: u64, duty: Duty, out: &mut Vec<Output>) {
+        let timeout_ms = self.kind(duty).map_or(0, |k| k.timeout_ms);
         let Some(slot) = self.slots.get_mut(&duty) else { return };
         let Some(round) = slot.round else { return };
-        (slot.act_ms, slot.acted) = (None, true);
-        slot.running = Some((round, now_ms.saturating_add(limit)));
-        out.push(Output::Run { duty, round, timeout_ms: limit });
-        self.tell(duty, round, DutyState::Started, out);
+        (slot.start_at_ms, slot.attempted) = (None, true);
+        slot.local_run = Some(LocalRun { round, timeout_at_ms: now_ms.saturating_add(timeout_ms) });
+        out.push(Output::Run { duty, round, timeout_ms });
+        self.report(duty, round, DutyState::Started, out);
     }
 
-    /// Tells those who stand by, and the owner of the next round.
-    fn tell(&self, duty: Duty, round: u64, state: DutyState, out: &mut Vec<Output>) {
+    /// Sends a report to the candidates of the current round and the owner of the next one.
+    fn report(&self, duty: Duty, round: u64, state: DutyState, out: &mut Vec<Output>) {
         let Some(slot) = self.slots.get(&duty) else { return };
-        let mut to: Vec<u64> = slot.order.iter().chain(&slot.next).copied().collect();
+        let mut to: Vec<u64> = slot.candidates.iter().chain(&slot.next_owner).copied().collect();
         to.sort_unstable();
         to.dedup();
         to.retain(|front| *front != self.settings.me);
         if !to.is_empty() {
-            out.push(Output::Report {
-                to,
-                report: DutyReport { duty, round, incarnation: slot.target.incarnation, state },
-            });
+            let report = DutyReport { duty, round, incarnation: slot.target.incarnation, state };
+            out.push(Output::Report { to, report });
         }
     }
 
-    /// Enters the round that the time is in.
-    fn enter(&mut self, now_ms: u64, duty: Duty) {
+    /// Begins the current round of a duty, unless it has begun already.
+    fn enter_round(&mut self, now_ms: u64, duty: Duty) {
         let (round, _) = self.round(duty, now_ms);
         let Some(slot) = self.slots.get_mut(&duty) else { return };
         if slot.round == Some(round) {
             return;
         }
-        // A clock that was set back must not make this front act twice where it acted already.
-        let again = slot.round.is_some_and(|was| was > round && was - round < 4);
-        (slot.round, slot.finished, slot.failures, slot.acted) = (Some(round), again, 0, again);
-        (slot.from_ms, slot.goes_on) = (0, slot.running.is_some());
-        if let Some((_, from, state)) = slot.early.take().filter(|(r, ..)| *r == round) {
-            slot.finished |= state == DutyState::Done;
-            slot.failures += u8::from(state == DutyState::Failed);
-            if state == DutyState::Started {
-                let limit = self.settings.kinds.get(usize::from(duty.kind)).map_or(0, |k| k.timeout_ms);
-                slot.begun = Some((from, round, now_ms.saturating_add(limit)));
+        // If the clock was set back by a few rounds, this front does not run the duty a second time in them.
+        let repeated = slot.round.is_some_and(|previous| previous > round && previous - round < 4);
+        (slot.round, slot.done, slot.failures, slot.attempted) = (Some(round), repeated, 0, repeated);
+        (slot.earliest_start_ms, slot.notify_carried_over) = (0, slot.local_run.is_some());
+        if let Some(early) = slot.early_report.take().filter(|early| early.round == round) {
+            slot.done |= early.state == DutyState::Done;
+            slot.failures += u8::from(early.state == DutyState::Failed);
+            if early.state == DutyState::Started {
+                let timeout_ms = self.settings.kinds.get(usize::from(duty.kind)).map_or(0, |k| k.timeout_ms);
+                let timeout_at_ms = now_ms.saturating_add(timeout_ms);
+                slot.remote_run = Some(RemoteRun { front: early.front, round, timeout_at_ms });
             }
         }
-        self.draw(duty);
-        self.arrange(now_ms, duty);
+        self.rank_candidates(duty);
+        self.reschedule(now_ms, duty);
         if let Some(slot) = self.slots.get(&duty) {
-            let turn = slot.place == Some(0) && !slot.finished;
-            self.counters.owner_not_eligible += u64::from(turn && !self.may(duty, round, self.settings.me));
+            let owner = slot.rank == Some(0) && !slot.done;
+            self.counters.owner_not_eligible +=
+                u64::from(owner && !self.eligible(duty, round, self.settings.me));
         }
     }
 
-    /// Draws the order of a round from the view.
-    fn draw(&mut self, duty: Duty) {
+    /// Ranks the candidates of the current round from the view.
+    fn rank_candidates(&mut self, duty: Duty) {
         let Some(slot) = self.slots.get_mut(&duty) else { return };
         let Some(round) = slot.round else { return };
-        slot.order = rank(duty, round, &self.view, STANDBYS);
-        slot.next = rank(duty, round + 1, &self.view, 1).first().copied();
-        slot.place = slot.order.iter().position(|f| *f == self.settings.me);
+        slot.candidates = rank(duty, round, &self.view, MAX_CANDIDATES);
+        slot.next_owner = rank(duty, round + 1, &self.view, 1).first().copied();
+        slot.rank = slot.candidates.iter().position(|front| *front == self.settings.me);
     }
 
-    /// Works out from order, round and what was heard when it is this front's turn, and when to look again.
-    fn arrange(&mut self, now_ms: u64, duty: Duty) {
+    /// Computes when this front starts the duty, from its rank, the round and the reports, and when the duty
+    /// is due next.
+    fn reschedule(&mut self, now_ms: u64, duty: Duty) {
         let Some(kind) = self.kind(duty) else { return };
-        let (step, period) = (kind.stagger_ms, kind.period_ms);
-        let (current, began) = self.round(duty, now_ms);
+        let (stagger_ms, period_ms) = (kind.stagger_ms, kind.period_ms);
+        let (current, round_start_ms) = self.round(duty, now_ms);
         let Some(round) = self.slots.get(&duty).and_then(|s| s.round) else { return };
         if round != current {
-            // The round is over and the next one not entered yet.
-            return self.due_at(duty, now_ms);
+            // The round has ended and the next one has not been entered yet.
+            return self.set_due(duty, now_ms);
         }
-        let may = self.may(duty, round, self.settings.me);
+        let eligible = self.eligible(duty, round, self.settings.me);
         let stopped = self.stopped;
         let Some(slot) = self.slots.get_mut(&duty) else { return };
-        slot.begun = slot.begun.filter(|(.., until)| *until > now_ms);
-        let open = !slot.finished && !slot.acted && slot.failures < FAILURES && may && !stopped;
-        slot.act_ms = slot.place.filter(|_| open).map(|place| {
-            let from = began.max(slot.from_ms).max(slot.begun.map_or(0, |(.., until)| until));
-            from + step * place as u64
+        slot.remote_run = slot.remote_run.filter(|run| run.timeout_at_ms > now_ms);
+        let open =
+            !slot.done && !slot.attempted && slot.failures < MAX_FAILURES_PER_ROUND && eligible && !stopped;
+        slot.start_at_ms = slot.rank.filter(|_| open).map(|rank| {
+            let remote_timeout_ms = slot.remote_run.map_or(0, |run| run.timeout_at_ms);
+            let base_ms = round_start_ms.max(slot.earliest_start_ms).max(remote_timeout_ms);
+            base_ms + stagger_ms * rank as u64
         });
-        // Just before a round ends its word would come too late for the next owner.
-        slot.act_ms = slot.act_ms.filter(|at| at + step / 2 < began + period);
-        let ready = self.ready_ms;
-        let mut due = began + period;
-        due = due.min(slot.act_ms.map_or(u64::MAX, |at| at.max(ready)));
-        due = due.min(slot.running.map_or(u64::MAX, |(_, until)| until));
-        due = if slot.goes_on { now_ms } else { due };
-        due = due.min(slot.echo.map_or(u64::MAX, |(at, ..)| at));
-        self.due_at(duty, due);
+        // A run just before the end of the round would be reported too late for the next owner.
+        slot.start_at_ms =
+            slot.start_at_ms.filter(|at_ms| at_ms + stagger_ms / 2 < round_start_ms + period_ms);
+        let ready_ms = self.ready_ms;
+        let mut due_ms = round_start_ms + period_ms;
+        due_ms = due_ms.min(slot.start_at_ms.map_or(u64::MAX, |at_ms| at_ms.max(ready_ms)));
+        due_ms = due_ms.min(slot.local_run.map_or(u64::MAX, |run| run.timeout_at_ms));
+        due_ms = if slot.notify_carried_over { now_ms } else { due_ms };
+        due_ms = due_ms.min(slot.repeated_report.map_or(u64::MAX, |repeated| repeated.at_ms));
+        self.set_due(duty, due_ms);
     }
 
-    fn due_at(&mut self, duty: Duty, at_ms: u64) {
+    fn set_due(&mut self, duty: Duty, at_ms: u64) {
         let Some(slot) = self.slots.get_mut(&duty) else { return };
         self.due.remove(&(slot.due_ms, duty));
         slot.due_ms = at_ms;
         self.due.insert((at_ms, duty));
     }
 
-    // ---- what is shown -------------------------------------------------------------------------
+    // ---- views ---------------------------------------------------------------------------------
 
-    /// What happened since the start.
+    /// Counts of runs and reports since the start.
     #[must_use]
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// The duties, by kind and target.
+    /// The duties, ordered by kind and target.
     #[must_use]
     pub fn rows(&self, now_ms: u64) -> Vec<DutyRow> {
-        let row = |(duty, s): (&Duty, &Slot)| DutyRow {
+        let row = |(duty, slot): (&Duty, &Slot)| DutyRow {
             kind: self.kind(*duty).map_or_else(String::new, |k| k.name.clone()),
             target: duty.target,
-            round: s.round.unwrap_or(0),
-            owner: s.order.first().copied(),
-            rank: s.place,
-            status: self.why(now_ms, *duty, s),
-            done_ago_ms: s.last.map(|(at, _)| now_ms.saturating_sub(at)),
-            done_by: s.last.map(|(_, by)| by),
+            round: slot.round.unwrap_or(0),
+            owner: slot.candidates.first().copied(),
+            rank: slot.rank,
+            status: self.status(now_ms, *duty, slot),
+            done_ago_ms: slot.last_done.map(|last| now_ms.saturating_sub(last.at_ms)),
+            done_by: slot.last_done.map(|last| last.front),
         };
         self.slots.iter().map(row).collect()
     }
 
-    fn why(&self, now_ms: u64, duty: Duty, s: &Slot) -> &'static str {
-        let round = s.round.unwrap_or(0);
-        match s.place {
+    fn status(&self, now_ms: u64, duty: Duty, slot: &Slot) -> &'static str {
+        let round = slot.round.unwrap_or(0);
+        match slot.rank {
             _ if self.stopped => "this front leaves",
             _ if now_ms < self.ready_ms => "waits for the others to be known",
-            _ if s.running.is_some() => "is being done here",
-            _ if s.finished => "done in this round",
-            _ if s.begun.is_some() => "begun by another front",
-            _ if s.failures >= FAILURES => "failed in this round",
+            _ if slot.local_run.is_some() => "is being done here",
+            _ if slot.done => "done in this round",
+            _ if slot.remote_run.is_some() => "begun by another front",
+            _ if slot.failures >= MAX_FAILURES_PER_ROUND => "failed in this round",
             None => "another's turn",
-            Some(_) if s.acted => "acted in this round",
-            Some(_) if !self.may(duty, round, self.settings.me) => {
+            Some(_) if slot.attempted => "acted in this round",
+            Some(_) if !self.eligible(duty, round, self.settings.me) => {
                 "barred by the bound on what a target hears"
             }
             Some(0) => "owned here",
--- a/crates/duties/tests/history.rs
+++ b/crates/duties/tests/history.rs
@@ -1,10 +1,10 @@
-//! Ownership is a function of view, duty and round: how a front came by its view does not matter.
+//! Ownership is a function of view, duty and round; it does not depend on the earlier views of a front.
 
 use pepperhook_duties::{DEFAULT_WEIGHT, DutyKind, DutyScheduler, Output, Settings, Target, TargetState};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-fn board() -> DutyScheduler {
+fn scheduler() -> DutyScheduler {
     let kind = DutyKind {
         name: "probe".into(),
         period_ms: 1_000,
@@ -23,39 +23,39 @@
     (0..20).map(|id| Target { id, state: TargetState::Ready, incarnation: 0 }).collect()
 }
 
-fn owners(d: &DutyScheduler, now: u64) -> Vec<(u64, u64, Option<u64>, Option<usize>)> {
-    d.rows(now).into_iter().map(|r| (r.target, r.round, r.owner, r.rank)).collect()
+fn ownership(scheduler: &DutyScheduler, now_ms: u64) -> Vec<(u64, u64, Option<u64>, Option<usize>)> {
+    scheduler.rows(now_ms).into_iter().map(|row| (row.target, row.round, row.owner, row.rank)).collect()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
     #[test]
-    fn two_histories_one_ownership(
+    fn ownership_does_not_depend_on_history(
         steps in prop::collection::vec((1u64..700, prop::collection::btree_set(2u64..9, 0..8)), 1..30),
         last in prop::collection::btree_set(2u64..9, 0..8),
     ) {
-        let mut lived = board();
-        lived.set_targets(0, 0, &targets(), &mut Vec::new());
-        let mut now = 0;
-        for (wait, view) in steps {
-            now += wait;
+        let mut used = scheduler();
+        used.set_targets(0, 0, &targets(), &mut Vec::new());
+        let mut now_ms = 0;
+        for (wait_ms, view) in steps {
+            now_ms += wait_ms;
             let mut out = Vec::new();
-            lived.set_view(now, view.into_iter().map(|f| (f, DEFAULT_WEIGHT)).collect());
-            lived.wake(now, &mut out);
-            for o in out {
-                if let Output::Run { duty, round, .. } = o {
-                    lived.finish(now + 1, duty, round, true, &mut Vec::new());
+            used.set_view(now_ms, view.into_iter().map(|f| (f, DEFAULT_WEIGHT)).collect());
+            used.wake(now_ms, &mut out);
+            for output in out {
+                if let Output::Run { duty, round, .. } = output {
+                    used.finish(now_ms + 1, duty, round, true, &mut Vec::new());
                 }
             }
         }
-        now += 1_000;
+        now_ms += 1_000;
         let view: BTreeMap<u64, u16> = last.into_iter().map(|f| (f, DEFAULT_WEIGHT)).collect();
-        lived.set_view(now, view.clone());
-        lived.wake(now, &mut Vec::new());
-        let mut fresh = board();
-        fresh.set_targets(now, 0, &targets(), &mut Vec::new());
-        fresh.set_view(now, view);
-        fresh.wake(now, &mut Vec::new());
-        prop_assert_eq!(owners(&lived, now), owners(&fresh, now));
+        used.set_view(now_ms, view.clone());
+        used.wake(now_ms, &mut Vec::new());
+        let mut fresh = scheduler();
+        fresh.set_targets(now_ms, 0, &targets(), &mut Vec::new());
+        fresh.set_view(now_ms, view);
+        fresh.wake(now_ms, &mut Vec::new());
+        prop_assert_eq!(ownership(&used, now_ms), ownership(&fresh, now_ms));
     }
 }
--- a/crates/duties/tests/model.rs
+++ b/crates/duties/tests/model.rs
@@ -1,5 +1,5 @@
-//! The board itself under a model checker: whatever few words are lost and whoever dies, no duty stays without an
-//! owner, and nobody acts twice in a round.
+//! Model check of the scheduler: with a few lost reports and the failure of one front, every duty keeps an
+//! owner and no front runs a duty twice in a round.
 
 use pepperhook_duties::{
     DEFAULT_WEIGHT, Duty, DutyKind, DutyReport, DutyScheduler, Output, Settings, Target, TargetState,
@@ -7,44 +7,49 @@
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeMap;
 
-const PERIOD: u64 = 1_000;
-const STEP: u64 = 250;
+/// Milliseconds; a period has four steps.
+const PERIOD_MS: u64 = 1_000;
+const STEP_MS: u64 = 250;
 const FRONTS: u64 = 3;
 const DUTY: Duty = Duty { kind: 0, target: 7 };
-/// A dead front leaves the views so many rounds after its death.
-const GIVEN_UP: u64 = 2;
+/// Rounds after which a failed front is removed from the views.
+const REMOVED_AFTER_ROUNDS: u64 = 2;
 
-/// Time goes in steps of a standby's wait; between two steps words arrive or are lost.
+/// Time advances in steps of the standbys' stagger interval; between two steps reports arrive or are lost.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Fleet {
     step: u64,
+    /// `None` for the front that failed.
     fronts: Vec<Option<DutyScheduler>>,
-    words: Vec<(u64, u64, DutyReport)>,
+    /// Reports under way: sender, receiver, report.
+    in_flight: Vec<(u64, u64, DutyReport)>,
     lost: u8,
-    died: Option<(u64, u64)>,
-    /// Acts in the round under way, by front, and rounds since the last one that had an act.
-    acts: Vec<u8>,
-    without: u8,
+    /// The front that failed, and the step in which it did.
+    failed: Option<(u64, u64)>,
+    /// Runs in the current round, by front.
+    runs: Vec<u8>,
+    /// Consecutive rounds without a run.
+    rounds_without_run: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Act {
+enum Action {
     Step,
     Deliver(usize),
     Lose(usize),
-    Die(u64),
+    Fail(u64),
 }
 
-struct Board {
-    losses: u8,
-    steps: u64,
+struct FleetModel {
+    max_losses: u8,
+    max_steps: u64,
 }
 
 fn settings(me: u64) -> Settings {
     let kind = DutyKind {
         name: "probe".into(),
-        period_ms: PERIOD,
-        stagger_ms: STEP,
+        period_ms: PERIOD_MS,
+        stagger_ms: STEP_MS,
         timeout_ms: 200,
         max_runs_per_period: 5,
         include_draining: false,
@@ -52,10 +57,12 @@
     Settings { me, weight: DEFAULT_WEIGHT, max_fronts: FRONTS as u32, startup_delay_ms: 0, kinds: vec![kind] }
 }
 
-/// The first round of the duty begins here.
-fn start() -> u64 {
-    let probe = DutyScheduler::new(settings(1), 0);
-    (10_000..11_001).find(|t| probe.round_at(DUTY, *t) != probe.round_at(DUTY, t - 1)).expect("a round")
+/// Start of the duty's first round, milliseconds.
+fn start_ms() -> u64 {
+    let scheduler = DutyScheduler::new(settings(1), 0);
+    (10_000..11_001)
+        .find(|t| scheduler.round_at(DUTY, *t) != scheduler.round_at(DUTY, t - 1))
+        .expect("start of a round")
 }
 
 fn view(without: Option<u64>) -> BTreeMap<u64, u16> {
@@ -63,133 +70,145 @@
 }
 
 impl Fleet {
-    /// Carries out what a front says: a duty is done within the step, and words are on their way.
-    fn carry(&mut self, front: u64, now: u64, out: Vec<Output>) {
+    /// Carries out a front's outputs: runs succeed within the step, and reports are put under way.
+    fn carry_out(&mut self, front: u64, now_ms: u64, out: Vec<Output>) {
         let mut out: Vec<Output> = out;
-        while let Some(o) = out.pop() {
-            match o {
+        while let Some(output) = out.pop() {
+            match output {
                 Output::Run { duty, round, .. } => {
-                    self.acts[front as usize - 1] += 1;
-                    if let Some(d) = &mut self.fronts[front as usize - 1] {
-                        d.finish(now + 10, duty, round, true, &mut out);
+                    self.runs[front as usize - 1] += 1;
+                    if let Some(scheduler) = &mut self.fronts[front as usize - 1] {
+                        scheduler.finish(now_ms + 10, duty, round, true, &mut out);
                     }
                 }
-                Output::Report { to, report: claim } => {
+                Output::Report { to, report } => {
                     for to in to {
-                        let word = (front, to, claim);
-                        if !self.words.contains(&word) {
-                            self.words.push(word);
+                        let message = (front, to, report);
+                        if !self.in_flight.contains(&message) {
+                            self.in_flight.push(message);
                         }
                     }
                 }
                 Output::Cancel { .. } => {}
             }
         }
-        self.words.sort_by_key(|(a, b, c)| (*a, *b, c.round, c.state as u8));
+        self.in_flight.sort_by_key(|(from, to, report)| (*from, *to, report.round, report.state as u8));
     }
 }
 
-impl Model for Board {
+impl Model for FleetModel {
     type State = Fleet;
-    type Action = Act;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<Fleet> {
-        let now = start();
+        let now_ms = start_ms();
         let target = Target { id: DUTY.target, state: TargetState::Ready, incarnation: 1 };
         let front = |me| {
-            let mut d = DutyScheduler::new(settings(me), now);
-            d.set_view(now, view(None));
-            d.set_targets(now, 0, &[target], &mut Vec::new());
-            Some(d)
+            let mut scheduler = DutyScheduler::new(settings(me), now_ms);
+            scheduler.set_view(now_ms, view(None));
+            scheduler.set_targets(now_ms, 0, &[target], &mut Vec::new());
+            Some(scheduler)
         };
         vec![Fleet {
             step: 0,
             fronts: (1..=FRONTS).map(front).collect(),
-            words: vec![],
+            in_flight: vec![],
             lost: 0,
-            died: None,
-            acts: vec![0; FRONTS as usize],
-            without: 0,
+            failed: None,
+            runs: vec![0; FRONTS as usize],
+            rounds_without_run: 0,
         }]
     }
 
-    fn actions(&self, s: &Fleet, actions: &mut Vec<Act>) {
-        if s.words.is_empty() && s.step < self.steps {
-            actions.push(Act::Step);
+    fn actions(&self, fleet: &Fleet, actions: &mut Vec<Action>) {
+        if fleet.in_flight.is_empty() && fleet.step < self.max_steps {
+            actions.push(Action::Step);
         }
-        // Words of one step arrive before the next, in any order.
-        for i in 0..s.words.len() {
-            actions.push(Act::Deliver(i));
-            if s.lost < self.losses {
-                actions.push(Act::Lose(i));
+        // Reports of a step arrive before the next step, in any order.
+        for i in 0..fleet.in_flight.len() {
+            actions.push(Action::Deliver(i));
+            if fleet.lost < self.max_losses {
+                actions.push(Action::Lose(i));
             }
         }
-        if s.died.is_none() && s.step > 0 {
-            actions.extend((1..=FRONTS).map(Act::Die));
+        if fleet.failed.is_none() && fleet.step > 0 {
+            actions.extend((1..=FRONTS).map(Action::Fail));
         }
     }
 
-    fn next_state(&self, s: &Fleet, act: Act) -> Option<Fleet> {
-        let mut s = s.clone();
-        let now = start() + s.step * STEP;
-        match act {
-            Act::Step => {
-                if s.step % 4 == 0 && s.step > 0 {
-                    s.without = if s.acts.iter().all(|a| *a == 0) { s.without + 1 } else { 0 };
-                    s.acts = vec![0; FRONTS as usize];
+    fn next_state(&self, fleet: &Fleet, action: Action) -> Option<Fleet> {
+        let mut fleet = fleet.clone();
+        let now_ms = start_ms() + fleet.step * STEP_MS;
+        match action {
+            Action::Step => {
+                if fleet.step % 4 == 0 && fleet.step > 0 {
+                    fleet.rounds_without_run = if fleet.runs.iter().all(|runs| *runs == 0) {
+                        fleet.rounds_without_run + 1
+                    } else {
+                        0
+                    };
+                    fleet.runs = vec![0; FRONTS as usize];
                 }
-                s.step += 1;
-                for f in 1..=FRONTS {
-                    let gone = s.died.filter(|(_, at)| s.step >= at + GIVEN_UP * 4).map(|(f, _)| f);
+                fleet.step += 1;
+                for front in 1..=FRONTS {
+                    let removed = fleet
+                        .failed
+                        .filter(|(_, at_step)| fleet.step >= at_step + REMOVED_AFTER_ROUNDS * 4)
+                        .map(|(front, _)| front);
                     let mut out = Vec::new();
-                    if let Some(d) = &mut s.fronts[f as usize - 1] {
-                        d.set_view(now, view(gone));
-                        d.wake(now, &mut out);
+                    if let Some(scheduler) = &mut fleet.fronts[front as usize - 1] {
+                        scheduler.set_view(now_ms, view(removed));
+                        scheduler.wake(now_ms, &mut out);
                     }
-                    s.carry(f, now, out);
+                    fleet.carry_out(front, now_ms, out);
                 }
             }
-            Act::Deliver(i) => {
-                let (from, to, claim) = s.words.remove(i);
-                if let Some(d) = &mut s.fronts[to as usize - 1] {
-                    d.receive_report(now - STEP + 20, from, claim).ok();
+            Action::Deliver(i) => {
+                let (from, to, report) = fleet.in_flight.remove(i);
+                if let Some(scheduler) = &mut fleet.fronts[to as usize - 1] {
+                    scheduler.receive_report(now_ms - STEP_MS + 20, from, report).ok();
                 }
             }
-            Act::Lose(i) => {
-                s.words.remove(i);
-                s.lost += 1;
+            Action::Lose(i) => {
+                fleet.in_flight.remove(i);
+                fleet.lost += 1;
             }
-            Act::Die(f) => {
-                s.fronts[f as usize - 1] = None;
-                s.died = Some((f, s.step));
+            Action::Fail(front) => {
+                fleet.fronts[front as usize - 1] = None;
+                fleet.failed = Some((front, fleet.step));
             }
         }
-        Some(s)
+        Some(fleet)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("a duty is never without an owner for a whole round", |_, s: &Fleet| {
-                s.without == 0
+            Property::always("a duty is run in every round", |_, fleet: &Fleet| {
+                fleet.rounds_without_run == 0
             }),
-            Property::always("nobody acts twice in a round", |_, s: &Fleet| s.acts.iter().all(|a| *a <= 1)),
-            Property::always("what is done twice is no more than the words lost", |_, s: &Fleet| {
-                let acts: u8 = s.acts.iter().sum();
-                acts <= 1 + s.lost + u8::from(s.died.is_some())
+            Property::always("no front runs a duty twice in a round", |_, fleet: &Fleet| {
+                fleet.runs.iter().all(|runs| *runs <= 1)
             }),
-            Property::sometimes("a lost word has a duty done twice", |_, s: &Fleet| {
-                s.acts.iter().sum::<u8>() > 1
+            Property::always(
+                "there are no more additional runs than lost reports and failures",
+                |_, fleet: &Fleet| {
+                    let runs: u8 = fleet.runs.iter().sum();
+                    runs <= 1 + fleet.lost + u8::from(fleet.failed.is_some())
+                },
+            ),
+            Property::sometimes("a lost report causes a second run", |_, fleet: &Fleet| {
+                fleet.runs.iter().sum::<u8>() > 1
             }),
-            Property::sometimes("a death is stood in for", |_, s: &Fleet| {
-                s.died.is_some_and(|(f, _)| s.acts[f as usize - 1] == 0) && s.step > 12
+            Property::sometimes("another front takes over from the failed one", |_, fleet: &Fleet| {
+                fleet.failed.is_some_and(|(front, _)| fleet.runs[front as usize - 1] == 0) && fleet.step > 12
             }),
         ]
     }
 }
 
 #[test]
-fn no_duty_stays_without_an_owner_whatever_few_words_are_lost_and_whoever_dies() {
-    let checker = Board { losses: 2, steps: 13 }.checker().threads(2).spawn_bfs().join();
+fn every_duty_is_run_although_reports_are_lost_and_a_front_fails() {
+    let checker = FleetModel { max_losses: 2, max_steps: 13 }.checker().threads(2).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
 }
--- a/crates/exchange/benches/spread.rs
+++ b/crates/exchange/benches/spread.rs
@@ -1,5 +1,5 @@
-//! Traffic per front and the time until all fronts hold a new record, by number of fronts and packet loss, over an
-//! in-memory network in one process: `cargo bench -p pepperhook-exchange`.
+//! Traffic per front and the time until all fronts hold a new record, by number of fronts and packet loss,
+//! over an in-memory network in one process: `cargo bench -p pepperhook-exchange`.
 
 use pepperhook_exchange::{Exchange, Id, Keys, Output, Settings};
 use rand::rngs::StdRng;
@@ -16,7 +16,8 @@
     SocketAddr::from(([127, 0, (i / 250) as u8, (i % 250) as u8 + 1], 9))
 }
 
-/// Returns the bytes per second and front once all records are known, and the seconds until all know a new record.
+/// Returns the bytes per second and front once all records are known, and the seconds until all know a new
+/// record.
 fn measure(front_count: usize, loss: f64) -> (f64, f64) {
     let mut rng = StdRng::seed_from_u64(3);
     let by_address: HashMap<SocketAddr, usize> = (0..front_count).map(|i| (address(i), i)).collect();
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,12 +1,13 @@
 //! Replicates versioned records among fronts by anti-entropy, without a leader.
 //!
-//! Every round, each front sends a few random peers a digest: the ids and versions of a range of its records. The
-//! receiver pulls the records that are newer at the sender and pushes those that are newer here. Records merge by a
-//! total order of versions, so the order, loss and duplication of messages do not affect the result. Every datagram
-//! carries a keyed MAC and a counter; sizes and rates are bounded. Delivery of any single message is not guaranteed.
+//! Every round, each front sends a few random peers a digest: the ids and versions of a range of its records.
+//! The receiver pulls the records that are newer at the sender and pushes those of which it holds a newer
+//! version. Records merge by a total order of versions, so the order, loss and duplication of messages do not
+//! affect the result. Every datagram carries a keyed MAC and a counter; sizes and rates are bounded. Delivery
+//! of any single message is not guaranteed.
 //!
-//! [`Exchange`] does no I/O: datagrams and times go in, datagrams and changed records come out. [`Store`] keeps
-//! records on disk across restarts and crashes.
+//! [`Exchange`] does no I/O: datagrams and times go in, datagrams and changed records come out. [`Store`]
+//! keeps records on disk across restarts and crashes.
 
 mod protocol;
 mod records;
--- a/crates/exchange/src/protocol.rs
+++ b/crates/exchange/src/protocol.rs
@@ -48,8 +48,8 @@
         /// The message.
         content: Vec<u8>,
     },
-    /// This front's run is this number from now on. The other fronts knew a later run: this front's clock was set back
-    /// before a restart, or another front has the same name.
+    /// This front's run is this number from now on. The other fronts knew a later run: this front's clock was
+    /// set back before a restart, or another front has the same name.
     RunRaised(u64),
 }
 
@@ -70,11 +70,12 @@
     pub records_applied: u64,
 }
 
-/// The content of a datagram, encoded with postcard: the order of variants and fields is part of the wire format.
+/// The content of a datagram, encoded with postcard: the order of variants and fields is part of the wire
+/// format.
 #[derive(Debug, Serialize, Deserialize)]
 enum Message {
-    /// The versions of all the sender's records from `from` (`None`: the first) up to, but not including, `to`
-    /// (`None`: the end).
+    /// The versions of all the sender's records from `from` (`None`: the first) up to, but not including,
+    /// `to` (`None`: the end).
     Digest { from: Option<Id>, to: Option<Id>, entries: Vec<(Id, Version)> },
     /// Requests these records.
     Pull(Vec<Id>),
@@ -100,8 +101,8 @@
 const MAX_TRACKED_SENDERS: usize = 2 * 1_024;
 /// Maximum size of a message on a channel, bytes: a datagram less the seal and the header of the message.
 pub const MAX_CHANNEL_MESSAGE_BYTES: usize = MAX_DATAGRAM_BYTES - 60;
-/// How often this front raises its run, per minute and at once: two fronts with the same name would otherwise raise
-/// each other's run without end.
+/// How often this front raises its run, per minute and at once: two fronts with the same name would otherwise
+/// raise each other's run without end.
 const RUN_RAISES_PER_MINUTE: f64 = 4.0;
 /// Maximum number of ephemeral records that wait to be forwarded.
 const MAX_PENDING_EPHEMERAL: usize = 512;
@@ -193,8 +194,8 @@
         self.settings.run
     }
 
-    /// Sends a message of another protocol in an authenticated datagram, without delivery guarantee. Returns false,
-    /// and sends nothing, if it is longer than [`MAX_CHANNEL_MESSAGE_BYTES`].
+    /// Sends a message of another protocol in an authenticated datagram, without delivery guarantee. Returns
+    /// false, and sends nothing, if it is longer than [`MAX_CHANNEL_MESSAGE_BYTES`].
     pub fn send_on_channel(
         &mut self,
         to: SocketAddr,
@@ -239,8 +240,8 @@
         self.next_round_ms
     }
 
-    /// Forwards pending ephemeral records and, if a round is due, sends digests. The rounds of the fronts start at random
-    /// points of the period and are jittered, so that they do not coincide.
+    /// Forwards pending ephemeral records and, if a round is due, sends digests. The rounds of the fronts
+    /// start at random points of the period and are jittered, so that they do not coincide.
     pub fn tick(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         let period = self.settings.period_ms.max(10);
         let due = *self.next_round_ms.get_or_insert(now_ms + self.rng.random_range(0..period));
@@ -330,8 +331,8 @@
                 Ok(())
             }
             Err(reason) => {
-                // A front whose clock was set back before its restart is told the run that is known here. No other
-                // rejected datagram is answered.
+                // A front whose clock was set back before its restart is told the run that is known here. No
+                // other rejected datagram is answered.
                 if let Reject::StaleRun(known) = reason {
                     self.reply(now_ms, from, &Message::StaleRun(known), out);
                 }
@@ -406,15 +407,15 @@
                     if self.records.merge(now_ms, record.clone()) == MergeResult::Applied {
                         self.counters.records_applied += 1;
                         if record.id.is_ephemeral() {
-                            // Ephemeral records are many: the next tick forwards them together. When the queue is
-                            // full, this record replaces the last one.
+                            // Ephemeral records are many: the next tick forwards them together. When the
+                            // queue is full, this record replaces the last one.
                             self.pending_ephemeral.truncate(MAX_PENDING_EPHEMERAL - 1);
                             self.pending_ephemeral.push(record.clone());
                             out.push(Output::Changed(record));
                             continue;
                         }
-                        // Forwarding a new record once to a few peers reaches most fronts within a few network delays;
-                        // the rounds reach the others.
+                        // Forwarding a new record once to a few peers reaches most fronts within a few
+                        // network delays; the rounds reach the others.
                         for peer in self.random_peers(self.settings.fanout + 1) {
                             if peer != from {
                                 self.reply(now_ms, peer, &Message::Push(vec![record.clone()]), out);
--- a/crates/exchange/src/records.rs
+++ b/crates/exchange/src/records.rs
@@ -7,8 +7,8 @@
 pub const MAX_BODY_BYTES: usize = 900;
 /// Maximum number of records held.
 const MAX_RECORDS: usize = 4_096;
-/// An expired record is kept this long, so that a front whose clock is behind cannot bring back an older version of
-/// it; milliseconds.
+/// An expired record is kept this long, so that a front whose clock is behind cannot bring back an older
+/// version of it; milliseconds.
 const EXPIRED_RETENTION_MS: u64 = 120_000;
 /// Maximum time from now to a record's expiry, milliseconds (31 days).
 const MAX_LIFETIME_MS: u64 = 31 * 86_400_000;
@@ -22,8 +22,8 @@
     pub number: u64,
 }
 
-/// Records of this space and above are ephemeral: a new version soon replaces them. They are pushed to peers, but
-/// are neither listed in digests nor kept across a restart.
+/// Records of this space and above are ephemeral: a new version soon replaces them. They are pushed to peers,
+/// but are neither listed in digests nor kept across a restart.
 pub const FIRST_EPHEMERAL_SPACE: u8 = 128;
 
 impl Id {
@@ -57,8 +57,8 @@
 }
 
 impl Record {
-    /// The key by which one of two records with the same id wins. Expiry and body only break a tie between two records
-    /// with the same author and counter, which a correct author never creates.
+    /// The key by which one of two records with the same id wins. Expiry and body only break a tie between
+    /// two records with the same author and counter, which a correct author never creates.
     fn precedence(&self) -> (Version, u64, &[u8]) {
         (self.version, self.expires_ms, &self.body)
     }
@@ -71,7 +71,8 @@
     Applied,
     /// The record is the same as the one held, or older.
     NotNewer,
-    /// The record expired, expires too far in the future or is too large, or the maximum number of records is held.
+    /// The record expired, expires too far in the future or is too large, or the maximum number of records is
+    /// held.
     Rejected,
 }
 
--- a/crates/exchange/src/seal.rs
+++ b/crates/exchange/src/seal.rs
@@ -32,7 +32,8 @@
 }
 
 impl Keys {
-    /// Derives keys from secrets of any length. Datagrams are sealed with the current key and accepted with either.
+    /// Derives keys from secrets of any length. Datagrams are sealed with the current key and accepted with
+    /// either.
     #[must_use]
     pub fn new(current: &str, previous: Option<&str>) -> Self {
         let key = |secret: &str| Sha256::digest(secret.as_bytes()).into();
@@ -74,8 +75,8 @@
     }
 }
 
-/// The latest run of one sender and which of its counters were received. Datagrams may arrive out of order by up to
-/// 63 counters.
+/// The latest run of one sender and which of its counters were received. Datagrams may arrive out of order by
+/// up to 63 counters.
 #[derive(Clone, Copy, Debug)]
 struct ReplayWindow {
     run: u64,
--- a/crates/exchange/src/store.rs
+++ b/crates/exchange/src/store.rs
@@ -16,8 +16,8 @@
 pub struct Store(Database);
 
 impl Store {
-    /// Opens the file, or creates it if it does not exist. If the process was killed during a write, the file opens in
-    /// its state before that write.
+    /// Opens the file, or creates it if it does not exist. If the process was killed during a write, the file
+    /// opens in its state before that write.
     ///
     /// # Errors
     /// If the file cannot be opened or is not a redb database.
@@ -30,8 +30,8 @@
         Ok(Self(db))
     }
 
-    /// Returns and stores the number of a new run: the current time, or one more than the last run's number if the clock
-    /// was set back.
+    /// Returns and stores the number of a new run: the current time, or one more than the last run's number
+    /// if the clock was set back.
     ///
     /// # Errors
     /// If it cannot be written.
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -9,8 +9,8 @@
 pub struct Member {
     /// The front's number, a stable hash of its name; 0 if only the address is known.
     pub front: u64,
-    /// Number of the front's run, higher at each start. It distinguishes a restarted front from its earlier run, which
-    /// may be suspected or have left.
+    /// Number of the front's run, higher at each start. It distinguishes a restarted front from its earlier
+    /// run, which may be suspected or have left.
     pub run: u64,
     /// How often the front rejoined in this run after the others had declared it down.
     pub renewals: u32,
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -13,11 +13,12 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Maximum time that the protocol's clock advances between two ticks, milliseconds. Beyond it this front did not run,
-/// so that it could not receive answers.
+/// Maximum time that the protocol's clock advances between two ticks, milliseconds. Beyond it this front did
+/// not run, so that it could not receive answers.
 const MAX_TICK_STEP_MS: u64 = 250;
-/// A run number, which is the Unix time of the front's start, is accepted up to this far in the future, milliseconds.
-/// Clocks of honest fronts differ by seconds, not days.
+/// A run number, which is the Unix time of the front's start, is rejected if it is further than this beyond
+/// the time at which this membership started, milliseconds. Clocks of correct fronts differ by seconds, not
+/// days.
 const MAX_RUN_AHEAD_MS: u64 = 3_600_000;
 /// How long foca remembers members that are down.
 const DOWN_MEMBER_RETENTION: Duration = Duration::from_secs(120);
@@ -127,7 +128,8 @@
     }
 }
 
-/// A scheduled timer of the protocol. Timers due at the same time fire in the order in which they were scheduled.
+/// A scheduled timer of the protocol. Timers due at the same time fire in the order in which they were
+/// scheduled.
 struct ScheduledTimer {
     at_ms: u64,
     sequence: u64,
@@ -160,7 +162,8 @@
     last_timer_sequence: u64,
     rng: StdRng,
     me: Member,
-    /// The protocol's clock, milliseconds since the first tick. It does not advance while this front does not run.
+    /// The protocol's clock, milliseconds since the first tick. It does not advance while this front does not
+    /// run.
     time_ms: u64,
     last_tick_ms: Option<u64>,
     /// When the next seed is contacted, by the protocol's clock.
@@ -171,8 +174,8 @@
 
 fn config(settings: &Settings) -> Config {
     let fronts = f64::from(settings.expected_fronts.max(2));
-    // With fewer transmissions, an update that suspects a front might no longer be sent when that front becomes
-    // reachable again after a second, and it could not refute the suspicion.
+    // With fewer transmissions, an update that suspects a front might no longer be sent when that front
+    // becomes reachable again after a second, and it could not refute the suspicion.
     let transmissions = ((fronts + 1.0).log10() * 10.0).ceil().clamp(24.0, 60.0) as u8;
     let ms = Duration::from_millis;
     let count = |n| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
@@ -201,8 +204,8 @@
 }
 
 impl Membership {
-    /// Starts with a view that contains only this front. Runs are validated against `wall_ms`, Unix milliseconds; the
-    /// times passed to [`Membership::tick`] may have any origin.
+    /// Starts with a view that contains only this front. Runs are validated against `wall_ms`, Unix
+    /// milliseconds; the times passed to [`Membership::tick`] may have any origin.
     #[must_use]
     pub fn new(settings: Settings, wall_ms: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(settings.rng_seed);
@@ -231,8 +234,8 @@
         self.me
     }
 
-    /// The fronts that are up, including this one, by number. A front that restarted at another address appears with its
-    /// latest run only.
+    /// The fronts that are up, including this one, by number. A front that restarted at another address
+    /// appears with its latest run only.
     #[must_use]
     pub fn view(&self) -> BTreeMap<u64, Member> {
         let mut view = BTreeMap::from([(self.me.front, self.me)]);
@@ -261,7 +264,8 @@
         self.drain(out);
     }
 
-    /// Advances the protocol's clock and fires the timers that are due. To be called every few tens of milliseconds.
+    /// Advances the protocol's clock and fires the timers that are due. To be called every few tens of
+    /// milliseconds.
     pub fn tick(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         let elapsed_ms = now_ms.saturating_sub(self.last_tick_ms.replace(now_ms).unwrap_or(now_ms));
         self.time_ms += elapsed_ms.min(MAX_TICK_STEP_MS);
@@ -279,8 +283,9 @@
             };
             // An error means that the timer is obsolete.
             let _ = self.foca.handle_timer(timer, &mut self.runtime);
-            // When a suspicion times out, foca 1.0 notifies the suspect that it is down, even if the suspect refuted that
-            // in time. It would rejoin under a new identity without need, so the notification is dropped.
+            // When a suspicion times out, foca 1.0 notifies the suspect that it is down, even if the suspect
+            // refuted that in time. It would rejoin under a new identity without need, so the notification is
+            // dropped.
             let refuted = suspect.filter(|suspect| self.foca.iter_members().any(|m| m.id() == suspect));
             let mut outputs = Vec::new();
             self.drain(&mut outputs);
@@ -292,7 +297,8 @@
         self.drain(out);
     }
 
-    /// Announces this front to a random seed that is not in the view; more often while no other front is in the view.
+    /// Announces this front to a random seed that is not in the view; more often while no other front is in
+    /// the view.
     fn announce_to_seed(&mut self) {
         let known: Vec<SocketAddr> = self.foca.iter_members().map(|m| m.id().address).collect();
         let alone = known.is_empty();
--- a/crates/membership/tests/swim.rs
+++ b/crates/membership/tests/swim.rs
@@ -189,8 +189,8 @@
     assert_eq!(front.view(), view, "rejected messages changed the view");
 }
 
-/// Guards against a front with the key that forges another member's state: the member refutes it or rejoins under a new
-/// identity.
+/// Guards against a front with the key that forges another member's state: the member refutes it or rejoins
+/// under a new identity.
 #[test]
 fn forged_suspicions_and_down_states_do_not_last() {
     let mut cluster = Cluster::new(4);
