--- a/crates/front/src/engine/policy.rs
+++ b/crates/front/src/engine/policy.rs
@@ -203,8 +203,8 @@
         self.run(now, out);
         let mut actions = Vec::new();
         let fitted = fitted(&self.config, settings, names.0, names.1);
-        let taken =
-            fitted.and_then(|f| self.controller.change(now, f.settings.clone(), &mut actions).map(|()| f));
+        let taken = fitted
+            .and_then(|f| self.controller.apply_settings(now, f.settings.clone(), &mut actions).map(|()| f));
         let f = match taken {
             Ok(f) => f,
             Err(e) => {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -45,8 +45,8 @@
     Idempotent,
     /// A set-up may be repeated only if every earlier attempt provably never ran.
     AtMostOnce,
-    /// Servers discard duplicates: after an attempt that may have run, a set-up may be repeated only within this
-    /// scope and for this long after the first attempt.
+    /// Servers discard duplicates: after an attempt that may have run, a set-up may be repeated only within
+    /// this scope and for this long after the first attempt.
     Deduplicated(DedupScope, Time),
 }
 
@@ -180,8 +180,8 @@
     pub kb_per_weight: f64,
     /// Total capacity of all links at the start, kB/s.
     pub all_links_kb: f64,
-    /// Demand that a further viewer adds to a shared live stream, as a fraction of the rate; 1 means that streams
-    /// are not shared.
+    /// Demand that a further viewer adds to a shared live stream, as a fraction of the rate; 1 means that
+    /// streams are not shared.
     pub shared_stream_share: f64,
     /// Link use from which a server refuses set-ups; 0 means that servers never refuse for this reason.
     pub link_refusal_threshold: f64,
@@ -320,9 +320,9 @@
         Ok(())
     }
 
-    /// Checks that a running front can change to the `next` settings. Accounts are kept by rack, cell, zone, number
-    /// of fronts, gauge and kind, so these cannot change. Classes and tenants are identified by their index, so
-    /// none may be removed.
+    /// Checks that a running front can change to the `next` settings. Accounts are kept by rack, cell, zone,
+    /// number of fronts, gauge and kind, so these cannot change. Classes and tenants are identified by their
+    /// index, so none may be removed.
     ///
     /// # Errors
     /// Names the first value that cannot change.
@@ -474,14 +474,14 @@
     UplinkUse,
 }
 
-/// Capacity reserved for viewers who are expected for some titles. For all other sessions it counts as demand.
-/// A reservation replaces the former one of its [`ReservationId`]; one without capacity releases it.
+/// Capacity reserved for viewers who are expected for some titles. For all other sessions it counts as
+/// demand. A reservation replaces the former one of its [`ReservationId`]; one without capacity releases it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Reservation {
     /// The titles.
     pub titles: Vec<TitleId>,
-    /// Part of the reservation for one viewer, kB/s. Above the entry rung a newcomer may use this much of it; the
-    /// rest is left for later viewers.
+    /// Part of the reservation for one viewer, kB/s. Above the entry rung a newcomer may use this much of it;
+    /// the rest is left for later viewers.
     pub per_viewer_kb: f64,
     /// Reserved capacity on each server, kB/s.
     pub servers: Vec<(ServerId, f64)>,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! Admission and quality decisions for video sessions.
 //!
 //! Each front has one [`Controller`]. It receives servers, requests and changes of sessions as [`Event`]s and
-//! returns [`Action`]s. It forecasts the demand on each rack's uplink as mean rate times averaged session count;
-//! when the forecast exceeds a mark, it moves a fraction of its sessions to other racks.
+//! returns [`Action`]s. It forecasts the demand on each rack's uplink as mean rate times averaged session
+//! count; when the forecast exceeds a mark, it moves a fraction of its sessions to other racks.
 //!
 //! ```
 //! use pepperhook::*;
--- a/src/window.rs
+++ b/src/window.rs
@@ -1,4 +1,4 @@
-//! A mechanical container: values with their times, summed over a stretch that the caller names.
+//! Time helpers, and sums over a sliding time window.
 
 use crate::interface::Time;
 use std::collections::VecDeque;
@@ -6,32 +6,32 @@
 /// One second.
 pub const SECOND: Time = 1_000_000_000;
 
-/// The moment `span` before `now`.
+/// The time `span` before `now`.
 pub fn ago(now: Time, span: Time) -> Time {
     now.saturating_sub(span)
 }
 
-/// A length of time in seconds.
-pub fn seconds(t: Time) -> f64 {
-    t as f64 / SECOND as f64
+/// A duration in seconds.
+pub fn seconds(duration: Time) -> f64 {
+    duration as f64 / SECOND as f64
 }
 
-/// Values with the times at which they came, kept for as long as the caller says.
+/// Values with the times at which they were added, in order of time.
 #[derive(Clone, Debug, Default)]
 pub struct SlidingSum(VecDeque<(Time, f64)>);
 
 impl SlidingSum {
-    /// Adds a value and drops what is older than `keep`.
-    pub fn push(&mut self, now: Time, value: f64, keep: Time) {
+    /// Adds a value and removes those older than `retention`.
+    pub fn push(&mut self, now: Time, value: f64, retention: Time) {
         self.0.push_back((now, value));
-        while self.0.front().is_some_and(|(at, _)| at.saturating_add(keep) < now) {
+        while self.0.front().is_some_and(|(at, _)| at.saturating_add(retention) < now) {
             self.0.pop_front();
         }
     }
 
-    /// Sum of the values that came later than `after`.
+    /// Sum of the values that were added later than `after`.
     #[must_use]
-    pub fn since(&self, after: Time) -> f64 {
+    pub fn sum_after(&self, after: Time) -> f64 {
         self.0.iter().rev().take_while(|(at, _)| *at > after).map(|(_, v)| v).sum()
     }
 }
@@ -45,9 +45,9 @@
         let mut s = SlidingSum::default();
         s.push(10, 1.0, 100);
         s.push(20, 2.0, 100);
-        assert_eq!(s.since(10), 2.0);
-        assert_eq!(s.since(9), 3.0);
+        assert_eq!(s.sum_after(10), 2.0);
+        assert_eq!(s.sum_after(9), 3.0);
         s.push(121, 4.0, 100);
-        assert_eq!(s.since(0), 4.0);
+        assert_eq!(s.sum_after(0), 4.0);
     }
 }
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -161,7 +161,7 @@
     fn change(&mut self, set: Settings) -> usize {
         self.checker.change(self.now, &set);
         let mut out = Vec::new();
-        self.controller.change(self.now, set, &mut out).expect("a policy that agrees");
+        self.controller.apply_settings(self.now, set, &mut out).expect("a policy that agrees");
         let done = out.len();
         self.carry_out(out);
         done
@@ -395,7 +395,7 @@
 
 fn change(f: &mut Front, set: &Settings) -> Vec<Action> {
     let mut out = Vec::new();
-    f.controller.change(f.now, set.clone(), &mut out).expect("a policy that agrees");
+    f.controller.apply_settings(f.now, set.clone(), &mut out).expect("a policy that agrees");
     out
 }
 
@@ -504,7 +504,7 @@
         let mut set = more.clone();
         make(&mut set);
         let mut out = Vec::new();
-        assert!(f.controller.change(f.now, set, &mut out).is_err() && out.is_empty());
+        assert!(f.controller.apply_settings(f.now, set, &mut out).is_err() && out.is_empty());
     }
     let (_, rung) =
         f.ask(2, SessionSpec { class: ClassId(1), highest_rung: 0.0, ..wish(2, 0.0, 1.0) }).expect("set up");
