--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -1,5 +1,6 @@
-//! Hosts one controller for each instance and speaks the simulator's wire on standard input and
-//! output. It translates and decides nothing.
+//! Runs controllers for the simulator: reads frames of events from standard input, passes each event to the
+//! controller of its instance and writes the actions to standard output. It only translates; all decisions
+//! are the controllers'.
 
 mod wire;
 
@@ -12,167 +13,189 @@
 use std::process::ExitCode;
 use wire::{Fault, Reader, Writer};
 
-/// Everything that the process holds: controllers by instance, lists of servers by number.
+/// State of the process.
 #[derive(Default)]
 struct Host {
+    /// Controllers by instance.
     controllers: BTreeMap<u16, Controller>,
-    pages: BTreeMap<u16, Vec<ServerEntry>>,
+    /// Lists of servers by number.
+    lists: BTreeMap<u16, Vec<ServerEntry>>,
 }
 
-fn outcome(code: u16) -> Option<Outcome> {
-    Some(match code {
-        100 => Outcome::Served,
-        301 => Outcome::Error,
-        302 => Outcome::Full,
-        303 => Outcome::TimedOut,
-        304 => Outcome::ConnectFailed,
-        305 => Outcome::Broken,
-        306 => Outcome::Cancelled,
-        307 => Outcome::Unsent,
+fn outcome(number: u16) -> Option<Outcome> {
+    Some(match number {
+        wire::outcome::SERVED => Outcome::Served,
+        wire::outcome::ERROR => Outcome::Error,
+        wire::outcome::FULL => Outcome::Full,
+        wire::outcome::TIMED_OUT => Outcome::TimedOut,
+        wire::outcome::CONNECT_FAILED => Outcome::ConnectFailed,
+        wire::outcome::BROKEN => Outcome::Broken,
+        wire::outcome::CANCELLED => Outcome::Cancelled,
+        wire::outcome::UNSENT => Outcome::Unsent,
         _ => return None,
     })
 }
 
-fn entry(r: &mut Reader) -> Result<ServerEntry, Fault> {
-    let (server, zone, kind, cell) =
-        (ServerId(r.u32()?), ZoneId(r.u16()?), KindId(r.u16()?), u32::from(r.u16()?));
+fn list_entry(r: &mut Reader) -> Result<ServerEntry, Fault> {
+    let server = ServerId(r.u32()?);
+    let zone = ZoneId(r.u16()?);
+    let kind = KindId(r.u16()?);
+    let cell = u32::from(r.u16()?);
     let state = match r.u8()? {
-        0 => ServerState::Gone,
-        1 => ServerState::Ready,
-        2 => ServerState::Draining,
-        other => return Err(r.fault(format!("unknown readiness {other}"))),
+        wire::server_state::GONE => ServerState::Gone,
+        wire::server_state::READY => ServerState::Ready,
+        wire::server_state::DRAINING => ServerState::Draining,
+        other => {
+            return Err(r.fault(format!("unknown server state {other}; 0 (gone) to 2 (draining) are known")));
+        }
     };
     let weight = f64::from(r.f32()?);
     let started = Some(r.u64()?).filter(|t| *t > 0);
     Ok(ServerEntry { server, zone, kind, cell, state, weight, started })
 }
 
+/// The expected length of a session, and whether the viewer reconnects, from the flags of a request.
+fn flagged(flags: u8, length: Time) -> (Option<Time>, bool) {
+    ((flags & wire::FLAG_HAS_LENGTH > 0).then_some(length), flags & wire::FLAGS_RECONNECT > 0)
+}
+
 impl Host {
-    fn page(&mut self, r: &mut Reader) -> Result<(), Fault> {
+    fn define_list(&mut self, r: &mut Reader) -> Result<(), Fault> {
         let number = r.u16()?;
         let count = r.u32()?;
         let mut entries = Vec::new();
         for _ in 0..count {
-            entries.push(entry(r)?);
+            entries.push(list_entry(r)?);
         }
-        self.pages.insert(number, entries);
+        self.lists.insert(number, entries);
         Ok(())
     }
 
-    fn start(&mut self, r: &mut Reader) -> Result<(), Fault> {
+    fn start_instance(&mut self, r: &mut Reader) -> Result<(), Fault> {
         let (instance, seed, length) = (r.u16()?, r.u64()?, r.u32()?);
         let raw = r.take(length as usize)?;
-        let settings = pepperhook_parameters::parse(raw).map_err(|what| r.fault(what))?;
+        let settings = pepperhook_parameters::parse(raw).map_err(|problem| r.fault(problem))?;
         let controller = Controller::new(settings, seed).map_err(|e| r.fault(e.to_string()))?;
         self.controllers.insert(instance, controller);
         Ok(())
     }
 
-    /// The event of a record that concerns one running instance.
+    fn list_event(&self, r: &mut Reader) -> Result<Event, Fault> {
+        let (_version, number, scope) = (r.u32()?, r.u16()?, r.u8()?);
+        if scope == wire::scope::FAILED {
+            return Ok(Event::ListFailed);
+        }
+        let entries = self.lists.get(&number).ok_or_else(|| {
+            r.fault(format!(
+                "unknown list number {number}; a record with code {} has to define it first",
+                wire::input::LIST_CONTENT
+            ))
+        })?;
+        match scope {
+            wire::scope::CHANGES => Ok(Event::ListChanged(entries.clone())),
+            wire::scope::COMPLETE | wire::scope::COMPLETE_OTHER => Ok(Event::ListFull(entries.clone())),
+            other => Err(r.fault(format!("unknown scope {other} of a list; 0 to 3 are known"))),
+        }
+    }
+
+    /// Reads an event for one instance.
     fn event(&self, code: u8, r: &mut Reader) -> Result<Event, Fault> {
         Ok(match code {
-            2 => {
-                let (_version, number, scope) = (r.u32()?, r.u16()?, r.u8()?);
-                if scope == 1 {
-                    return Ok(Event::ListFailed);
-                }
-                let page = self.pages.get(&number);
-                let entries = page.ok_or_else(|| r.fault(format!("unknown list number {number}")))?.clone();
-                match scope {
-                    0 => Event::ListChanged(entries),
-                    2 | 3 => Event::ListFull(entries),
-                    other => return Err(r.fault(format!("unknown scope {other}"))),
-                }
-            }
-            3 => {
+            wire::input::LIST => self.list_event(r)?,
+            wire::input::REQUEST => {
                 let (session, class, tenant) = (SessionId(r.u64()?), ClassId(r.u16()?), TenantId(r.u16()?));
                 let (viewer, title) = (ViewerKey(r.u64()?), TitleId(r.u64()?));
-                let (patience, length) = (r.u64()?, r.u64()?);
-                let (home, copies, top) = (f64::from(r.f32()?), f64::from(r.f32()?), f64::from(r.f32()?));
-                let flags = r.u8()?;
-                let (length, again) = ((flags & 1 > 0).then_some(length), flags & 24 > 0);
-                Event::Request(
-                    session,
-                    SessionSpec {
-                        viewer,
-                        class,
-                        tenant,
-                        title,
-                        first_cell: home,
-                        cell_count: copies,
-                        highest_rung: top,
-                        max_wait: patience,
-                        expected_length: length,
-                        reconnect: again,
-                    },
-                )
+                let (max_wait, length) = (r.u64()?, r.u64()?);
+                let (first_cell, cell_count) = (f64::from(r.f32()?), f64::from(r.f32()?));
+                let highest_rung = f64::from(r.f32()?);
+                let (expected_length, reconnect) = flagged(r.u8()?, length);
+                let spec = SessionSpec {
+                    viewer,
+                    class,
+                    tenant,
+                    title,
+                    first_cell,
+                    cell_count,
+                    highest_rung,
+                    max_wait,
+                    expected_length,
+                    reconnect,
+                };
+                Event::Request(session, spec)
             }
-            4 => {
+            wire::input::STARTED => {
                 let (session, _, server, _) = (SessionId(r.u64()?), r.u64()?, ServerId(r.u32()?), r.u16()?);
                 Event::Started(session, server)
             }
-            5 => {
+            wire::input::ENDED => {
                 let (session, _, server) = (SessionId(r.u64()?), r.u16()?, ServerId(r.u32()?));
                 let number = r.u16()?;
-                let outcome = outcome(number).ok_or_else(|| r.fault(format!("unknown outcome {number}")))?;
-                let (_, settled, report) = (r.u64()?, r.u8()? > 0, r.values()?);
-                Event::Ended { session, server, outcome, is_final: settled, report }
+                let outcome = outcome(number).ok_or_else(|| {
+                    r.fault(format!("unknown outcome {number}; 100 and 301 to 307 are known"))
+                })?;
+                let (_, is_final, report) = (r.u64()?, r.u8()? > 0, r.values()?);
+                Event::Ended { session, server, outcome, is_final, report }
             }
-            6 => Event::Closed(SessionId(r.u64()?)),
-            7 => Event::Timer(r.u64()?),
-            8 => {
+            wire::input::CLOSED => Event::Closed(SessionId(r.u64()?)),
+            wire::input::TIMER => Event::Timer(r.u64()?),
+            wire::input::PROBED => {
                 let (server, number, _, report) = (ServerId(r.u32()?), r.u16()?, r.u64()?, r.values()?);
-                Event::Probed(server, (number == 100).then_some(report))
+                Event::Probed(server, (number == wire::outcome::SERVED).then_some(report))
             }
-            9 => {
+            wire::input::MESSAGE => {
                 let (sender, length) = (r.u16()?, r.u16()?);
                 Event::Message(sender, r.take(usize::from(length))?.to_vec())
             }
-            11 => {
+            wire::input::ADOPTED => {
                 let (session, tenant, viewer) =
                     (SessionId(r.u64()?), TenantId(r.u16()?), ViewerKey(r.u64()?));
-                let (class, home, top, flags) =
-                    (ClassId(r.u16()?), f64::from(r.f32()?), f64::from(r.f32()?), r.u8()?);
-                let (server, patience, length) = (ServerId(r.u32()?), r.u64()?, r.u64()?);
-                let (copies, title) = (f64::from(r.f32()?), TitleId(r.u64()?));
-                let (length, again) = ((flags & 1 > 0).then_some(length), flags & 24 > 0);
-                let wish = SessionSpec {
+                let (class, first_cell) = (ClassId(r.u16()?), f64::from(r.f32()?));
+                let (highest_rung, flags) = (f64::from(r.f32()?), r.u8()?);
+                let (server, max_wait, length) = (ServerId(r.u32()?), r.u64()?, r.u64()?);
+                let (cell_count, title) = (f64::from(r.f32()?), TitleId(r.u64()?));
+                let (expected_length, reconnect) = flagged(flags, length);
+                let spec = SessionSpec {
                     viewer,
                     class,
                     tenant,
                     title,
-                    first_cell: home,
-                    cell_count: copies,
-                    highest_rung: top,
-                    max_wait: patience,
-                    expected_length: length,
-                    reconnect: again,
+                    first_cell,
+                    cell_count,
+                    highest_rung,
+                    max_wait,
+                    expected_length,
+                    reconnect,
                 };
-                Event::Adopted(session, wish, server)
+                Event::Adopted(session, spec, server)
             }
-            12 => {
+            wire::input::NOTIFICATION => {
                 let (session, _, server) = (SessionId(r.u64()?), r.u16()?, ServerId(r.u32()?));
                 let kind = match r.u8()? {
-                    1 => NotificationKind::Delivered,
-                    2 => NotificationKind::Rung,
-                    3 => NotificationKind::LinkUse,
-                    4 => NotificationKind::UplinkUse,
-                    other => return Err(r.fault(format!("unknown note {other}"))),
+                    wire::notification::DELIVERED => NotificationKind::Delivered,
+                    wire::notification::RUNG => NotificationKind::Rung,
+                    wire::notification::LINK_USE => NotificationKind::LinkUse,
+                    wire::notification::UPLINK_USE => NotificationKind::UplinkUse,
+                    other => {
+                        return Err(
+                            r.fault(format!("unknown kind of notification {other}; 1 to 4 are known"))
+                        );
+                    }
                 };
                 Event::Notification(session, server, kind, f64::from(r.f32()?))
             }
-            other => return Err(r.fault(format!("unknown code {other}"))),
+            other => return Err(r.fault(format!("unknown code {other} of a record; 1 to 13 are known"))),
         })
     }
 
+    /// Processes the records of one batch and collects the actions.
     fn batch(&mut self, now: Time, count: u32, body: &[u8]) -> Result<Writer, Fault> {
         let (mut r, mut out, mut actions) = (Reader::new(body), Writer::default(), Vec::new());
         for record in 0..count {
             r.record = record;
             match r.u8()? {
-                1 => self.start(&mut r)?,
-                13 => self.page(&mut r)?,
-                10 => {
+                wire::input::START => self.start_instance(&mut r)?,
+                wire::input::LIST_CONTENT => self.define_list(&mut r)?,
+                wire::input::STOP => {
                     self.controllers.remove(&r.u16()?);
                 }
                 code => {
@@ -182,81 +205,92 @@
                         controller.handle(now, event, &mut actions);
                     }
                     for action in actions.drain(..) {
-                        write(&mut out, instance, action);
+                        write_action(&mut out, instance, action);
                     }
                 }
             }
         }
-        if r.is_done() { Ok(out) } else { Err(r.fault("bytes are left after the last record")) }
+        match r.remaining() {
+            0 => Ok(out),
+            n => Err(r.fault(format!("{n} bytes are left after the last record"))),
+        }
     }
 }
 
-fn write(out: &mut Writer, instance: u16, action: Action) {
+fn write_action(out: &mut Writer, instance: u16, action: Action) {
+    use wire::reply;
     match action {
-        Action::SetUp(s, server, wait) => {
-            let out = out.record(65, instance).bytes(&s.0.to_be_bytes());
+        Action::SetUp(session, server, wait) => {
+            let out = out.record(reply::SET_UP, instance).bytes(&session.0.to_be_bytes());
             out.bytes(&server.0.to_be_bytes()).bytes(&wait.to_be_bytes())
         }
-        Action::SetRung(s, rung) => out.record(77, instance).bytes(&s.0.to_be_bytes()).bytes(&[rung]),
-        Action::Refuse(s, advice) => {
-            out.record(66, instance).bytes(&s.0.to_be_bytes()).bytes(&advice.unwrap_or(0).to_be_bytes())
+        Action::SetRung(session, rung) => {
+            out.record(reply::SET_RUNG, instance).bytes(&session.0.to_be_bytes()).bytes(&[rung])
+        }
+        Action::Refuse(session, retry_after) => {
+            let out = out.record(reply::REFUSE, instance).bytes(&session.0.to_be_bytes());
+            out.bytes(&retry_after.unwrap_or(0).to_be_bytes())
         }
-        Action::Fail(s) => out.record(67, instance).bytes(&s.0.to_be_bytes()),
-        Action::Move(s) => out.record(78, instance).bytes(&s.0.to_be_bytes()),
-        Action::Probe(server) => out.record(70, instance).bytes(&server.0.to_be_bytes()),
-        Action::WatchList => out.record(75, instance).bytes(&[1]),
+        Action::Fail(session) => out.record(reply::FAIL, instance).bytes(&session.0.to_be_bytes()),
+        Action::Move(session) => out.record(reply::MOVE, instance).bytes(&session.0.to_be_bytes()),
+        Action::Probe(server) => out.record(reply::PROBE, instance).bytes(&server.0.to_be_bytes()),
+        Action::WatchList => out.record(reply::WATCH_LIST, instance).bytes(&[1]),
         Action::SetTimer(after, token) => {
-            out.record(69, instance).bytes(&after.to_be_bytes()).bytes(&token.to_be_bytes())
+            let out = out.record(reply::SET_TIMER, instance).bytes(&after.to_be_bytes());
+            out.bytes(&token.to_be_bytes())
         }
         Action::Log(line) => {
             let bytes = &line.as_bytes()[..line.len().min(usize::from(u16::MAX))];
             let length = u16::try_from(bytes.len()).unwrap_or(u16::MAX);
-            out.record(73, instance).bytes(&length.to_be_bytes()).bytes(bytes)
+            out.record(reply::LOG, instance).bytes(&length.to_be_bytes()).bytes(bytes)
         }
     };
 }
 
-/// Reads up to `buffer.len()` bytes; fewer only where input ends.
-fn fill(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
-    let mut have = 0;
-    while have < buffer.len() {
-        match input.read(&mut buffer[have..]) {
+/// Reads until the buffer is full or the input ends; returns the number of bytes.
+fn read_full(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
+    let mut filled = 0;
+    while filled < buffer.len() {
+        match input.read(&mut buffer[filled..]) {
             Ok(0) => break,
-            Ok(n) => have += n,
+            Ok(n) => filled += n,
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             Err(e) => return Err(e),
         }
     }
-    Ok(have)
+    Ok(filled)
 }
 
+/// Answers one frame after another until the input ends.
 fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), String> {
+    let read_error = |e: io::Error| format!("cannot read from standard input: {e}");
+    let write_error = |e: io::Error| format!("cannot write to standard output: {e}");
     let mut host = Host::default();
     loop {
-        let mut header = [0; 20];
-        match fill(input, &mut header).map_err(|e| e.to_string())? {
+        let mut header = [0; wire::INPUT_HEADER_BYTES];
+        match read_full(input, &mut header).map_err(read_error)? {
             0 => return Ok(()),
-            20 => {}
-            n => return Err(format!("a frame's header ends after {n} of 20 bytes")),
+            wire::INPUT_HEADER_BYTES => {}
+            n => return Err(format!("a frame's header ends after {n} of {} bytes", header.len())),
         }
-        let word = |i: usize| u32::from_be_bytes([header[i], header[i + 1], header[i + 2], header[i + 3]]);
-        let (batch, count, length) = (word(0), word(4), word(8));
-        let now = u64::from(word(12)) << 32 | u64::from(word(16));
+        let number = |i: usize| u32::from_be_bytes([header[i], header[i + 1], header[i + 2], header[i + 3]]);
+        let (batch, count, length) = (number(0), number(4), number(8));
+        let now = u64::from(number(12)) << 32 | u64::from(number(16));
         let mut body = Vec::new();
-        input.by_ref().take(u64::from(length)).read_to_end(&mut body).map_err(|e| e.to_string())?;
+        input.by_ref().take(u64::from(length)).read_to_end(&mut body).map_err(read_error)?;
         if body.len() < length as usize {
-            return Err(format!("batch {batch}: ends after {} of {length} bytes", body.len()));
+            return Err(format!("batch {batch}: the body ends after {} of {length} bytes", body.len()));
         }
         let reply = host.batch(now, count, &body).map_err(|fault| format!("batch {batch}: {fault}"))?;
-        output.write_all(&reply.frame(batch)).and_then(|()| output.flush()).map_err(|e| e.to_string())?;
+        output.write_all(&reply.frame(batch)).and_then(|()| output.flush()).map_err(write_error)?;
     }
 }
 
 fn main() -> ExitCode {
     match run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("pepperhook-simhost: {what}");
+        Err(problem) => {
+            eprintln!("pepperhook-simhost: {problem}");
             ExitCode::FAILURE
         }
     }
--- a/simhost/tests/frames.rs
+++ b/simhost/tests/frames.rs
@@ -1,4 +1,5 @@
-//! The adapter as a process: good frames are answered, bad ones end it with one plain line.
+//! Runs the adapter as a process: valid frames are answered, an invalid one ends the process with one line on
+//! standard error.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -11,7 +12,8 @@
   "rung_kb": [200.0, 400.0], "ladder_worth": [0.4, 1.0], "kind_slots": [20], "uplink_kb": 9000.0,
   "all_links_kb": 9000.0}}"#;
 
-fn host(input: &[u8]) -> Output {
+/// Runs the adapter with this input until it ends.
+fn run_adapter(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_pepperhook-simhost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -19,23 +21,25 @@
         .spawn()
         .expect("starts");
     let mut stdin = child.stdin.take().expect("piped");
-    // A host that has already ended with an error no longer reads.
+    // After an error the adapter no longer reads its input.
     let _ = stdin.write_all(input);
     drop(stdin);
     child.wait_with_output().expect("ends")
 }
 
+/// An input frame at 5 seconds.
 fn frame(batch: u32, count: u32, body: &[u8]) -> Vec<u8> {
     let mut f = Vec::new();
-    for word in [batch, count, body.len() as u32] {
-        f.extend(word.to_be_bytes());
+    for number in [batch, count, body.len() as u32] {
+        f.extend(number.to_be_bytes());
     }
     f.extend(5_000_000_000u64.to_be_bytes());
     f.extend(body);
     f
 }
 
-fn hello(settings: &str) -> Vec<u8> {
+/// A record that starts instance 3 with these settings.
+fn start_record(settings: &str) -> Vec<u8> {
     let mut b = vec![1, 0, 3];
     b.extend(9u64.to_be_bytes());
     b.extend((settings.len() as u32).to_be_bytes());
@@ -43,7 +47,8 @@
     b
 }
 
-fn list() -> Vec<u8> {
+/// A record that defines list 0 with server 77, and one that gives it to instance 3.
+fn list_records() -> Vec<u8> {
     let mut b = vec![13, 0, 0, 0, 0, 0, 1, 0, 0, 0, 77, 0, 0, 0, 0, 0, 0, 1];
     b.extend(1f32.to_be_bytes());
     b.extend(0u64.to_be_bytes());
@@ -51,8 +56,9 @@
     b
 }
 
+/// The adapter fails, and its line on standard error contains all parts.
 fn fails_with(input: &[u8], parts: &[&str]) {
-    let out = host(input);
+    let out = run_adapter(input);
     let text = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(!out.status.success(), "{text}");
     assert_eq!(text.lines().count(), 1, "{text}");
@@ -62,8 +68,8 @@
 }
 
 #[test]
-fn an_empty_batch_is_answered_and_the_end_of_input_ends_in_peace() {
-    let out = host(&frame(7, 0, &[]));
+fn an_empty_batch_is_answered_and_the_end_of_input_ends_the_process_with_success() {
+    let out = run_adapter(&frame(7, 0, &[]));
     assert!(out.status.success());
     assert_eq!(out.stdout, [0, 0, 0, 7, 0, 0, 0, 0, 0, 0, 0, 0]);
     assert!(out.stderr.is_empty());
@@ -71,7 +77,7 @@
 
 #[test]
 fn a_request_is_sent_to_the_listed_server() {
-    let mut body = [hello(SETTINGS), list()].concat();
+    let mut body = [start_record(SETTINGS), list_records()].concat();
     body.extend([3, 0, 3]);
     body.extend(55u64.to_be_bytes());
     body.extend([0, 0, 0, 0]);
@@ -82,7 +88,7 @@
         body.extend(x.to_be_bytes());
     }
     body.push(0);
-    let out = host(&frame(1, 4, &body));
+    let out = run_adapter(&frame(1, 4, &body));
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     let attempt = [[65, 0, 3].as_slice(), &55u64.to_be_bytes(), &77u32.to_be_bytes()].concat();
     assert!(out.stdout.windows(attempt.len()).any(|w| w == attempt));
@@ -103,21 +109,21 @@
 
 #[test]
 fn bad_settings_are_named() {
-    fails_with(&frame(1, 1, &hello("nonsense")), &["not JSON"]);
-    fails_with(&frame(1, 1, &hello("{}")), &["lack 'specifics'"]);
+    fails_with(&frame(1, 1, &start_record("nonsense")), &["not JSON"]);
+    fails_with(&frame(1, 1, &start_record("{}")), &["lack 'specifics'"]);
     let uneven = SETTINGS.replace("[0.4, 1.0]", "[0.4]");
-    fails_with(&frame(1, 1, &hello(&uneven)), &["differ in length"]);
+    fails_with(&frame(1, 1, &start_record(&uneven)), &["differ in length"]);
     let no_racks = SETTINGS.replace("\"groups\": 1", "\"groups\": 0");
-    fails_with(&frame(1, 1, &hello(&no_racks)), &["no racks"]);
+    fails_with(&frame(1, 1, &start_record(&no_racks)), &["no racks"]);
     let no_rungs = SETTINGS.replace("[0.4, 1.0]", "[]").replace("[200.0, 400.0]", "[]");
-    fails_with(&frame(1, 1, &hello(&no_rungs)), &["no rungs"]);
+    fails_with(&frame(1, 1, &start_record(&no_rungs)), &["no rungs"]);
 }
 
 #[test]
 fn every_cut_of_a_good_frame_ends_without_a_panic() {
-    let whole = frame(1, 3, &[hello(SETTINGS), list()].concat());
+    let whole = frame(1, 3, &[start_record(SETTINGS), list_records()].concat());
     for cut in (1..whole.len()).step_by(7) {
-        let out = host(&whole[..cut]);
+        let out = run_adapter(&whole[..cut]);
         assert_eq!(out.status.code(), Some(1), "cut at {cut}");
     }
 }
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -23,8 +23,8 @@
 const MAX_REPORTED_USE: f64 = 10.0;
 /// Worth that freeing capacity for a refused viewer may cost, as a fraction of that viewer's worth.
 const ROOM_MAX_LOSS: f64 = 0.5;
-/// Capacity freed for one refused viewer, in rates of the viewer's entry rung. This is about one whole step
-/// of an upper rung; a smaller amount would rarely lower any session.
+/// Capacity freed for one refused viewer, in rates of the viewer's entry rung: about one whole step of an
+/// upper rung. It is more than one entry rate because freed capacity helps only the few titles stored there.
 const ROOM_ENTRY_RATES: f64 = 4.0;
 /// Use up to which a newcomer is admitted at its entry rung, the lowest efficient one. It is below a
 /// shortage, so admission above the mark takes nothing from other sessions.
@@ -99,10 +99,10 @@
     unalerted: bool,
     /// Worth of the rung less the costs of crossing zones and of a new connection.
     net_worth: f64,
-    /// Negative use after placement.
-    lightness: f64,
-    /// Negative number of own sessions, as a share of the server's streams.
-    own_emptiness: f64,
+    /// Negative of the use of link or uplink after placement.
+    negative_use: f64,
+    /// Negative of the number of own sessions, as a share of the server's maximum number of streams.
+    negative_own_share: f64,
 }
 
 /// A session that this front moved away from a server; the viewer is expected to reconnect.
@@ -112,7 +112,8 @@
     rung: u8,
 }
 
-/// Playing time and ended sessions, for the mean session length. Both decay with [`LENGTH_MEMORY`].
+/// Playing time of all sessions and number of sessions that played to their end, for the mean session length.
+/// Both decay with [`LENGTH_MEMORY`].
 struct PlayedTime {
     seconds: f64,
     ended_sessions: f64,
@@ -916,8 +917,8 @@
                 healthy,
                 unalerted: !alerted,
                 net_worth,
-                lightness: -load,
-                own_emptiness: -own_sessions / max_streams,
+                negative_use: -load,
+                negative_own_share: -own_sessions / max_streams,
             };
             ranked.push((rank, server.entry.server, rung));
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -235,13 +235,13 @@
 
 /// Returns an error if a value that cannot change in a running front differs.
 fn ensure_unchanged<T: PartialEq + fmt::Debug>(
-    what: &str,
+    name: &str,
     current: &T,
     next: &T,
 ) -> Result<(), SettingsError> {
     ensure!(
         current == next,
-        "{what} cannot change in a running front: it is {current:?}, the new one {next:?}"
+        "{name} cannot change in a running front: it is {current:?}, the new one {next:?}"
     );
     Ok(())
 }
@@ -290,8 +290,8 @@
         );
         ensure!(
             positive(self.all_links_kb) || positive(self.kb_per_weight),
-            "the links have no capacity: of the total ({} kB/s) and the capacity per weight ({} kB/s) one must be \
-             a positive number",
+            "the links have no capacity: neither the total ({} kB/s) nor the capacity per weight ({} kB/s) is a \
+             positive number",
             self.all_links_kb,
             self.kb_per_weight
         );
@@ -345,12 +345,14 @@
         let (classes, tenants) = (self.classes.len(), self.tenants.len());
         ensure!(
             classes <= next.classes.len(),
-            "{} classes, fewer than the {classes} in use; classes are identified by index and cannot be removed",
+            "{} classes, fewer than the {classes} in use; classes are identified by index, so none can be \
+             removed",
             next.classes.len()
         );
         ensure!(
             tenants <= next.tenants.len(),
-            "{} tenants, fewer than the {tenants} in use; tenants are identified by index and cannot be removed",
+            "{} tenants, fewer than the {tenants} in use; tenants are identified by index, so none can be \
+             removed",
             next.tenants.len()
         );
         Ok(())
