--- a/crates/agreement/src/catch_up.rs
+++ b/crates/agreement/src/catch_up.rs
@@ -1,9 +1,10 @@
-//! How a front that does not vote gets the entries: it asks one voter, then another, for what comes after what it has.
+//! Catch-up: how a front that is behind fetches entries from the voters. It asks one voter at a time for what follows its
+//! own last entry.
 //!
-//! The answer is a *stretch*: some entries that follow, or a snapshot where those are no longer kept, in pieces of a
-//! datagram. A stretch is the same bytes at every voter that has it, so that an asker can go on with another, and a voter
-//! keeps nothing for an asker but its budget. The asker says what it misses; the chain of hashes is checked before
-//! anything is used.
+//! The answer is a *transfer*: a batch of the entries that follow or, where those are no longer kept, a snapshot. It is
+//! sent in chunks of one datagram each. A transfer has the same bytes at every voter, so a learner can continue with
+//! another voter, and a voter keeps no state for a learner except its rate limit. The learner's request lists the chunks
+//! that it misses; it verifies the hash chain before it uses anything.
 
 use crate::fragments::{FRAGMENT_BYTES, TokenBucket};
 use crate::registers::{MAX_SNAPSHOT_BYTES, Registers, hash_prefix};
@@ -11,99 +12,110 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Entries and bytes of a stretch at most; one entry is always in it.
+/// Maximum number of entries in a batch.
 const MAX_BATCH_ENTRIES: usize = 64;
+/// Maximum size of a batch, in bytes; a single larger entry is still sent.
 const MAX_BATCH_BYTES: usize = 32 * 1024;
-/// Entries, and bytes of their bodies, behind a base before there is another one.
+/// A voter takes a new snapshot after this many entries.
 const SNAPSHOT_EVERY_ENTRIES: usize = 1_024;
+/// A voter takes a new snapshot after this many bytes of command bodies.
 const SNAPSHOT_EVERY_BYTES: usize = 1 << 20;
-/// Pieces to one asker a second and at once, to all a second and at once, and askers with a budget.
+/// Chunks per second to one front.
 const FRONT_CHUNKS_PER_S: u64 = 80;
+/// Chunks to one front in a burst.
 const FRONT_CHUNK_BURST: u64 = 32;
+/// Chunks per second to all fronts together.
 const TOTAL_CHUNKS_PER_S: u64 = 2_000;
+/// Chunks to all fronts together in a burst.
 const TOTAL_CHUNK_BURST: u64 = 400;
+/// Maximum number of fronts whose rate limits a voter keeps.
 const MAX_REQUESTERS: usize = 512;
-/// An answer is waited for so long, milliseconds; after two such another voter is asked.
+/// Time to wait for a reply, in milliseconds; after two timeouts the next voter is asked.
 const REPLY_TIMEOUT_MS: u64 = 200;
-/// After a voter that has nothing.
+/// Delay before the next voter is asked when one has nothing newer, in milliseconds.
 const NEXT_VOTER_DELAY_MS: u64 = 30;
 
-/// What an asker has, and what it misses.
+/// A learner's request: the state that it has, and the chunks that it misses.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CatchUpRequest {
-    /// The last entry it has, 0 for none.
+    /// The learner's last entry, 0 for none.
     pub number: u64,
-    /// The first bytes of that entry's hash.
+    /// First bytes of that entry's hash.
     pub hash: u64,
-    /// Which fleet's, 0 if it has heard of none.
+    /// Id of the log that the learner follows, 0 for none.
     pub log_id: u64,
-    /// The stretch that it is taking.
+    /// The transfer in progress, if any.
     pub transfer: Option<Transfer>,
 }
 
-/// A stretch under way, and pieces of it that are asked for.
+/// A transfer in progress, with the chunks of it that are requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transfer {
-    /// It is a snapshot.
+    /// Whether it is a snapshot rather than a batch of entries.
     pub is_snapshot: bool,
-    /// Its last entry.
+    /// Last entry that it contains.
     pub last_entry: u64,
-    /// The first piece that is missing.
+    /// Index of the first missing chunk.
     pub from: u16,
-    /// One bit for each piece from there on, the lowest first: it is missing.
+    /// Bit i is set if chunk `from + i` is missing.
     pub missing: u32,
 }
 
-/// A piece of a stretch.
+/// One chunk of a transfer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// It is a snapshot.
+    /// Whether the transfer is a snapshot rather than a batch of entries.
     pub is_snapshot: bool,
-    /// It follows this entry; 0 for a snapshot.
+    /// The batch starts after this entry; 0 for a snapshot.
     pub after: u64,
-    /// Its last entry.
+    /// Last entry that the transfer contains.
     pub last_entry: u64,
-    /// Bytes of it.
+    /// Length of the whole transfer, in bytes.
     pub length: u32,
-    /// Which piece.
+    /// Index of the chunk.
     pub index: u16,
-    /// The piece.
+    /// Content of the chunk.
     pub bytes: Vec<u8>,
 }
 
-/// A voter's answer.
+/// A voter's reply to a catch-up request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CatchUpReply {
-    /// Pieces, as many as the budget has.
+    /// Requested chunks, as many as the rate limits allow.
     Chunks(Vec<Chunk>),
-    /// What the asker has is not what was agreed here.
+    /// The learner's log differs from the voter's.
     Fork {
-        /// An entry that both have.
+        /// Number of an entry that both have; 0 if they follow different logs.
         number: u64,
-        /// First bytes of its hash here.
+        /// First bytes of the entry's hash at the voter; the voter's log id if they follow different logs.
         here: u64,
     },
-    /// There is nothing for it.
+    /// The voter has nothing newer, or does not serve this front now.
     Nothing,
 }
 
+/// The registers after an entry, serialized.
 struct BaseSnapshot {
     number: u64,
     hash: Hash,
     snapshot: Vec<u8>,
 }
 
-/// What a voter hands out.
+/// Snapshots and entries that a voter serves to learners.
 pub struct Source {
+    /// The two newest snapshots, oldest first.
     bases: VecDeque<BaseSnapshot>,
-    /// All entries behind the older base.
+    /// All entries after the older snapshot.
     entries: VecDeque<Entry>,
+    /// Bytes of command bodies since the newest snapshot.
     bytes: usize,
-    all: TokenBucket,
+    /// Rate limit for all fronts together.
+    total_budget: TokenBucket,
+    /// By front: time of the last request, and the front's rate limit.
     requesters: BTreeMap<u64, (u64, TokenBucket)>,
 }
 
-/// Bytes of a command's body.
+/// Size of a command's content in bytes, approximately for a list of voters.
 #[must_use]
 pub fn body_bytes(command: &Command) -> usize {
     match &command.operation {
@@ -113,21 +125,21 @@
 }
 
 impl Source {
-    /// From here on.
+    /// Serves this state and the entries after it.
     #[must_use]
     pub fn new(now_ms: u64, registers: &Registers) -> Self {
         let mut source = Self {
             bases: VecDeque::new(),
             entries: VecDeque::new(),
             bytes: 0,
-            all: TokenBucket::new(now_ms, TOTAL_CHUNKS_PER_S, TOTAL_CHUNK_BURST),
+            total_budget: TokenBucket::new(now_ms, TOTAL_CHUNKS_PER_S, TOTAL_CHUNK_BURST),
             requesters: BTreeMap::new(),
         };
         source.take_snapshot(registers);
         source
     }
 
-    /// A new base; the one before the last goes, with the entries behind it.
+    /// Takes a new snapshot. Of the former ones only the last is kept; the entries up to that one are dropped.
     pub fn take_snapshot(&mut self, registers: &Registers) {
         let (number, hash) = (registers.number(), *registers.hash());
         self.bases.push_back(BaseSnapshot { number, hash, snapshot: registers.snapshot() });
@@ -141,7 +153,7 @@
         self.bytes = 0;
     }
 
-    /// An entry was applied; `registers` are after it.
+    /// Records an applied entry; `registers` is the state after it.
     pub fn applied(&mut self, entry: &Entry, registers: &Registers) {
         self.bytes += body_bytes(&entry.command);
         self.entries.push_back(entry.clone());
@@ -163,7 +175,8 @@
         self.entries.get(usize::try_from(number.checked_sub(first)?).ok()?)
     }
 
-    /// Entries after `after`, to `last_entry` or to as many as a stretch may have: its last one, and its bytes.
+    /// A batch of the entries after `after`, up to `last_entry` or to the size limits: the number of its last entry, and
+    /// its bytes.
     fn batch(&self, after: u64, last_entry: Option<u64>) -> Option<(u64, Vec<u8>)> {
         let mut commands = Vec::new();
         let (mut bytes, mut last) = (0, None);
@@ -171,7 +184,7 @@
         while let Some(e) = self.entry(number) {
             let more = body_bytes(&e.command) + 48;
             if !commands.is_empty()
-                && (last_entry.is_some_and(|u| number > u)
+                && (last_entry.is_some_and(|last| number > last)
                     || commands.len() >= MAX_BATCH_ENTRIES
                     || bytes + more > MAX_BATCH_BYTES)
             {
@@ -186,7 +199,7 @@
         Some((last.number, postcard::to_stdvec(&(last.hash, commands)).ok()?))
     }
 
-    /// Answers an asker; `here` is what this voter has.
+    /// Answers a front's request; `here` is this voter's state.
     pub fn answer(
         &mut self,
         now_ms: u64,
@@ -207,23 +220,23 @@
         if known.is_some() && request.number == here.number() {
             return CatchUpReply::Nothing;
         }
-        // A stretch that another voter began may be longer here: the asker names its end.
-        let named = request.transfer.filter(|t| t.is_snapshot != known.is_some());
+        // A batch that another voter began could end later here, so the learner names its last entry.
+        let in_progress = request.transfer.filter(|t| t.is_snapshot != known.is_some());
         let (last_entry, batch);
         let bytes: &[u8] = if known.is_some() {
-            let Some(found) = self.batch(request.number, named.map(|t| t.last_entry)) else {
+            let Some(found) = self.batch(request.number, in_progress.map(|t| t.last_entry)) else {
                 return CatchUpReply::Nothing;
             };
             (last_entry, batch) = found;
             &batch
         } else {
-            let base = self.bases.iter().find(|b| named.is_some_and(|t| t.last_entry == b.number));
+            let base = self.bases.iter().find(|b| in_progress.is_some_and(|t| t.last_entry == b.number));
             let Some(base) = base.or(self.bases.back()) else { return CatchUpReply::Nothing };
             last_entry = base.number;
             &base.snapshot
         };
         let is_snapshot = known.is_none();
-        let (from, missing) = named
+        let (from, missing) = in_progress
             .filter(|t| t.last_entry == last_entry)
             .map_or((0, u32::MAX), |t| (usize::from(t.from), t.missing));
         let after = if is_snapshot { 0 } else { request.number };
@@ -241,11 +254,11 @@
         *at = now_ms;
         let mut chunks = Vec::new();
         for (index, chunk) in bytes.chunks(FRAGMENT_BYTES).enumerate().skip(from).take(32) {
-            let answer = missing >> (index - from) & 1 == 1;
-            if !answer {
+            let requested = missing >> (index - from) & 1 == 1;
+            if !requested {
                 continue;
             }
-            if !budget.take(now_ms) || !self.all.take(now_ms) {
+            if !budget.take(now_ms) || !self.total_budget.take(now_ms) {
                 break;
             }
             let index = u16::try_from(index).unwrap_or(u16::MAX);
@@ -254,7 +267,7 @@
         CatchUpReply::Chunks(chunks)
     }
 
-    /// Bytes that it holds, about.
+    /// Approximate size of the snapshots and entries in memory, in bytes.
     #[must_use]
     pub fn buffered_bytes(&self) -> usize {
         let entries: usize = self.entries.iter().map(|e| body_bytes(&e.command) + 120).sum();
@@ -262,70 +275,74 @@
     }
 }
 
-/// What an asker got.
+/// Content of a complete transfer.
 #[derive(Debug)]
 pub enum Received {
-    /// The commands of the entries that follow; their chain is checked.
+    /// The commands of the entries that follow the learner's state; their hash chain is verified.
     Commands(Vec<Command>),
     /// A later state.
     Snapshot(Box<Registers>),
 }
 
+/// A transfer of which some chunks have arrived.
 struct PartialTransfer {
     is_snapshot: bool,
     after: u64,
     last_entry: u64,
     bytes: Vec<u8>,
-    has: Vec<bool>,
+    received: Vec<bool>,
     missing: usize,
 }
 
-/// An asker.
+/// The side of a front that is behind.
 #[derive(Default)]
 pub struct Learner {
-    /// The highest entry that anyone told of.
+    /// The highest entry number that any message has named.
     highest_known: u64,
     part: Option<PartialTransfer>,
-    /// When it asked last, how often in vain, and how many pieces it waits for.
+    /// Time of the last request.
     requested_ms: Option<u64>,
+    /// Timeouts in a row at the present voter.
     timeouts: u32,
+    /// Chunks that were requested and have not arrived.
     outstanding: usize,
+    /// Counter that selects the voter to ask, modulo the number of voters.
     next_voter: usize,
-    /// Voters in a row that had nothing.
+    /// Replies in a row without anything newer.
     empty_replies: u32,
 }
 
 impl Learner {
-    /// Begins with the voter of this place, so that not all ask the same one.
+    /// Starts with the voter at this position; different positions spread learners over the voters.
     #[must_use]
     pub fn new(next_voter: usize) -> Self {
         Self { next_voter, ..Self::default() }
     }
 
-    /// A voter told that it has this entry.
+    /// Another front has this entry.
     pub fn observe(&mut self, number: u64) {
         self.highest_known = self.highest_known.max(number);
     }
 
-    /// The highest entry that anyone told of.
+    /// The highest entry number that any message has named.
     #[must_use]
     pub fn highest_known(&self) -> u64 {
         self.highest_known
     }
 
-    /// Whether there is more than this.
+    /// Whether a newer entry than this state is known to exist.
     #[must_use]
     pub fn is_behind(&self, here: &Registers) -> bool {
         self.highest_known > here.number()
     }
 
-    /// The question that is due, and to which of `of` voters.
-    pub fn tick(&mut self, now_ms: u64, here: &Registers, of: usize) -> Option<(usize, CatchUpRequest)> {
-        if of == 0 {
+    /// The request that is due now, if any, with the position of the voter to send it to among `voters` voters.
+    pub fn tick(&mut self, now_ms: u64, here: &Registers, voters: usize) -> Option<(usize, CatchUpRequest)> {
+        if voters == 0 {
             return None;
         }
-        if let Some(answer) = self.requested_ms.filter(|_| self.outstanding > 0) {
-            if now_ms.saturating_sub(answer) < REPLY_TIMEOUT_MS {
+        if let Some(requested) = self.requested_ms.filter(|_| self.outstanding > 0) {
+            if now_ms.saturating_sub(requested) < REPLY_TIMEOUT_MS {
                 return None;
             }
             self.timeouts = self.timeouts.saturating_add(1);
@@ -343,8 +360,8 @@
             self.part = None;
         }
         let transfer = self.part.as_ref().map(|p| {
-            let from = p.has.iter().position(|has| !has).unwrap_or(0);
-            let bits = p.has.iter().skip(from).take(32).enumerate();
+            let from = p.received.iter().position(|has| !has).unwrap_or(0);
+            let bits = p.received.iter().skip(from).take(32).enumerate();
             let missing = bits.fold(0_u32, |m, (i, has)| if *has { m } else { m | 1 << i });
             Transfer {
                 is_snapshot: p.is_snapshot,
@@ -357,71 +374,71 @@
         self.requested_ms = Some(now_ms);
         let (number, log_id) = (here.number(), here.log_id());
         Some((
-            self.next_voter % of,
+            self.next_voter % voters,
             CatchUpRequest { number, hash: hash_prefix(here.hash()), log_id, transfer },
         ))
     }
 
-    /// The voter that was asked has nothing: another one next, soon. If none of `of` has anything, what was told is wrong.
-    /// True then.
-    pub fn nothing_newer(&mut self, of: usize) -> bool {
+    /// The asked voter has nothing newer: the next voter is asked shortly. If none of `voters` voters has anything newer,
+    /// the highest known number was wrong and is reset; returns true then.
+    pub fn nothing_newer(&mut self, voters: usize) -> bool {
         (self.next_voter, self.timeouts) = (self.next_voter.wrapping_add(1), 0);
         self.requested_ms =
             self.requested_ms.map(|at| at.saturating_sub(REPLY_TIMEOUT_MS - NEXT_VOTER_DELAY_MS));
         self.empty_replies = self.empty_replies.saturating_add(1);
-        let wrong = self.empty_replies as usize > of;
+        let wrong = self.empty_replies as usize > voters;
         if wrong {
             (self.empty_replies, self.highest_known) = (0, 0);
         }
         wrong
     }
 
-    /// A piece came.
-    pub fn receive(&mut self, s: &Chunk, here: &Registers) -> Option<Received> {
-        let most = if s.is_snapshot {
+    /// Processes a chunk; returns the content once the transfer is complete and verified.
+    pub fn receive(&mut self, chunk: &Chunk, here: &Registers) -> Option<Received> {
+        let max_length = if chunk.is_snapshot {
             MAX_SNAPSHOT_BYTES
         } else {
             MAX_BATCH_BYTES + crate::types::MAX_BODY_BYTES + 1_024
         };
-        let (length, index) = (s.length as usize, usize::from(s.index));
+        let (length, index) = (chunk.length as usize, usize::from(chunk.index));
         let at = index.saturating_mul(FRAGMENT_BYTES);
-        let later = s.last_entry > here.number() || (s.is_snapshot && here.log_id() == 0);
-        let sound = (1..=most).contains(&length)
+        let later = chunk.last_entry > here.number() || (chunk.is_snapshot && here.log_id() == 0);
+        let valid = (1..=max_length).contains(&length)
             && at < length
-            && s.bytes.len() == FRAGMENT_BYTES.min(length - at)
+            && chunk.bytes.len() == FRAGMENT_BYTES.min(length - at)
             && later
-            && (s.is_snapshot || (s.after == here.number() && here.log_id() != 0));
-        if !sound {
+            && (chunk.is_snapshot || (chunk.after == here.number() && here.log_id() != 0));
+        if !valid {
             return None;
         }
         let same = |p: &PartialTransfer| {
             (p.is_snapshot, p.after, p.last_entry, p.bytes.len())
-                == (s.is_snapshot, s.after, s.last_entry, length)
+                == (chunk.is_snapshot, chunk.after, chunk.last_entry, length)
         };
         if !self.part.as_ref().is_some_and(same) {
-            // Another stretch than the one under way: that goes on as long as its pieces come.
+            // A chunk of a different transfer. The one in progress continues as long as its chunks arrive.
             if self.part.is_some() && self.timeouts == 0 {
                 return None;
             }
             let chunks = length.div_ceil(FRAGMENT_BYTES);
-            let (bytes, has) = (vec![0; length], vec![false; chunks]);
+            let (bytes, received) = (vec![0; length], vec![false; chunks]);
             self.part = Some(PartialTransfer {
-                is_snapshot: s.is_snapshot,
-                after: s.after,
-                last_entry: s.last_entry,
+                is_snapshot: chunk.is_snapshot,
+                after: chunk.after,
+                last_entry: chunk.last_entry,
                 bytes,
-                has,
+                received,
                 missing: chunks,
             });
             self.outstanding = chunks.min(32);
         }
         let part = self.part.as_mut()?;
-        let (has, room) = (part.has.get_mut(index)?, part.bytes.get_mut(at..at + s.bytes.len())?);
+        let (has, room) = (part.received.get_mut(index)?, part.bytes.get_mut(at..at + chunk.bytes.len())?);
         if *has {
             return None;
         }
         *has = true;
-        room.copy_from_slice(&s.bytes);
+        room.copy_from_slice(&chunk.bytes);
         part.missing = part.missing.saturating_sub(1);
         (self.timeouts, self.empty_replies) = (0, 0);
         self.outstanding = self.outstanding.saturating_sub(1);
@@ -430,19 +447,21 @@
         }
         let part = self.part.take()?;
         (self.outstanding, self.requested_ms) = (0, None);
-        let got = read(&part, here);
-        if got.is_none() {
+        let content = read(&part, here);
+        if content.is_none() {
             self.next_voter = self.next_voter.wrapping_add(1);
         }
-        got
+        content
     }
 }
 
+/// Parses a complete transfer; `None` if it does not follow from `here` or its hash chain is wrong.
 fn read(part: &PartialTransfer, here: &Registers) -> Option<Received> {
     if part.is_snapshot {
         let new = Registers::load(&part.bytes).ok()?;
-        let fits = new.number() == part.last_entry && (here.log_id() == 0 || here.log_id() == new.log_id());
-        return fits.then(|| Received::Snapshot(Box::new(new)));
+        let matches =
+            new.number() == part.last_entry && (here.log_id() == 0 || here.log_id() == new.log_id());
+        return matches.then(|| Received::Snapshot(Box::new(new)));
     }
     let (last, commands): (Hash, Vec<Command>) = match postcard::take_from_bytes(&part.bytes) {
         Ok((read, [])) => read,
@@ -477,7 +496,7 @@
         }
     }
 
-    /// A voter after so many entries, and what it hands out.
+    /// The state of a voter after so many entries, and its catch-up source.
     fn voter(entries: u64, body: usize) -> (Registers, Source) {
         let mut r = genesis();
         let mut source = Source::new(0, &r);
@@ -488,7 +507,8 @@
         (r, source)
     }
 
-    /// Milliseconds until an asker has all, datagrams that came; voters change places all the while.
+    /// Runs a learner against the voters until it has everything: its state, the milliseconds that it took, and the
+    /// datagrams that were sent.
     fn catch_up(mut here: Registers, voters: &mut [(Registers, Source)], loss: f64) -> (Registers, u64, u64) {
         let mut random = StdRng::seed_from_u64(4);
         let (mut learner, mut datagrams) = (Learner::default(), 0);
@@ -520,11 +540,11 @@
                 }
             }
         }
-        panic!("stands at {}", here.number());
+        panic!("the learner stopped at entry {}", here.number());
     }
 
     #[test]
-    fn an_asker_gets_entries_or_a_snapshot_whatever_is_lost() {
+    fn a_learner_gets_entries_or_a_snapshot_despite_loss() {
         for loss in [0.0, 0.2, 0.5] {
             for (entries, body) in [(1, 10), (40, 16 * 1024), (5_000, 50)] {
                 let mut voters = vec![voter(entries, body), voter(entries, body)];
@@ -536,7 +556,7 @@
     }
 
     #[test]
-    fn a_fork_is_told_and_another_fleets_state_too() {
+    fn forks_and_other_logs_are_reported() {
         let (r, mut source) = voter(20, 10);
         let mut request = CatchUpRequest { number: 10, hash: 1, log_id: r.log_id(), transfer: None };
         assert!(matches!(source.answer(0, 5, &request, &r), CatchUpReply::Fork { number: 10, .. }));
@@ -547,7 +567,7 @@
     }
 
     #[test]
-    fn a_stretch_that_does_not_follow_is_not_used() {
+    fn a_batch_that_does_not_follow_is_not_used() {
         let (r, mut source) = voter(20, 10);
         let mut here = genesis();
         for n in 0..4 {
@@ -572,7 +592,7 @@
     }
 
     #[test]
-    fn memory_and_answers_are_bounded() {
+    fn memory_and_replies_are_bounded() {
         let (r, mut source) = voter(5_000, 2_000);
         assert!(
             source.entries.len() <= 2 * SNAPSHOT_EVERY_ENTRIES + 2 && source.buffered_bytes() < 4 << 20,
--- a/crates/agreement/src/fragments.rs
+++ b/crates/agreement/src/fragments.rs
@@ -1,37 +1,43 @@
-//! Messages longer than a datagram between two fronts, in numbered pieces; the missing ones are sent again.
+//! Fragmentation and reassembly of messages that do not fit into one datagram, with acknowledgements and retransmission.
 //!
-//! What fits into a datagram does not come here: it goes out at once and nobody says that it arrived. To one front one
-//! parcel is under way at a time, and what waits goes into the next one together: consensus takes links for ordered, and a
-//! long message that later ones overtake would be thrown away each time.
+//! A message that fits into a datagram normally bypasses this module: it is sent at once and never acknowledged. Messages
+//! that wait for the same front are sent together as one *bundle*, and at most one bundle to a front is in flight. This
+//! keeps their order: the consensus layer requires ordered links and would discard a long message each time a later one
+//! overtook it.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// Bytes of a piece.
+/// Size of a fragment in bytes; the last one of a bundle may be shorter.
 pub const FRAGMENT_BYTES: usize = 1_000;
-/// Bytes of a parcel at most: more than a message between voters ever has.
+/// Maximum size of a bundle, in bytes. It exceeds the largest message between voters.
 pub const MAX_BUNDLE_BYTES: usize = 400 * 1024;
-/// Parcels from one front at a time: one that it has given up may still be here.
+/// Maximum number of incomplete bundles from one front. It is 2 because one that the sender has dropped may remain here
+/// beside its next one.
 pub const MAX_INCOMING_BUNDLES: usize = 2;
-/// Messages that wait for a parcel to one front.
+/// Maximum number of messages queued for one front.
 pub const MAX_QUEUED_MESSAGES: usize = 128;
-/// Fronts that parcels are open to, or from.
+/// Maximum number of fronts with state for sending, and likewise for receiving.
 pub const MAX_PEERS: usize = 64;
-/// Bytes of all parcels that are open.
+/// Maximum size of all queued and incomplete messages, in bytes.
 pub const MAX_BUFFERED_BYTES: usize = 8 << 20;
-/// A parcel of which nothing arrived for so long is dropped, milliseconds.
+/// A bundle without progress for this time is dropped, in milliseconds.
 pub const IDLE_TIMEOUT_MS: u64 = 2_000;
-/// It is dropped after this in any case, milliseconds.
+/// A bundle is dropped after this time in any case, in milliseconds.
 pub const MAX_AGE_MS: u64 = 20_000;
-/// Pieces to one front a second, and at once.
+/// Fragments per second to one front.
 const FRAGMENTS_PER_S: u64 = 64;
+/// Fragments to one front in a burst.
 const FRAGMENT_BURST: u64 = 16;
+/// An unacknowledged fragment is sent again after this time, in milliseconds.
 const RETRANSMIT_MS: u64 = 300;
+/// A received fragment is acknowledged after this time at the latest, in milliseconds.
 const ACK_DELAY_MS: u64 = 60;
+/// An acknowledgement is sent at once after this many fragments.
 const ACK_EVERY_FRAGMENTS: u16 = 8;
-/// Parcels from one front that arrived whole and are still acknowledged when they come again.
+/// Maximum number of completed bundles from one front that are remembered, to acknowledge their duplicates.
 const MAX_COMPLETED_BUNDLES: usize = 16;
 
-/// Tokens that fill up with time.
+/// Token bucket: a rate limit with a burst.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     tokens_per_s: u64,
@@ -42,13 +48,13 @@
 }
 
 impl TokenBucket {
-    /// Full, with `tokens_per_s` tokens a second and `capacity` at once.
+    /// A full bucket that gains `tokens_per_s` tokens per second up to `capacity`.
     #[must_use]
     pub fn new(now_ms: u64, tokens_per_s: u64, capacity: u64) -> Self {
         Self { tokens_per_s, capacity, millitokens: capacity.saturating_mul(1_000), refilled_ms: now_ms }
     }
 
-    /// Takes one if there is one.
+    /// Takes one token; returns whether one was available.
     pub fn take(&mut self, now_ms: u64) -> bool {
         let gained = now_ms.saturating_sub(self.refilled_ms).saturating_mul(self.tokens_per_s);
         self.millitokens = self.millitokens.saturating_add(gained).min(self.capacity.saturating_mul(1_000));
@@ -61,34 +67,34 @@
     }
 }
 
-/// A piece on its way.
+/// One fragment of a bundle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fragment {
-    /// The parcel, by the sender's count.
+    /// Id of the bundle, counted by the sender.
     pub id: u64,
-    /// Bytes of the whole.
+    /// Length of the whole bundle, in bytes.
     pub length: u32,
-    /// Which piece.
+    /// Index of the fragment.
     pub index: u16,
-    /// Its bytes.
+    /// Content of the fragment.
     pub bytes: Vec<u8>,
 }
 
-/// What the receiver has of a parcel.
+/// Acknowledges the fragments of a bundle that have arrived.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ack {
-    /// The parcel.
+    /// Id of the bundle.
     pub id: u64,
-    /// One bit for each piece, the lowest first.
+    /// One bit for each fragment, lowest bit first.
     pub received: Vec<u8>,
 }
 
-/// What leaves.
+/// A message that this module sends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FragmentMessage {
-    /// A piece of a parcel.
+    /// A fragment of an outgoing bundle.
     Fragment(Fragment),
-    /// What of another's parcel is here.
+    /// An acknowledgement for an incoming bundle.
     Ack(Ack),
 }
 
@@ -96,16 +102,17 @@
 struct OutgoingBundle {
     id: u64,
     bytes: Vec<u8>,
-    /// By piece: when it was sent last, 0 if never; `None` once it arrived.
+    /// By fragment: time when it was last sent, 0 if never; `None` once it is acknowledged.
     fragments: Vec<Option<u64>>,
     started_ms: u64,
-    last_received_ms: u64,
+    /// Time when an acknowledgement last made progress.
+    last_progress_ms: u64,
 }
 
 #[derive(Debug)]
 struct OutboundPeer {
-    bucket: TokenBucket,
-    open: Option<OutgoingBundle>,
+    budget: TokenBucket,
+    bundle: Option<OutgoingBundle>,
     queue: VecDeque<Vec<u8>>,
 }
 
@@ -125,22 +132,23 @@
 struct InboundPeer {
     run: u64,
     open: BTreeMap<u64, IncomingBundle>,
-    /// Those that are whole, and how many pieces they had.
+    /// Ids of completed bundles with their numbers of fragments, oldest first.
     completed: VecDeque<(u64, usize)>,
     last_received_ms: u64,
 }
 
-/// Parcels to and from all fronts.
+/// Fragmentation state for all fronts.
 #[derive(Debug)]
 pub struct Fragmenter {
-    next: u64,
+    /// Id of the bundle that was sent last.
+    last_id: u64,
     to: BTreeMap<u64, OutboundPeer>,
     from: BTreeMap<u64, InboundPeer>,
 }
 
 impl OutgoingBundle {
-    /// As many of those that wait as there is room for.
-    fn of(now_ms: u64, id: u64, queue: &mut VecDeque<Vec<u8>>) -> Self {
+    /// Takes as many queued messages as fit.
+    fn from_queue(now_ms: u64, id: u64, queue: &mut VecDeque<Vec<u8>>) -> Self {
         let (mut messages, mut room) = (Vec::new(), MAX_BUNDLE_BYTES);
         while let Some(next) = queue.front().filter(|w| messages.is_empty() || w.len() + 8 <= room) {
             room = room.saturating_sub(next.len() + 8);
@@ -148,7 +156,7 @@
         }
         let bytes = postcard::to_stdvec(&messages).unwrap_or_default();
         let fragments = vec![Some(0); fragment_count(bytes.len())];
-        Self { id, bytes, fragments, started_ms: now_ms, last_received_ms: now_ms }
+        Self { id, bytes, fragments, started_ms: now_ms, last_progress_ms: now_ms }
     }
 }
 
@@ -157,14 +165,14 @@
 }
 
 impl Fragmenter {
-    /// None open. Parcels are counted from `first`: a front that restarted begins elsewhere, since acknowledgements of
-    /// its earlier run may still be on their way.
+    /// Without any bundles. Bundle ids continue from `last_id`. A front that restarted must start elsewhere, because
+    /// acknowledgements for its earlier run may still arrive.
     #[must_use]
-    pub fn new(first: u64) -> Self {
-        Self { next: first, to: BTreeMap::new(), from: BTreeMap::new() }
+    pub fn new(last_id: u64) -> Self {
+        Self { last_id, to: BTreeMap::new(), from: BTreeMap::new() }
     }
 
-    /// A message for a front. False if there is no room: it counts as lost.
+    /// Queues a message for a front. Returns false if there is no room; the message is lost then.
     pub fn send(&mut self, now_ms: u64, to: u64, bytes: Vec<u8>) -> bool {
         if bytes.is_empty()
             || bytes.len() + 64 > MAX_BUNDLE_BYTES
@@ -176,8 +184,8 @@
             return false;
         }
         let new = || OutboundPeer {
-            bucket: TokenBucket::new(now_ms, FRAGMENTS_PER_S, FRAGMENT_BURST),
-            open: None,
+            budget: TokenBucket::new(now_ms, FRAGMENTS_PER_S, FRAGMENT_BURST),
+            bundle: None,
             queue: VecDeque::new(),
         };
         let peer = self.to.entry(to).or_insert_with(new);
@@ -189,22 +197,25 @@
         room
     }
 
-    /// Whether messages to a front are under way here: what must not overtake them has to follow them.
+    /// Whether messages to a front are queued or in flight here. A message that must not overtake them has to be queued
+    /// too.
     #[must_use]
     pub fn is_sending(&self, to: u64) -> bool {
-        self.to.get(&to).is_some_and(|t| t.open.is_some() || !t.queue.is_empty())
+        self.to.get(&to).is_some_and(|t| t.bundle.is_some() || !t.queue.is_empty())
     }
 
-    /// Bytes that have not arrived at a front yet.
+    /// Bytes to a front that are queued or not acknowledged.
     #[must_use]
     pub fn unacknowledged_bytes(&self, to: u64) -> usize {
         self.to.get(&to).map_or(0, |t| {
-            let open = t.open.as_ref().map_or(0, |o| o.fragments.iter().flatten().count() * FRAGMENT_BYTES);
-            open + t.queue.iter().map(Vec::len).sum::<usize>()
+            let in_flight =
+                t.bundle.as_ref().map_or(0, |o| o.fragments.iter().flatten().count() * FRAGMENT_BYTES);
+            in_flight + t.queue.iter().map(Vec::len).sum::<usize>()
         })
     }
 
-    /// A piece came; the parcel's messages once it was the last. `run` is the sender's.
+    /// Processes a fragment: returns the bundle's messages if it was the last missing one, and an acknowledgement if one
+    /// is due. `run` is the sender's run.
     pub fn receive(
         &mut self,
         now_ms: u64,
@@ -265,12 +276,12 @@
         open.unacknowledged = open.unacknowledged.saturating_add(1);
         if open.missing == 0 {
             let ack = Ack { id: fragment.id, received: to_bits(&open.received) };
-            let whole = peer.open.remove(&fragment.id).map(|o| o.bytes);
+            let bundle = peer.open.remove(&fragment.id).map(|o| o.bytes);
             if peer.completed.len() >= MAX_COMPLETED_BUNDLES {
                 peer.completed.pop_front();
             }
             peer.completed.push_back((fragment.id, fragments));
-            let messages = whole.and_then(|w| postcard::from_bytes(&w).ok()).unwrap_or_default();
+            let messages = bundle.and_then(|bytes| postcard::from_bytes(&bytes).ok()).unwrap_or_default();
             return (messages, Some(ack));
         }
         if open.unacknowledged >= ACK_EVERY_FRAGMENTS {
@@ -280,43 +291,43 @@
         (Vec::new(), None)
     }
 
-    /// The receiver told what it has.
+    /// Processes an acknowledgement.
     pub fn ack(&mut self, now_ms: u64, from: u64, ack: &Ack) {
         let Some(peer) = self.to.get_mut(&from) else { return };
-        let Some(o) = peer.open.as_mut().filter(|o| o.id == ack.id) else { return };
+        let Some(o) = peer.bundle.as_mut().filter(|o| o.id == ack.id) else { return };
         for (i, fragment) in o.fragments.iter_mut().enumerate() {
             let received = ack.received.get(i / 8).is_some_and(|b| b >> (i % 8) & 1 == 1);
             if received && fragment.is_some() {
                 *fragment = None;
-                o.last_received_ms = now_ms;
+                o.last_progress_ms = now_ms;
             }
         }
         if o.fragments.iter().all(Option::is_none) {
-            peer.open = None;
+            peer.bundle = None;
         }
     }
 
-    /// What has to leave now: (to, what).
+    /// Drops timed-out bundles and appends the messages that are due, each with the front to send it to.
     pub fn tick(&mut self, now_ms: u64, out: &mut Vec<(u64, FragmentMessage)>) {
         for (to, peer) in &mut self.to {
-            let over = |o: &OutgoingBundle| {
-                now_ms.saturating_sub(o.last_received_ms) >= IDLE_TIMEOUT_MS
+            let timed_out = |o: &OutgoingBundle| {
+                now_ms.saturating_sub(o.last_progress_ms) >= IDLE_TIMEOUT_MS
                     || now_ms.saturating_sub(o.started_ms) >= MAX_AGE_MS
             };
-            if peer.open.as_ref().is_some_and(over) {
-                peer.open = None;
+            if peer.bundle.as_ref().is_some_and(timed_out) {
+                peer.bundle = None;
             }
-            if peer.open.is_none() && !peer.queue.is_empty() {
-                self.next = self.next.wrapping_add(1);
-                peer.open = Some(OutgoingBundle::of(now_ms, self.next, &mut peer.queue));
+            if peer.bundle.is_none() && !peer.queue.is_empty() {
+                self.last_id = self.last_id.wrapping_add(1);
+                peer.bundle = Some(OutgoingBundle::from_queue(now_ms, self.last_id, &mut peer.queue));
             }
-            let Some(o) = &mut peer.open else { continue };
+            let Some(o) = &mut peer.bundle else { continue };
             for (i, fragment) in o.fragments.iter_mut().enumerate() {
                 let Some(sent) = fragment else { continue };
                 if *sent != 0 && now_ms.saturating_sub(*sent) < RETRANSMIT_MS {
                     continue;
                 }
-                if !peer.bucket.take(now_ms) {
+                if !peer.budget.take(now_ms) {
                     break;
                 }
                 *sent = now_ms.max(1);
@@ -326,7 +337,7 @@
             }
         }
         self.to.retain(|_, t| {
-            t.open.is_some() || !t.queue.is_empty() || now_ms.saturating_sub(t.bucket.refilled_ms) < 1_000
+            t.bundle.is_some() || !t.queue.is_empty() || now_ms.saturating_sub(t.budget.refilled_ms) < 1_000
         });
         for (from, peer) in &mut self.from {
             peer.open.retain(|_, o| {
@@ -340,27 +351,28 @@
                 }
             }
         }
-        // Whole ones are remembered a little, so that the last acknowledgement may be lost.
+        // Completed bundles are remembered for a while, in case the last acknowledgement is lost.
         self.from.retain(|_, p| {
             !p.open.is_empty() || now_ms.saturating_sub(p.last_received_ms) < 2 * IDLE_TIMEOUT_MS
         });
     }
 
-    /// Bytes that are held for parcels under way.
+    /// Bytes of all queued and incomplete messages.
     #[must_use]
     pub fn buffered_bytes(&self) -> usize {
         let to = self.to.values().map(|t| {
-            t.open.as_ref().map_or(0, |o| o.bytes.len()) + t.queue.iter().map(Vec::len).sum::<usize>()
+            t.bundle.as_ref().map_or(0, |o| o.bytes.len()) + t.queue.iter().map(Vec::len).sum::<usize>()
         });
         let from = self.from.values().flat_map(|f| f.open.values()).map(|o| o.length);
         to.chain(from).sum()
     }
 }
 
+/// Packs the flags into bytes, lowest bit first.
 fn to_bits(received: &[bool]) -> Vec<u8> {
     received
         .chunks(8)
-        .map(|eight| eight.iter().rev().fold(0, |b, available| b << 1 | u8::from(*available)))
+        .map(|eight| eight.iter().rev().fold(0, |byte, bit| byte << 1 | u8::from(*bit)))
         .collect()
 }
 
@@ -370,8 +382,9 @@
     use rand::rngs::StdRng;
     use rand::{Rng, SeedableRng};
 
-    /// Carries messages from 1 to 2 with this loss; when each arrived, and datagrams that left.
-    fn carry(messages: &[Vec<u8>], loss: f64, seed: u64) -> (Vec<(u64, Vec<u8>)>, u64) {
+    /// Sends messages from front 1 to front 2 over a link with this loss: each message with its arrival time, and the
+    /// number of fragments sent.
+    fn transmit(messages: &[Vec<u8>], loss: f64, seed: u64) -> (Vec<(u64, Vec<u8>)>, u64) {
         let mut random = StdRng::seed_from_u64(seed);
         let (mut a, mut b) = (Fragmenter::new(5), Fragmenter::new(9));
         for m in messages {
@@ -382,9 +395,9 @@
             let mut out = Vec::new();
             a.tick(now, &mut out);
             let mut back = Vec::new();
-            for (_, leaves) in out {
+            for (_, message) in out {
                 datagrams += 1;
-                let FragmentMessage::Fragment(p) = leaves else { panic!("nothing comes to 1") };
+                let FragmentMessage::Fragment(p) = message else { panic!("front 1 receives no bundles") };
                 for _ in 0..random.random_range(1..=2) {
                     if random.random_bool(1.0 - loss) {
                         let (whole, ack) = b.receive(now, 1, 1, &p);
@@ -405,25 +418,25 @@
                 }
             }
         }
-        assert_eq!((a.buffered_bytes(), b.buffered_bytes()), (0, 0), "everything has an end");
+        assert_eq!((a.buffered_bytes(), b.buffered_bytes()), (0, 0), "nothing stays in memory");
         (came, datagrams)
     }
 
     #[test]
-    fn parcels_arrive_whole_and_once_whatever_is_lost() {
+    fn bundles_arrive_complete_and_once_despite_loss() {
         for (seed, loss) in [(1, 0.0), (2, 0.2), (3, 0.5)] {
             let messages: Vec<Vec<u8>> = [1, 1_000, 1_001, 60_000].map(|n: usize| vec![n as u8; n]).to_vec();
-            let (came, _) = carry(&messages, loss, seed);
+            let (came, _) = transmit(&messages, loss, seed);
             assert_eq!(came.iter().map(|(_, m)| m.clone()).collect::<Vec<_>>(), messages, "loss {loss}");
         }
-        let (came, datagrams) = carry(&[vec![7; 60_000]], 0.0, 4);
-        assert_eq!(datagrams, 61, "nothing again that arrived");
+        let (came, datagrams) = transmit(&[vec![7; 60_000]], 0.0, 4);
+        assert_eq!(datagrams, 61, "no retransmission without loss");
         assert!(came[0].0 < 1_200, "{}", came[0].0);
     }
 
     #[test]
-    fn what_never_arrives_is_dropped_and_hostile_pieces_cost_bounded_memory() {
-        let (came, datagrams) = carry(&[vec![7; 60_000]], 1.0, 5);
+    fn lost_bundles_are_dropped_and_hostile_fragments_use_bounded_memory() {
+        let (came, datagrams) = transmit(&[vec![7; 60_000]], 1.0, 5);
         assert!(came.is_empty() && datagrams <= 64 * 2 + 17, "{datagrams}");
         let mut p = Fragmenter::new(0);
         for from in 0..500 {
--- a/crates/agreement/src/journal.rs
+++ b/crates/agreement/src/journal.rs
@@ -1,6 +1,6 @@
-//! What a voter has promised, accepted and learned to be decided, in memory, with what has changed since it was last
-//! handed to the disk. omnipaxos writes here and takes it for its storage; that a write is synced is
-//! [`Voter`](crate::voter::Voter)'s to see to, by holding back what rests on it.
+//! In-memory state of a voter's log (promised, accepted and decided), and the changes to it that are not handed to the
+//! disk yet. omnipaxos uses it as its storage. It does not wait for the disk: [`Voter`](crate::voter::Voter) holds back
+//! everything that depends on a write until the write is synced.
 
 use crate::store::{StoreOp, StoredLog};
 use crate::types::{Command, Operation};
@@ -12,7 +12,7 @@
     type Snapshot = NoSnapshot;
 }
 
-/// Bytes that a command takes in a message at most.
+/// Upper bound for the size of a command in a message, in bytes.
 pub(crate) fn message_bytes(command: &Command) -> usize {
     64 + match &command.operation {
         Operation::Put { body, .. } => body.len(),
@@ -20,14 +20,15 @@
     }
 }
 
-/// The state, and what of it the disk has not been handed.
+/// A voter's log state, with marks for the changes since the last [`Journal::take_changes`].
 #[derive(Debug, Default)]
 pub(crate) struct Journal {
     promise: Option<Ballot>,
     accepted: Option<Ballot>,
     decided: usize,
     log: Vec<Command>,
-    bytes: usize,
+    /// Upper bound for the size of the log in a message.
+    log_bytes: usize,
     promise_changed: bool,
     accepted_changed: bool,
     decided_changed: bool,
@@ -36,18 +37,18 @@
 }
 
 impl Journal {
-    /// As a store kept it; `None` if it cannot be read or contradicts itself.
-    pub(crate) fn from_store(kept: StoredLog) -> Option<Self> {
+    /// The state that a store had; `None` if it cannot be parsed or contradicts itself.
+    pub(crate) fn from_store(stored: StoredLog) -> Option<Self> {
         let ballot = |bytes: &[u8]| -> Option<Option<Ballot>> {
             if bytes.is_empty() { Some(None) } else { postcard::from_bytes(bytes).ok().map(Some) }
         };
-        let decided = usize::try_from(kept.decided).ok().filter(|&d| d <= kept.commands.len())?;
+        let decided = usize::try_from(stored.decided).ok().filter(|&d| d <= stored.commands.len())?;
         Some(Self {
-            promise: ballot(&kept.promise)?,
-            accepted: ballot(&kept.accepted)?,
+            promise: ballot(&stored.promise)?,
+            accepted: ballot(&stored.accepted)?,
             decided,
-            bytes: kept.commands.iter().map(message_bytes).sum(),
-            log: kept.commands,
+            log_bytes: stored.commands.iter().map(message_bytes).sum(),
+            log: stored.commands,
             ..Self::default()
         })
     }
@@ -60,12 +61,12 @@
         self.log.len()
     }
 
-    /// Bytes of the log in a message, at most.
+    /// Upper bound for the size of the log in a message, in bytes.
     pub(crate) fn log_bytes(&self) -> usize {
-        self.bytes
+        self.log_bytes
     }
 
-    /// The ballots that are kept, by their node numbers and numbers of configurations.
+    /// The promised and the accepted ballot, as far as there are any.
     pub(crate) fn ballots(&self) -> impl Iterator<Item = &Ballot> {
         self.promise.iter().chain(&self.accepted)
     }
@@ -77,7 +78,7 @@
     pub(crate) fn append(&mut self, commands: Vec<Command>) {
         if !commands.is_empty() {
             self.changed_from = Some(self.changed_from.unwrap_or(self.log.len()).min(self.log.len()));
-            self.bytes += commands.iter().map(message_bytes).sum::<usize>();
+            self.log_bytes += commands.iter().map(message_bytes).sum::<usize>();
             self.log.extend(commands);
         }
     }
@@ -87,10 +88,11 @@
         self.decided = decided;
     }
 
-    /// What has changed since, as one write. The order in it is of no account: it is one transaction.
+    /// Takes the changes since the last call, for one write to the store. Their order does not matter, because the write
+    /// is one transaction.
     pub(crate) fn take_changes(&mut self) -> Vec<StoreOp> {
         let mut ops = Vec::new();
-        // A ballot can always be written.
+        // Serializing a ballot cannot fail.
         let bytes =
             |ballot: &Option<Ballot>| postcard::to_stdvec(&ballot.unwrap_or_default()).unwrap_or_default();
         if std::mem::take(&mut self.promise_changed) {
@@ -112,7 +114,8 @@
     }
 
     fn set_promise_if_changed(&mut self, promise: Ballot) {
-        // At its start omnipaxos writes what it read, or a ballot of zeros if there was none: neither is news.
+        // At its start omnipaxos writes back the promise that it read, or a ballot of zeros if there was none. Neither
+        // changes anything.
         if self.promise.unwrap_or_default() != promise {
             self.promise = Some(promise);
             self.promise_changed = true;
@@ -128,21 +131,25 @@
 
     fn replace_suffix(&mut self, from: usize, commands: Vec<Command>) -> StorageResult<()> {
         if from > self.log.len() {
-            return Err("a log with a gap".into());
+            return Err(format!(
+                "entries from index {from} leave a gap: the log has {} entries",
+                self.log.len()
+            )
+            .into());
         }
-        // What stays the same need not be written again.
+        // Entries that stay the same need not be written again.
         let same = self.log[from..].iter().zip(&commands).take_while(|(a, b)| a == b).count();
         if from + same < self.log.len() {
             self.changed_from = Some(self.changed_from.unwrap_or(usize::MAX).min(from + same));
             self.log.truncate(from + same);
-            self.bytes = self.log.iter().map(message_bytes).sum();
+            self.log_bytes = self.log.iter().map(message_bytes).sum();
         }
         self.append(commands.into_iter().skip(same).collect());
         Ok(())
     }
 }
 
-/// The journal as omnipaxos' storage. omnipaxos owns its storage and does not show it; hence shared.
+/// The journal as the storage of omnipaxos. It is shared because omnipaxos owns its storage and gives no access to it.
 #[derive(Clone)]
 pub(crate) struct SharedJournal(Arc<Mutex<Journal>>);
 
@@ -152,7 +159,7 @@
     }
 
     pub(crate) fn lock(&self) -> MutexGuard<'_, Journal> {
-        // Poisoned by a panic that stopped the voter: nothing of it is written any more.
+        // A panic that poisoned the lock has also stopped the voter, so nothing of this state is written any more.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -229,11 +236,11 @@
         Ok(self.lock().promise)
     }
 
-    // The log ends by a command of ours and is folded by the next configuration: no stop sign, trimming or snapshot
-    // of omnipaxos' own is ever used, and messages that ask for one are refused.
+    // A configuration is ended by a command of this crate, and the next configuration compacts the log. Stop signs,
+    // trimming and snapshots of omnipaxos are never used, and messages that request them are refused.
 
     fn set_stopsign(&mut self, sign: Option<StopSign>) -> StorageResult<()> {
-        sign.map_or(Ok(()), |_| Err("stop signs are not used".into()))
+        sign.map_or(Ok(()), |_| Err("stop signs of omnipaxos are not supported".into()))
     }
 
     fn get_stopsign(&self) -> StorageResult<Option<StopSign>> {
@@ -241,11 +248,11 @@
     }
 
     fn trim(&mut self, _: usize) -> StorageResult<()> {
-        Err("trimming is not used".into())
+        Err("trimming by omnipaxos is not supported".into())
     }
 
     fn set_compacted_idx(&mut self, _: usize) -> StorageResult<()> {
-        Err("trimming is not used".into())
+        Err("trimming by omnipaxos is not supported".into())
     }
 
     fn get_compacted_idx(&self) -> StorageResult<usize> {
@@ -253,7 +260,7 @@
     }
 
     fn set_snapshot(&mut self, _: Option<NoSnapshot>) -> StorageResult<()> {
-        Err("snapshots are not used".into())
+        Err("snapshots of omnipaxos are not supported".into())
     }
 
     fn get_snapshot(&self) -> StorageResult<Option<NoSnapshot>> {
--- a/crates/agreement/src/node.rs
+++ b/crates/agreement/src/node.rs
@@ -353,7 +353,7 @@
     fn open(&mut self, stored: StoredState) {
         self.id = Some(VoterId { front: self.settings.me, store: stored.store }).filter(|v| v.store != 0);
         self.boots = stored.boots;
-        self.progress = ProgressTracker::of(stored.config.as_ref(), &stored.log);
+        self.progress = ProgressTracker::from_store(stored.config.as_ref(), &stored.log);
         self.synced_progress = self.progress.current();
         let Some(config) = stored.config else { return };
         let loaded = Registers::load(&stored.snapshot).ok();
--- a/crates/agreement/src/progress.rs
+++ b/crates/agreement/src/progress.rs
@@ -1,8 +1,9 @@
-//! How far a voter's disk is, so that an older copy of a store is told from a later one.
+//! How far a voter's disk is. It lets the other voters detect a store that was replaced by an older copy of itself.
 //!
-//! Each opening of a store counts `boots`. A voter says them with each message, and what its disk had as synced then.
-//! Whoever remembers more of the same store than a later opening has knows that this is an older copy, which has forgotten
-//! what it promised. What is remembered is in memory: if all that remember restart as well, it is not found out.
+//! Each opening of a store increments its `boots`. A voter sends this count with each message, together with the progress
+//! that its disk had synced. A voter that remembers more progress of a store than a later opening reports has found an
+//! older copy, which has lost promises. The memory is not persistent: if all voters that remember the store restart too,
+//! the older copy is not detected.
 
 use crate::store::{StoreOp, StoredLog};
 use crate::types::{Config, VoterId};
@@ -10,21 +11,21 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How far a disk is. It only grows: within one promise a log is replaced once, when it is first accepted under it, and
-/// grows from there.
+/// How far a disk is; later progress compares greater. It never decreases: under one promise the log is replaced once, when it is
+/// first accepted under that promise, and only grows after that.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Progress {
-    /// The configuration.
+    /// Number of the configuration.
     pub config: u32,
-    /// The round promised: its number, priority and voter.
+    /// The promised ballot: its number, priority and voter.
     pub promise: (u32, u32, u64),
-    /// The log was accepted under that round.
+    /// Whether the log was accepted under that ballot.
     pub accepted: bool,
-    /// Entries in the log.
+    /// Number of entries in the log.
     pub log: u64,
 }
 
-/// [`Progress`] while it is written to, with what it comes from.
+/// Computes [`Progress`] from the writes to a store.
 #[derive(Clone, Debug, Default)]
 pub struct ProgressTracker {
     progress: Progress,
@@ -33,24 +34,24 @@
 }
 
 impl ProgressTracker {
-    /// Of a store that was opened.
+    /// The progress of a store that was just opened.
     #[must_use]
-    pub fn of(config: Option<&Config>, log: &StoredLog) -> Self {
+    pub fn from_store(config: Option<&Config>, log: &StoredLog) -> Self {
         let mut new = Self::default();
         new.progress.config = config.map_or(0, |c| c.number);
         new.progress.log = log.commands.len() as u64;
         (new.promise, new.accepted) = (log.promise.clone(), log.accepted.clone());
-        new.update_rounds();
+        new.update_ballots();
         new
     }
 
-    fn update_rounds(&mut self) {
+    fn update_ballots(&mut self) {
         let ballot: Option<Ballot> = postcard::from_bytes(&self.promise).ok();
         self.progress.promise = ballot.map_or((0, 0, 0), |b| (b.n, b.priority, b.pid));
         self.progress.accepted = !self.promise.is_empty() && self.promise == self.accepted;
     }
 
-    /// After these writes.
+    /// Records these writes.
     pub fn record(&mut self, ops: &[StoreOp]) {
         for op in ops {
             match op {
@@ -60,65 +61,74 @@
                         ..Self::default()
                     };
                 }
-                StoreOp::Promise(round) => self.promise.clone_from(round),
-                StoreOp::Accepted(round) => self.accepted.clone_from(round),
+                StoreOp::Promise(ballot) => self.promise.clone_from(ballot),
+                StoreOp::Accepted(ballot) => self.accepted.clone_from(ballot),
                 StoreOp::Decided(_) => {}
                 StoreOp::Log { from, commands } => {
                     self.progress.log = from.saturating_add(commands.len() as u64)
                 }
             }
         }
-        self.update_rounds();
+        self.update_ballots();
     }
 
-    /// How far that is.
+    /// The progress after the recorded writes.
     #[must_use]
     pub fn current(&self) -> Progress {
         self.progress
     }
 }
 
-/// What a voter says of its disk with each message.
+/// The state of a voter's disk, sent with each message between voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterProgress {
-    /// Its store.
+    /// Id of the store.
     pub store: u64,
-    /// How often that was opened.
+    /// How often the store was opened.
     pub boots: u64,
-    /// How far it was when the message left.
+    /// Synced progress when the message was sent.
     pub progress: Progress,
 }
 
-/// What is remembered of other voters.
+/// The latest known progress of other voters.
 #[derive(Debug, Default)]
 pub struct KnownProgress {
+    /// By voter: run of its front, boots of its store, progress.
     voters: BTreeMap<VoterId, (u64, u64, Progress)>,
 }
 
-/// Stores remembered at most; those of present voters stay.
+/// Maximum number of remembered stores; those of the present voters are kept.
 const MAX_STORES: usize = 64;
 
 impl KnownProgress {
-    /// A voter in a run of its front says where it stands. False if more of that store is remembered: it is an older
-    /// copy. A message of an earlier run is for the exchange to refuse.
-    pub fn observe(&mut self, front: u64, run: u64, s: &VoterProgress, config: Option<&Config>) -> bool {
-        let id = VoterId { front, store: s.store };
+    /// Records the progress that a voter reports in a run of its front. Returns false if more progress of that store is
+    /// known: the store is an older copy. Messages of an earlier run pass here; the exchange refuses them.
+    pub fn observe(
+        &mut self,
+        front: u64,
+        run: u64,
+        reported: &VoterProgress,
+        config: Option<&Config>,
+    ) -> bool {
+        let id = VoterId { front, store: reported.store };
         if self.voters.len() >= MAX_STORES && !self.voters.contains_key(&id) {
             self.voters.retain(|v, _| config.is_some_and(|c| c.voters.contains(v)));
         }
         if self.voters.len() >= MAX_STORES {
             return true;
         }
-        let (known_run, boots, progress) = self.voters.entry(id).or_insert((run, s.boots, s.progress));
+        let (known_run, boots, progress) =
+            self.voters.entry(id).or_insert((run, reported.boots, reported.progress));
         if run < *known_run {
             return true;
         }
-        // An earlier opening than one that was there, or less on the disk than there was. Within a run messages may be late.
-        let later = run > *known_run || s.boots > *boots;
-        if s.boots < *boots || (later && s.progress < *progress) {
+        // An earlier opening than the known one, or a later opening with less on its disk. Within one run and one opening
+        // less progress only means that the message was delayed.
+        let later = run > *known_run || reported.boots > *boots;
+        if reported.boots < *boots || (later && reported.progress < *progress) {
             return false;
         }
-        (*known_run, *boots, *progress) = (run, s.boots, (*progress).max(s.progress));
+        (*known_run, *boots, *progress) = (run, reported.boots, (*progress).max(reported.progress));
         true
     }
 }
--- a/crates/agreement/src/proposals.rs
+++ b/crates/agreement/src/proposals.rs
@@ -1,36 +1,37 @@
-//! Commands that this front proposed and that have not come yet. They are sent again under the same key, to one voter
-//! after another, until they are applied here or their time is over.
+//! Commands that this front proposed and that are not applied here yet. Each is sent again under the same key, to one
+//! voter after another, until it is applied here or its time limit has passed.
 
 use crate::fragments::TokenBucket;
 use crate::registers::{Outcome, Registers};
 use crate::types::{Command, Key};
 use std::collections::BTreeMap;
 
-/// Proposals under way at most.
+/// Maximum number of pending proposals.
 pub const MAX_PROPOSALS: usize = 64;
-/// One is sent again after this, milliseconds.
+/// A proposal is sent again after this time, in milliseconds.
 const RESEND_MS: u64 = 500;
-/// After a voter declined and named the leader, milliseconds.
+/// A proposal is sent to the leader this long after a voter declined it and named the leader, in milliseconds.
 const REDIRECT_MS: u64 = 60;
-/// Messages with proposals a second, and at once: the exchange takes 128 datagrams a second from a front.
+/// Messages with proposals per second. The exchange accepts 128 datagrams per second from a front.
 const SENDS_PER_S: u64 = 48;
+/// Messages with proposals in a burst.
 const SEND_BURST: u64 = 24;
 
-/// What came of a proposal.
+/// Result of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ProposalResult {
-    /// It was decided.
+    /// The command was decided and applied here.
     Applied {
-        /// The entry that it came in first.
+        /// Number of the first entry with this command.
         number: u64,
-        /// What it did.
+        /// Its effect on the registers.
         outcome: Outcome,
     },
-    /// Its time is over. It may still be decided.
+    /// The time limit has passed. The command may still be decided.
     Expired,
-    /// Too many are under way. It was not sent.
+    /// Too many proposals are pending. The command was not sent.
     Busy,
-    /// It may not be. It was not sent.
+    /// The body is too long, or the voters are not valid. The command was not sent.
     Invalid,
 }
 
@@ -40,11 +41,11 @@
     until_ms: u64,
     next_ms: u64,
     next_voter: usize,
-    /// A voter said that this one leads.
+    /// The front that a voter named as the leader.
     leader: Option<u64>,
 }
 
-/// Those under way.
+/// The pending proposals of this front.
 #[derive(Debug, Default)]
 pub struct Proposals {
     pending: BTreeMap<Key, Pending>,
@@ -52,85 +53,87 @@
 }
 
 impl Proposals {
-    /// A new one; `next_voter` spreads first questions over voters. False if there is no room.
-    pub fn add(&mut self, now_ms: u64, for_ms: u64, command: Command, next_voter: usize) -> bool {
+    /// Adds a proposal that expires after `timeout_ms`. `next_voter` selects the voter that is asked first and spreads
+    /// the load over voters. Returns false if there is no room.
+    pub fn add(&mut self, now_ms: u64, timeout_ms: u64, command: Command, next_voter: usize) -> bool {
         if self.pending.contains_key(&command.key) {
             return true;
         }
         if self.pending.len() >= MAX_PROPOSALS {
             return false;
         }
-        let until_ms = now_ms.saturating_add(for_ms);
+        let until_ms = now_ms.saturating_add(timeout_ms);
         self.pending
             .insert(command.key, Pending { command, until_ms, next_ms: now_ms, next_voter, leader: None });
         true
     }
 
-    /// Whether it is under way.
+    /// Whether a proposal with this key is pending.
     #[must_use]
     pub fn contains(&self, key: Key) -> bool {
         self.pending.contains_key(&key)
     }
 
-    /// How many are.
+    /// Number of pending proposals.
     #[must_use]
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether none is.
+    /// Whether no proposal is pending.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// A voter would not.
+    /// A voter declined the proposal and named `leader` as the leader, if it knows another front to lead.
     pub fn declined(&mut self, now_ms: u64, key: Key, leader: Option<u64>) {
         if let Some(pending) = self.pending.get_mut(&key) {
             pending.leader = leader;
-            // Two that send each other on are not to be asked at every message. One that names nobody has no room now, or
-            // knows of no leader.
+            // Two voters may name each other as the leader, so the proposal is sent on after a delay rather than at once.
+            // A voter that names nobody has no room now or knows no leader.
             if leader.is_some() {
                 pending.next_ms = pending.next_ms.min(now_ms.saturating_add(REDIRECT_MS));
             }
         }
     }
 
-    /// A command was decided.
+    /// A command was applied. Returns whether it was a pending proposal.
     pub fn applied(&mut self, key: Key) -> bool {
         self.pending.remove(&key).is_some()
     }
 
-    /// Those that a later state remembers as decided.
+    /// The registers were replaced by a later state: removes and returns the proposals that it has as decided.
     pub fn replaced(&mut self, registers: &Registers) -> Vec<(Key, ProposalResult)> {
         let keys: Vec<Key> = self.pending.keys().copied().collect();
-        let done = keys.into_iter().filter_map(|key| {
+        let decided = keys.into_iter().filter_map(|key| {
             let (number, outcome) = registers.outcome(key)?;
             self.pending.remove(&key)?;
             Some((key, ProposalResult::Applied { number, outcome }))
         });
-        done.collect()
+        decided.collect()
     }
 
-    /// Those whose time is over.
+    /// Removes and returns the proposals whose time limit has passed.
     pub fn expired(&mut self, now_ms: u64) -> Vec<Key> {
-        let over: Vec<Key> =
-            self.pending.iter().filter(|(_, o)| o.until_ms <= now_ms).map(|(k, _)| *k).collect();
-        over.iter().for_each(|k| drop(self.pending.remove(k)));
-        over
+        let expired: Vec<Key> =
+            self.pending.iter().filter(|(_, p)| p.until_ms <= now_ms).map(|(k, _)| *k).collect();
+        expired.iter().for_each(|k| drop(self.pending.remove(k)));
+        expired
     }
 
-    /// Those to be sent now: the command, and to which of `voters`. `known_leader` is the leader as this front knows it.
+    /// The commands to send now, each with the one of `voters` to send it to. `known_leader` is the leader as this front
+    /// knows it.
     pub fn due(&mut self, now_ms: u64, voters: &[u64], known_leader: Option<u64>) -> Vec<(u64, Command)> {
         let mut due = Vec::new();
         if voters.is_empty() {
             return due;
         }
         let budget = self.budget.get_or_insert_with(|| TokenBucket::new(now_ms, SENDS_PER_S, SEND_BURST));
-        // Those that have waited longest go first.
+        // The proposals that have waited longest are sent first.
         let mut waiting: Vec<&mut Pending> =
-            self.pending.values_mut().filter(|o| o.next_ms <= now_ms).collect();
-        waiting.sort_by_key(|o| o.next_ms);
+            self.pending.values_mut().filter(|p| p.next_ms <= now_ms).collect();
+        waiting.sort_by_key(|p| p.next_ms);
         for pending in waiting {
             if !budget.take(now_ms) {
                 break;
--- a/crates/agreement/src/registers.rs
+++ b/crates/agreement/src/registers.rs
@@ -1,7 +1,8 @@
-//! The agreed state: registers by subject, the voters, and the keys that came last.
+//! The agreed state: registers by subject, the voters, and the idempotency keys of the latest commands.
 //!
-//! It is a pure function of the entries, so that two fronts at one number hold the same bytes, and a snapshot is those
-//! bytes. A command applies only to the version that it expects; a key that came before has its first outcome again.
+//! It is a pure function of the log entries: two fronts that applied the same number of entries have the same bytes, and a
+//! snapshot consists of those bytes. A command applies only to the version that it expects. A command with a key that
+//! occurred before changes nothing and gets its first outcome again.
 
 use crate::types::{
     Command, Config, Entry, Hash, Key, MAX_BODY_BYTES, MAX_VOTERS, Operation, Subject, VoterId, ZERO_HASH,
@@ -12,55 +13,55 @@
 use std::collections::{BTreeMap, VecDeque};
 use thiserror::Error;
 
-/// Registers at most.
+/// Maximum number of registers.
 pub const MAX_REGISTERS: usize = 4_096;
-/// Bytes of all bodies at most.
+/// Maximum size of all bodies together, in bytes.
 pub const MAX_TOTAL_BYTES: usize = 4 << 20;
-/// Keys remembered with their outcomes.
+/// Number of the latest idempotency keys that are kept with their outcomes.
 pub const MAX_KEYS: usize = 4_096;
-/// Bytes of a snapshot at most: all bodies, and 128 for each register and each key.
+/// Maximum size of a snapshot, in bytes: all bodies, and 128 bytes for each register and each key.
 pub const MAX_SNAPSHOT_BYTES: usize = MAX_TOTAL_BYTES + 128 * (MAX_REGISTERS + MAX_KEYS) + 1_024;
 
-/// What a command came to. The same on every front.
+/// Effect of a command. It is the same on every front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The register has the body.
+    /// The register now has the command's body.
     Applied,
-    /// The register stood elsewhere, and still does.
+    /// Not the expected version: the register is unchanged.
     Conflict {
-        /// Number of the entry that it stands at, 0 if it is empty.
+        /// Number of the entry that last wrote the register, 0 if it is empty.
         current: u64,
-        /// Who wrote it, 0 if it is empty.
+        /// The front that wrote it, 0 if it is empty.
         author: u64,
-        /// By which command, 0 if it is empty.
+        /// Key of the command that wrote it, 0 if it is empty.
         key: Key,
     },
-    /// There is no room for it.
+    /// [`MAX_REGISTERS`] or [`MAX_TOTAL_BYTES`] would be exceeded.
     Full,
-    /// It ended its configuration; the one of this number begins.
+    /// The command ended its configuration; the configuration with this number begins.
     Reconfigured(u32),
-    /// It would have ended another configuration than this, which goes on.
+    /// The command expected another configuration; the one with this number continues.
     Stale(u32),
-    /// A body or voters that may not be.
+    /// The body is too long, or the voters are not [valid](valid_voters).
     Invalid,
 }
 
-/// A register that was written.
+/// A register that is not empty.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Register {
-    /// The entry that wrote it.
+    /// Number of the entry that last wrote it.
     pub number: u64,
-    /// The command of that entry.
+    /// Key of that entry's command.
     pub key: Key,
-    /// Who proposed it.
+    /// The front that proposed that command.
     pub author: u64,
-    /// What it says; never empty.
+    /// Content; never empty.
     pub body: Vec<u8>,
 }
 
-/// Bytes that are no snapshot.
+/// The bytes are not a snapshot of the agreed state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("not a snapshot of agreed state")]
+#[error("the bytes are not a valid snapshot of the agreed state")]
 pub struct InvalidSnapshot;
 
 /// The agreed state after an entry.
@@ -68,16 +69,18 @@
 pub struct Registers {
     number: u64,
     hash: Hash,
-    /// Drawn from the first voters: another fleet's state, or the same fleet's begun anew, has another.
+    /// Derived from the first voters. The log of another fleet, or of the same fleet started anew, has another id.
     log_id: u64,
     config: Option<Config>,
-    /// The configuration from which the voters have been the same. Holds go by it, so that folding does not touch them.
+    /// The configuration since which the set of voters is unchanged. Leases refer to it, so compaction does not affect them.
     voters_since: u32,
     registers: BTreeMap<Subject, Register>,
-    /// The last keys with the entry that each came in first, oldest first.
+    /// The latest keys, oldest first, each with its first entry and its outcome.
     keys: VecDeque<(Key, u64, Outcome)>,
+    /// Index of `keys`.
     #[serde(skip)]
     outcomes: BTreeMap<Key, (u64, Outcome)>,
+    /// Size of all bodies.
     #[serde(skip)]
     bytes: usize,
 }
@@ -98,7 +101,7 @@
     }
 }
 
-/// Whether these may vote: 1 to [`MAX_VOTERS`], ascending, each front once.
+/// Whether this is a valid list of voters: 1 to [`MAX_VOTERS`], in ascending order, each front once, no store 0.
 #[must_use]
 pub fn valid_voters(voters: &[VoterId]) -> bool {
     (1..=MAX_VOTERS).contains(&voters.len())
@@ -107,7 +110,7 @@
 }
 
 impl Registers {
-    /// The state before the first entry, under the first voters. `None` if those may not vote.
+    /// The state before the first entry, with the first voters. `None` if the list of voters is not valid.
     #[must_use]
     pub fn genesis(voters: &[VoterId]) -> Option<Self> {
         let mut h = Sha256::new();
@@ -132,48 +135,49 @@
         &self.hash
     }
 
-    /// Which fleet's state it is, 0 for none.
+    /// Id of the log that this state belongs to, 0 for none.
     #[must_use]
     pub fn log_id(&self) -> u64 {
         self.log_id
     }
 
-    /// The voters, once there are any.
+    /// The present configuration, once there is one.
     #[must_use]
     pub fn config(&self) -> Option<&Config> {
         self.config.as_ref()
     }
 
-    /// The number of the voters' configuration, 0 before the first.
+    /// Number of the present configuration, 0 before the first.
     #[must_use]
     pub fn config_number(&self) -> u32 {
         self.config.as_ref().map_or(0, |c| c.number)
     }
 
-    /// The configuration from which the voters have been the same.
+    /// The configuration since which the set of voters is unchanged.
     #[must_use]
     pub fn voters_since(&self) -> u32 {
         self.voters_since
     }
 
-    /// A register, if it is not empty.
+    /// The register, if it is not empty.
     #[must_use]
     pub fn get(&self, subject: Subject) -> Option<&Register> {
         self.registers.get(&subject)
     }
 
-    /// All that are not empty.
+    /// All registers that are not empty.
     pub fn iter(&self) -> impl Iterator<Item = (&Subject, &Register)> {
         self.registers.iter()
     }
 
-    /// The entry a command first came in, and its outcome, if it is remembered.
+    /// Number of the first entry with this key, and its outcome, if the key is still kept.
     #[must_use]
     pub fn outcome(&self, key: Key) -> Option<(u64, Outcome)> {
         self.outcomes.get(&key).copied()
     }
 
-    /// The next entry. A command that came before changes nothing and has its first outcome.
+    /// Applies the command of the next entry. A command whose key occurred before changes nothing and gets its first
+    /// outcome.
     pub fn apply(&mut self, command: Command) -> (Entry, Outcome) {
         let number = self.number.saturating_add(1);
         let hash = chain_hash(&self.hash, number, &command);
@@ -245,17 +249,17 @@
         self.outcomes.insert(key, (number, outcome));
     }
 
-    /// All of it as bytes.
+    /// The state as bytes.
     #[must_use]
     pub fn snapshot(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// State from a snapshot.
+    /// Restores a state from a snapshot.
     ///
     /// # Errors
     ///
-    /// Bytes that no [`Registers::snapshot`] can have given.
+    /// [`InvalidSnapshot`] if [`Registers::snapshot`] cannot have produced the bytes.
     pub fn load(bytes: &[u8]) -> Result<Self, InvalidSnapshot> {
         if bytes.len() > MAX_SNAPSHOT_BYTES {
             return Err(InvalidSnapshot);
@@ -266,7 +270,7 @@
         };
         new.bytes = new.registers.values().map(|r| r.body.len()).sum();
         new.outcomes = new.keys.iter().map(|(k, n, o)| (*k, (*n, *o))).collect();
-        let sound = new.registers.len() <= MAX_REGISTERS
+        let valid = new.registers.len() <= MAX_REGISTERS
             && new.bytes <= MAX_TOTAL_BYTES
             && new.registers.values().all(|r| {
                 (1..=MAX_BODY_BYTES).contains(&r.body.len()) && (1..=new.number).contains(&r.number)
@@ -282,12 +286,12 @@
             })
             && new.log_id != 0
             && (new.number > 0 || new.hash == ZERO_HASH);
-        // Written again it has to be the same: no second form of one state.
-        if sound && new.snapshot() == bytes { Ok(new) } else { Err(InvalidSnapshot) }
+        // Serializing again must give the same bytes: each state has exactly one form.
+        if valid && new.snapshot() == bytes { Ok(new) } else { Err(InvalidSnapshot) }
     }
 }
 
-/// The first eight bytes of a hash: enough to tell that two differ.
+/// The first eight bytes of a hash, enough to detect that two hashes differ.
 #[must_use]
 pub fn hash_prefix(hash: &Hash) -> u64 {
     hash.iter().take(8).fold(0, |sum, b| sum << 8 | u64::from(*b))
@@ -311,19 +315,19 @@
     }
 
     #[test]
-    fn a_command_applies_to_what_it_expects_and_counts_once() {
-        let mut r = Registers::genesis(&voters()).expect("sound");
+    fn a_command_applies_to_the_expected_version_and_once() {
+        let mut r = Registers::genesis(&voters()).expect("valid voters");
         assert_eq!(r.apply(put(1, 0, 0, b"a")).1, Outcome::Applied);
         let conflict = Outcome::Conflict { current: 1, author: 7, key: Key(1) };
         assert_eq!(r.apply(put(2, 0, 0, b"b")).1, conflict);
         assert_eq!(r.apply(put(3, 0, 1, b"c")).1, Outcome::Applied);
-        // Again: the first outcome, though it would be another now.
+        // Repeated commands get their first outcome, although a new one would get another now.
         assert_eq!(
             (r.apply(put(1, 0, 0, b"a")).1, r.apply(put(2, 0, 0, b"b")).1),
             (Outcome::Applied, conflict)
         );
         assert_eq!(
-            (r.number(), r.get(Subject { space: 1, number: 0 }).expect("set").body.as_slice()),
+            (r.number(), r.get(Subject { space: 1, number: 0 }).expect("not empty").body.as_slice()),
             (5, &b"c"[..])
         );
         assert_eq!(r.apply(put(4, 0, 3, b"")).1, Outcome::Applied);
@@ -333,7 +337,7 @@
 
     #[test]
     fn registers_bytes_and_keys_are_bounded_and_a_full_snapshot_loads() {
-        let mut r = Registers::genesis(&voters()).expect("sound");
+        let mut r = Registers::genesis(&voters()).expect("valid voters");
         let body = vec![9; MAX_BODY_BYTES];
         for n in 0..(MAX_TOTAL_BYTES / MAX_BODY_BYTES) as u64 {
             assert_eq!(r.apply(put(u128::MAX - u128::from(n), n, 0, &body)).1, Outcome::Applied);
@@ -351,14 +355,18 @@
 
     #[test]
     fn voters_change_from_their_own_configuration_only() {
-        let mut r = Registers::genesis(&voters()).expect("sound");
+        let mut r = Registers::genesis(&voters()).expect("valid voters");
         let change = |key, expects, voters: &[VoterId]| Command {
             key: Key(key),
             author: 1,
             operation: Operation::Voters { expects, voters: voters.to_vec() },
         };
         assert_eq!(r.apply(change(1, 1, &voters())).1, Outcome::Reconfigured(2));
-        assert_eq!((r.voters_since(), r.config().expect("there").first), (1, 2), "folded: the same voters");
+        assert_eq!(
+            (r.voters_since(), r.config().expect("a configuration").first),
+            (1, 2),
+            "compaction keeps the voters"
+        );
         assert_eq!(r.apply(change(2, 1, &voters())).1, Outcome::Stale(2));
         assert_eq!(r.apply(change(3, 2, &[])).1, Outcome::Invalid);
         assert_eq!(r.apply(change(4, 2, &voters()[..1])).1, Outcome::Reconfigured(3));
@@ -367,7 +375,7 @@
 
     #[test]
     fn hostile_snapshots_are_refused() {
-        let mut r = Registers::genesis(&voters()).expect("sound");
+        let mut r = Registers::genesis(&voters()).expect("valid voters");
         for n in 0..9 {
             r.apply(put(n, n as u64, 0, b"body"));
         }
@@ -376,14 +384,18 @@
             assert_eq!(Registers::load(&bytes[..cut]), Err(InvalidSnapshot));
         }
         assert_eq!(Registers::load(&[0xff; 4_096]), Err(InvalidSnapshot));
-        assert_eq!(Registers::load(&Registers::default().snapshot()), Err(InvalidSnapshot), "no fleet's");
+        assert_eq!(
+            Registers::load(&Registers::default().snapshot()),
+            Err(InvalidSnapshot),
+            "the state of no log"
+        );
         let mut long = bytes.clone();
         long.push(0);
         assert_eq!(Registers::load(&long), Err(InvalidSnapshot));
         for at in 0..bytes.len() {
             let mut other = bytes.clone();
             other[at] ^= 0x55;
-            // It may load as another sound state, never as one that breaks a bound.
+            // It may load as another valid state, but never as one that exceeds a limit.
             if let Ok(other) = Registers::load(&other) {
                 assert!(other.registers.len() <= MAX_REGISTERS && other.bytes <= MAX_TOTAL_BYTES);
             }
