--- a/crates/agreement/src/store.rs
+++ b/crates/agreement/src/store.rs
@@ -1,5 +1,6 @@
-//! The store of a voter: who it is, what it promised and accepted, and what its configuration began from. On `redb`;
-//! each write is one transaction that is on the disk when the call returns. Nothing else of this crate does I/O.
+//! The persistent store of a voter, on `redb`: its id, its promised and accepted log, and the snapshot that its
+//! configuration started from. Each write is one transaction that is synced to the disk when the call returns. No other
+//! module of this crate does I/O.
 
 use crate::types::{Command, Config};
 use redb::{Database, DatabaseError, Durability, ReadableTable, TableDefinition};
@@ -10,80 +11,81 @@
 
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-/// What is under `format`: another one is another program's, or a later form.
+/// Value of the record `format`. Any other value means another program's file or a later format.
 const FORMAT: &[u8] = b"pepperhook agreement 1";
 
-/// A part of a write.
+/// One change within a write.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreOp {
-    /// A configuration begins behind a snapshot; promise, accepted round, decided index and log of the one before go.
+    /// Starts a configuration from a snapshot; the promise, accepted ballot, decided index and log of the former one are
+    /// deleted.
     Begin {
         /// The configuration.
         config: Config,
-        /// The registers' bytes.
+        /// The serialized registers.
         snapshot: Vec<u8>,
     },
-    /// The round that was promised, as [`StoredLog::promise`].
+    /// The promised ballot, as [`StoredLog::promise`].
     Promise(Vec<u8>),
-    /// The round of the last accepted entry, as [`StoredLog::accepted`].
+    /// The ballot of the last accepted entry, as [`StoredLog::accepted`].
     Accepted(Vec<u8>),
-    /// Entries that are known to be decided.
+    /// Number of entries that are known to be decided.
     Decided(u64),
-    /// The log from this index on; what was there and after goes.
+    /// Replaces the log from this index to its end.
     Log {
-        /// From 0 in the configuration.
+        /// Index of the first command, from 0 in the configuration.
         from: u64,
-        /// What is there now.
+        /// The new commands.
         commands: Vec<Command>,
     },
 }
 
-/// What a voter goes on from.
+/// A voter's log as stored, to continue from.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredLog {
-    /// Openings of the store, this one included. Who begins a configuration with an empty log takes it over from
-    /// [`StoredState::boots`].
+    /// How often the store was opened, this opening included. For a configuration that starts with an empty log it is
+    /// copied from [`StoredState::boots`].
     pub boots: u64,
-    /// The promised round, in a form of the voter's; empty if there is none.
+    /// The promised ballot, serialized by the voter; empty if there is none.
     pub promise: Vec<u8>,
-    /// The accepted round, likewise.
+    /// The accepted ballot, likewise.
     pub accepted: Vec<u8>,
-    /// Entries that are known to be decided.
+    /// Number of entries that are known to be decided.
     pub decided: u64,
-    /// Accepted entries, from index 0.
+    /// The commands of the accepted entries, from index 0.
     pub commands: Vec<Command>,
 }
 
-/// What a store holds.
+/// Content of a store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredState {
-    /// The number that was drawn when it was made.
+    /// Id of the store, drawn when it was created.
     pub store: u64,
-    /// Openings, this one included.
+    /// How often the store was opened, this opening included.
     pub boots: u64,
-    /// The configuration that this voter is in, if one has begun.
+    /// The configuration that this voter takes part in, if one has started.
     pub config: Option<Config>,
-    /// The registers before its first entry.
+    /// The serialized registers before the configuration's first entry.
     pub snapshot: Vec<u8>,
-    /// The log of it.
+    /// The configuration's log.
     pub log: StoredLog,
 }
 
 /// Why a store cannot be opened or written.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// Another process has it, or this one.
-    #[error("the store is in use")]
+    /// Another process, or this one, has it open.
+    #[error("the store is already open in this or another process")]
     InUse,
-    /// The file is not a store of this form, is torn, or contradicts itself. To go on, put it out of the way: the
-    /// front is then another voter.
-    #[error("not a store, or a torn one: {0}")]
+    /// The file is not a store of this format, is damaged, or contradicts itself. To continue, move the file away and
+    /// create a new store; the front is then a different voter.
+    #[error("the file is not a valid agreement store: {0}")]
     Invalid(String),
-    /// The disk refused. What is on it is not known until it is opened again.
-    #[error("the store cannot be written or read: {0}")]
+    /// Reading or writing failed. The state on the disk is unknown until the store is opened again.
+    #[error("reading or writing the agreement store failed: {0}")]
     Io(String),
-    /// A draw of 0.
-    #[error("a store's number cannot be 0")]
+    /// The id for a new store is 0, which means no store.
+    #[error("the id of a store must not be 0")]
     ZeroId,
 }
 
@@ -138,17 +140,17 @@
     }
 }
 
-/// The store of one voter; held open, and locked, while it lives.
+/// The open store of one voter. The file stays locked until the value is dropped.
 pub struct Store {
     database: Database,
 }
 
 impl Store {
-    /// Opens the store at `path`, or makes one numbered `id` if nothing is there. Counts and syncs the opening.
+    /// Opens the store at `path`, or creates one with this id if there is no file. Increments and syncs its opening count.
     ///
     /// # Errors
     ///
-    /// [`StoreError`]; a file that is there is never replaced.
+    /// [`StoreError`]; an existing file is never replaced.
     pub fn open(path: &Path, id: u64) -> Result<(Self, StoredState), StoreError> {
         if id == 0 {
             return Err(StoreError::ZeroId);
@@ -156,44 +158,44 @@
         if !path.try_exists()? {
             create(path, id)?;
         }
-        // redb asserts on some files that are not its own.
+        // redb panics on some files that are not databases.
         let opened = catch_unwind(AssertUnwindSafe(|| {
             let mut database = Database::open(path)?;
             if !database.check_integrity()? {
                 return Err(StoreError::Invalid("damaged".into()));
             }
-            let kept = open_and_count(&database)?;
-            Ok((Self { database }, kept))
+            let stored = open_and_count(&database)?;
+            Ok((Self { database }, stored))
         }));
         opened.unwrap_or_else(|_| Err(StoreError::Invalid("unreadable".into())))
     }
 
-    /// Writes all or nothing, and returns when it is on the disk. After an error the store is to be written no more:
-    /// whether this write is there shows when it is opened again.
+    /// Writes the changes atomically and returns once they are synced. After an error the store must not be written
+    /// again: whether this write took effect is unknown until the store is reopened.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Io`] if the disk refused.
+    /// [`StoreError::Io`] if the write failed.
     pub fn write(&self, ops: &[StoreOp]) -> Result<(), StoreError> {
         let written = catch_unwind(AssertUnwindSafe(|| {
             transact(&self.database, |meta, log| ops.iter().try_for_each(|op| apply(op, meta, log)))
         }));
-        written.unwrap_or_else(|_| Err(StoreError::Io("the store broke".into())))
+        written.unwrap_or_else(|_| Err(StoreError::Io("the database panicked during a write".into())))
     }
 }
 
 type Meta<'a> = redb::Table<'a, &'static str, &'static [u8]>;
 type Log<'a> = redb::Table<'a, u64, &'static [u8]>;
 
-/// One synced transaction.
+/// Runs `f` in one synced transaction.
 fn transact<R>(
     database: &Database,
     f: impl FnOnce(&mut Meta<'_>, &mut Log<'_>) -> Result<R, StoreError>,
 ) -> Result<R, StoreError> {
     let mut transaction = database.begin_write()?;
     transaction.set_durability(Durability::Immediate);
-    // Without it, a damaged last commit is taken for one that was never finished and the one before is gone by: a
-    // promise would be forgotten without a word.
+    // Without two-phase commit, redb takes a damaged last commit for an unfinished one and silently uses the commit before
+    // it. A promise would be lost.
     transaction.set_two_phase_commit(true);
     let answer = {
         let mut meta = transaction.open_table(META)?;
@@ -206,12 +208,12 @@
     Ok(answer)
 }
 
-/// Where tests stop a write, or make it fail.
+/// Lets tests abort the process or fail the write at this point.
 #[cfg(feature = "failpoints")]
 fn failpoint(name: &str) -> Result<(), StoreError> {
     fail::fail_point!(name, |what| match what.as_deref() {
         Some("abort") => std::process::abort(),
-        _ => Err(StoreError::Io("refused by a failpoint".into())),
+        _ => Err(StoreError::Io("write failed by a failpoint".into())),
     });
     Ok(())
 }
@@ -232,8 +234,8 @@
             meta.insert("config", encode(config)?.as_slice())?;
             meta.insert("snapshot", snapshot.as_slice())?;
         }
-        StoreOp::Promise(round) => drop(meta.insert("promise", round.as_slice())?),
-        StoreOp::Accepted(round) => drop(meta.insert("accepted", round.as_slice())?),
+        StoreOp::Promise(ballot) => drop(meta.insert("promise", ballot.as_slice())?),
+        StoreOp::Accepted(ballot) => drop(meta.insert("accepted", ballot.as_slice())?),
         StoreOp::Decided(count) => drop(meta.insert("decided", count.to_be_bytes().as_slice())?),
         StoreOp::Log { from, commands } => {
             log.retain_in(*from.., |_, _| false)?;
@@ -245,24 +247,26 @@
     Ok(())
 }
 
-fn encode<T: serde::Serialize>(what: &T) -> Result<Vec<u8>, StoreError> {
-    postcard::to_stdvec(what).map_err(|e| StoreError::Io(e.to_string()))
+fn encode<T: serde::Serialize>(value: &T) -> Result<Vec<u8>, StoreError> {
+    postcard::to_stdvec(value).map_err(|e| StoreError::Io(e.to_string()))
 }
 
-/// Makes a store beside `path` and puts it there whole: a file at `path` that is not a store was never one of ours
-/// half made.
+/// Creates a store under a temporary name beside `path` and renames it when it is complete, so `path` never has an
+/// incomplete store.
 fn create(path: &Path, id: u64) -> Result<(), StoreError> {
-    let beside: PathBuf = {
-        let mut name =
-            path.file_name().ok_or_else(|| StoreError::Io("a path without a name".into()))?.to_owned();
+    let temporary: PathBuf = {
+        let mut name = path
+            .file_name()
+            .ok_or_else(|| StoreError::Io(format!("the path {} has no file name", path.display())))?
+            .to_owned();
         name.push(".new");
         path.with_file_name(name)
     };
-    match fs::remove_file(&beside) {
+    match fs::remove_file(&temporary) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e.into()),
         _ => {}
     }
-    let database = Database::create(&beside)?;
+    let database = Database::create(&temporary)?;
     transact(&database, |meta, _| {
         meta.insert("format", FORMAT)?;
         meta.insert("store", id.to_be_bytes().as_slice())?;
@@ -270,8 +274,8 @@
         Ok(())
     })?;
     drop(database);
-    fs::File::open(&beside)?.sync_all()?;
-    fs::rename(&beside, path)?;
+    fs::File::open(&temporary)?.sync_all()?;
+    fs::rename(&temporary, path)?;
     if let Some(parent) = path.parent() {
         let parent = if parent.as_os_str().is_empty() { Path::new(".") } else { parent };
         fs::File::open(parent)?.sync_all()?;
@@ -279,10 +283,10 @@
     Ok(())
 }
 
-/// Counts the opening and reads what is there, in one transaction.
+/// Increments the opening count and reads the content, in one transaction.
 fn open_and_count(database: &Database) -> Result<StoredState, StoreError> {
     transact(database, |meta, log| {
-        let invalid = |what: &str| StoreError::Invalid(what.into());
+        let invalid = |name: &str| StoreError::Invalid(format!("record `{name}` is missing or malformed"));
         let blob = |name: &str| -> Result<Option<Vec<u8>>, StoreError> {
             Ok(meta.get(name)?.map(|v| v.value().to_vec()))
         };
@@ -290,7 +294,7 @@
             blob(name)?.map(|b| b.try_into().map(u64::from_be_bytes).map_err(|_| invalid(name))).transpose()
         };
         if blob("format")?.as_deref() != Some(FORMAT) {
-            return Err(invalid("another format"));
+            return Err(StoreError::Invalid("record `format` has another value than this version's".into()));
         }
         let store = number("store")?.filter(|&n| n != 0).ok_or_else(|| invalid("store"))?;
         let boots = number("boots")?.and_then(|n| n.checked_add(1)).ok_or_else(|| invalid("boots"))?;
@@ -300,15 +304,21 @@
         for (index, entry) in log.iter()?.enumerate() {
             let (at, value) = entry?;
             if at.value() != index as u64 {
-                return Err(invalid("a log with a gap"));
+                return Err(StoreError::Invalid(format!(
+                    "the log has a gap: entry {} where {index} should be",
+                    at.value()
+                )));
             }
             commands.push(postcard::from_bytes(value.value()).map_err(|_| invalid("log"))?);
         }
         let decided = number("decided")?.unwrap_or(0);
         if decided > commands.len() as u64 {
-            return Err(invalid("more decided than is there"));
+            return Err(StoreError::Invalid(format!(
+                "record `decided` is {decided}, but the log has only {} entries",
+                commands.len()
+            )));
         }
-        let kept = StoredState {
+        let stored = StoredState {
             store,
             boots,
             config,
@@ -322,7 +332,7 @@
             },
         };
         meta.insert("boots", boots.to_be_bytes().as_slice())?;
-        Ok(kept)
+        Ok(stored)
     })
 }
 
--- a/crates/agreement/src/store/tests.rs
+++ b/crates/agreement/src/store/tests.rs
@@ -1,5 +1,5 @@
-//! The store on a disk that loses power at any of its writes: what was not synced is there in part, torn, or not at
-//! all.
+//! Guards against stores that are lost or inconsistent after a power failure. A simulated disk loses power at each write
+//! in turn; unsynced writes survive completely, partly or not at all.
 
 use super::*;
 use crate::types::{Key, Operation, Subject};
@@ -9,13 +9,13 @@
 
 #[derive(Debug, Default)]
 struct DiskState {
-    /// As synced.
+    /// Content as of the last sync.
     synced: Vec<u8>,
-    /// As the program sees it.
+    /// Content that the program reads.
     visible: Vec<u8>,
-    /// Since the last sync: offset and bytes; a new length as `None`.
+    /// Writes since the last sync: offset and bytes, or the new length and `None`.
     unsynced: Vec<(u64, Option<Vec<u8>>)>,
-    /// Writes until power fails.
+    /// Number of writes until the power fails.
     writes_left: Option<u64>,
 }
 
@@ -27,12 +27,12 @@
         Ok(())
     }
 
-    /// What is there after power failed: of each loose write, all, some, or nothing, whatever came of those before.
+    /// The content after a power failure: of each unsynced write all, some or none of the sectors, independently.
     fn after_power_loss(&self, rng: &mut StdRng) -> Vec<u8> {
         let mut bytes = self.synced.clone();
-        for (offset, what) in &self.unsynced {
+        for (offset, data) in &self.unsynced {
             let at = usize::try_from(*offset).expect("small");
-            match what {
+            match data {
                 None => bytes.resize(at.max(bytes.len()), 0),
                 Some(data) => {
                     let sectors = data.len().div_ceil(512);
@@ -113,7 +113,7 @@
 fn open(disk: &Disk) -> (Store, StoredState) {
     let mut database =
         redb::Builder::new().create_with_backend(disk.clone()).expect("opens after power failed");
-    assert!(database.check_integrity().expect("sound"), "it had to be mended");
+    assert!(database.check_integrity().expect("sound"), "the database needed a repair");
     let kept = open_and_count(&database).expect("reads");
     (Store { database }, kept)
 }
@@ -126,8 +126,8 @@
     vec![StoreOp::Promise(n.to_be_bytes().to_vec()), StoreOp::Log { from, commands: vec![command] }]
 }
 
-/// Power fails at each write of a few transactions in turn: the store opens, with the last one that was confirmed, or
-/// with the one that was under way, and with nothing in between.
+/// The power fails at each write of a few transactions in turn. Afterwards the store opens with the last confirmed
+/// transaction or the one in progress, never with something in between.
 #[test]
 fn power_may_fail_at_any_write() {
     let disk = Disk::default();
@@ -149,7 +149,7 @@
     }
     let whole = disk.lock().visible.clone();
     let (mut before, mut under_way, mut done) = (0, 0, false);
-    // Each write with two draws of what is left of the loose ones.
+    // Each write is tried with two random selections of surviving writes.
     let mut turn = 0;
     while !done {
         let mut rng = StdRng::seed_from_u64(turn);
--- a/crates/agreement/src/voter.rs
+++ b/crates/agreement/src/voter.rs
@@ -1,20 +1,22 @@
-//! One voter in one configuration, around omnipaxos. Without I/O: ticks, messages and the disk's answers are handed
-//! in.
+//! One voter in one configuration, built around omnipaxos. It does no I/O: ticks, messages and the results of disk writes
+//! are passed in.
 //!
-//! - **Nothing is said before it is synced.** Whatever comes up in a step waits for the step's own write and all
-//!   before it. Heartbeats alone do not wait: a ballot in them makes a voter choose a higher one of its own and no
-//!   more, and its own it has synced before it asks for promises. A voter whose disk has not answered for
-//!   [`DISK_TIMEOUT_TICKS`] ticks falls silent altogether, so that another leads.
-//! - **Order.** omnipaxos takes links for ordered and free of doubles: a doubled old `AcceptSync` would take entries
-//!   out of a log that were counted as accepted. Each message therefore bears the lives (boots) of both ends and a
-//!   number; what is older than the last one, or meant for an earlier life of its receiver, is refused.
-//! - **Loss.** omnipaxos sends again what prepares a round, not what is lost within it. Each message says how far its
-//!   sender is; a follower that is behind, or sees its leader's entries undecided, with nothing moving for
-//!   [`RESEND_TICKS`], asks to be synchronized anew.
-//! - **Left out.** A voter that promised a higher ballot of someone who is gone (itself before a restart, say) takes
-//!   nothing from a leader that others follow, and the leader has no cause of its own to rise. After [`UNREACHED_BALLOT_TICKS`]
-//!   ticks it does.
-//! - A configuration of one voter, which omnipaxos does not take, is its log alone: written is decided.
+//! - **Sync before send.** Everything that a step produces waits until the step's own write and all earlier ones are
+//!   synced. Only heartbeats do not wait. The ballot in a heartbeat can at most make the receiver choose a higher ballot
+//!   of its own, which it syncs before it requests promises. A voter whose disk has not completed a write for
+//!   [`DISK_TIMEOUT_TICKS`] ticks sends nothing at all, so that another voter becomes the leader.
+//! - **Order.** omnipaxos assumes ordered links without duplicates: a duplicate of an old `AcceptSync` would remove
+//!   entries from a log that were already counted as accepted. Each message therefore carries the incarnations (`boots`)
+//!   of both ends and a sequence number. A message that is not newer than the last one, or is meant for an earlier
+//!   incarnation of its receiver, is refused.
+//! - **Loss.** omnipaxos resends the messages that prepare a ballot, but not those lost within it. Each message carries
+//!   its sender's progress. A follower that is behind, or that sees undecided entries at its leader, asks to be
+//!   synchronized again if nothing has changed for [`RESEND_TICKS`] ticks.
+//! - **Excluded voters.** A voter that promised a higher ballot of a voter that is gone (of itself before a restart, for
+//!   example) accepts nothing from the leader that the others follow, and that leader has no other reason to choose a
+//!   higher ballot. It chooses one after [`UNREACHED_BALLOT_TICKS`] ticks.
+//! - **Single voter.** omnipaxos does not support a configuration of one voter. There the log alone is used: an entry is
+//!   decided once it is written.
 
 use crate::journal::{Journal, SharedJournal, message_bytes};
 use crate::store::{StoreOp, StoredLog};
@@ -29,131 +31,143 @@
 
 mod validate;
 
-/// Ticks of a round of heartbeats: a leader that is silent for one to two of them is replaced. At a tick of 50 ms,
-/// 250 ms.
+/// Length of a heartbeat round, in ticks: a leader that is silent for one to two rounds is replaced. 250 ms at a tick of
+/// 50 ms.
 pub const ELECTION_TICKS: u64 = 5;
-/// Ticks after which what was not answered is sent again, and a follower that is behind asks anew. 500 ms.
+/// Ticks after which an unanswered message is resent, and a follower without progress asks to be synchronized again.
+/// 500 ms at a tick of 50 ms.
 pub const RESEND_TICKS: u64 = 10;
-/// Ticks that a voter may be out of reach of its leader's ballot before the leader takes a higher one. 2 s.
+/// Ticks that a voter may stay with a higher ballot than its leader's before the leader chooses a higher one. 2 s at a
+/// tick of 50 ms.
 pub const UNREACHED_BALLOT_TICKS: u64 = 40;
-/// Ticks that the disk may take for a write before the voter falls silent until it answers. 2 s.
+/// Ticks that a disk write may take before the voter stops sending until the write completes. 2 s at a tick of 50 ms.
 pub const DISK_TIMEOUT_TICKS: u64 = 40;
-/// Bytes of log from which on no [`Operation::Put`] is taken: the log is to be folded by then. A follower that has none of
-/// it is sent all of it in one message.
+/// Maximum size of the log for a new [`Operation::Put`], in bytes; the log should be compacted before. A follower without
+/// any entries receives the whole log in one message.
 pub const MAX_LOG_BYTES: usize = 256 * 1024;
-/// Bytes of a message between voters at most.
+/// Maximum size of a message between voters, in bytes.
 pub const MAX_VOTER_MESSAGE_BYTES: usize = MAX_LOG_BYTES + 128 * 1024;
-/// Room beyond [`MAX_LOG_BYTES`] for [`Operation::Voters`], so that a full log can still be folded.
+/// Bytes beyond [`MAX_LOG_BYTES`] that are reserved for [`Operation::Voters`], so that a full log can still be compacted.
 const COMPACTION_RESERVE_BYTES: usize = 32 * 1024;
-/// Entries that a leader may have undecided; beyond, it takes no more.
+/// Maximum number of undecided entries at a leader; it accepts no further command beyond that.
 const MAX_UNDECIDED: usize = 64;
-/// Messages that wait for the disk at most. Those beyond are lost, as any message may be.
+/// Maximum number of messages that wait for the disk. Further ones are dropped, which is safe because any message may be
+/// lost.
 const MAX_DEFERRED_MESSAGES: usize = 64;
 
-/// What comes out of a voter.
+/// Output of a voter.
 #[derive(Clone, Debug, PartialEq)]
 pub enum VoterOutput {
-    /// To be written as one synced transaction, in order of batches; answered by [`Voter::written`].
+    /// Changes to write as one synced transaction, in order of batches. Their completion is reported by
+    /// [`Voter::written`].
     Write {
-        /// Counts up from 1.
+        /// Batch number, ascending from 1.
         batch: u64,
-        /// What to write.
+        /// The changes.
         ops: Vec<StoreOp>,
     },
-    /// To be sent. May be lost.
+    /// A message to send. It may be lost.
     Send {
-        /// To whom.
+        /// The receiver.
         to: VoterId,
-        /// For its [`Voter::receive`].
+        /// Input for the receiver's [`Voter::receive`].
         message: Vec<u8>,
     },
-    /// Decided: of each index once, in order, from index 0 in each life.
+    /// A decided entry. Entries are reported in order, each once in an incarnation, starting from index 0.
     Decided {
-        /// From 0 in this configuration.
+        /// Index in this configuration, from 0.
         index: u64,
-        /// What was decided.
+        /// The decided command.
         command: Command,
     },
 }
 
-/// Why a voter cannot be made.
+/// Why a voter cannot be created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum VoterError {
     /// It is not in the configuration.
-    #[error("not a voter of this configuration")]
+    #[error("this front with this store is not among the voters of the configuration")]
     NotAVoter,
-    /// The configuration's number is 0, or its voters are none, too many, or not ascending.
-    #[error("a configuration that cannot be")]
+    /// The configuration's number is 0, or its list of voters is empty, too long, or not in ascending order.
+    #[error(
+        "invalid configuration: it needs a number from 1 and 1 to {} voters in ascending order",
+        MAX_VOTERS
+    )]
     InvalidConfig,
-    /// What was kept cannot be read, contradicts itself or is of another configuration.
-    #[error("a kept log that cannot be")]
+    /// The stored log cannot be parsed, contradicts itself or belongs to another configuration.
+    #[error("the stored log is malformed, inconsistent or of another configuration")]
     InvalidLog,
     /// [`StoredLog::boots`] is 0.
-    #[error("boots of the store are missing")]
+    #[error("the opening count (boots) of the store is 0; it must be at least 1")]
     MissingBoots,
 }
 
-/// Why a message was not taken.
+/// Why a message was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReceiveError {
-    /// It is of another configuration, which may bear the same number. Whoever is behind is to learn.
-    #[error("of configuration {number}")]
+    /// It belongs to another configuration, which may have the same number. The end that is behind has to catch up.
+    #[error("the message belongs to another configuration, with number {number}")]
     OtherConfig {
-        /// The sender's.
+        /// Number of the sender's configuration.
         number: u32,
     },
     /// Longer than [`MAX_VOTER_MESSAGE_BYTES`].
-    #[error("too long")]
+    #[error("the message is longer than {} bytes", MAX_VOTER_MESSAGE_BYTES)]
     TooLong,
-    /// Not a message.
+    /// The bytes are not a message.
     #[error("malformed")]
     Malformed,
     /// The sender is not in the configuration, or is this voter.
-    #[error("not from another voter")]
+    #[error("the sender is not another voter of this configuration")]
     NotAPeer,
-    /// A double, overtaken by a later one, or of or for an earlier life.
-    #[error("old")]
+    /// A duplicate, overtaken by a later message, or from or for an earlier incarnation.
+    #[error("old message: a duplicate, overtaken by a later one, or of an earlier incarnation")]
     Outdated,
-    /// Nothing that a voter would send.
-    #[error("out of bounds")]
+    /// The content is not one that a correct voter sends.
+    #[error("the content of the message is out of bounds")]
     Invalid,
-    /// A proposal for the leader, which this voter is not.
-    #[error("not the leader")]
+    /// A proposal, but this voter is not the leader.
+    #[error("a proposal for the leader, but this voter is not the leader")]
     NotLeader,
-    /// A proposal, and too much is undecided or the log is to be folded first.
-    #[error("full")]
+    /// A proposal, but too many entries are undecided or the log must be compacted first.
+    #[error(
+        "full: more than {} entries would be undecided, or the log must be compacted first",
+        MAX_UNDECIDED
+    )]
     Overloaded,
     /// This voter has stopped.
     #[error("stopped")]
-    StopReason,
+    Stopped,
 }
 
 /// Why a voter has stopped for good.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
-    /// The disk refused a write: what it has is not known.
+    /// A disk write failed, so the state on the disk is unknown.
     WriteFailed,
-    /// The disk's answers came out of order.
+    /// The completions of disk writes came out of order.
     WriteOrder,
-    /// More is said to be decided than is there, or less than was: some voter says what is not so.
+    /// The decided index is beyond the end of the log or has decreased: a voter reported something wrong.
     Inconsistent,
-    /// omnipaxos panicked. What it holds is not known to be sound.
+    /// omnipaxos panicked, so its state may be corrupt.
     Panicked,
 }
 
-/// Before each message. The digest tells apart configurations that bear the same number.
+/// Header of each message. The digest distinguishes configurations with the same number.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 struct Head {
     number: u32,
     digest: [u8; 8],
-    /// Life of the sender.
+    /// Incarnation of the sender.
     boots: u64,
-    /// Life of the receiver as the sender knows it, 0 if it does not.
+    /// Incarnation of the receiver as the sender knows it, 0 if unknown.
     to_boots: u64,
-    /// Counts in each of the two lanes (heartbeats and the rest) of one life towards one receiver.
+    /// Sequence number, counted for each receiver and each of the two lanes (heartbeats and all other messages) within one
+    /// incarnation of the sender.
     sequence: u64,
-    /// How far the sender is, as synced: a hint for who is behind.
+    /// The sender's synced decided index, for a receiver that is behind.
     decided: u64,
+    /// The sender's synced log length, for a receiver that is behind.
     accepted: u64,
 }
 
@@ -161,27 +175,28 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Peer {
     boots: u64,
-    /// Last numbers that came from it and went to it, by lane.
+    /// Last sequence number received from it, by lane.
     received: [u64; 2],
+    /// Last sequence number sent to it, by lane.
     sent: [u64; 2],
-    /// Round of heartbeats that it has answered: one answer counts once.
+    /// The last heartbeat round that it answered; an answer counts once.
     round: u32,
     decided: u64,
     accepted: u64,
-    /// The ballot that it holds to although nobody leads it, and the tick since when.
+    /// The ballot that it follows without reaching its leader, and the tick since which it does.
     unreachable_ballot: Option<(Ballot, u64)>,
 }
 
-/// What waits for the disk.
+/// Output that waits until a write is synced.
 enum Deferred {
     Send(Message<Command>),
     Decided { index: u64, command: Command },
 }
 
-/// A write that the disk has not answered.
+/// A write that the disk has not completed. `decided` and `accepted` are the decided index and the log length after it.
 struct PendingWrite {
     batch: u64,
-    since: u64,
+    since_tick: u64,
     decided: u64,
     accepted: u64,
 }
@@ -191,47 +206,48 @@
     config: Config,
     digest: [u8; 8],
     boots: u64,
-    /// Place in the configuration, from 1: its number in omnipaxos.
+    /// Position in the configuration, from 1, which is its node id in omnipaxos.
     me: u64,
-    /// `None` in a configuration of one.
+    /// `None` in a configuration of one voter.
     engine: Option<OmniPaxos<Command, SharedJournal>>,
     journal: SharedJournal,
     peers: Vec<Peer>,
     ticks: u64,
-    /// Ticks before the first election, drawn, so that voters started together do not all stand at once.
+    /// Random delay before the first election, so that voters that start together do not all become candidates at once.
     start_delay_ticks: u64,
     last_batch: u64,
     synced_batch: u64,
     pending_writes: VecDeque<PendingWrite>,
+    /// Output that waits for the disk, each with the batch that must be synced first.
     deferred: VecDeque<(u64, Deferred)>,
-    /// Decided ones that have come up.
+    /// Number of decided entries that were moved to `deferred`.
     delivered: u64,
-    /// As synced: decided, length of the log.
+    /// Synced decided index and log length.
     synced: (u64, u64),
-    /// What the follower last saw of itself and its leader, and for how many ticks.
+    /// The progress of this follower and its leader when last checked, and for how many ticks it is unchanged.
     stalled: ([u64; 4], u64),
     stopped: Option<StopReason>,
 }
 
 impl Voter {
-    /// A voter that goes on from `kept`. One is made for a configuration in one opening of the store, not more:
-    /// messages are ordered by [`StoredLog::boots`]. What was decided comes out again from index 0. `seed` sets the
-    /// tick of its first election apart from others'.
+    /// A voter that continues from `stored`. At most one may be created for a configuration in one opening of the store,
+    /// because messages are ordered by [`StoredLog::boots`]. Decided entries are reported again from index 0. `seed`
+    /// varies the tick of the first election between voters.
     ///
     /// # Errors
     ///
-    /// [`VoterError`] if it has no place in the configuration, or what was kept cannot be.
-    pub fn new(me: VoterId, config: Config, kept: StoredLog, seed: u64) -> Result<Self, VoterError> {
+    /// [`VoterError`] if it is not in the configuration, or the configuration or the stored log is invalid.
+    pub fn new(me: VoterId, config: Config, stored: StoredLog, seed: u64) -> Result<Self, VoterError> {
         let ascending = config.voters.windows(2).all(|w| w[0] < w[1]);
         if config.number == 0 || config.voters.len() > MAX_VOTERS || config.voters.is_empty() || !ascending {
             return Err(VoterError::InvalidConfig);
         }
         let position = config.voters.iter().position(|&v| v == me).ok_or(VoterError::NotAVoter)? as u64 + 1;
-        let boots = kept.boots;
+        let boots = stored.boots;
         if boots == 0 {
             return Err(VoterError::MissingBoots);
         }
-        let journal = Journal::from_store(kept).ok_or(VoterError::InvalidLog)?;
+        let journal = Journal::from_store(stored).ok_or(VoterError::InvalidLog)?;
         let count = config.voters.len() as u64;
         if !journal.ballots().all(|b| validate::is_valid_ballot(b, config.number, count)) {
             return Err(VoterError::InvalidLog);
@@ -253,10 +269,10 @@
                 buffer_size: 64,
                 ..ServerConfig::default()
             };
-            // With a promise in its storage it takes itself for recovered and asks the leader to synchronize it.
+            // With a promise in its storage, omnipaxos assumes a recovery and asks the leader to synchronize it.
             Some(cluster.build_for_server(server, journal.clone()).map_err(|_| VoterError::InvalidConfig)?)
         };
-        // A configuration can always be written.
+        // Serializing a configuration cannot fail.
         let hash = Sha256::digest(postcard::to_stdvec(&config).unwrap_or_default());
         let mut digest = [0; 8];
         digest.copy_from_slice(&hash[..8]);
@@ -281,7 +297,7 @@
         })
     }
 
-    /// To be called each 50 ms or so.
+    /// Advances time by one tick; to be called about every 50 ms.
     pub fn tick(&mut self) {
         self.ticks += 1;
         if self.ticks <= self.start_delay_ticks {
@@ -292,14 +308,14 @@
         self.raise_ballot_if_unreached();
     }
 
-    /// Takes a message that `from` has said. Bounded in memory and time, and never a panic, whatever the bytes.
+    /// Processes a message from `from`. For any bytes, memory and time are bounded and it does not panic.
     ///
     /// # Errors
     ///
-    /// [`ReceiveError`]; nothing has changed then.
+    /// [`ReceiveError`] if the message is refused; nothing has changed then.
     pub fn receive(&mut self, from: VoterId, bytes: &[u8]) -> Result<(), ReceiveError> {
         if self.stopped.is_some() {
-            return Err(ReceiveError::StopReason);
+            return Err(ReceiveError::Stopped);
         }
         if bytes.len() > MAX_VOTER_MESSAGE_BYTES {
             return Err(ReceiveError::TooLong);
@@ -325,14 +341,14 @@
         if head.boots == 0 || head.boots < known.boots {
             return Err(ReceiveError::Outdated);
         }
-        // A question for a heartbeat is how voters come to know each other's lives.
+        // Voters learn each other's incarnations from heartbeat requests.
         if head.to_boots != self.boots && !validate::is_heartbeat_request(&message) {
             return Err(ReceiveError::Outdated);
         }
         let lane = lane(&message);
         let mut peer =
             if head.boots > known.boots { Peer { boots: head.boots, ..Peer::default() } } else { known };
-        // Numbers of what went to it count on: a later life of it does not mind.
+        // The sequence numbers towards the peer continue; a later incarnation of the peer accepts that.
         peer.sent = known.sent;
         if head.sequence <= peer.received[lane] {
             return Err(ReceiveError::Outdated);
@@ -347,8 +363,9 @@
         Ok(())
     }
 
-    /// Proposes: into the leader's log, or on to the leader, without a word on whether it came there. False if no
-    /// leader is known, too much is undecided, or the log is to be folded first; try again later.
+    /// Proposes a command: appends it to the log if this voter is the leader, otherwise forwards it to the leader without
+    /// confirmation. Returns false if no leader is known, too many entries are undecided, or the log must be compacted
+    /// first; the caller may retry later.
     pub fn append(&mut self, command: Command) -> bool {
         if self.stopped.is_some() || !validate::is_valid_command(&command) || !self.has_log_room(&[&command])
         {
@@ -372,7 +389,7 @@
         self.call_engine(|engine| engine.append(command).is_ok()).unwrap_or(false)
     }
 
-    /// Whom this voter follows and has been synchronized by. It may be gone already.
+    /// The leader that this voter follows and was synchronized by. It may be gone already.
     #[must_use]
     pub fn leader(&self) -> Option<VoterId> {
         if self.stopped.is_some() {
@@ -385,7 +402,7 @@
         self.config.voters.get(usize::try_from(leader).ok()?.checked_sub(1)?).copied()
     }
 
-    /// What has come up since: at most one write, then what rests on writes that are synced.
+    /// Takes the output since the last call: at most one write, then everything whose writes are synced.
     pub fn take_output(&mut self, out: &mut Vec<VoterOutput>) {
         if self.stopped.is_some() {
             return;
@@ -403,7 +420,7 @@
                 self.last_batch += 1;
                 self.pending_writes.push_back(PendingWrite {
                     batch: self.last_batch,
-                    since: self.ticks,
+                    since_tick: self.ticks,
                     decided,
                     accepted,
                 });
@@ -417,10 +434,10 @@
             }
         }
         let disk_late =
-            self.pending_writes.front().is_some_and(|f| self.ticks - f.since > DISK_TIMEOUT_TICKS);
+            self.pending_writes.front().is_some_and(|w| self.ticks - w.since_tick > DISK_TIMEOUT_TICKS);
         for message in messages {
             if disk_late {
-                // Heartbeats too: who cannot write shall not lead.
+                // Heartbeats are dropped too: a voter that cannot write must not lead.
             } else if matches!(message, Message::BLE(_)) {
                 self.send(message, out);
             } else if self.deferred.len() < MAX_DEFERRED_MESSAGES {
@@ -438,8 +455,8 @@
         }
     }
 
-    /// The disk's answer to a batch, in order of batches. After a refusal, or an answer out of order, this voter says
-    /// nothing more, for good.
+    /// Reports the completion of a batch, in order of batches. After a failure, or a completion out of order, this voter
+    /// sends nothing more for good.
     pub fn written(&mut self, batch: u64, ok: bool) {
         if self.stopped.is_some() {
             return;
@@ -455,7 +472,7 @@
         }
     }
 
-    /// Whether and why it votes no more.
+    /// Why this voter has stopped for good; `None` while it votes.
     #[must_use]
     pub fn stop_reason(&self) -> Option<StopReason> {
         self.stopped
@@ -467,39 +484,40 @@
         &self.config
     }
 
-    /// Number of its promise and length of its log, as it has them, synced or not.
+    /// Number of the promised ballot and length of the log, including what is not synced yet.
     #[must_use]
     pub fn promise_and_log_len(&self) -> (u32, u64) {
         (self.engine.as_ref().map_or(0, |e| e.get_promise().n), self.journal.lock().len() as u64)
     }
 
-    /// Bytes of its log: the node folds it well before [`MAX_LOG_BYTES`].
+    /// Upper bound for the size of the log in bytes. The node compacts it well before [`MAX_LOG_BYTES`].
     #[must_use]
     pub fn log_bytes(&self) -> usize {
         self.journal.lock().log_bytes()
     }
 
-    fn stop(&mut self, why: StopReason) {
-        self.stopped = Some(why);
+    fn stop(&mut self, reason: StopReason) {
+        self.stopped = Some(reason);
         self.engine = None;
         self.deferred.clear();
         self.pending_writes.clear();
     }
 
-    /// omnipaxos has no other answer to what it holds for impossible than to panic. Messages are checked for all that
-    /// is known to lead there; for what is not known the voter stops, and the front serves on as a learner.
+    /// Calls omnipaxos and catches panics, which are its only reaction to states that it considers impossible. Messages are
+    /// checked beforehand for everything known to cause a panic. On any other panic the voter stops, and the front
+    /// continues as a learner.
     fn call_engine<R>(&mut self, f: impl FnOnce(&mut OmniPaxos<Command, SharedJournal>) -> R) -> Option<R> {
         let engine = self.engine.as_mut()?;
         match catch_unwind(AssertUnwindSafe(|| f(engine))) {
-            Ok(answer) => {
-                let sound = {
+            Ok(result) => {
+                let consistent = {
                     let journal = self.journal.lock();
                     journal.decided() <= journal.len() && self.delivered <= journal.decided() as u64
                 };
-                if !sound {
+                if !consistent {
                     self.stop(StopReason::Inconsistent);
                 }
-                Some(answer).filter(|_| sound)
+                Some(result).filter(|_| consistent)
             }
             Err(_) => {
                 self.stop(StopReason::Panicked);
@@ -513,7 +531,7 @@
         let (Some(peer), Some(&to)) = (self.peers.get_mut(position), self.config.voters.get(position)) else {
             return;
         };
-        // Whoever does not know the receiver's life cannot say more than ask for a heartbeat.
+        // While the receiver's incarnation is unknown, only heartbeat requests can be sent.
         if peer.boots == 0 && !validate::is_heartbeat_request(&message) {
             return;
         }
@@ -535,8 +553,8 @@
         out.push(VoterOutput::Send { to, message: bytes });
     }
 
-    /// A follower that is behind its leader, or whose leader waits for someone, and nothing has moved: something was
-    /// lost.
+    /// Asks the leader for a new synchronization if this follower is behind, or the leader has undecided entries, and
+    /// nothing has changed for [`RESEND_TICKS`]: a message was lost.
     fn resync_if_stalled(&mut self) {
         let Some((leader, true)) = self.engine.as_ref().and_then(OmniPaxos::get_current_leader) else {
             return;
@@ -561,18 +579,19 @@
         }
     }
 
-    /// Rises above the ballot of a voter that this leader does not reach by its own.
+    /// Takes a higher ballot if this leader's ballot is below one that another voter has followed without a leader for
+    /// [`UNREACHED_BALLOT_TICKS`].
     fn raise_ballot_if_unreached(&mut self) {
         let Some(engine) = self.engine.as_ref() else { return };
         if engine.get_current_leader() != Some((self.me, true)) {
             return;
         }
         let (promise, now) = (engine.get_promise(), self.ticks);
-        let waits = |p: &Peer| {
+        let is_excluded = |p: &Peer| {
             p.unreachable_ballot
                 .is_some_and(|(b, since)| b > promise && now - since >= UNREACHED_BALLOT_TICKS)
         };
-        if self.peers.iter().any(waits) {
+        if self.peers.iter().any(is_excluded) {
             self.call_engine(OmniPaxos::try_become_leader);
         }
     }
@@ -585,16 +604,17 @@
     fn has_log_room(&self, commands: &[&Command]) -> bool {
         let puts = commands.iter().any(|c| matches!(c.operation, Operation::Put { .. }));
         let bytes = commands.iter().map(|c| message_bytes(c)).sum::<usize>();
-        let most = if puts { MAX_LOG_BYTES } else { MAX_LOG_BYTES + COMPACTION_RESERVE_BYTES };
-        self.log_bytes().saturating_add(bytes) <= most
+        let max_bytes = if puts { MAX_LOG_BYTES } else { MAX_LOG_BYTES + COMPACTION_RESERVE_BYTES };
+        self.log_bytes().saturating_add(bytes) <= max_bytes
     }
 }
 
+/// The lane whose sequence numbers a message uses: 0 for heartbeats, 1 for all others.
 fn lane(message: &Message<Command>) -> usize {
     usize::from(!matches!(message, Message::BLE(_)))
 }
 
-/// Whether a message of a voter is a heartbeat: those need not keep their place among the others.
+/// Whether a message of a voter is a heartbeat. Heartbeats need not keep their order relative to other messages.
 #[must_use]
 pub fn is_heartbeat(bytes: &[u8]) -> bool {
     let after_head = postcard::take_from_bytes::<Head>(bytes).map(|(_, rest)| rest);
--- a/crates/agreement/src/voter/validate.rs
+++ b/crates/agreement/src/voter/validate.rs
@@ -1,5 +1,5 @@
-//! What of a message is checked before omnipaxos sees it: all that its code indexes, adds to, subtracts from or
-//! asserts (0.2.4). It takes messages for those of its own kind.
+//! Validates messages before omnipaxos processes them. omnipaxos trusts its peers, so every value that its code (0.2.4)
+//! uses as an index, in arithmetic or in an assertion is checked here.
 
 use super::{
     Ballot, Command, MAX_BODY_BYTES, MAX_VOTER_MESSAGE_BYTES, MAX_VOTERS, Message, Operation, Peer,
@@ -9,12 +9,13 @@
 use omnipaxos::messages::sequence_paxos::{AcceptSync, PaxosMsg, Promise};
 use omnipaxos::util::SequenceNumber;
 
-/// A voter that takes over adds 1 to the highest number that it has seen.
+/// Maximum number of a ballot. A voter that takes over adds 1 to the highest number that it has seen, which must not
+/// overflow.
 const MAX_BALLOT_ROUND: u32 = u32::MAX / 2;
-/// omnipaxos adds 1 to these too.
+/// Maximum session and counter of a sequence number; omnipaxos adds 1 to these too.
 const MAX_SEQUENCE_NUMBER: u64 = u64::MAX / 2;
 
-/// A ballot that a voter of this configuration can have.
+/// Whether a voter of the configuration with this number and count of voters can have this ballot.
 pub(super) fn is_valid_ballot(ballot: &Ballot, number: u32, voters: u64) -> bool {
     ballot.config_id == number
         && ballot.n <= MAX_BALLOT_ROUND
@@ -22,7 +23,7 @@
         && (1..=voters).contains(&ballot.pid)
 }
 
-/// A command as the types bound it.
+/// Whether a command is within the limits of its type.
 pub(super) fn is_valid_command(command: &Command) -> bool {
     match &command.operation {
         Operation::Put { body, .. } => body.len() <= MAX_BODY_BYTES,
@@ -30,13 +31,13 @@
     }
 }
 
-/// A question for a heartbeat. It changes nothing in who is asked.
+/// Whether the message requests a heartbeat. Such a request changes no state of its receiver.
 pub(super) fn is_heartbeat_request(message: &Message<Command>) -> bool {
     matches!(message, Message::BLE(ble) if matches!(ble.msg, HeartbeatMsg::Request(_)))
 }
 
-fn ensure(holds: bool) -> Result<(), ReceiveError> {
-    if holds { Ok(()) } else { Err(ReceiveError::Invalid) }
+fn ensure(condition: bool) -> Result<(), ReceiveError> {
+    if condition { Ok(()) } else { Err(ReceiveError::Invalid) }
 }
 
 fn is_valid_sequence(number: &SequenceNumber) -> bool {
@@ -44,7 +45,7 @@
 }
 
 impl Voter {
-    /// Whether omnipaxos may see it. Sender and receiver agree with who sent it already.
+    /// Checks a message whose sender and receiver are already verified, and records in `peer` what a heartbeat reply says.
     pub(super) fn validate(&self, message: &Message<Command>, peer: &mut Peer) -> Result<(), ReceiveError> {
         let voters = self.config.voters.len() as u64;
         let valid = |b: &Ballot| is_valid_ballot(b, self.config.number, voters);
@@ -56,15 +57,15 @@
                     HeartbeatMsg::Request(_) => Ok(()),
                     HeartbeatMsg::Reply(reply) => {
                         ensure(valid(&reply.ballot) && reply.ballot.pid == from && valid(&reply.leader))?;
-                        // omnipaxos counts answers, not who answered.
+                        // omnipaxos counts replies without regard to who sent them.
                         if reply.round <= peer.round {
                             return Err(ReceiveError::Outdated);
                         }
                         peer.round = reply.round;
                         let since = peer
                             .unreachable_ballot
-                            .filter(|(b, _)| *b == reply.leader)
-                            .map_or(self.ticks, |(_, t)| t);
+                            .filter(|(ballot, _)| *ballot == reply.leader)
+                            .map_or(self.ticks, |(_, tick)| tick);
                         peer.unreachable_ballot = (!reply.happy).then_some((reply.leader, since));
                         Ok(())
                     }
@@ -73,11 +74,11 @@
             Message::SequencePaxos(paxos) => &paxos.msg,
         };
         let Some(engine) = &self.engine else { return Err(ReceiveError::Invalid) };
-        let is_leaders = |b: &Ballot| valid(b) && b.pid == from;
+        let is_senders = |b: &Ballot| valid(b) && b.pid == from;
         match paxos {
             PaxosMsg::PrepareReq(m) => ensure(valid_or_default(&m.n)),
             PaxosMsg::Prepare(m) => ensure(
-                is_leaders(&m.n)
+                is_senders(&m.n)
                     && valid_or_default(&m.n_accepted)
                     && m.n_accepted <= m.n
                     && m.decided_idx <= m.accepted_idx,
@@ -91,12 +92,12 @@
                 self.validate_promise(m, synchronized)
             }
             PaxosMsg::AcceptSync(m) => {
-                ensure(is_leaders(&m.n) && is_valid_sequence(&m.seq_num))?;
+                ensure(is_senders(&m.n) && is_valid_sequence(&m.seq_num))?;
                 self.validate_sync(m)
             }
             PaxosMsg::AcceptDecide(m) => {
                 ensure(
-                    is_leaders(&m.n)
+                    is_senders(&m.n)
                         && is_valid_sequence(&m.seq_num)
                         && m.entries.iter().all(is_valid_command),
                 )?;
@@ -105,15 +106,15 @@
             }
             PaxosMsg::Accepted(m) => {
                 ensure(valid(&m.n) && m.n.pid == self.me)?;
-                // A leader decides up to what a majority says it has.
+                // A leader decides up to the index that a majority reports as accepted.
                 ensure(m.n != engine.get_promise() || m.accepted_idx <= self.journal.lock().len())
             }
             PaxosMsg::NotAccepted(m) => ensure(valid(&m.n)),
-            PaxosMsg::Decide(m) => ensure(is_leaders(&m.n) && is_valid_sequence(&m.seq_num)),
+            PaxosMsg::Decide(m) => ensure(is_senders(&m.n) && is_valid_sequence(&m.seq_num)),
             PaxosMsg::ProposalForward(commands) => {
                 ensure(commands.iter().all(is_valid_command))?;
-                // Who does not lead would hand it on, and two that take each other for the leader for ever; or keep
-                // it.
+                // omnipaxos would forward it at a voter that does not lead, endlessly between two voters that each take the
+                // other for the leader, or buffer it.
                 if engine.get_current_leader() != Some((self.me, true)) {
                     return Err(ReceiveError::NotLeader);
                 }
@@ -130,7 +131,7 @@
         }
     }
 
-    /// A promise to this voter's present ballot.
+    /// Checks a promise for this voter's present ballot. `synchronized` is whether it already leads with that ballot.
     fn validate_promise(&self, m: &Promise<Command>, synchronized: bool) -> Result<(), ReceiveError> {
         let (decided, length) = {
             let journal = self.journal.lock();
@@ -146,16 +147,16 @@
             ensure(sync.sync_idx.checked_add(sync.suffix.len()) == Some(m.accepted_idx))?;
         }
         if synchronized {
-            // It will be sent the log from where it says it is.
+            // omnipaxos will send it the log from the index that it reports.
             return ensure(m.decided_idx <= length && (m.n_accepted != m.n || m.accepted_idx <= length));
         }
-        // Without a log to add it has no more than this voter.
+        // A promise without entries must not report more decided entries than this voter has.
         ensure(m.n_accepted < m.n && (m.log_sync.is_some() || m.decided_idx <= length))?;
-        // What it has more is put into this voter's log, neither into what is decided nor beyond the end.
+        // Its additional entries are put into this voter's log: neither over decided entries nor beyond the end.
         ensure(m.log_sync.as_ref().is_none_or(|sync| (decided..=length).contains(&sync.sync_idx)))
     }
 
-    /// A leader's log for this voter.
+    /// Checks the log that a leader sends to synchronize this voter.
     fn validate_sync(&self, m: &AcceptSync<Command>) -> Result<(), ReceiveError> {
         let (decided, length) = {
             let journal = self.journal.lock();
@@ -168,7 +169,7 @@
                 && sync.suffix.iter().all(is_valid_command),
         )?;
         let end = sync.sync_idx.checked_add(sync.suffix.len()).ok_or(ReceiveError::Invalid)?;
-        // Nothing that is decided is written over, nor is a gap left, nor more decided than is there.
+        // No decided entry is overwritten, no gap is left, and no more is decided than the log has.
         ensure((decided..=length).contains(&sync.sync_idx) && end >= decided && m.decided_idx <= end)
     }
 }
