--- a/crates/agreement/src/node.rs
+++ b/crates/agreement/src/node.rs
@@ -1,7 +1,8 @@
-//! One front's part in the agreement: it learns and holds, and votes if it is one of the voters. Without I/O: time,
-//! messages and the disk's answers are handed in, what is to be sent, written and told comes out.
+//! One front's part in the agreement: it learns entries, holds a lease, and votes if it is one of the voters. It does no
+//! I/O: time, messages and the results of disk writes are passed in; messages to send, changes to write and events come
+//! out as [`Output`].
 //!
-//! `front` has what every front does: holds, catch-up, proposals. `voting` has what a voter does beside.
+//! `front` has the tasks of every front: leases, catch-up, proposals. `voting` has the additional tasks of a voter.
 
 mod front;
 mod view;
@@ -24,161 +25,172 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use voting::{PendingConfig, Voting};
 
-/// What a front is told once.
+/// Settings of a front, fixed at its start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// This front's number.
     pub me: u64,
-    /// Its run; each later one is higher.
+    /// The front's run (its incarnation number), higher for each later run.
     pub run: u64,
-    /// The fronts that vote first, ascending; an odd number. Later ones are agreed on.
+    /// The fronts that are the first voters, in ascending order; an odd count. Later voters are agreed on.
     pub voters: Vec<u64>,
-    /// A grant lasts so long. The same on all fronts.
+    /// Duration of a lease, in milliseconds. It must be the same on all fronts.
     pub lease_ms: u64,
-    /// Time between two questions to each voter; several have to fit into a hold.
+    /// Time between two lease requests to each voter, in milliseconds. Several must fit into one lease.
     pub renew_ms: u64,
-    /// A proposal is sent again for so long.
+    /// Time for which a proposal is sent again, in milliseconds.
     pub proposal_timeout_ms: u64,
-    /// For keys of commands that it makes itself, and for who asks whom first. Another one in each run.
+    /// Seed for random choices, such as the voter to ask first. It must differ between runs.
     pub seed: u64,
 }
 
-/// What a front says of itself once in a while, for its log.
+/// A rare event at this front, for its log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Note {
-    /// The first configuration begins: all named voters have heard each other.
+    /// The first configuration starts: all named voters know each other.
     Genesis,
-    /// It votes in this configuration.
+    /// The front votes in the configuration with this number.
     Votes(u32),
-    /// It votes no more; another configuration has other voters.
+    /// The front votes no more: it is not a voter of the configuration with this number.
     Left(u32),
-    /// Its disk refused a write: it votes no more in this run.
+    /// A disk write failed: the front votes no more in this run.
     Disk,
-    /// The voter gave up, or what its store has cannot be: it votes no more in this run.
+    /// The voter stopped, or the content of its store is invalid: the front votes no more in this run.
     Broken,
-    /// Its store is an older copy of one that others remember more of: it votes no more, and wants a new one.
+    /// The store is an older copy of one that other voters remember: the front votes no more until it has a new store.
     OldStore,
-    /// It has a new store, and asks to be a voter in place of its former self.
+    /// The front has a new store and asks to replace itself with its former store as a voter.
     Replaces {
-        /// The store that votes for it as yet.
+        /// Id of the former store, which is still listed as a voter.
         old: u64,
     },
-    /// What it has is not what a voter has: it uses nothing of it any more.
+    /// The front's log differs from a voter's: the front no longer uses its agreed state.
     Forked {
-        /// An entry that both have, 0 if the fleets are not the same.
+        /// Number of an entry that both have, 0 if they follow different logs.
         number: u64,
-        /// First bytes of the entry's hash here.
+        /// First bytes of the entry's hash at this front; the log id for different logs.
         here: u64,
-        /// And there.
+        /// The same at the voter.
         there: u64,
     },
 }
 
-/// What comes out.
+/// Output of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// To a front; may be lost. At most [`MAX_MESSAGE_BYTES`] bytes.
+    /// A message to a front. It may be lost.
     Send {
-        /// The front.
+        /// The receiving front.
         to: u64,
-        /// The message.
+        /// The message, at most [`MAX_MESSAGE_BYTES`] bytes.
         message: Vec<u8>,
     },
-    /// To the store, as one synced transaction, in order; answered by [`Node::written`].
+    /// Changes to write to the store as one synced transaction, in order of batches. Their completion is reported by
+    /// [`Node::written`].
     Write {
-        /// Counts up from 1.
+        /// Batch number, ascending from 1.
         batch: u64,
-        /// What to write.
+        /// The changes.
         ops: Vec<StoreOp>,
     },
     /// An entry was applied to the registers.
     Applied {
         /// The entry.
         entry: Entry,
-        /// What it did.
+        /// Its effect.
         outcome: Outcome,
     },
-    /// The registers were replaced by later ones; what was applied between is not told.
+    /// The registers were replaced by a later state; the entries in between are not reported.
     Replaced,
-    /// No front that holds goes by less than this.
+    /// The stable entry advanced: every front that holds a lease has confirmed at least this entry.
     Stable(u64),
-    /// It holds from now on, or no more. It may stop before it says so: ask [`Node::holds`].
+    /// The lease was obtained (true) or has expired (false). It may expire before this is reported; see
+    /// [`Node::holds_lease`].
     LeaseHeld(bool),
-    /// What came of a proposal.
+    /// A proposal has a result.
     Proposed {
-        /// Its command.
+        /// Key of its command.
         key: Key,
-        /// What came of it.
+        /// The result.
         result: ProposalResult,
     },
-    /// Its store is to be put away and a new one made; [`Node::store_recreated`] takes it.
+    /// The store must be moved away and a new one created, which is passed to [`Node::store_recreated`].
     RecreateStore,
-    /// For the log.
+    /// An event for the log.
     Note(Note),
 }
 
-/// A front's part.
+/// The state of one front's part in the agreement.
 pub struct Node {
     settings: Settings,
     random: StdRng,
-    /// Itself as a voter, and how often its store was opened.
+    /// This front as a voter, if it has a store.
     id: Option<VoterId>,
+    /// How often the store was opened.
     boots: u64,
     /// It must not vote any more in this run.
     stopped: bool,
     registers: Registers,
     forked: bool,
-    // Every front's.
+    // State of every front.
     lease: Lease,
     lease_held: bool,
     learner: Learner,
-    /// The highest configuration that anyone told of.
+    /// The highest configuration number that any message has named.
     highest_config: u32,
     fragmenter: Fragmenter,
     proposals: Proposals,
+    /// Id of the last lease request.
     request: u64,
-    /// When the last questions were sent.
+    /// The latest lease requests: id and send time.
     requests: VecDeque<(u64, u64)>,
     next_renewal_ms: u64,
+    /// A lease request is due before its regular time.
     renew_soon: bool,
     last_renewal_ms: u64,
-    /// Answers since the last question, and how many of a thousand came lately.
+    /// Lease replies since the last request.
     replies: u32,
+    /// Moving average of the share of lease requests that were answered, in thousandths.
     reply_permille: u64,
-    // A voter's.
+    // State of a voter.
     genesis: Option<Genesis>,
     voting: Option<Box<Voting>>,
     pending_config: Option<PendingConfig>,
-    /// The store's log, until a voter goes on from it; and the configuration that the store is in.
+    /// The stored log, until a voter continues from it.
     stored_log: Option<StoredLog>,
+    /// Number of the configuration in the store.
     store_config: u32,
-    /// Entries that the store has as decided.
+    /// The last entry that the store has as decided.
     durable: u64,
     source: Option<Source>,
-    batch: u64,
+    /// The last batch that was handed out for writing.
+    last_batch: u64,
     pending_writes: VecDeque<(u64, voting::PendingWrite)>,
+    /// The store's progress, including writes that are not synced yet.
     progress: ProgressTracker,
     synced_progress: crate::progress::Progress,
     known_progress: KnownProgress,
+    /// Voters that admitted this one in this run.
     admitted_by: BTreeSet<u64>,
     admitted: bool,
-    /// Stores of fronts that asked lately, and when.
+    /// By front: store id in its last lease request, and the time of that request.
     front_stores: BTreeMap<u64, (u64, u64)>,
     next_announce_ms: u64,
     next_voter_tick_ms: u64,
     next_compact_ms: u64,
     next_replace_ms: u64,
+    /// The last entry that leaseholders were notified of, and when.
     notified: (u64, u64),
-    /// Messages between voters that leave once more: when, to whom.
+    /// Copies of messages between voters to send against loss: time, receiver, message.
     duplicates: VecDeque<(u64, u64, Vec<u8>)>,
     duplicate_budget: TokenBucket,
-    /// What may leave at once, by voter.
+    /// By voter: rate limit for messages that are sent without fragmentation.
     direct_budgets: BTreeMap<u64, TokenBucket>,
     notes: Vec<Note>,
 }
 
 impl Node {
-    /// A front, with what its store has if it may vote. After it [`Node::registers`] are what the store had.
+    /// A node with the content of its store, if it may vote. [`Node::registers`] are then the stored state.
     #[must_use]
     pub fn new(settings: Settings, stored: Option<StoredState>, now_ms: u64) -> Self {
         let mut random = StdRng::seed_from_u64(settings.seed ^ settings.me.rotate_left(32) ^ settings.run);
@@ -208,7 +220,7 @@
             store_config: 0,
             durable: 0,
             source: None,
-            batch: 0,
+            last_batch: 0,
             pending_writes: VecDeque::new(),
             progress: ProgressTracker::default(),
             synced_progress: crate::progress::Progress::default(),
@@ -234,39 +246,39 @@
         node
     }
 
-    /// Time passes. To be called each 20 to 50 ms; later is safe, and slower.
+    /// Performs what is due at this time. To be called every 20 to 50 ms; a longer interval is safe, but slower.
     pub fn tick(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         self.tick_voter(now_ms, out);
         self.tick_front(now_ms, out);
         self.finish(now_ms, out);
     }
 
-    /// A front in a run says something. Any bytes will do: what is no message changes nothing.
+    /// Processes a message from a front in a run. Malformed bytes are ignored.
     pub fn receive(&mut self, now_ms: u64, from: u64, run: u64, bytes: &[u8], out: &mut Vec<Output>) {
         if bytes.len() <= MAX_MESSAGE_BYTES
             && let Some((head, message)) = decode(bytes)
         {
-            self.head(from, &head);
-            self.message(now_ms, from, run, head, message, out);
+            self.on_head(from, &head);
+            self.on_message(now_ms, from, run, head, message, out);
             self.finish(now_ms, out);
         }
     }
 
-    /// The disk's answer to a batch. After a refusal this front votes no more in this run.
+    /// Reports the completion of a batch. After a failure this front votes no more in this run.
     pub fn written(&mut self, now_ms: u64, batch: u64, ok: bool, out: &mut Vec<Output>) {
-        self.write_done(now_ms, batch, ok, out);
+        self.on_write_done(now_ms, batch, ok, out);
         self.finish(now_ms, out);
     }
 
-    /// Proposes a command. It is sent again under its key until it is applied here or its time is over; either is told by
-    /// [`Output::Proposed`].
+    /// Proposes a command. It is sent again under its key until it is applied here or the timeout has passed. Either is
+    /// reported by [`Output::Proposed`].
     pub fn propose(&mut self, now_ms: u64, command: Command, out: &mut Vec<Output>) {
         let key = command.key;
-        let sound = match &command.operation {
+        let valid = match &command.operation {
             Operation::Put { body, .. } => body.len() <= MAX_BODY_BYTES,
             Operation::Voters { voters, .. } => crate::registers::valid_voters(voters),
         };
-        if !sound {
+        if !valid {
             out.push(Output::Proposed { key, result: ProposalResult::Invalid });
         } else if let Some((number, outcome)) = self.registers.outcome(key) {
             out.push(Output::Proposed { key, result: ProposalResult::Applied { number, outcome } });
@@ -283,50 +295,51 @@
         }
     }
 
-    /// The application goes by what was agreed up to this entry, as far as it is here.
+    /// The application acts on the agreed state up to this entry; limited to the entries that are applied here.
     pub fn confirm(&mut self, number: u64) {
         let before = self.lease.confirmed();
         self.lease.confirm(number.min(self.registers.number()));
         self.renew_soon |= self.lease.confirmed() > before;
     }
 
-    /// No front that holds goes by less than this entry.
+    /// The stable entry: every front that holds a lease has confirmed at least this entry.
     #[must_use]
     pub fn stable(&self) -> u64 {
         self.lease.stable()
     }
 
-    /// Whether nothing newer takes effect without this front, now.
+    /// Whether this front holds a lease now: no entry becomes stable that it has not confirmed.
     #[must_use]
     pub fn holds_lease(&self, now_ms: u64) -> bool {
         !self.forked && self.lease.is_held(now_ms)
     }
 
-    /// Whether anything was ever agreed, as far as this front has heard in this run.
+    /// Whether anything was ever agreed, as far as this front knows in this run.
     #[must_use]
     pub fn has_agreed(&self) -> bool {
         self.forked || self.registers.number() > 0 || self.learner.highest_known() > 0
     }
 
-    /// Whether this front has heard who votes. One that has not cannot know whether anything was agreed.
+    /// Whether this front knows the voters. Without them it cannot know whether anything was agreed.
     #[must_use]
     pub fn knows_voters(&self) -> bool {
         self.registers.config().is_some()
     }
 
-    /// The agreed state. Not to be used when it [forked](Node::forked).
+    /// The agreed state. It must not be used if the node has [forked](Node::forked).
     #[must_use]
     pub fn registers(&self) -> &Registers {
         &self.registers
     }
 
-    /// Whether what this front has is not what was agreed.
+    /// Whether this front's log differs from the agreed log.
     #[must_use]
     pub fn forked(&self) -> bool {
         self.forked
     }
 
-    /// Others knew a later run of this front: it is this one from now on. Its grants are asked for anew.
+    /// Changes to this run if it is higher, because other fronts knew a later run of this front. The lease is requested
+    /// again.
     pub fn raise_run(&mut self, run: u64) {
         if run > self.settings.run {
             self.settings.run = run;
@@ -335,14 +348,15 @@
         }
     }
 
-    /// The store that [`Output::RecreateStore`] asked for. The front learns on and asks to be a voter again.
+    /// Takes the new store that [`Output::RecreateStore`] requested. The front continues to learn and asks to be a voter
+    /// again.
     pub fn store_recreated(&mut self, stored: StoredState) {
         if self.stopped {
             self.stopped = false;
             self.admitted = false;
             self.admitted_by.clear();
             (self.stored_log, self.store_config, self.durable) = (None, 0, 0);
-            (self.batch, self.genesis) = (0, None);
+            (self.last_batch, self.genesis) = (0, None);
             self.id = Some(VoterId { front: self.settings.me, store: stored.store });
             self.boots = stored.boots;
             self.progress = ProgressTracker::default();
@@ -350,6 +364,7 @@
         }
     }
 
+    /// Restores the state of a store.
     fn open(&mut self, stored: StoredState) {
         self.id = Some(VoterId { front: self.settings.me, store: stored.store }).filter(|v| v.store != 0);
         self.boots = stored.boots;
@@ -364,7 +379,7 @@
         };
         self.registers = registers;
         for (index, command) in stored.log.commands.iter().enumerate().take(stored.log.decided as usize) {
-            // What was decided behind the end of a configuration counts as never decided.
+            // Entries that were decided after the end of the configuration are discarded.
             if self.registers.config_number() != config.number {
                 break;
             }
@@ -384,7 +399,8 @@
         }
     }
 
-    fn me(&self) -> GenesisVoter {
+    /// This front as a voter before the first configuration.
+    fn own_genesis_voter(&self) -> GenesisVoter {
         GenesisVoter {
             front: self.settings.me,
             run: self.settings.run,
@@ -409,7 +425,7 @@
         }
     }
 
-    /// Whom to ask: the voters, and those named first, since the voters known here may all be gone.
+    /// The fronts to send requests to: the voters, and the first voters if none are known or all known ones may be gone.
     fn contacts(&self) -> Vec<u64> {
         let mut all: Vec<u64> =
             self.registers.config().map_or(Vec::new(), |c| c.voters.iter().map(|v| v.front).collect());
@@ -420,7 +436,7 @@
         all
     }
 
-    /// An entry follows.
+    /// Applies the next entry.
     fn apply(&mut self, now_ms: u64, command: Command, out: &mut Vec<Output>) {
         let key = command.key;
         let (entry, outcome) = self.registers.apply(command);
@@ -442,7 +458,7 @@
         }
     }
 
-    /// The registers are later ones now.
+    /// Replaces the registers by a later state.
     fn replace(&mut self, now_ms: u64, new: Registers, out: &mut Vec<Output>) {
         self.registers = new;
         if self.source.is_some() {
@@ -456,14 +472,14 @@
         self.update_role(now_ms, out);
     }
 
-    /// What a voter has is not what is here.
+    /// Handles a difference between this front's log and a voter's.
     fn fork(&mut self, number: u64, here: u64, there: u64) {
         if self.registers.number() == 0
             && self.voting.is_none()
             && self.pending_config.is_none()
             && self.store_config == 0
         {
-            // Nothing was agreed here: it learns whatever is.
+            // Nothing was agreed here yet, so the front learns the voter's log.
             self.registers = Registers::default();
             self.lease = Lease::new(self.settings.lease_ms);
             return;
@@ -474,6 +490,7 @@
         }
     }
 
+    /// Reports changes of the lease and notes after each step.
     fn finish(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         let holds = self.holds_lease(now_ms);
         if holds != self.lease_held {
--- a/crates/agreement/src/node/front.rs
+++ b/crates/agreement/src/node/front.rs
@@ -1,4 +1,4 @@
-//! What every front does: it asks for holds, learns what it misses, and has its proposals on their way.
+//! Tasks of every front: it requests leases, fetches missing entries and sends its proposals.
 
 use super::{Node, Note, Output};
 use crate::catch_up::{CatchUpReply, Received};
@@ -11,30 +11,30 @@
 use crate::wire::{Head, Message, decode};
 use rand::Rng;
 
-/// Questions in flight that are remembered.
+/// Maximum number of lease requests whose replies are still accepted.
 const MAX_PENDING_REQUESTS: usize = 64;
-/// Questions out of turn are at least this far apart, milliseconds.
+/// Minimum time between two lease requests outside the regular interval, in milliseconds.
 const EARLY_RENEWAL_MS: u64 = 100;
-/// A wiped voter asks for its replacement this often, milliseconds.
+/// Interval at which a front with a new store asks to replace its former store as a voter, in milliseconds.
 const REPLACE_INTERVAL_MS: u64 = 2_000;
-/// Fronts whose stores are remembered at most.
+/// Maximum number of fronts whose store ids are kept.
 const MAX_FRONT_STORES: usize = 1_024;
 
 impl Node {
     pub(super) fn tick_front(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         let soon = self.renew_soon && now_ms >= self.last_renewal_ms.saturating_add(EARLY_RENEWAL_MS);
         if now_ms >= self.next_renewal_ms || soon {
-            // A little unevenly, so that fronts started together do not ask together for ever.
+            // The jitter prevents fronts that started together from sending their requests together forever.
             let jitter = self.random.random_range(0..=self.settings.renew_ms / 8);
             self.next_renewal_ms = now_ms.saturating_add(self.settings.renew_ms.saturating_sub(jitter));
             self.request_leases(now_ms, out);
         }
         if self.is_behind() {
             let contacts = self.contacts();
-            if let Some((place, want)) = self.learner.tick(now_ms, &self.registers, contacts.len())
-                && let Some(to) = contacts.get(place).copied()
+            if let Some((position, request)) = self.learner.tick(now_ms, &self.registers, contacts.len())
+                && let Some(to) = contacts.get(position).copied()
             {
-                self.send(now_ms, to, &Message::CatchUp(want), out);
+                self.send(now_ms, to, &Message::CatchUp(request), out);
             }
         }
         self.replace_own_former_store(now_ms, out);
@@ -46,10 +46,10 @@
             self.duplicates.pop_front();
             out.push(Output::Send { to, message: bytes });
         }
-        let mut leave = Vec::new();
-        self.fragmenter.tick(now_ms, &mut leave);
-        for (to, what) in leave {
-            let message = match what {
+        let mut due = Vec::new();
+        self.fragmenter.tick(now_ms, &mut due);
+        for (to, message) in due {
+            let message = match message {
                 FragmentMessage::Fragment(Fragment { id, length, index, bytes }) => {
                     Message::Fragment { id, length, index, bytes }
                 }
@@ -59,7 +59,8 @@
         }
     }
 
-    /// A voter learns as well: what it has in use may be ahead of its own log, what it grants by is its disk.
+    /// Whether this front must catch up. A voter does so too: its registers may be ahead of its own log. Its grants depend
+    /// only on what its disk has.
     pub(super) fn is_behind(&self) -> bool {
         let config = self.registers.config_number();
         !self.forked && (self.learner.is_behind(&self.registers) || self.highest_config > config)
@@ -68,8 +69,9 @@
     fn request_leases(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         (self.renew_soon, self.last_renewal_ms) = (false, now_ms);
         let contacts = self.contacts();
-        let came = u64::from(self.replies).saturating_mul(1_000) / (contacts.len() as u64).max(1);
-        self.reply_permille = (self.reply_permille * 7 + came.min(1_000)) / 8;
+        let answered_permille =
+            u64::from(self.replies).saturating_mul(1_000) / (contacts.len() as u64).max(1);
+        self.reply_permille = (self.reply_permille * 7 + answered_permille.min(1_000)) / 8;
         self.replies = 0;
         self.request = self.request.saturating_add(1);
         if self.requests.len() >= MAX_PENDING_REQUESTS {
@@ -81,15 +83,16 @@
         for to in contacts {
             self.send(now_ms, to, &Message::LeaseRequest { request, confirmed, lease_ms, store }, out);
         }
-        if let (Some(id), Some((voters_since, answer))) =
+        if let (Some(id), Some((voters_since, reply))) =
             (self.id, self.grant_lease(now_ms, (self.settings.me, self.settings.run), request, confirmed))
-            && self.lease.on_reply(id, voters_since, now_ms, &answer)
+            && self.lease.on_reply(id, voters_since, now_ms, &reply)
         {
             out.push(Output::Stable(self.lease.stable()));
         }
     }
 
-    /// Whether more than one in twenty messages seems to be lost, here or there. A voter that is down looks the same.
+    /// Whether more than about 5 % of the messages in one direction seem to be lost. A voter that is down has the same
+    /// effect.
     pub(super) fn is_lossy(&self) -> bool {
         self.reply_permille < 900
     }
@@ -115,7 +118,7 @@
         }
     }
 
-    /// Its store was lost or put away, and the former one is still a voter.
+    /// Proposes this front's new store as a voter in place of its former store, if that is still listed as a voter.
     fn replace_own_former_store(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         let Some(id) = self.id.filter(|_| !self.stopped && !self.forked && now_ms >= self.next_replace_ms)
         else {
@@ -129,7 +132,7 @@
         self.next_replace_ms = now_ms.saturating_add(REPLACE_INTERVAL_MS);
         let voters = config.voters.iter().map(|v| if *v == old { id } else { *v }).collect();
         let operation = Operation::Voters { expects: config.number, voters };
-        // One key for one change: asked again, it counts once.
+        // The key is derived from the change, so repeated proposals take effect once.
         let key = Key(u128::from(id.store) << 64 | u128::from(old.store.rotate_left(config.number)));
         if !self.proposals.contains(key) && self.registers.outcome(key).is_none() {
             self.notes.push(Note::Replaces { old: old.store });
@@ -137,8 +140,8 @@
         }
     }
 
-    /// Where another front is, as it says with each message.
-    pub(super) fn head(&mut self, from: u64, head: &Head) {
+    /// Processes the header of a message: how far the sender is.
+    pub(super) fn on_head(&mut self, from: u64, head: &Head) {
         let here = self.registers.log_id();
         if from == self.settings.me || head.log_id == 0 || (here != 0 && here != head.log_id) {
             return;
@@ -147,7 +150,7 @@
         self.highest_config = self.highest_config.max(head.config);
     }
 
-    pub(super) fn message(
+    pub(super) fn on_message(
         &mut self,
         now_ms: u64,
         from: u64,
@@ -167,17 +170,17 @@
                 {
                     self.front_stores.insert(from, (store, now_ms));
                 }
-                // What a front of another fleet's state vouches for says nothing here, and one that would hold for longer
-                // than is granted must not.
-                let ours = head.log_id == self.registers.log_id() && lease_ms <= self.settings.lease_ms;
-                let answer =
-                    if ours { self.grant_lease(now_ms, (from, run), request, confirmed) } else { None };
-                let (voters_since, a) =
-                    answer.unwrap_or((0, GrantReply { granted: false, min_confirmed: 0, watermark: None }));
+                // An entry that a front confirms in another log means nothing here, and a front that would count the lease
+                // for longer than it is granted must not get one.
+                let eligible = head.log_id == self.registers.log_id() && lease_ms <= self.settings.lease_ms;
+                let reply =
+                    if eligible { self.grant_lease(now_ms, (from, run), request, confirmed) } else { None };
+                let (voters_since, reply) =
+                    reply.unwrap_or((0, GrantReply { granted: false, min_confirmed: 0, watermark: None }));
                 let store = self.id.map_or(0, |v| v.store);
                 let hash = hash_prefix(self.registers.hash());
-                let GrantReply { granted, min_confirmed, watermark } = a;
-                let on_lease_reply = Message::LeaseReply {
+                let GrantReply { granted, min_confirmed, watermark } = reply;
+                let message = Message::LeaseReply {
                     request,
                     store,
                     voters_since,
@@ -186,17 +189,17 @@
                     watermark,
                     hash,
                 };
-                self.send(now_ms, from, &on_lease_reply, out);
+                self.send(now_ms, from, &message, out);
             }
             Message::LeaseReply { request, store, voters_since, granted, min_confirmed, watermark, hash } => {
-                let (of, answer) =
+                let (context, reply) =
                     ((request, store, voters_since, hash), GrantReply { granted, min_confirmed, watermark });
-                self.on_lease_reply(now_ms, from, &head, of, answer, out);
+                self.on_lease_reply(now_ms, from, &head, context, reply, out);
             }
-            Message::CatchUp(want) => self.answer_catch_up(now_ms, from, &want, out),
-            Message::Chunk(s) => {
+            Message::CatchUp(request) => self.answer_catch_up(now_ms, from, &request, out),
+            Message::Chunk(chunk) => {
                 if self.is_behind() {
-                    match self.learner.receive(&s, &self.registers) {
+                    match self.learner.receive(&chunk, &self.registers) {
                         Some(Received::Commands(commands)) => self.apply_learned(now_ms, commands, out),
                         Some(Received::Snapshot(new))
                             if self.voting.is_none()
@@ -209,22 +212,22 @@
                 }
             }
             Message::NothingNewer => {
-                let of = self.contacts().len();
-                if self.learner.nothing_newer(of) {
+                let voters = self.contacts().len();
+                if self.learner.nothing_newer(voters) {
                     self.highest_config = self.registers.config_number();
                 }
             }
             Message::Fork { number, here } => {
                 let config = self.registers.config();
                 let (own, log_id) = (hash_prefix(self.registers.hash()), self.registers.log_id());
-                // From a voter, and about what this front has now: not an answer to a question long ago.
-                let now = if number == 0 {
+                // Only a report about the present state counts, not a reply to an old request, and only from a voter.
+                let is_current = if number == 0 {
                     here != log_id
                 } else {
                     number == self.registers.number() && here != own
                 };
                 let named = self.settings.voters.contains(&from);
-                if now
+                if is_current
                     && log_id != 0
                     && (named || config.is_some_and(|c| c.voters.iter().any(|v| v.front == from)))
                 {
@@ -247,9 +250,9 @@
                     self.send(now_ms, from, &Message::FragmentAck { id, received }, out);
                 }
                 for (head, message) in messages.iter().filter_map(|m| decode(m)) {
-                    // Nothing else is long, and a parcel in a parcel could be one without end.
+                    // Only these messages can be long. Fragments inside a bundle could nest without end.
                     if matches!(message, Message::Consensus { .. } | Message::Propose(_)) {
-                        self.message(now_ms, from, run, head, message, out);
+                        self.on_message(now_ms, from, run, head, message, out);
                     }
                 }
             }
@@ -257,11 +260,11 @@
             Message::Genesis(announced) => {
                 if self.registers.config().is_some() {
                     self.send(now_ms, from, &Message::HeadOnly, out);
-                } else if let Some(g) = self.genesis() {
-                    g.receive(from, run, announced);
+                } else if let Some(genesis) = self.genesis() {
+                    genesis.receive(from, run, announced);
                 }
             }
-            voters => self.voter_message(now_ms, from, run, &head, voters, out),
+            message => self.on_voter_message(now_ms, from, run, &head, message, out),
         }
     }
 
@@ -271,7 +274,7 @@
         from: u64,
         head: &Head,
         (request, store, voters_since, hash): (u64, u64, u32, u64),
-        answer: GrantReply,
+        reply: GrantReply,
         out: &mut Vec<Output>,
     ) {
         self.replies = self.replies.saturating_add(1);
@@ -291,31 +294,31 @@
         {
             self.fork(0, log_id, head.log_id);
         }
-        let requests = self.requests.iter().find(|(q, _)| *q == request).map(|(_, ms)| *ms);
-        let Some(requests) = requests.filter(|_| head.log_id == log_id) else { return };
-        if self.lease.on_reply(voter, voters_since, requests.min(now_ms), &answer) {
+        let sent_ms = self.requests.iter().find(|(id, _)| *id == request).map(|(_, ms)| *ms);
+        let Some(sent_ms) = sent_ms.filter(|_| head.log_id == log_id) else { return };
+        if self.lease.on_reply(voter, voters_since, sent_ms.min(now_ms), &reply) {
             out.push(Output::Stable(self.lease.stable()));
         }
-        // It was under the floor when it asked, and is no more.
+        // The request confirmed less than the voter's minimum, but this front has confirmed enough since.
         self.renew_soon |=
-            !answer.granted && answer.min_confirmed > 0 && answer.min_confirmed <= self.lease.confirmed();
+            !reply.granted && reply.min_confirmed > 0 && reply.min_confirmed <= self.lease.confirmed();
     }
 
     fn answer_catch_up(
         &mut self,
         now_ms: u64,
         from: u64,
-        want: &crate::catch_up::CatchUpRequest,
+        request: &crate::catch_up::CatchUpRequest,
         out: &mut Vec<Output>,
     ) {
         let reply = match &mut self.source {
-            Some(source) if !self.forked => source.answer(now_ms, from, want, &self.registers),
+            Some(source) if !self.forked => source.answer(now_ms, from, request, &self.registers),
             _ => CatchUpReply::Nothing,
         };
         match reply {
-            CatchUpReply::Chunks(pieces) => {
-                for p in pieces {
-                    self.send(now_ms, from, &Message::Chunk(p), out);
+            CatchUpReply::Chunks(chunks) => {
+                for chunk in chunks {
+                    self.send(now_ms, from, &Message::Chunk(chunk), out);
                 }
             }
             CatchUpReply::Fork { number, here } => {
@@ -331,16 +334,17 @@
         }
     }
 
+    /// The genesis state while this front can take part in genesis, otherwise `None`.
     pub(super) fn genesis(&mut self) -> Option<&mut Genesis> {
-        let may = self.id.is_some()
+        let eligible = self.id.is_some()
             && !self.stopped
             && self.registers.config().is_none()
             && self.pending_config.is_none()
             && self.settings.voters.contains(&self.settings.me);
-        if !may {
+        if !eligible {
             self.genesis = None;
         } else if self.genesis.is_none() {
-            self.genesis = Some(Genesis::new(self.me(), &self.settings.voters));
+            self.genesis = Some(Genesis::new(self.own_genesis_voter(), &self.settings.voters));
         }
         self.genesis.as_mut()
     }
--- a/crates/agreement/src/node/view.rs
+++ b/crates/agreement/src/node/view.rs
@@ -1,46 +1,46 @@
-//! What a front shows of itself.
+//! A node's state for display and monitoring.
 
 use super::Node;
 use crate::types::{Config, VoterId};
 
-/// A front's part as it stands.
+/// The present state of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
-    /// Itself as a voter, if it has a store that may vote.
+    /// This front as a voter, if it has a store.
     pub voter: Option<VoterId>,
-    /// How often that was opened.
+    /// How often the store was opened.
     pub boots: u64,
-    /// It votes now.
+    /// Whether it votes now.
     pub votes: bool,
-    /// The voters, as it knows them.
+    /// The configuration that it knows.
     pub config: Option<Config>,
-    /// Whom it follows, if it votes.
+    /// The leader that it follows, if it votes.
     pub leader: Option<VoterId>,
-    /// The last entry it has.
+    /// Number of its last entry.
     pub number: u64,
-    /// The highest that it has heard of.
+    /// The highest entry number that it knows of.
     pub known: u64,
-    /// Up to where it goes by what was agreed.
+    /// The last entry that it has confirmed.
     pub confirmed: u64,
-    /// Up to where no front that holds goes by less.
+    /// The stable entry, which every leaseholder has confirmed.
     pub stable: u64,
-    /// It holds for so long yet, milliseconds.
+    /// Remaining time of its lease, in milliseconds.
     pub lease_remaining_ms: u64,
-    /// What it has is not what was agreed.
+    /// Whether its log differs from the agreed log.
     pub forked: bool,
-    /// It must not vote in this run any more.
+    /// Whether it must not vote any more in this run.
     pub stopped: bool,
-    /// Fronts that hold by its grant.
+    /// Number of unexpired leases that it has granted.
     pub grants: usize,
-    /// What has to be vouched for at least, at this voter.
+    /// It grants no lease to a front that has confirmed less than this entry.
     pub min_confirmed: u64,
-    /// What it has cleared.
+    /// Its watermark: no unexpired lease that it granted has confirmed less.
     pub watermark: Option<u64>,
-    /// Its own proposals under way.
+    /// Number of its own pending proposals.
     pub proposals: usize,
-    /// Registers that are not empty.
+    /// Number of registers that are not empty.
     pub registers: usize,
-    /// Bytes that it keeps for others, about.
+    /// Approximate memory for catch-up and for fragmented messages, in bytes.
     pub buffered_bytes: usize,
 }
 
@@ -57,14 +57,14 @@
         self.id.is_some() && self.leader() == self.id
     }
 
-    /// The store that a front said it has, if it was heard of lately.
+    /// Id of a front's store, if that front is this one or requested a lease here lately.
     #[must_use]
     pub fn store_of(&self, front: u64) -> Option<u64> {
         let own = self.id.filter(|v| v.front == front).map(|v| v.store);
         own.or_else(|| self.front_stores.get(&front).map(|(store, _)| *store)).filter(|s| *s != 0)
     }
 
-    /// This front's part as it stands.
+    /// The present state of this node.
     #[must_use]
     pub fn view(&self, now_ms: u64) -> View {
         let grants = self.voting.as_ref().map(|s| s.grants());
--- a/crates/agreement/src/node/voting.rs
+++ b/crates/agreement/src/node/voting.rs
@@ -1,4 +1,4 @@
-//! What a voter does: it is admitted, begins configurations, decides, grants, folds.
+//! Tasks of a voter: it asks to be admitted, starts configurations, decides entries, grants leases and compacts the log.
 
 use super::{Node, Note, Output};
 use crate::catch_up::Source;
@@ -14,52 +14,57 @@
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A voter's tick, milliseconds.
+/// Tick of a voter, in milliseconds.
 const VOTER_TICK_MS: u64 = 50;
-/// Named voters, and voters that wait to be admitted, speak this often, milliseconds.
+/// Interval of the announcements of named voters before genesis, and of admission requests, in milliseconds.
 const ANNOUNCE_MS: u64 = 200;
-/// A log of so many entries, or of so many bytes, is folded; no oftener than this, milliseconds.
+/// The leader compacts a log from this number of entries on.
 const COMPACT_ENTRIES: u64 = 128;
+/// The leader compacts a log from this size on, in bytes.
 const COMPACT_LOG_BYTES: usize = 128 * 1024;
+/// Minimum time between two attempts to compact the log, in milliseconds.
 const COMPACT_INTERVAL_MS: u64 = 1_000;
-/// A majority of new voters has to have been heard of within this, milliseconds.
+/// A majority of new voters must have sent a lease request within this time, in milliseconds.
 const REACHABLE_MS: u64 = 10_000;
-/// Bytes that may be on their way to a voter before more is let go as lost: a second and a half at the parcels' pace.
+/// Maximum number of unacknowledged bytes to a voter; further messages are dropped. It is 1.5 s of traffic at the rate
+/// limit for fragments.
 const MAX_UNACKNOWLEDGED_BYTES: usize = 96 * 1024;
-/// Messages to a voter that leave at once, a second; more go together.
+/// Messages per second to a voter that are sent directly; further ones are bundled.
 const DIRECT_MESSAGES_PER_S: u64 = 30;
-/// A message between voters leaves once more after this, as long as there are few, milliseconds.
+/// A direct message between voters is repeated after this time while the budget allows, in milliseconds.
 const DUPLICATE_DELAY_MS: u64 = 40;
-/// The leader tells those it grants to of new entries this often at most, milliseconds.
+/// Minimum time between two notifications of leaseholders about new entries, in milliseconds.
 const NOTIFY_INTERVAL_MS: u64 = 100;
 
-/// What was asked of the disk.
+/// A write that was handed out and is not completed.
 pub(super) enum PendingWrite {
-    /// A configuration's beginning.
+    /// The start of the configuration with this number.
     Begin(u32),
-    /// A voter's batch, and how far the disk is after it.
+    /// A batch of the voter, with the progress of the disk after it.
     Batch { config: u32, batch: u64, progress: Progress },
 }
 
-/// A configuration that is being written.
+/// A configuration whose start is being written to the disk.
 pub(super) struct PendingConfig {
     config: u32,
-    /// The state that it begins behind, where that is not in use yet: before the first entry.
+    /// For the first configuration: the state that it starts from, which is not in use yet.
     genesis: Option<Registers>,
-    /// Grants that go on, since the voters are the same.
+    /// Leases granted in the former configuration, which remain valid if the voters are the same.
     grants: Option<Grants>,
+    /// Number of the last entry before the configuration.
     durable: u64,
 }
 
-/// A voter's seat in a configuration.
+/// State of a voter in a configuration.
 pub(super) struct Voting {
     voter: Voter,
     config: Config,
     grants: Grants,
-    /// Places in the log of commands that would bring other voters.
+    /// Log indexes of commands that would replace the set of voters.
     reconfigurations: BTreeSet<u64>,
-    /// Keys in the log that are not decided, by place.
+    /// Keys of undecided commands, by log index.
     undecided: BTreeMap<u64, Key>,
+    /// Number of entries in the log.
     entries: u64,
 }
 
@@ -68,13 +73,14 @@
         &self.grants
     }
 
-    /// A command that ends this configuration for other voters. A fold leaves the holds as they are.
+    /// Whether a command ends this configuration with a different set of voters. Compaction keeps the voters and the
+    /// leases.
     fn replaces_voters(&self, command: &Command) -> bool {
         matches!(&command.operation, Operation::Voters { expects, voters }
             if *expects == self.config.number && *voters != self.config.voters)
     }
 
-    /// What goes into the log counts from when it goes, not from when it is synced: that is earlier.
+    /// Records changes of the log when they are handed to the disk, which is before they are synced.
     fn record_log(&mut self, ops: &[StoreOp]) {
         for op in ops {
             if let StoreOp::Log { from, commands } = op {
@@ -105,7 +111,7 @@
                 voting.voter.tick();
                 self.process_voter_output(now_ms, out);
                 self.compact(now_ms, out);
-                self.notify_holders(now_ms, out);
+                self.notify_leaseholders(now_ms, out);
             }
         }
         if let Some(voting) = &mut self.voting {
@@ -125,11 +131,12 @@
         }
     }
 
-    /// Before it votes: to the named ones if there is no configuration, to its fellow voters to be admitted otherwise.
+    /// Announces a front that does not vote yet: to the named voters before the first configuration, later to the other
+    /// voters with a request to be admitted.
     fn announce(&mut self, now_ms: u64, out: &mut Vec<Output>) {
-        if let Some(g) = self.genesis() {
-            let (known, complete) = (g.known(), g.complete());
-            // Once it begins it says what all have said one last time, so that the others begin as well.
+        if let Some(genesis) = self.genesis() {
+            let (known, complete) = (genesis.known(), genesis.complete());
+            // A voter that starts the configuration announces the common set one last time, so the others can start too.
             for to in self.settings.voters.clone() {
                 self.send(now_ms, to, &Message::Genesis(known.clone()), out);
             }
@@ -142,37 +149,37 @@
         let Some(id) = self.id.filter(|_| !self.admitted && !self.stopped) else { return };
         let Some(config) = self.registers.config().filter(|c| c.voters.contains(&id)) else { return };
         let others: Vec<u64> = config.voters.iter().map(|v| v.front).filter(|f| *f != id.front).collect();
-        let hello = Message::AdmissionRequest(self.progress());
+        let request = Message::AdmissionRequest(self.progress());
         for to in others {
-            self.send(now_ms, to, &hello, out);
+            self.send(now_ms, to, &request, out);
         }
     }
 
-    /// Takes or leaves its seat, as the voters known here have it.
+    /// Starts or stops voting according to the configuration that is known here.
     pub(super) fn update_role(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         let Some(config) = self.registers.config().cloned() else { return };
-        let here = self.voting.as_ref().map(|s| s.config.number);
-        if here == Some(config.number) {
+        let current = self.voting.as_ref().map(|v| v.config.number);
+        if current == Some(config.number) {
             return;
         }
         let member = self.id.filter(|id| !self.stopped && !self.forked && config.voters.contains(id));
-        // The seat in the configuration before is given up, with its grants: they go on only among the same voters.
-        let left = self.voting.take();
-        let grants = left.map(|s| s.grants).filter(|g| g.voters_since() == self.registers.voters_since());
+        // Voting in the former configuration ends. Its grants remain only if the set of voters is the same.
+        let former = self.voting.take();
+        let grants = former.map(|v| v.grants).filter(|g| g.voters_since() == self.registers.voters_since());
         let grants = grants
-            .or_else(|| self.pending_config.take_if(|b| b.config != config.number).and_then(|b| b.grants));
+            .or_else(|| self.pending_config.take_if(|p| p.config != config.number).and_then(|p| p.grants));
         let grants = grants.filter(|g| g.voters_since() == self.registers.voters_since());
         let Some(id) = member else {
-            if here.is_some() {
+            if current.is_some() {
                 self.notes.push(Note::Left(config.number));
             }
             self.source = self.source.take().filter(|_| !self.stopped && !self.forked);
             return;
         };
-        let most = majority(config.voters.len()).saturating_sub(1);
-        let fellows =
+        let needed = majority(config.voters.len()).saturating_sub(1);
+        let admitting =
             config.voters.iter().filter(|v| v.front != id.front && self.admitted_by.contains(&v.front));
-        self.admitted |= fellows.count() >= most;
+        self.admitted |= admitting.count() >= needed;
         if !self.admitted || self.pending_config.is_some() {
             return;
         }
@@ -185,7 +192,8 @@
         }
     }
 
-    /// A configuration begins on the disk. What its instance has as decided behind this state is skipped.
+    /// Writes the start of a configuration to the disk. Entries up to the present state that the new instance decides are
+    /// skipped.
     fn begin_config(
         &mut self,
         config: u32,
@@ -194,19 +202,19 @@
         out: &mut Vec<Output>,
     ) {
         let state = genesis.as_ref().unwrap_or(&self.registers);
-        let Some(begins) = state.config().cloned() else { return };
+        let Some(started) = state.config().cloned() else { return };
         let (snapshot, durable) = (state.snapshot(), state.number());
         self.stored_log = None;
         self.pending_config = Some(PendingConfig { config, genesis, grants, durable });
-        let ops = vec![StoreOp::Begin { config: begins, snapshot }];
+        let ops = vec![StoreOp::Begin { config: started, snapshot }];
         self.progress.record(&ops);
         self.write(ops, PendingWrite::Begin(config), out);
     }
 
-    fn write(&mut self, ops: Vec<StoreOp>, requests: PendingWrite, out: &mut Vec<Output>) {
-        self.batch = self.batch.saturating_add(1);
-        self.pending_writes.push_back((self.batch, requests));
-        out.push(Output::Write { batch: self.batch, ops });
+    fn write(&mut self, ops: Vec<StoreOp>, write: PendingWrite, out: &mut Vec<Output>) {
+        self.last_batch = self.last_batch.saturating_add(1);
+        self.pending_writes.push_back((self.last_batch, write));
+        out.push(Output::Write { batch: self.last_batch, ops });
     }
 
     fn start_voting(&mut self, now_ms: u64, config: Config, log: StoredLog, grants: Option<Grants>) {
@@ -236,45 +244,46 @@
         }
     }
 
-    /// It votes no more in this run, and grants nothing: what it would promise now, its disk might not have.
-    fn stop(&mut self, why: Note) {
+    /// Stops voting and granting leases in this run, because the disk might not have what the voter would promise.
+    fn stop(&mut self, reason: Note) {
         self.stopped = true;
         (self.voting, self.pending_config, self.source, self.stored_log) = (None, None, None, None);
         self.pending_writes.clear();
-        self.notes.push(why);
+        self.notes.push(reason);
     }
 
-    pub(super) fn write_done(&mut self, now_ms: u64, batch: u64, ok: bool, out: &mut Vec<Output>) {
-        let Some((expected, requests)) = self.pending_writes.pop_front() else { return };
+    pub(super) fn on_write_done(&mut self, now_ms: u64, batch: u64, ok: bool, out: &mut Vec<Output>) {
+        let Some((expected, write)) = self.pending_writes.pop_front() else { return };
         if expected != batch || !ok {
             self.stop(Note::Disk);
             return;
         }
-        match requests {
+        match write {
             PendingWrite::Begin(number) => {
                 (self.store_config, self.synced_progress) =
                     (number, Progress { config: number, ..Progress::default() });
-                let Some(pending_config) = self.pending_config.take_if(|b| b.config == number) else {
+                let Some(pending) = self.pending_config.take_if(|p| p.config == number) else {
                     return;
                 };
-                self.durable = self.durable.max(pending_config.durable);
-                if let Some(first) = pending_config.genesis {
-                    // Whoever else began told of it meanwhile; a set that all have said is the same one.
+                self.durable = self.durable.max(pending.durable);
+                if let Some(first) = pending.genesis {
+                    // Another voter that started genesis may have been learned from meanwhile. Its set of voters is the
+                    // same, because all voters announced it.
                     if self.registers.config().is_none() {
                         self.replace(now_ms, first, out);
                     }
                 }
-                // Another one may have begun while this was written.
+                // Another configuration may have started during the write.
                 let Some(config) = self.registers.config().filter(|c| c.number == number).cloned() else {
                     self.update_role(now_ms, out);
                     return;
                 };
                 let log = StoredLog { boots: self.boots, ..StoredLog::default() };
-                self.start_voting(now_ms, config, log, pending_config.grants);
+                self.start_voting(now_ms, config, log, pending.grants);
             }
             PendingWrite::Batch { config, batch, progress } => {
                 self.synced_progress = progress;
-                if let Some(voting) = self.voting.as_mut().filter(|s| s.config.number == config) {
+                if let Some(voting) = self.voting.as_mut().filter(|v| v.config.number == config) {
                     voting.voter.written(batch, true);
                     self.process_voter_output(now_ms, out);
                 }
@@ -282,18 +291,18 @@
         }
     }
 
-    /// What has come up at the voter.
+    /// Passes on the output of the voter.
     fn process_voter_output(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         let Some(voting) = &mut self.voting else { return };
         let (config, first) = (voting.config.number, voting.config.first);
-        let mut all = Vec::new();
-        voting.voter.take_output(&mut all);
+        let mut outputs = Vec::new();
+        voting.voter.take_output(&mut outputs);
         if voting.voter.stop_reason().is_some() {
             self.stop(Note::Broken);
             return;
         }
-        for one in all {
-            match one {
+        for output in outputs {
+            match output {
                 VoterOutput::Write { batch, ops } => {
                     if let Some(voting) = self.voting.as_mut().filter(|s| s.config.number == config) {
                         voting.record_log(&ops);
@@ -304,7 +313,7 @@
                 }
                 VoterOutput::Send { to, message } => self.send_to_voter(now_ms, to, message, out),
                 VoterOutput::Decided { index, command } => {
-                    // Behind the end of its configuration nothing counts.
+                    // Entries after the end of the configuration are discarded.
                     let Some(voting) = self.voting.as_mut().filter(|s| s.config.number == config) else {
                         continue;
                     };
@@ -323,28 +332,28 @@
     }
 
     fn send_to_voter(&mut self, now_ms: u64, to: VoterId, bytes: Vec<u8>, out: &mut Vec<Output>) {
-        let urgent = crate::voter::is_heartbeat(&bytes);
-        let left = self.fragmenter.unacknowledged_bytes(to.front);
-        // What is sent again while it is still on its way would hold up all that follows it.
-        if !urgent && left > 0 && left + bytes.len() > MAX_UNACKNOWLEDGED_BYTES {
+        let is_heartbeat = crate::voter::is_heartbeat(&bytes);
+        let unacknowledged = self.fragmenter.unacknowledged_bytes(to.front);
+        // Resent messages would queue up behind their earlier copies and delay everything after them.
+        if !is_heartbeat && unacknowledged > 0 && unacknowledged + bytes.len() > MAX_UNACKNOWLEDGED_BYTES {
             return;
         }
         let message = Message::Consensus { progress: self.progress(), to: to.store, bytes };
         let bytes = encode(&self.own_head(), &message);
-        let direct_budgets = self
+        let budget = self
             .direct_budgets
             .entry(to.front)
             .or_insert_with(|| TokenBucket::new(now_ms, DIRECT_MESSAGES_PER_S, DIRECT_MESSAGES_PER_S));
-        let paced = urgent || (!self.fragmenter.is_sending(to.front) && direct_budgets.take(now_ms));
-        if bytes.len() > MAX_MESSAGE_BYTES || !paced {
-            // A shorter one must not overtake a longer one; and many go together, since the exchange drops what is more than
-            // 128 a second.
+        let send_directly = is_heartbeat || (!self.fragmenter.is_sending(to.front) && budget.take(now_ms));
+        if bytes.len() > MAX_MESSAGE_BYTES || !send_directly {
+            // A shorter message must not overtake a longer one. Many messages are bundled, because the exchange drops more
+            // than 128 datagrams per second.
             self.fragmenter.send(now_ms, to.front, bytes);
             return;
         }
-        // What is lost costs the voters a resend after half a second, and heartbeats the leader; a double they refuse by
-        // its number.
-        let copies = match (urgent, self.is_lossy()) {
+        // A lost message costs a resend after 500 ms, and lost heartbeats can cost the leader its role. The receiver detects
+        // duplicates by their sequence number.
+        let copies = match (is_heartbeat, self.is_lossy()) {
             (true, false) => 0,
             (true, true) | (false, false) => 1,
             (false, true) => 2,
@@ -361,23 +370,27 @@
         out.push(Output::Send { to: to.front, message: bytes });
     }
 
-    /// The answer to a front's question, if this one votes: the configuration from which its voters are the same, and
-    /// what it grants.
+    /// Answers a lease request of a front in a run, if this front votes: the configuration since which the set of voters is
+    /// unchanged, and the grant.
     pub(super) fn grant_lease(
         &mut self,
         now_ms: u64,
-        front: (u64, u64),
+        front_and_run: (u64, u64),
         request: u64,
         confirmed: u64,
     ) -> Option<(u32, GrantReply)> {
         let voting = self.voting.as_mut().filter(|_| !self.forked)?;
         voting.grants.raise_min_confirmed(now_ms, self.durable);
-        let answer =
-            voting.grants.request(now_ms, front, request, confirmed, !voting.reconfigurations.is_empty());
-        Some((voting.grants.voters_since(), answer))
+        let reconfiguring = !voting.reconfigurations.is_empty();
+        let reply = voting.grants.request(now_ms, front_and_run, request, confirmed, reconfiguring);
+        Some((voting.grants.voters_since(), reply))
     }
 
-    /// Puts a command into the log, if this is the leader. Otherwise who is, if known.
+    /// Appends a command to the log if this front is the leader.
+    ///
+    /// # Errors
+    ///
+    /// The front that leads, if it is known and another; `None` also if the leader cannot take the command now.
     pub(super) fn append_if_leader(
         &mut self,
         now_ms: u64,
@@ -397,11 +410,11 @@
         if leader != Some(self.settings.me) {
             return Err(leader);
         }
-        // In the log already: sent again while it waits for a majority.
+        // The command was sent again while it waits in the log for a majority.
         if voting.undecided.values().any(|key| *key == command.key) {
             return Ok(());
         }
-        // What follows the end of a configuration counts for nothing.
+        // Entries after the end of a configuration are discarded.
         if !voting.reconfigurations.is_empty() || !voting.voter.append(command) {
             return Err(None);
         }
@@ -409,23 +422,24 @@
         Ok(())
     }
 
-    /// Whether a majority of these has been heard of lately, with these stores: voters that are not there would end it all.
+    /// Whether a majority of these voters sent lease requests lately with these stores. With unreachable voters nothing
+    /// could be decided any more.
     fn majority_reachable(&self, now_ms: u64, voters: &[VoterId]) -> bool {
-        let there = voters.iter().filter(|v| {
+        let reachable = voters.iter().filter(|v| {
             self.id == Some(**v)
                 || self
                     .front_stores
                     .get(&v.front)
                     .is_some_and(|(store, at)| *store == v.store && now_ms.saturating_sub(*at) < REACHABLE_MS)
         });
-        there.count() >= majority(voters.len())
+        reachable.count() >= majority(voters.len())
     }
 
-    /// The leader has a long log begin anew, behind a snapshot.
+    /// As the leader: compacts a long log by a new configuration with the same voters, which starts from a snapshot.
     fn compact(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         let Some(voting) = &self.voting else { return };
-        let long = voting.entries >= COMPACT_ENTRIES || voting.voter.log_bytes() >= COMPACT_LOG_BYTES;
-        if !long || now_ms < self.next_compact_ms {
+        let is_long = voting.entries >= COMPACT_ENTRIES || voting.voter.log_bytes() >= COMPACT_LOG_BYTES;
+        if !is_long || now_ms < self.next_compact_ms {
             return;
         }
         self.next_compact_ms = now_ms.saturating_add(COMPACT_INTERVAL_MS);
@@ -437,17 +451,17 @@
         let key = Key(h.finalize().iter().take(16).fold(0, |sum, b| sum << 8 | u128::from(*b)));
         let command =
             Command { key, author: self.settings.me, operation: Operation::Voters { expects, voters } };
-        // It is asked again next time if it is not taken.
+        // If the command is not accepted, it is tried again next time.
         let _ = self.append_if_leader(now_ms, command, out);
     }
 
-    /// The leader tells of new entries, so that who learns need not wait for its next question.
-    fn notify_holders(&mut self, now_ms: u64, out: &mut Vec<Output>) {
+    /// As the leader: notifies leaseholders of new entries, so they learn them before their next lease request.
+    fn notify_leaseholders(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         let Some(voting) = &self.voting else { return };
-        let (number, at) = self.notified;
+        let (number, notified_ms) = self.notified;
         let here = self.registers.number();
         if here == number
-            || now_ms < at.saturating_add(NOTIFY_INTERVAL_MS)
+            || now_ms < notified_ms.saturating_add(NOTIFY_INTERVAL_MS)
             || voting.voter.leader() != self.id
         {
             return;
@@ -459,7 +473,7 @@
         }
     }
 
-    pub(super) fn voter_message(
+    pub(super) fn on_voter_message(
         &mut self,
         now_ms: u64,
         from: u64,
@@ -468,30 +482,30 @@
         message: Message,
         out: &mut Vec<Output>,
     ) {
-        let fellow = self.registers.config().is_some_and(|c| c.voters.iter().any(|v| v.front == from));
+        let from_voter = self.registers.config().is_some_and(|c| c.voters.iter().any(|v| v.front == from));
         match message {
             Message::AdmissionRequest(progress) => {
                 let boots = progress.boots;
-                let answer = if self.known_progress.observe(from, run, &progress, self.registers.config()) {
+                let reply = if self.known_progress.observe(from, run, &progress, self.registers.config()) {
                     Message::Admitted { boots }
                 } else {
                     Message::NotAdmitted { store: progress.store, boots }
                 };
-                self.send(now_ms, from, &answer, out);
+                self.send(now_ms, from, &reply, out);
             }
-            Message::Admitted { boots } if boots == self.boots && fellow => {
+            Message::Admitted { boots } if boots == self.boots && from_voter => {
                 self.admitted_by.insert(from);
                 self.update_role(now_ms, out);
             }
             Message::NotAdmitted { store, boots } => {
-                let mine = self.id.is_some_and(|v| v.store == store) && boots == self.boots;
-                if mine && fellow && !self.stopped {
+                let is_own = self.id.is_some_and(|v| v.store == store) && boots == self.boots;
+                if is_own && from_voter && !self.stopped {
                     self.stop(Note::OldStore);
                     out.push(Output::RecreateStore);
                 }
             }
             Message::Consensus { progress, to, bytes } => {
-                if self.id.is_none_or(|v| v.store != to) || !fellow {
+                if self.id.is_none_or(|v| v.store != to) || !from_voter {
                     return;
                 }
                 if !self.known_progress.observe(from, run, &progress, self.registers.config()) {
@@ -500,7 +514,7 @@
                     return;
                 }
                 if head.config < self.registers.config_number() {
-                    // It is behind, and learns so by the head.
+                    // The sender is behind; the header of this message tells it so.
                     self.send(now_ms, from, &Message::HeadOnly, out);
                     return;
                 }
