--- a/crates/agreement/src/catch_up.rs
+++ b/crates/agreement/src/catch_up.rs
@@ -1,10 +1,10 @@
-//! Catch-up: how a front that is behind fetches entries from the voters. It asks one voter at a time for what follows its
-//! own last entry.
+//! Catch-up: how a front that is behind fetches entries from the voters. It asks one voter at a time for what
+//! follows its own last entry.
 //!
-//! The answer is a *transfer*: a batch of the entries that follow or, where those are no longer kept, a snapshot. It is
-//! sent in chunks of one datagram each. A transfer has the same bytes at every voter, so a learner can continue with
-//! another voter, and a voter keeps no state for a learner except its rate limit. The learner's request lists the chunks
-//! that it misses; it verifies the hash chain before it uses anything.
+//! The answer is a *transfer*: a batch of the entries that follow or, where those are no longer kept, a
+//! snapshot. It is sent in chunks of one datagram each. A transfer has the same bytes at every voter, so a
+//! learner can continue with another voter, and a voter keeps no state for a learner except its rate limit.
+//! The learner's request lists the chunks that it misses; it verifies the hash chain before it uses anything.
 
 use crate::fragments::{FRAGMENT_BYTES, TokenBucket};
 use crate::registers::{MAX_SNAPSHOT_BYTES, Registers, hash_prefix};
@@ -139,7 +139,8 @@
         source
     }
 
-    /// Takes a new snapshot. Of the former ones only the last is kept; the entries up to that one are dropped.
+    /// Takes a new snapshot. Of the former ones only the last is kept; the entries up to that one are
+    /// dropped.
     pub fn take_snapshot(&mut self, registers: &Registers) {
         let (number, hash) = (registers.number(), *registers.hash());
         self.bases.push_back(BaseSnapshot { number, hash, snapshot: registers.snapshot() });
@@ -175,8 +176,8 @@
         self.entries.get(usize::try_from(number.checked_sub(first)?).ok()?)
     }
 
-    /// A batch of the entries after `after`, up to `last_entry` or to the size limits: the number of its last entry, and
-    /// its bytes.
+    /// A batch of the entries after `after`, up to `last_entry` or to the size limits: the number of its last
+    /// entry, and its bytes.
     fn batch(&self, after: u64, last_entry: Option<u64>) -> Option<(u64, Vec<u8>)> {
         let mut commands = Vec::new();
         let (mut bytes, mut last) = (0, None);
@@ -220,7 +221,7 @@
         if known.is_some() && request.number == here.number() {
             return CatchUpReply::Nothing;
         }
-        // A batch that another voter began could end later here, so the learner names its last entry.
+        // A batch that another voter started could end later here, so the learner names its last entry.
         let in_progress = request.transfer.filter(|t| t.is_snapshot != known.is_some());
         let (last_entry, batch);
         let bytes: &[u8] = if known.is_some() {
@@ -336,7 +337,8 @@
         self.highest_known > here.number()
     }
 
-    /// The request that is due now, if any, with the position of the voter to send it to among `voters` voters.
+    /// The request that is due now, if any, with the position of the voter to send it to among `voters`
+    /// voters.
     pub fn tick(&mut self, now_ms: u64, here: &Registers, voters: usize) -> Option<(usize, CatchUpRequest)> {
         if voters == 0 {
             return None;
@@ -379,8 +381,8 @@
         ))
     }
 
-    /// The asked voter has nothing newer: the next voter is asked shortly. If none of `voters` voters has anything newer,
-    /// the highest known number was wrong and is reset; returns true then.
+    /// The asked voter has nothing newer: the next voter is asked shortly. If none of `voters` voters has
+    /// anything newer, the highest known number was wrong and is reset; returns true then.
     pub fn nothing_newer(&mut self, voters: usize) -> bool {
         (self.next_voter, self.timeouts) = (self.next_voter.wrapping_add(1), 0);
         self.requested_ms =
@@ -484,7 +486,7 @@
 
     fn genesis() -> Registers {
         let voters = [1, 2, 3].map(|front| VoterId { front, store: 9 });
-        Registers::genesis(&voters).expect("sound")
+        Registers::genesis(&voters).expect("valid voters")
     }
 
     fn put(n: u64, body: usize) -> Command {
@@ -507,8 +509,8 @@
         (r, source)
     }
 
-    /// Runs a learner against the voters until it has everything: its state, the milliseconds that it took, and the
-    /// datagrams that were sent.
+    /// Runs a learner against the voters until it has everything: its state, the milliseconds that it took,
+    /// and the datagrams that were sent.
     fn catch_up(mut here: Registers, voters: &mut [(Registers, Source)], loss: f64) -> (Registers, u64, u64) {
         let mut random = StdRng::seed_from_u64(4);
         let (mut learner, mut datagrams) = (Learner::default(), 0);
--- a/crates/agreement/src/fragments.rs
+++ b/crates/agreement/src/fragments.rs
@@ -1,9 +1,10 @@
-//! Fragmentation and reassembly of messages that do not fit into one datagram, with acknowledgements and retransmission.
+//! Fragmentation and reassembly of messages that do not fit into one datagram, with acknowledgements and
+//! retransmission.
 //!
-//! A message that fits into a datagram normally bypasses this module: it is sent at once and never acknowledged. Messages
-//! that wait for the same front are sent together as one *bundle*, and at most one bundle to a front is in flight. This
-//! keeps their order: the consensus layer requires ordered links and would discard a long message each time a later one
-//! overtook it.
+//! A message that fits into a datagram normally bypasses this module: it is sent at once and never
+//! acknowledged. Messages that wait for the same front are sent together as one *bundle*, and at most one
+//! bundle to a front is in flight. This keeps their order: the consensus layer requires ordered links and
+//! would discard a long message each time a later one overtook it.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,8 +12,8 @@
 pub const FRAGMENT_BYTES: usize = 1_000;
 /// Maximum size of a bundle, in bytes. It exceeds the largest message between voters.
 pub const MAX_BUNDLE_BYTES: usize = 400 * 1024;
-/// Maximum number of incomplete bundles from one front. It is 2 because one that the sender has dropped may remain here
-/// beside its next one.
+/// Maximum number of incomplete bundles from one front. It is 2 because one that the sender has dropped may
+/// remain here beside its next one.
 pub const MAX_INCOMING_BUNDLES: usize = 2;
 /// Maximum number of messages queued for one front.
 pub const MAX_QUEUED_MESSAGES: usize = 128;
@@ -165,8 +166,8 @@
 }
 
 impl Fragmenter {
-    /// Without any bundles. Bundle ids continue from `last_id`. A front that restarted must start elsewhere, because
-    /// acknowledgements for its earlier run may still arrive.
+    /// Without any bundles. Bundle ids continue from `last_id`. A front that restarted must start elsewhere,
+    /// because acknowledgements for its earlier run may still arrive.
     #[must_use]
     pub fn new(last_id: u64) -> Self {
         Self { last_id, to: BTreeMap::new(), from: BTreeMap::new() }
@@ -197,8 +198,8 @@
         room
     }
 
-    /// Whether messages to a front are queued or in flight here. A message that must not overtake them has to be queued
-    /// too.
+    /// Whether messages to a front are queued or in flight here. A message that must not overtake them has to
+    /// be queued too.
     #[must_use]
     pub fn is_sending(&self, to: u64) -> bool {
         self.to.get(&to).is_some_and(|t| t.bundle.is_some() || !t.queue.is_empty())
@@ -214,8 +215,8 @@
         })
     }
 
-    /// Processes a fragment: returns the bundle's messages if it was the last missing one, and an acknowledgement if one
-    /// is due. `run` is the sender's run.
+    /// Processes a fragment: returns the bundle's messages if it was the last missing one, and an
+    /// acknowledgement if one is due. `run` is the sender's run.
     pub fn receive(
         &mut self,
         now_ms: u64,
@@ -382,8 +383,8 @@
     use rand::rngs::StdRng;
     use rand::{Rng, SeedableRng};
 
-    /// Sends messages from front 1 to front 2 over a link with this loss: each message with its arrival time, and the
-    /// number of fragments sent.
+    /// Sends messages from front 1 to front 2 over a link with this loss: each message with its arrival time,
+    /// and the number of fragments sent.
     fn transmit(messages: &[Vec<u8>], loss: f64, seed: u64) -> (Vec<(u64, Vec<u8>)>, u64) {
         let mut random = StdRng::seed_from_u64(seed);
         let (mut a, mut b) = (Fragmenter::new(5), Fragmenter::new(9));
--- a/crates/agreement/src/genesis.rs
+++ b/crates/agreement/src/genesis.rs
@@ -1,11 +1,11 @@
-//! How the first configuration starts: every named voter must have received the same complete set of named voters from
-//! every other one.
+//! How the first configuration starts: every named voter must have received the same complete set of named
+//! voters from every other one.
 //!
-//! A set lists each voter with its store and the run of its front, and a voter announces it only in that run. Suppose two
-//! different complete sets were each announced by all voters. A front that differs between them was in an earlier run, or
-//! had an earlier store, in the same one of the two sets; a voter that starts the other set has announced that one before
-//! and never goes back. A voter that starts a configuration has synced it before it says so, and announces no set from
-//! then on. So at most one set is ever started.
+//! A set lists each voter with its store and the run of its front, and a voter announces it only in that run.
+//! Suppose two different complete sets were each announced by all voters. A front that differs between them
+//! was in an earlier run, or had an earlier store, in the same one of the two sets; a voter that starts the
+//! other set has announced that one before and never returns to it. A voter that starts the configuration has
+//! synced it before it reports it, and announces no set from then on. So at most one set is ever started.
 
 use crate::types::{MAX_VOTERS, VoterId};
 use crate::wire::GenesisVoter;
--- a/crates/agreement/src/journal.rs
+++ b/crates/agreement/src/journal.rs
@@ -1,6 +1,6 @@
-//! In-memory state of a voter's log (promised, accepted and decided), and the changes to it that are not handed to the
-//! disk yet. omnipaxos uses it as its storage. It does not wait for the disk: [`Voter`](crate::voter::Voter) holds back
-//! everything that depends on a write until the write is synced.
+//! In-memory state of a voter's log (promised, accepted and decided), and the changes to it that are not
+//! handed to the disk yet. omnipaxos uses it as its storage. It does not wait for the disk:
+//! [`Voter`](crate::voter::Voter) holds back everything that depends on a write until the write is synced.
 
 use crate::store::{StoreOp, StoredLog};
 use crate::types::{Command, Operation};
@@ -88,8 +88,8 @@
         self.decided = decided;
     }
 
-    /// Takes the changes since the last call, for one write to the store. Their order does not matter, because the write
-    /// is one transaction.
+    /// Takes the changes since the last call, for one write to the store. Their order does not matter,
+    /// because the write is one transaction.
     pub(crate) fn take_changes(&mut self) -> Vec<StoreOp> {
         let mut ops = Vec::new();
         // Serializing a ballot cannot fail.
@@ -114,8 +114,8 @@
     }
 
     fn set_promise_if_changed(&mut self, promise: Ballot) {
-        // At its start omnipaxos writes back the promise that it read, or a ballot of zeros if there was none. Neither
-        // changes anything.
+        // At its start omnipaxos writes back the promise that it read, or a ballot of zeros if there was
+        // none. Neither changes anything.
         if self.promise.unwrap_or_default() != promise {
             self.promise = Some(promise);
             self.promise_changed = true;
@@ -149,7 +149,8 @@
     }
 }
 
-/// The journal as the storage of omnipaxos. It is shared because omnipaxos owns its storage and gives no access to it.
+/// The journal as the storage of omnipaxos. It is shared because omnipaxos owns its storage and gives no
+/// access to it.
 #[derive(Clone)]
 pub(crate) struct SharedJournal(Arc<Mutex<Journal>>);
 
@@ -159,7 +160,8 @@
     }
 
     pub(crate) fn lock(&self) -> MutexGuard<'_, Journal> {
-        // A panic that poisoned the lock has also stopped the voter, so nothing of this state is written any more.
+        // A panic that poisoned the lock has also stopped the voter, so nothing of this state is written any
+        // more.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -236,8 +238,8 @@
         Ok(self.lock().promise)
     }
 
-    // A configuration is ended by a command of this crate, and the next configuration compacts the log. Stop signs,
-    // trimming and snapshots of omnipaxos are never used, and messages that request them are refused.
+    // A configuration is ended by a command of this crate, and the next configuration compacts the log. Stop
+    // signs, trimming and snapshots of omnipaxos are never used, and messages that request them are refused.
 
     fn set_stopsign(&mut self, sign: Option<StopSign>) -> StorageResult<()> {
         sign.map_or(Ok(()), |_| Err("stop signs of omnipaxos are not supported".into()))
--- a/crates/agreement/src/lease.rs
+++ b/crates/agreement/src/lease.rs
@@ -1,21 +1,22 @@
-//! The lease protocol: which fronts may act on the agreed state, and for how long. It has a voter's grants, a front's
-//! lease, and the *stable* entry that every leaseholder has confirmed.
+//! The lease protocol: which fronts may act on the agreed state, and for how long. It has a voter's grants, a
+//! front's lease, and the *stable* entry that every leaseholder has confirmed.
 //!
-//! A front requests a lease from each voter separately. The request names the last entry that the front *confirms*: it
-//! acts on the log up to there. A voter grants for a limited time if the confirmed entry is not below the voter's
-//! minimum. Its reply carries the voter's *watermark*: no unexpired lease that it granted has confirmed less. The highest
-//! entry that a majority's watermarks have reached is stable, because a front holds its lease by a majority too and two
-//! majorities share a voter.
+//! A front requests a lease from each voter separately. The request names the last entry that the front
+//! *confirms*: it acts on the log up to there. A voter grants for a limited time if the confirmed entry is
+//! not below the voter's minimum. Its reply carries the voter's *watermark*: no unexpired lease that it
+//! granted has confirmed less. The highest entry that a majority's watermarks have reached is stable, because
+//! a front holds its lease by a majority too and two majorities share a voter.
 //!
 //! Safety rests on four rules:
-//! - A voter's minimum is at most the last entry that its own disk has as decided, and exactly that entry after a start.
-//!   So a voter that forgot its minimum never goes below it.
-//! - A voter that started has forgotten its grants, and a voter in a new set of voters does not know the grants of the
-//!   former set: it reports no watermark until one full lease time has passed.
-//! - A voter whose log has a command that would replace the set of voters grants no more leases (`reconfiguring`),
-//!   whether that command is decided or not. Once it is decided, a majority had it, so leases from the former voters
-//!   expire before the new voters report a watermark.
-//! - The confirmed entry of a front never decreases within a run; grants to an earlier run count until they expire.
+//! - A voter's minimum is at most the last entry that its own disk has as decided, and exactly that entry
+//!   after a start. So a voter that forgot its minimum never goes below it.
+//! - A voter that started has forgotten its grants, and a voter in a new set of voters does not know the
+//!   grants of the former set: it reports no watermark until one full lease time has passed.
+//! - A voter whose log has a command that would replace the set of voters grants no more leases
+//!   (`reconfiguring`), whether that command is decided or not. Once it is decided, a majority had it, so
+//!   leases from the former voters expire before the new voters report a watermark.
+//! - The confirmed entry of a front never decreases within a run; grants to an earlier run count until they
+//!   expire.
 
 use crate::types::{VoterId, majority};
 use std::collections::BTreeMap;
@@ -55,9 +56,9 @@
 }
 
 impl Grants {
-    /// For a voter that just started, or whose set of voters changed. `durable` is the last entry that its disk has as
-    /// decided. The requester counts a grant for `lease_ms`; the voter counts it for 1 % longer, because clock rates
-    /// differ by less than that.
+    /// For a voter that just started, or whose set of voters changed. `durable` is the last entry that its
+    /// disk has as decided. The requester counts a grant for `lease_ms`; the voter counts it for 1 % longer,
+    /// because clock rates differ by less than that.
     #[must_use]
     pub fn new(now_ms: u64, lease_ms: u64, voters_since: u32, durable: u64) -> Self {
         let grant_ms = lease_ms.saturating_add(lease_ms.div_ceil(100));
@@ -77,8 +78,8 @@
         self.voters_since
     }
 
-    /// Answers a lease request of a front in a run. `reconfiguring` is whether the voter's log has a command that may
-    /// replace the set of voters.
+    /// Answers a lease request of a front in a run. `reconfiguring` is whether the voter's log has a command
+    /// that may replace the set of voters.
     pub fn request(
         &mut self,
         now_ms: u64,
@@ -93,7 +94,8 @@
         let granted = !reconfiguring
             && confirmed >= self.min_confirmed
             && match self.grants.get_mut(&front_and_run) {
-                // A request that was overtaken by a later one must not lower the entry which that one confirmed.
+                // A request that was overtaken by a later one must not lower the entry which that one
+                // confirmed.
                 Some(g) if request <= g.request || confirmed < g.confirmed => false,
                 Some(g) => {
                     *g = Grant { request, confirmed, until_ms };
@@ -118,9 +120,9 @@
         Some(unexpired.map(|g| g.confirmed).fold(self.min_confirmed, u64::min))
     }
 
-    /// Raises the minimum to the last entry that the voter's disk has as decided, once the watermark has reached the
-    /// former minimum. A minimum that rose with every entry would exclude slow fronts for as long as entries arrive
-    /// quickly.
+    /// Raises the minimum to the last entry that the voter's disk has as decided, once the watermark has
+    /// reached the former minimum. A minimum that rose with every entry would exclude slow fronts for as long
+    /// as entries arrive quickly.
     pub fn raise_min_confirmed(&mut self, now_ms: u64, durable: u64) {
         self.grants.retain(|_, g| now_ms < g.until_ms);
         if durable > self.min_confirmed && self.watermark(now_ms) == Some(self.min_confirmed) {
@@ -162,8 +164,8 @@
 }
 
 impl Lease {
-    /// A lease that no voter has granted yet. Voters grant it for `lease_ms`; the front counts it for 1 % less, because
-    /// clock rates differ by less than that.
+    /// A lease that no voter has granted yet. Voters grant it for `lease_ms`; the front counts it for 1 %
+    /// less, because clock rates differ by less than that.
     #[must_use]
     pub fn new(lease_ms: u64) -> Self {
         Self {
@@ -178,8 +180,8 @@
         }
     }
 
-    /// Sets the voters, and the configuration since which they are the voters. A lease that the former voters granted
-    /// stays valid until it expires.
+    /// Sets the voters, and the configuration since which they are the voters. A lease that the former voters
+    /// granted stays valid until it expires.
     pub fn set_voters(&mut self, voters_since: u32, voters: &[VoterId]) {
         if voters_since != self.voters_since {
             self.former_until_ms = self.until_ms();
@@ -201,8 +203,8 @@
         self.confirmed
     }
 
-    /// Processes a voter's reply to the request that was sent at `requested_ms`. Returns whether the stable entry
-    /// advanced.
+    /// Processes a voter's reply to the request that was sent at `requested_ms`. Returns whether the stable
+    /// entry advanced.
     pub fn on_reply(
         &mut self,
         voter: VoterId,
--- a/crates/agreement/src/lib.rs
+++ b/crates/agreement/src/lib.rs
@@ -1,8 +1,9 @@
-//! A replicated log that the fronts of a fleet agree on. `docs/agreement.md` has the design and its guarantees.
+//! A replicated log that the fronts of a fleet agree on. `docs/agreement.md` has the design and its
+//! guarantees.
 //!
-//! A few voters decide the entries; every other front learns them. A front that holds a *lease* knows that until the
-//! lease expires no newer entry takes effect in the fleet unless this front has confirmed it. Time, messages and the
-//! results of disk writes are passed in as arguments; only [`Store`](store::Store) does I/O.
+//! A few voters decide the entries; every other front learns them. A front that holds a *lease* knows that
+//! until the lease expires no newer entry takes effect in the fleet unless this front has confirmed it. Time,
+//! messages and the results of disk writes are passed in as arguments; only [`Store`](store::Store) does I/O.
 
 pub mod catch_up;
 pub mod fragments;
--- a/crates/agreement/src/node.rs
+++ b/crates/agreement/src/node.rs
@@ -1,8 +1,9 @@
-//! One front's part in the agreement: it learns entries, holds a lease, and votes if it is one of the voters. It does no
-//! I/O: time, messages and the results of disk writes are passed in; messages to send, changes to write and events come
-//! out as [`Output`].
+//! One front's part in the agreement: it learns entries, holds a lease, and votes if it is one of the voters.
+//! It does no I/O: time, messages and the results of disk writes are passed in; messages to send, changes to
+//! write and events come out as [`Output`].
 //!
-//! `front` has the tasks of every front: leases, catch-up, proposals. `voting` has the additional tasks of a voter.
+//! `front` has the tasks of every front: leases, catch-up, proposals. `voting` has the additional tasks of a
+//! voter.
 
 mod front;
 mod view;
@@ -57,7 +58,8 @@
     Disk,
     /// The voter stopped, or the content of its store is invalid: the front votes no more in this run.
     Broken,
-    /// The store is an older copy of one that other voters remember: the front votes no more until it has a new store.
+    /// The store is an older copy of one that other voters remember: the front votes no more until it has a
+    /// new store.
     OldStore,
     /// The front has a new store and asks to replace itself with its former store as a voter.
     Replaces {
@@ -85,8 +87,8 @@
         /// The message, at most [`MAX_MESSAGE_BYTES`] bytes.
         message: Vec<u8>,
     },
-    /// Changes to write to the store as one synced transaction, in order of batches. Their completion is reported by
-    /// [`Node::written`].
+    /// Changes to write to the store as one synced transaction, in order of batches. Their completion is
+    /// reported by [`Node::written`].
     Write {
         /// Batch number, ascending from 1.
         batch: u64,
@@ -246,7 +248,8 @@
         node
     }
 
-    /// Performs what is due at this time. To be called every 20 to 50 ms; a longer interval is safe, but slower.
+    /// Performs what is due at this time. To be called every 20 to 50 ms; a longer interval is safe, but
+    /// slower.
     pub fn tick(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         self.tick_voter(now_ms, out);
         self.tick_front(now_ms, out);
@@ -270,8 +273,8 @@
         self.finish(now_ms, out);
     }
 
-    /// Proposes a command. It is sent again under its key until it is applied here or the timeout has passed. Either is
-    /// reported by [`Output::Proposed`].
+    /// Proposes a command. It is sent again under its key until it is applied here or the timeout has passed.
+    /// Either is reported by [`Output::Proposed`].
     pub fn propose(&mut self, now_ms: u64, command: Command, out: &mut Vec<Output>) {
         let key = command.key;
         let valid = match &command.operation {
@@ -295,7 +298,8 @@
         }
     }
 
-    /// The application acts on the agreed state up to this entry; limited to the entries that are applied here.
+    /// The application acts on the agreed state up to this entry; limited to the entries that are applied
+    /// here.
     pub fn confirm(&mut self, number: u64) {
         let before = self.lease.confirmed();
         self.lease.confirm(number.min(self.registers.number()));
@@ -338,8 +342,8 @@
         self.forked
     }
 
-    /// Changes to this run if it is higher, because other fronts knew a later run of this front. The lease is requested
-    /// again.
+    /// Changes to this run if it is higher, because other fronts knew a later run of this front. The lease is
+    /// requested again.
     pub fn raise_run(&mut self, run: u64) {
         if run > self.settings.run {
             self.settings.run = run;
@@ -348,8 +352,8 @@
         }
     }
 
-    /// Takes the new store that [`Output::RecreateStore`] requested. The front continues to learn and asks to be a voter
-    /// again.
+    /// Takes the new store that [`Output::RecreateStore`] requested. The front continues to learn and asks to
+    /// be a voter again.
     pub fn store_recreated(&mut self, stored: StoredState) {
         if self.stopped {
             self.stopped = false;
@@ -425,7 +429,8 @@
         }
     }
 
-    /// The fronts to send requests to: the voters, and the first voters if none are known or all known ones may be gone.
+    /// The fronts to send requests to: the voters, and the first voters if none are known or all known ones
+    /// may be gone.
     fn contacts(&self) -> Vec<u64> {
         let mut all: Vec<u64> =
             self.registers.config().map_or(Vec::new(), |c| c.voters.iter().map(|v| v.front).collect());
@@ -492,10 +497,10 @@
 
     /// Reports changes of the lease and notes after each step.
     fn finish(&mut self, now_ms: u64, out: &mut Vec<Output>) {
-        let holds = self.holds_lease(now_ms);
-        if holds != self.lease_held {
-            self.lease_held = holds;
-            out.push(Output::LeaseHeld(holds));
+        let lease_held = self.holds_lease(now_ms);
+        if lease_held != self.lease_held {
+            self.lease_held = lease_held;
+            out.push(Output::LeaseHeld(lease_held));
         }
         out.extend(self.notes.drain(..).map(Output::Note));
     }
--- a/crates/agreement/src/node/front.rs
+++ b/crates/agreement/src/node/front.rs
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Whether this front must catch up. A voter does so too: its registers may be ahead of its own log. Its grants depend
-    /// only on what its disk has.
+    /// Whether this front must catch up. A voter does so too: its registers may be ahead of its own log. Its
+    /// grants depend only on what its disk has.
     pub(super) fn is_behind(&self) -> bool {
         let config = self.registers.config_number();
         !self.forked && (self.learner.is_behind(&self.registers) || self.highest_config > config)
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Whether more than about 5 % of the messages in one direction seem to be lost. A voter that is down has the same
-    /// effect.
+    /// Whether more than about 5 % of the messages in one direction seem to be lost. A voter that is down has
+    /// the same effect.
     pub(super) fn is_lossy(&self) -> bool {
         self.reply_permille < 900
     }
@@ -118,7 +118,8 @@
         }
     }
 
-    /// Proposes this front's new store as a voter in place of its former store, if that is still listed as a voter.
+    /// Proposes this front's new store as a voter in place of its former store, if that is still listed as a
+    /// voter.
     fn replace_own_former_store(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         let Some(id) = self.id.filter(|_| !self.stopped && !self.forked && now_ms >= self.next_replace_ms)
         else {
@@ -170,8 +171,8 @@
                 {
                     self.front_stores.insert(from, (store, now_ms));
                 }
-                // An entry that a front confirms in another log means nothing here, and a front that would count the lease
-                // for longer than it is granted must not get one.
+                // An entry that a front confirms in another log means nothing here, and a front that would
+                // count the lease for longer than it is granted must not get one.
                 let eligible = head.log_id == self.registers.log_id() && lease_ms <= self.settings.lease_ms;
                 let reply =
                     if eligible { self.grant_lease(now_ms, (from, run), request, confirmed) } else { None };
@@ -220,7 +221,8 @@
             Message::Fork { number, here } => {
                 let config = self.registers.config();
                 let (own, log_id) = (hash_prefix(self.registers.hash()), self.registers.log_id());
-                // Only a report about the present state counts, not a reply to an old request, and only from a voter.
+                // Only a report about the present state counts, not a reply to an old request, and only from
+                // a voter.
                 let is_current = if number == 0 {
                     here != log_id
                 } else {
--- a/crates/agreement/src/node/voting.rs
+++ b/crates/agreement/src/node/voting.rs
@@ -1,4 +1,5 @@
-//! Tasks of a voter: it asks to be admitted, starts configurations, decides entries, grants leases and compacts the log.
+//! Tasks of a voter: it asks to be admitted, starts configurations, decides entries, grants leases and
+//! compacts the log.
 
 use super::{Node, Note, Output};
 use crate::catch_up::Source;
@@ -26,8 +27,8 @@
 const COMPACT_INTERVAL_MS: u64 = 1_000;
 /// A majority of new voters must have sent a lease request within this time, in milliseconds.
 const REACHABLE_MS: u64 = 10_000;
-/// Maximum number of unacknowledged bytes to a voter; further messages are dropped. It is 1.5 s of traffic at the rate
-/// limit for fragments.
+/// Maximum number of unacknowledged bytes to a voter; further messages are dropped. It is 1.5 s of traffic at
+/// the rate limit for fragments.
 const MAX_UNACKNOWLEDGED_BYTES: usize = 96 * 1024;
 /// Messages per second to a voter that are sent directly; further ones are bundled.
 const DIRECT_MESSAGES_PER_S: u64 = 30;
@@ -73,8 +74,8 @@
         &self.grants
     }
 
-    /// Whether a command ends this configuration with a different set of voters. Compaction keeps the voters and the
-    /// leases.
+    /// Whether a command ends this configuration with a different set of voters. Compaction keeps the voters
+    /// and the leases.
     fn replaces_voters(&self, command: &Command) -> bool {
         matches!(&command.operation, Operation::Voters { expects, voters }
             if *expects == self.config.number && *voters != self.config.voters)
@@ -131,12 +132,13 @@
         }
     }
 
-    /// Announces a front that does not vote yet: to the named voters before the first configuration, later to the other
-    /// voters with a request to be admitted.
+    /// Announces a front that does not vote yet: to the named voters before the first configuration, later to
+    /// the other voters with a request to be admitted.
     fn announce(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         if let Some(genesis) = self.genesis() {
             let (known, complete) = (genesis.known(), genesis.complete());
-            // A voter that starts the configuration announces the common set one last time, so the others can start too.
+            // A voter that starts the configuration announces the common set one last time, so the others can
+            // start too.
             for to in self.settings.voters.clone() {
                 self.send(now_ms, to, &Message::Genesis(known.clone()), out);
             }
@@ -192,8 +194,8 @@
         }
     }
 
-    /// Writes the start of a configuration to the disk. Entries up to the present state that the new instance decides are
-    /// skipped.
+    /// Writes the start of a configuration to the disk. Entries up to the present state that the new instance
+    /// decides are skipped.
     fn begin_config(
         &mut self,
         config: u32,
@@ -244,7 +246,8 @@
         }
     }
 
-    /// Stops voting and granting leases in this run, because the disk might not have what the voter would promise.
+    /// Stops voting and granting leases in this run, because the disk might not have what the voter would
+    /// promise.
     fn stop(&mut self, reason: Note) {
         self.stopped = true;
         (self.voting, self.pending_config, self.source, self.stored_log) = (None, None, None, None);
@@ -267,8 +270,8 @@
                 };
                 self.durable = self.durable.max(pending.durable);
                 if let Some(first) = pending.genesis {
-                    // Another voter that started genesis may have been learned from meanwhile. Its set of voters is the
-                    // same, because all voters announced it.
+                    // Another voter that started genesis may have been learned from meanwhile. Its set of
+                    // voters is the same, because all voters announced it.
                     if self.registers.config().is_none() {
                         self.replace(now_ms, first, out);
                     }
@@ -346,13 +349,13 @@
             .or_insert_with(|| TokenBucket::new(now_ms, DIRECT_MESSAGES_PER_S, DIRECT_MESSAGES_PER_S));
         let send_directly = is_heartbeat || (!self.fragmenter.is_sending(to.front) && budget.take(now_ms));
         if bytes.len() > MAX_MESSAGE_BYTES || !send_directly {
-            // A shorter message must not overtake a longer one. Many messages are bundled, because the exchange drops more
-            // than 128 datagrams per second.
+            // A shorter message must not overtake a longer one. Many messages are bundled, because the
+            // exchange drops more than 128 datagrams per second.
             self.fragmenter.send(now_ms, to.front, bytes);
             return;
         }
-        // A lost message costs a resend after 500 ms, and lost heartbeats can cost the leader its role. The receiver detects
-        // duplicates by their sequence number.
+        // A lost message costs a resend after 500 ms, and lost heartbeats can cost the leader its role. The
+        // receiver detects duplicates by their sequence number.
         let copies = match (is_heartbeat, self.is_lossy()) {
             (true, false) => 0,
             (true, true) | (false, false) => 1,
@@ -370,8 +373,8 @@
         out.push(Output::Send { to: to.front, message: bytes });
     }
 
-    /// Answers a lease request of a front in a run, if this front votes: the configuration since which the set of voters is
-    /// unchanged, and the grant.
+    /// Answers a lease request of a front in a run, if this front votes: the configuration since which the
+    /// set of voters is unchanged, and the grant.
     pub(super) fn grant_lease(
         &mut self,
         now_ms: u64,
@@ -390,7 +393,8 @@
     ///
     /// # Errors
     ///
-    /// The front that leads, if it is known and another; `None` also if the leader cannot take the command now.
+    /// The front that leads, if it is known and another; `None` also if the leader cannot take the command
+    /// now.
     pub(super) fn append_if_leader(
         &mut self,
         now_ms: u64,
@@ -422,8 +426,8 @@
         Ok(())
     }
 
-    /// Whether a majority of these voters sent lease requests lately with these stores. With unreachable voters nothing
-    /// could be decided any more.
+    /// Whether a majority of these voters sent lease requests lately with these stores. With unreachable
+    /// voters nothing could be decided any more.
     fn majority_reachable(&self, now_ms: u64, voters: &[VoterId]) -> bool {
         let reachable = voters.iter().filter(|v| {
             self.id == Some(**v)
@@ -435,7 +439,8 @@
         reachable.count() >= majority(voters.len())
     }
 
-    /// As the leader: compacts a long log by a new configuration with the same voters, which starts from a snapshot.
+    /// As the leader: compacts a long log by a new configuration with the same voters, which starts from a
+    /// snapshot.
     fn compact(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         let Some(voting) = &self.voting else { return };
         let is_long = voting.entries >= COMPACT_ENTRIES || voting.voter.log_bytes() >= COMPACT_LOG_BYTES;
@@ -455,7 +460,8 @@
         let _ = self.append_if_leader(now_ms, command, out);
     }
 
-    /// As the leader: notifies leaseholders of new entries, so they learn them before their next lease request.
+    /// As the leader: notifies leaseholders of new entries, so they learn them before their next lease
+    /// request.
     fn notify_leaseholders(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         let Some(voting) = &self.voting else { return };
         let (number, notified_ms) = self.notified;
@@ -514,7 +520,7 @@
                     return;
                 }
                 if head.config < self.registers.config_number() {
-                    // The sender is behind; the header of this message tells it so.
+                    // The sender is behind; the header of this reply shows it the newer configuration.
                     self.send(now_ms, from, &Message::HeadOnly, out);
                     return;
                 }
--- a/crates/agreement/src/progress.rs
+++ b/crates/agreement/src/progress.rs
@@ -1,9 +1,10 @@
-//! How far a voter's disk is. It lets the other voters detect a store that was replaced by an older copy of itself.
+//! How far a voter's disk is. It lets the other voters detect a store that was replaced by an older copy of
+//! itself.
 //!
-//! Each opening of a store increments its `boots`. A voter sends this count with each message, together with the progress
-//! that its disk had synced. A voter that remembers more progress of a store than a later opening reports has found an
-//! older copy, which has lost promises. The memory is not persistent: if all voters that remember the store restart too,
-//! the older copy is not detected.
+//! Each opening of a store increments its `boots`. A voter sends this count with each message, together with
+//! the progress that its disk had synced. A voter that remembers more progress of a store than a later
+//! opening reports has found an older copy, which has lost promises. The memory is not persistent: if all
+//! voters that remember the store restart too, the older copy is not detected.
 
 use crate::store::{StoreOp, StoredLog};
 use crate::types::{Config, VoterId};
@@ -11,8 +12,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How far a disk is; later progress compares greater. It never decreases: under one promise the log is replaced once, when it is
-/// first accepted under that promise, and only grows after that.
+/// How far a disk is; later progress compares greater. It never decreases: under one promise the log is
+/// replaced once, when it is first accepted under that promise, and only grows after that.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Progress {
     /// Number of the configuration.
@@ -101,8 +102,9 @@
 const MAX_STORES: usize = 64;
 
 impl KnownProgress {
-    /// Records the progress that a voter reports in a run of its front. Returns false if more progress of that store is
-    /// known: the store is an older copy. Messages of an earlier run pass here; the exchange refuses them.
+    /// Records the progress that a voter reports in a run of its front. Returns false if more progress of
+    /// that store is known: the store is an older copy. Messages of an earlier run pass here; the exchange
+    /// refuses them.
     pub fn observe(
         &mut self,
         front: u64,
@@ -122,8 +124,8 @@
         if run < *known_run {
             return true;
         }
-        // An earlier opening than the known one, or a later opening with less on its disk. Within one run and one opening
-        // less progress only means that the message was delayed.
+        // An earlier opening than the known one, or a later opening with less on its disk. Within one run and
+        // one opening less progress only means that the message was delayed.
         let later = run > *known_run || reported.boots > *boots;
         if reported.boots < *boots || (later && reported.progress < *progress) {
             return false;
--- a/crates/agreement/src/proposals.rs
+++ b/crates/agreement/src/proposals.rs
@@ -1,5 +1,5 @@
-//! Commands that this front proposed and that are not applied here yet. Each is sent again under the same key, to one
-//! voter after another, until it is applied here or its time limit has passed.
+//! Commands that this front proposed and that are not applied here yet. Each is sent again under the same
+//! key, to one voter after another, until it is applied here or its time limit has passed.
 
 use crate::fragments::TokenBucket;
 use crate::registers::{Outcome, Registers};
@@ -10,7 +10,8 @@
 pub const MAX_PROPOSALS: usize = 64;
 /// A proposal is sent again after this time, in milliseconds.
 const RESEND_MS: u64 = 500;
-/// A proposal is sent to the leader this long after a voter declined it and named the leader, in milliseconds.
+/// A proposal is sent to the leader this long after a voter declined it and named the leader, in
+/// milliseconds.
 const REDIRECT_MS: u64 = 60;
 /// Messages with proposals per second. The exchange accepts 128 datagrams per second from a front.
 const SENDS_PER_S: u64 = 48;
@@ -53,8 +54,8 @@
 }
 
 impl Proposals {
-    /// Adds a proposal that expires after `timeout_ms`. `next_voter` selects the voter that is asked first and spreads
-    /// the load over voters. Returns false if there is no room.
+    /// Adds a proposal that expires after `timeout_ms`. `next_voter` selects the voter that is asked first
+    /// and spreads the load over voters. Returns false if there is no room.
     pub fn add(&mut self, now_ms: u64, timeout_ms: u64, command: Command, next_voter: usize) -> bool {
         if self.pending.contains_key(&command.key) {
             return true;
@@ -90,8 +91,8 @@
     pub fn declined(&mut self, now_ms: u64, key: Key, leader: Option<u64>) {
         if let Some(pending) = self.pending.get_mut(&key) {
             pending.leader = leader;
-            // Two voters may name each other as the leader, so the proposal is sent on after a delay rather than at once.
-            // A voter that names nobody has no room now or knows no leader.
+            // Two voters may name each other as the leader, so the proposal is sent on after a delay rather
+            // than at once. A voter that names nobody has no room now or knows no leader.
             if leader.is_some() {
                 pending.next_ms = pending.next_ms.min(now_ms.saturating_add(REDIRECT_MS));
             }
@@ -103,7 +104,8 @@
         self.pending.remove(&key).is_some()
     }
 
-    /// The registers were replaced by a later state: removes and returns the proposals that it has as decided.
+    /// The registers were replaced by a later state: removes and returns the proposals that it has as
+    /// decided.
     pub fn replaced(&mut self, registers: &Registers) -> Vec<(Key, ProposalResult)> {
         let keys: Vec<Key> = self.pending.keys().copied().collect();
         let decided = keys.into_iter().filter_map(|key| {
@@ -122,8 +124,8 @@
         expired
     }
 
-    /// The commands to send now, each with the one of `voters` to send it to. `known_leader` is the leader as this front
-    /// knows it.
+    /// The commands to send now, each with the one of `voters` to send it to. `known_leader` is the leader as
+    /// this front knows it.
     pub fn due(&mut self, now_ms: u64, voters: &[u64], known_leader: Option<u64>) -> Vec<(u64, Command)> {
         let mut due = Vec::new();
         if voters.is_empty() {
--- a/crates/agreement/src/registers.rs
+++ b/crates/agreement/src/registers.rs
@@ -1,8 +1,8 @@
 //! The agreed state: registers by subject, the voters, and the idempotency keys of the latest commands.
 //!
-//! It is a pure function of the log entries: two fronts that applied the same number of entries have the same bytes, and a
-//! snapshot consists of those bytes. A command applies only to the version that it expects. A command with a key that
-//! occurred before changes nothing and gets its first outcome again.
+//! It is a pure function of the log entries: two fronts that applied the same number of entries have the same
+//! bytes, and a snapshot consists of those bytes. A command applies only to the version that it expects. A
+//! command with a key that occurred before changes nothing and gets its first outcome again.
 
 use crate::types::{
     Command, Config, Entry, Hash, Key, MAX_BODY_BYTES, MAX_VOTERS, Operation, Subject, VoterId, ZERO_HASH,
@@ -69,10 +69,12 @@
 pub struct Registers {
     number: u64,
     hash: Hash,
-    /// Derived from the first voters. The log of another fleet, or of the same fleet started anew, has another id.
+    /// Derived from the first voters. The log of another fleet, or of the same fleet started anew, has
+    /// another id.
     log_id: u64,
     config: Option<Config>,
-    /// The configuration since which the set of voters is unchanged. Leases refer to it, so compaction does not affect them.
+    /// The configuration since which the set of voters is unchanged. Leases refer to it, so compaction does
+    /// not affect them.
     voters_since: u32,
     registers: BTreeMap<Subject, Register>,
     /// The latest keys, oldest first, each with its first entry and its outcome.
@@ -101,7 +103,8 @@
     }
 }
 
-/// Whether this is a valid list of voters: 1 to [`MAX_VOTERS`], in ascending order, each front once, no store 0.
+/// Whether this is a valid list of voters: 1 to [`MAX_VOTERS`], in ascending order, each front once, no store
+/// 0.
 #[must_use]
 pub fn valid_voters(voters: &[VoterId]) -> bool {
     (1..=MAX_VOTERS).contains(&voters.len())
@@ -176,8 +179,8 @@
         self.outcomes.get(&key).copied()
     }
 
-    /// Applies the command of the next entry. A command whose key occurred before changes nothing and gets its first
-    /// outcome.
+    /// Applies the command of the next entry. A command whose key occurred before changes nothing and gets
+    /// its first outcome.
     pub fn apply(&mut self, command: Command) -> (Entry, Outcome) {
         let number = self.number.saturating_add(1);
         let hash = chain_hash(&self.hash, number, &command);
--- a/crates/agreement/src/store.rs
+++ b/crates/agreement/src/store.rs
@@ -1,6 +1,6 @@
-//! The persistent store of a voter, on `redb`: its id, its promised and accepted log, and the snapshot that its
-//! configuration started from. Each write is one transaction that is synced to the disk when the call returns. No other
-//! module of this crate does I/O.
+//! The persistent store of a voter, on `redb`: its id, its promised and accepted log, and the snapshot that
+//! its configuration started from. Each write is one transaction that is synced to the disk when the call
+//! returns. No other module of this crate does I/O.
 
 use crate::types::{Command, Config};
 use redb::{Database, DatabaseError, Durability, ReadableTable, TableDefinition};
@@ -17,8 +17,8 @@
 /// One change within a write.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreOp {
-    /// Starts a configuration from a snapshot; the promise, accepted ballot, decided index and log of the former one are
-    /// deleted.
+    /// Starts a configuration from a snapshot; the promise, accepted ballot, decided index and log of the
+    /// former one are deleted.
     Begin {
         /// The configuration.
         config: Config,
@@ -43,8 +43,8 @@
 /// A voter's log as stored, to continue from.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredLog {
-    /// How often the store was opened, this opening included. For a configuration that starts with an empty log it is
-    /// copied from [`StoredState::boots`].
+    /// How often the store was opened, this opening included. For a configuration that starts with an empty
+    /// log it is copied from [`StoredState::boots`].
     pub boots: u64,
     /// The promised ballot, serialized by the voter; empty if there is none.
     pub promise: Vec<u8>,
@@ -77,8 +77,8 @@
     /// Another process, or this one, has it open.
     #[error("the store is already open in this or another process")]
     InUse,
-    /// The file is not a store of this format, is damaged, or contradicts itself. To continue, move the file away and
-    /// create a new store; the front is then a different voter.
+    /// The file is not a store of this format, is damaged, or contradicts itself. To continue, move the file
+    /// away and create a new store; the front is then a different voter.
     #[error("the file is not a valid agreement store: {0}")]
     Invalid(String),
     /// Reading or writing failed. The state on the disk is unknown until the store is opened again.
@@ -146,7 +146,8 @@
 }
 
 impl Store {
-    /// Opens the store at `path`, or creates one with this id if there is no file. Increments and syncs its opening count.
+    /// Opens the store at `path`, or creates one with this id if there is no file. Increments and syncs its
+    /// opening count.
     ///
     /// # Errors
     ///
@@ -170,8 +171,8 @@
         opened.unwrap_or_else(|_| Err(StoreError::Invalid("unreadable".into())))
     }
 
-    /// Writes the changes atomically and returns once they are synced. After an error the store must not be written
-    /// again: whether this write took effect is unknown until the store is reopened.
+    /// Writes the changes atomically and returns once they are synced. After an error the store must not be
+    /// written again: whether this write took effect is unknown until the store is reopened.
     ///
     /// # Errors
     ///
@@ -194,8 +195,8 @@
 ) -> Result<R, StoreError> {
     let mut transaction = database.begin_write()?;
     transaction.set_durability(Durability::Immediate);
-    // Without two-phase commit, redb takes a damaged last commit for an unfinished one and silently uses the commit before
-    // it. A promise would be lost.
+    // Without two-phase commit, redb takes a damaged last commit for an unfinished one and silently uses the
+    // commit before it. A promise would be lost.
     transaction.set_two_phase_commit(true);
     let answer = {
         let mut meta = transaction.open_table(META)?;
@@ -251,8 +252,8 @@
     postcard::to_stdvec(value).map_err(|e| StoreError::Io(e.to_string()))
 }
 
-/// Creates a store under a temporary name beside `path` and renames it when it is complete, so `path` never has an
-/// incomplete store.
+/// Creates a store under a temporary name beside `path` and renames it when it is complete, so `path` never
+/// has an incomplete store.
 fn create(path: &Path, id: u64) -> Result<(), StoreError> {
     let temporary: PathBuf = {
         let mut name = path
--- a/crates/agreement/src/store/tests.rs
+++ b/crates/agreement/src/store/tests.rs
@@ -1,5 +1,5 @@
-//! Guards against stores that are lost or inconsistent after a power failure. A simulated disk loses power at each write
-//! in turn; unsynced writes survive completely, partly or not at all.
+//! Guards against stores that are lost or inconsistent after a power failure. A simulated disk loses power at
+//! each write in turn; unsynced writes survive completely, partly or not at all.
 
 use super::*;
 use crate::types::{Key, Operation, Subject};
@@ -27,7 +27,8 @@
         Ok(())
     }
 
-    /// The content after a power failure: of each unsynced write all, some or none of the sectors, independently.
+    /// The content after a power failure: of each unsynced write all, some or none of the sectors,
+    /// independently.
     fn after_power_loss(&self, rng: &mut StdRng) -> Vec<u8> {
         let mut bytes = self.synced.clone();
         for (offset, data) in &self.unsynced {
@@ -126,8 +127,8 @@
     vec![StoreOp::Promise(n.to_be_bytes().to_vec()), StoreOp::Log { from, commands: vec![command] }]
 }
 
-/// The power fails at each write of a few transactions in turn. Afterwards the store opens with the last confirmed
-/// transaction or the one in progress, never with something in between.
+/// The power fails at each write of a few transactions in turn. Afterwards the store opens with the last
+/// confirmed transaction or the one in progress, never with something in between.
 #[test]
 fn power_may_fail_at_any_write() {
     let disk = Disk::default();
--- a/crates/agreement/src/types.rs
+++ b/crates/agreement/src/types.rs
@@ -8,8 +8,8 @@
 /// Maximum number of voters in a configuration.
 pub const MAX_VOTERS: usize = 7;
 
-/// A voter: a front together with the store it votes from. A front whose store was lost or replaced counts as a
-/// different voter, because it no longer knows what it promised and might contradict it.
+/// A voter: a front together with the store it votes from. A front whose store was lost or replaced counts as
+/// a different voter, because it no longer knows what it promised and might contradict it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VoterId {
     /// The front's number, as on the exchange.
@@ -25,12 +25,13 @@
     pub number: u32,
     /// Number of the first log entry that these voters decide.
     pub first: u64,
-    /// The voters in ascending order, 1 to [`MAX_VOTERS`]. The count is odd except while voters are being exchanged.
+    /// The voters in ascending order, 1 to [`MAX_VOTERS`]. The count is odd except while voters are being
+    /// exchanged.
     pub voters: Vec<VoterId>,
 }
 
-/// Idempotency key of a command: a command that is proposed again under the same key takes effect once. It is drawn by
-/// the proposer, or derived from the state that the command follows.
+/// Idempotency key of a command: a command that is proposed again under the same key takes effect once. It is
+/// drawn by the proposer, or derived from the state that the command follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key(pub u128);
 
@@ -61,14 +62,14 @@
     Put {
         /// The register.
         subject: Subject,
-        /// Compare-and-set condition: number of the entry that last wrote the register, 0 if it must be empty. On a
-        /// mismatch the command changes nothing.
+        /// Compare-and-set condition: number of the entry that last wrote the register, 0 if it must be
+        /// empty. On a mismatch the command changes nothing.
         expects: u64,
         /// New content, at most [`MAX_BODY_BYTES`] bytes.
         body: Vec<u8>,
     },
-    /// Replaces the voters from the next entry on. Entries that the ended configuration decides after this one are
-    /// discarded. The same voters again compact the log: it restarts from a snapshot.
+    /// Replaces the voters from the next entry on. Entries that the ended configuration decides after this
+    /// one are discarded. The same voters again compact the log: it restarts from a snapshot.
     Voters {
         /// Number of the configuration that this command ends. On a mismatch the command changes nothing.
         expects: u32,
--- a/crates/agreement/src/voter.rs
+++ b/crates/agreement/src/voter.rs
@@ -1,22 +1,23 @@
-//! One voter in one configuration, built around omnipaxos. It does no I/O: ticks, messages and the results of disk writes
-//! are passed in.
+//! One voter in one configuration, built around omnipaxos. It does no I/O: ticks, messages and the results of
+//! disk writes are passed in.
 //!
-//! - **Sync before send.** Everything that a step produces waits until the step's own write and all earlier ones are
-//!   synced. Only heartbeats do not wait. The ballot in a heartbeat can at most make the receiver choose a higher ballot
-//!   of its own, which it syncs before it requests promises. A voter whose disk has not completed a write for
-//!   [`DISK_TIMEOUT_TICKS`] ticks sends nothing at all, so that another voter becomes the leader.
-//! - **Order.** omnipaxos assumes ordered links without duplicates: a duplicate of an old `AcceptSync` would remove
-//!   entries from a log that were already counted as accepted. Each message therefore carries the incarnations (`boots`)
-//!   of both ends and a sequence number. A message that is not newer than the last one, or is meant for an earlier
-//!   incarnation of its receiver, is refused.
-//! - **Loss.** omnipaxos resends the messages that prepare a ballot, but not those lost within it. Each message carries
-//!   its sender's progress. A follower that is behind, or that sees undecided entries at its leader, asks to be
-//!   synchronized again if nothing has changed for [`RESEND_TICKS`] ticks.
-//! - **Excluded voters.** A voter that promised a higher ballot of a voter that is gone (of itself before a restart, for
-//!   example) accepts nothing from the leader that the others follow, and that leader has no other reason to choose a
-//!   higher ballot. It chooses one after [`UNREACHED_BALLOT_TICKS`] ticks.
-//! - **Single voter.** omnipaxos does not support a configuration of one voter. There the log alone is used: an entry is
-//!   decided once it is written.
+//! - **Sync before send.** Everything that a step produces waits until the step's own write and all earlier
+//!   ones are synced. Only heartbeats do not wait. The ballot in a heartbeat can at most make the receiver
+//!   choose a higher ballot of its own, which it syncs before it requests promises. A voter whose disk has
+//!   not completed a write for [`DISK_TIMEOUT_TICKS`] ticks sends nothing at all, so that another voter
+//!   becomes the leader.
+//! - **Order.** omnipaxos assumes ordered links without duplicates: a duplicate of an old `AcceptSync` would
+//!   remove entries from a log that were already counted as accepted. Each message therefore carries the
+//!   incarnations (`boots`) of both ends and a sequence number. A message that is not newer than the last
+//!   one, or is meant for an earlier incarnation of its receiver, is refused.
+//! - **Loss.** omnipaxos resends the messages that prepare a ballot, but not those lost within it. Each
+//!   message carries its sender's progress. A follower that is behind, or that sees undecided entries at its
+//!   leader, asks to be synchronized again if nothing has changed for [`RESEND_TICKS`] ticks.
+//! - **Excluded voters.** A voter that promised a higher ballot of a voter that is gone (of itself before a
+//!   restart, for example) accepts nothing from the leader that the others follow, and that leader has no
+//!   other reason to choose a higher ballot. It chooses one after [`UNREACHED_BALLOT_TICKS`] ticks.
+//! - **Single voter.** omnipaxos does not support a configuration of one voter. There the log alone is used:
+//!   an entry is decided once it is written.
 
 use crate::journal::{Journal, SharedJournal, message_bytes};
 use crate::store::{StoreOp, StoredLog};
@@ -31,28 +32,30 @@
 
 mod validate;
 
-/// Length of a heartbeat round, in ticks: a leader that is silent for one to two rounds is replaced. 250 ms at a tick of
-/// 50 ms.
+/// Length of a heartbeat round, in ticks: a leader that is silent for one to two rounds is replaced. 250 ms
+/// at a tick of 50 ms.
 pub const ELECTION_TICKS: u64 = 5;
-/// Ticks after which an unanswered message is resent, and a follower without progress asks to be synchronized again.
-/// 500 ms at a tick of 50 ms.
+/// Ticks after which an unanswered message is resent, and a follower without progress asks to be synchronized
+/// again. 500 ms at a tick of 50 ms.
 pub const RESEND_TICKS: u64 = 10;
-/// Ticks that a voter may stay with a higher ballot than its leader's before the leader chooses a higher one. 2 s at a
-/// tick of 50 ms.
+/// Ticks that a voter may stay with a higher ballot than its leader's before the leader chooses a higher one.
+/// 2 s at a tick of 50 ms.
 pub const UNREACHED_BALLOT_TICKS: u64 = 40;
-/// Ticks that a disk write may take before the voter stops sending until the write completes. 2 s at a tick of 50 ms.
+/// Ticks that a disk write may take before the voter stops sending until the write completes. 2 s at a tick
+/// of 50 ms.
 pub const DISK_TIMEOUT_TICKS: u64 = 40;
-/// Maximum size of the log for a new [`Operation::Put`], in bytes; the log should be compacted before. A follower without
-/// any entries receives the whole log in one message.
+/// Maximum size of the log for a new [`Operation::Put`], in bytes; the log should be compacted before. A
+/// follower without any entries receives the whole log in one message.
 pub const MAX_LOG_BYTES: usize = 256 * 1024;
 /// Maximum size of a message between voters, in bytes.
 pub const MAX_VOTER_MESSAGE_BYTES: usize = MAX_LOG_BYTES + 128 * 1024;
-/// Bytes beyond [`MAX_LOG_BYTES`] that are reserved for [`Operation::Voters`], so that a full log can still be compacted.
+/// Bytes beyond [`MAX_LOG_BYTES`] that are reserved for [`Operation::Voters`], so that a full log can still
+/// be compacted.
 const COMPACTION_RESERVE_BYTES: usize = 32 * 1024;
 /// Maximum number of undecided entries at a leader; it accepts no further command beyond that.
 const MAX_UNDECIDED: usize = 64;
-/// Maximum number of messages that wait for the disk. Further ones are dropped, which is safe because any message may be
-/// lost.
+/// Maximum number of messages that wait for the disk. Further ones are dropped, which is safe because any
+/// message may be lost.
 const MAX_DEFERRED_MESSAGES: usize = 64;
 
 /// Output of a voter.
@@ -105,7 +108,8 @@
 /// Why a message was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReceiveError {
-    /// It belongs to another configuration, which may have the same number. The end that is behind has to catch up.
+    /// It belongs to another configuration, which may have the same number. The end that is behind has to
+    /// catch up.
     #[error("the message belongs to another configuration, with number {number}")]
     OtherConfig {
         /// Number of the sender's configuration.
@@ -162,8 +166,8 @@
     boots: u64,
     /// Incarnation of the receiver as the sender knows it, 0 if unknown.
     to_boots: u64,
-    /// Sequence number, counted for each receiver and each of the two lanes (heartbeats and all other messages) within one
-    /// incarnation of the sender.
+    /// Sequence number, counted for each receiver and each of the two lanes (heartbeats and all other
+    /// messages) within one incarnation of the sender.
     sequence: u64,
     /// The sender's synced decided index, for a receiver that is behind.
     decided: u64,
@@ -193,7 +197,8 @@
     Decided { index: u64, command: Command },
 }
 
-/// A write that the disk has not completed. `decided` and `accepted` are the decided index and the log length after it.
+/// A write that the disk has not completed. `decided` and `accepted` are the decided index and the log length
+/// after it.
 struct PendingWrite {
     batch: u64,
     since_tick: u64,
@@ -213,7 +218,8 @@
     journal: SharedJournal,
     peers: Vec<Peer>,
     ticks: u64,
-    /// Random delay before the first election, so that voters that start together do not all become candidates at once.
+    /// Random delay before the first election, so that voters that start together do not all become
+    /// candidates at once.
     start_delay_ticks: u64,
     last_batch: u64,
     synced_batch: u64,
@@ -224,15 +230,16 @@
     delivered: u64,
     /// Synced decided index and log length.
     synced: (u64, u64),
-    /// The progress of this follower and its leader when last checked, and for how many ticks it is unchanged.
+    /// The progress of this follower and its leader when last checked, and for how many ticks it is
+    /// unchanged.
     stalled: ([u64; 4], u64),
     stopped: Option<StopReason>,
 }
 
 impl Voter {
-    /// A voter that continues from `stored`. At most one may be created for a configuration in one opening of the store,
-    /// because messages are ordered by [`StoredLog::boots`]. Decided entries are reported again from index 0. `seed`
-    /// varies the tick of the first election between voters.
+    /// A voter that continues from `stored`. At most one may be created for a configuration in one opening of
+    /// the store, because messages are ordered by [`StoredLog::boots`]. Decided entries are reported again
+    /// from index 0. `seed` varies the tick of the first election between voters.
     ///
     /// # Errors
     ///
@@ -269,7 +276,8 @@
                 buffer_size: 64,
                 ..ServerConfig::default()
             };
-            // With a promise in its storage, omnipaxos assumes a recovery and asks the leader to synchronize it.
+            // With a promise in its storage, omnipaxos assumes a recovery and asks the leader to synchronize
+            // it.
             Some(cluster.build_for_server(server, journal.clone()).map_err(|_| VoterError::InvalidConfig)?)
         };
         // Serializing a configuration cannot fail.
@@ -363,9 +371,9 @@
         Ok(())
     }
 
-    /// Proposes a command: appends it to the log if this voter is the leader, otherwise forwards it to the leader without
-    /// confirmation. Returns false if no leader is known, too many entries are undecided, or the log must be compacted
-    /// first; the caller may retry later.
+    /// Proposes a command: appends it to the log if this voter is the leader, otherwise forwards it to the
+    /// leader without confirmation. Returns false if no leader is known, too many entries are undecided, or
+    /// the log must be compacted first; the caller may retry later.
     pub fn append(&mut self, command: Command) -> bool {
         if self.stopped.is_some() || !validate::is_valid_command(&command) || !self.has_log_room(&[&command])
         {
@@ -455,8 +463,8 @@
         }
     }
 
-    /// Reports the completion of a batch, in order of batches. After a failure, or a completion out of order, this voter
-    /// sends nothing more for good.
+    /// Reports the completion of a batch, in order of batches. After a failure, or a completion out of order,
+    /// this voter sends nothing more for good.
     pub fn written(&mut self, batch: u64, ok: bool) {
         if self.stopped.is_some() {
             return;
@@ -503,9 +511,9 @@
         self.pending_writes.clear();
     }
 
-    /// Calls omnipaxos and catches panics, which are its only reaction to states that it considers impossible. Messages are
-    /// checked beforehand for everything known to cause a panic. On any other panic the voter stops, and the front
-    /// continues as a learner.
+    /// Calls omnipaxos and catches panics, which are its only reaction to states that it considers
+    /// impossible. Messages are checked beforehand for everything known to cause a panic. On any other panic
+    /// the voter stops, and the front continues as a learner.
     fn call_engine<R>(&mut self, f: impl FnOnce(&mut OmniPaxos<Command, SharedJournal>) -> R) -> Option<R> {
         let engine = self.engine.as_mut()?;
         match catch_unwind(AssertUnwindSafe(|| f(engine))) {
@@ -553,8 +561,8 @@
         out.push(VoterOutput::Send { to, message: bytes });
     }
 
-    /// Asks the leader for a new synchronization if this follower is behind, or the leader has undecided entries, and
-    /// nothing has changed for [`RESEND_TICKS`]: a message was lost.
+    /// Asks the leader for a new synchronization if this follower is behind, or the leader has undecided
+    /// entries, and nothing has changed for [`RESEND_TICKS`]: a message was lost.
     fn resync_if_stalled(&mut self) {
         let Some((leader, true)) = self.engine.as_ref().and_then(OmniPaxos::get_current_leader) else {
             return;
@@ -579,8 +587,8 @@
         }
     }
 
-    /// Takes a higher ballot if this leader's ballot is below one that another voter has followed without a leader for
-    /// [`UNREACHED_BALLOT_TICKS`].
+    /// Takes a higher ballot if this leader's ballot is below one that another voter has followed without a
+    /// leader for [`UNREACHED_BALLOT_TICKS`].
     fn raise_ballot_if_unreached(&mut self) {
         let Some(engine) = self.engine.as_ref() else { return };
         if engine.get_current_leader() != Some((self.me, true)) {
@@ -614,7 +622,8 @@
     usize::from(!matches!(message, Message::BLE(_)))
 }
 
-/// Whether a message of a voter is a heartbeat. Heartbeats need not keep their order relative to other messages.
+/// Whether a message of a voter is a heartbeat. Heartbeats need not keep their order relative to other
+/// messages.
 #[must_use]
 pub fn is_heartbeat(bytes: &[u8]) -> bool {
     let after_head = postcard::take_from_bytes::<Head>(bytes).map(|(_, rest)| rest);
--- a/crates/agreement/src/voter/validate.rs
+++ b/crates/agreement/src/voter/validate.rs
@@ -1,5 +1,5 @@
-//! Validates messages before omnipaxos processes them. omnipaxos trusts its peers, so every value that its code (0.2.4)
-//! uses as an index, in arithmetic or in an assertion is checked here.
+//! Validates messages before omnipaxos processes them. omnipaxos trusts its peers, so every value that its
+//! code (0.2.4) uses as an index, in arithmetic or in an assertion is checked here.
 
 use super::{
     Ballot, Command, MAX_BODY_BYTES, MAX_VOTER_MESSAGE_BYTES, MAX_VOTERS, Message, Operation, Peer,
@@ -9,8 +9,8 @@
 use omnipaxos::messages::sequence_paxos::{AcceptSync, PaxosMsg, Promise};
 use omnipaxos::util::SequenceNumber;
 
-/// Maximum number of a ballot. A voter that takes over adds 1 to the highest number that it has seen, which must not
-/// overflow.
+/// Maximum number of a ballot. A voter that takes over adds 1 to the highest number that it has seen, which
+/// must not overflow.
 const MAX_BALLOT_ROUND: u32 = u32::MAX / 2;
 /// Maximum session and counter of a sequence number; omnipaxos adds 1 to these too.
 const MAX_SEQUENCE_NUMBER: u64 = u64::MAX / 2;
@@ -45,7 +45,8 @@
 }
 
 impl Voter {
-    /// Checks a message whose sender and receiver are already verified, and records in `peer` what a heartbeat reply says.
+    /// Checks a message whose sender and receiver are already verified, and records the content of a
+    /// heartbeat reply in `peer`.
     pub(super) fn validate(&self, message: &Message<Command>, peer: &mut Peer) -> Result<(), ReceiveError> {
         let voters = self.config.voters.len() as u64;
         let valid = |b: &Ballot| is_valid_ballot(b, self.config.number, voters);
@@ -113,8 +114,8 @@
             PaxosMsg::Decide(m) => ensure(is_senders(&m.n) && is_valid_sequence(&m.seq_num)),
             PaxosMsg::ProposalForward(commands) => {
                 ensure(commands.iter().all(is_valid_command))?;
-                // omnipaxos would forward it at a voter that does not lead, endlessly between two voters that each take the
-                // other for the leader, or buffer it.
+                // omnipaxos would forward it at a voter that does not lead, endlessly between two voters that
+                // each take the other for the leader, or buffer it.
                 if engine.get_current_leader() != Some((self.me, true)) {
                     return Err(ReceiveError::NotLeader);
                 }
@@ -131,7 +132,8 @@
         }
     }
 
-    /// Checks a promise for this voter's present ballot. `synchronized` is whether it already leads with that ballot.
+    /// Checks a promise for this voter's present ballot. `synchronized` is whether it already leads with that
+    /// ballot.
     fn validate_promise(&self, m: &Promise<Command>, synchronized: bool) -> Result<(), ReceiveError> {
         let (decided, length) = {
             let journal = self.journal.lock();
@@ -152,7 +154,8 @@
         }
         // A promise without entries must not report more decided entries than this voter has.
         ensure(m.n_accepted < m.n && (m.log_sync.is_some() || m.decided_idx <= length))?;
-        // Its additional entries are put into this voter's log: neither over decided entries nor beyond the end.
+        // Its additional entries are put into this voter's log: neither over decided entries nor beyond the
+        // end.
         ensure(m.log_sync.as_ref().is_none_or(|sync| (decided..=length).contains(&sync.sync_idx)))
     }
 
--- a/crates/agreement/src/wire.rs
+++ b/crates/agreement/src/wire.rs
@@ -1,4 +1,5 @@
-//! Messages between fronts. A message fits into one datagram of the exchange; a longer one is sent in fragments.
+//! Messages between fronts. A message fits into one datagram of the exchange; a longer one is sent in
+//! fragments.
 
 use crate::catch_up::{CatchUpRequest, Chunk};
 use crate::progress::VoterProgress;
@@ -35,7 +36,8 @@
 pub enum Message {
     /// Carries only the header.
     HeadOnly,
-    /// Between named voters before the first configuration: the named voters that the sender knows, itself included.
+    /// Between named voters before the first configuration: the named voters that the sender knows, itself
+    /// included.
     Genesis(Vec<GenesisVoter>),
     /// Front to voter: requests or renews a lease.
     LeaseRequest {
@@ -43,8 +45,8 @@
         request: u64,
         /// The front confirms that it acts on the log up to this entry.
         confirmed: u64,
-        /// How long the front considers a granted lease valid, in milliseconds. A voter that grants shorter leases
-        /// refuses.
+        /// How long the front considers a granted lease valid, in milliseconds. A voter that grants shorter
+        /// leases refuses.
         lease_ms: u64,
         /// Id of the front's own store, 0 if it has none.
         store: u64,
