--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -5,7 +5,7 @@
 //! ago". A node's rack is its cell modulo the number of racks. Unknown columns are passed over, so that
 //! tools may keep their own.
 
-mod keep;
+mod watcher;
 
 use pepperhook::{KindId, ServerEntry, ServerId, ServerState, ZoneId};
 use siphasher::sip::SipHasher13;
@@ -14,7 +14,7 @@
 use std::hash::Hasher;
 use std::net::SocketAddr;
 
-pub use keep::{Keeper, Look};
+pub use watcher::{Keeper, Look};
 
 /// Bytes of a list at most; 100,000 nodes take about 8 MB.
 pub const MOST_BYTES: u64 = 16 << 20;
--- a/crates/peaks/src/lib.rs
+++ b/crates/peaks/src/lib.rs
@@ -8,8 +8,8 @@
 //! (`pepperhook::Event::Reserved`), which counts it as demand to everyone but the peak's own viewers.
 
 mod announcement;
-mod holds;
 pub mod plan;
+mod reservations;
 
 pub use announcement::{Announcement, FieldFault, Known, MOST_VIEWERS, Peak};
-pub use holds::{Held, HoldRow, Holds, NodeRoom, Refused, Terms};
+pub use reservations::{Held, HoldRow, Holds, NodeRoom, Refused, Terms};
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -1,8 +1,8 @@
 //! The part of the settings that is the fleet's and not one front's: what `crates/policy` agrees on. The same keywords,
 //! read by the same reader; addresses, files, bounds and what the list of nodes names stay each front's own.
 
-use crate::lines::{Block, Loader};
-use crate::read::Fields;
+use crate::section::Fields;
+use crate::syntax::{Block, Loader};
 use crate::{ClassSettings, Config, Fault, Faults, HoldSettings, MS, SECOND, class, named, rules};
 use pepperhook::{
     Class, DedupScope, Idempotency, Prices, RetryBudget, Rules, Rung, Settings, Tenant, Time, ZoneId,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,23 +5,23 @@
 //! what was expected, all of them at once. The keywords are listed in `docs/operators.md`.
 
 mod fleet;
-mod lines;
-mod read;
+mod section;
+mod syntax;
 
 use codespan_reporting::diagnostic::{Diagnostic, Label};
 use codespan_reporting::files::SimpleFiles;
 use codespan_reporting::term;
 pub use fleet::{Fleet, FleetClass, duration};
-use lines::{Block, Loader};
-pub use lines::{Fault, Place, Source};
 use pepperhook::{
     Class, DedupScope, Gauge, Idempotency, RetryBudget, Rules, Settings, Time, TitleId, ZoneId,
 };
 use pepperhook_inventory::Names;
-use read::{Fields, time};
+use section::{Fields, time};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
+use syntax::{Block, Loader};
+pub use syntax::{Fault, Place, Source};
 
 const MS: Time = 1_000_000;
 const SECOND: Time = 1_000 * MS;
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/section.rs
@@ -1,6 +1,6 @@
 //! Typed reading of one block: each keyword asked for is ticked off, and what is left is unknown.
 
-use crate::lines::{Block, Fault, Line, Place, Word};
+use crate::syntax::{Block, Fault, Line, Place, Word};
 use pepperhook::Time;
 use std::str::FromStr;
 
