--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -60,7 +60,7 @@
         let zone = ["gedung-a", "gedung-b", "gedung-c"][i % 3];
         list += &format!("{},{},{zone},{i},std,1,ready\n", s.name, s.address);
     }
-    let nodes = match pepperhook_inventory::read(list.as_bytes(), &config.names) {
+    let nodes = match pepperhook_inventory::parse(list.as_bytes(), &config.names) {
         Ok(nodes) => nodes,
         Err(faults) => {
             faults.iter().for_each(|f| eprintln!("{f}"));
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -2,7 +2,7 @@
 
 use crate::{Exit, log, run, signalled};
 use pepperhook_front::Front;
-use pepperhook_inventory::Keeper;
+use pepperhook_inventory::InventoryWatcher;
 use pepperhook_playout::record::Recorder;
 use pepperhook_playout::{Options, start};
 use pepperhook_settings::Config;
@@ -16,8 +16,8 @@
     Config::load(path).map_err(|e| eprint!("{e}")).ok()
 }
 
-fn keeper(config: &Config) -> Keeper {
-    Keeper::new(config.inventory.clone(), config.state_dir.as_deref(), config.names.clone())
+fn keeper(config: &Config) -> InventoryWatcher {
+    InventoryWatcher::new(config.inventory.clone(), config.state_dir.as_deref(), config.names.clone())
 }
 
 /// Raises the soft limit of open files to the hard one: a front holds a connection a viewer.
@@ -42,7 +42,7 @@
         }
     }
     let mut keeper = keeper(&config);
-    let nodes = match keeper.start() {
+    let nodes = match keeper.load_initial() {
         Ok((nodes, faults)) => {
             for fault in faults.iter().take(10) {
                 warn!(event = "inventory-fault", "{fault}");
@@ -82,7 +82,7 @@
 pub fn check(path: &Path) -> Exit {
     let Some(config) = load(path) else { return Exit::Usage };
     let read = std::fs::read(&config.inventory);
-    let faults = match read.map(|b| pepperhook_inventory::read(&b, &config.names)) {
+    let faults = match read.map(|b| pepperhook_inventory::parse(&b, &config.names)) {
         Ok(Ok(nodes)) => {
             println!("{}: {} nodes, {} titles", path.display(), nodes.len(), config.titles.len());
             return without_holders(&config, &nodes);
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -71,7 +71,7 @@
 
 pub async fn front_with(settings: &str, list: &str) -> Front {
     let config = Config::parse("test.conf", settings).expect("settings");
-    let nodes = pepperhook_inventory::read(list.as_bytes(), &config.names).expect("a list");
+    let nodes = pepperhook_inventory::parse(list.as_bytes(), &config.names).expect("a list");
     Front::start(config, 7, nodes, None).await.expect("a front")
 }
 
--- a/crates/cli/tests/duties.rs
+++ b/crates/cli/tests/duties.rs
@@ -56,7 +56,7 @@
         }
         text += duties;
         let config = Config::parse("test.conf", &text).expect("settings");
-        let nodes = pepperhook_inventory::read(list(&places(&self.stands), 0).as_bytes(), &config.names);
+        let nodes = pepperhook_inventory::parse(list(&places(&self.stands), 0).as_bytes(), &config.names);
         Front::start(config, 7 + i as u64, nodes.expect("a list"), None).await.expect("a front")
     }
 
--- a/crates/cli/tests/transcripts/whep.rs
+++ b/crates/cli/tests/transcripts/whep.rs
@@ -98,7 +98,7 @@
 /// A front whose own choices come from this seed.
 async fn seeded(seed: u64, settings: &str, list: &str) -> Front {
     let config = Config::parse("test.conf", settings).expect("settings");
-    let nodes = pepperhook_inventory::read(list.as_bytes(), &config.names).expect("a list");
+    let nodes = pepperhook_inventory::parse(list.as_bytes(), &config.names).expect("a list");
     Front::start(config, seed, nodes, None).await.expect("a front")
 }
 
--- a/crates/front/benches/engine.rs
+++ b/crates/front/benches/engine.rs
@@ -43,7 +43,7 @@
             let zone = ["a", "b", "c"][i as usize % 3];
             list += &format!("n{i},127.0.0.1:{},{zone},{i},k,1,ready\n", 2_000 + i);
         }
-        let list = pepperhook_inventory::read(list.as_bytes(), &config.names).expect("a list");
+        let list = pepperhook_inventory::parse(list.as_bytes(), &config.names).expect("a list");
         let engine = Engine::new(config, 1).expect("an engine");
         let mut run = Self { engine, nodes, now: 1_000_000 * MS, next: 0, effects: Vec::new() };
         run.engine.handle(run.now, Input::Nodes(list), &mut run.effects);
--- a/crates/front/src/engine/tests.rs
+++ b/crates/front/src/engine/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 use bytes::Bytes;
-use pepperhook_inventory::{Names, read};
+use pepperhook_inventory::{InventoryNames, parse};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,11 +20,11 @@
 
 fn engine_with(settings: &str, nodes: usize) -> Engine {
     let config = Rc::new(Config::parse("t", settings).expect("settings"));
-    let names: Names = config.names.clone();
+    let names: InventoryNames = config.names.clone();
     let mut list = "name,address,zone,cell,kind,weight,state\n".to_owned();
     (0..nodes).for_each(|i| list += &format!("n{i},127.0.0.1:{},z,{i},k,1,ready\n", 9_000 + i));
     let mut engine = Engine::new(config, 7).expect("an engine");
-    engine.handle(T0, Input::Nodes(read(list.as_bytes(), &names).expect("a list")), &mut Vec::new());
+    engine.handle(T0, Input::Nodes(parse(list.as_bytes(), &names).expect("a list")), &mut Vec::new());
     engine
 }
 
--- a/crates/front/src/shell.rs
+++ b/crates/front/src/shell.rs
@@ -8,7 +8,7 @@
 use crate::upstream::{Hold, Upstream};
 use crate::{console, listener, spread};
 use pepperhook::{ServerId, Time};
-use pepperhook_inventory::{Keeper, Look, Node};
+use pepperhook_inventory::{InventoryWatcher, Node, PollResult};
 use pepperhook_net::Clock;
 use pepperhook_settings::Config;
 use std::cell::{Cell, RefCell};
@@ -287,19 +287,19 @@
     }
 
     /// Looks at the list of nodes.
-    async fn watch(self: Rc<Self>, mut keeper: Keeper) {
+    async fn watch(self: Rc<Self>, mut keeper: InventoryWatcher) {
         let mut ticks = tokio::time::interval(Duration::from_nanos(self.config.inventory_poll));
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            match keeper.look() {
-                Look::Same | Look::Changing => {}
-                Look::New(nodes) => {
+            match keeper.poll() {
+                PollResult::Unchanged | PollResult::Changing => {}
+                PollResult::Updated(nodes) => {
                     info!(event = "inventory-taken", nodes = nodes.len(), "a new list of nodes is in force");
                     self.drive(Input::Nodes(nodes));
                     spread::list(&self);
                 }
-                Look::Bad(faults) => {
+                PollResult::Invalid(faults) => {
                     for fault in faults.iter().take(10) {
                         warn!(event = "inventory-fault", "{fault}");
                     }
@@ -333,7 +333,7 @@
         config: Config,
         seed: u64,
         nodes: Vec<Node>,
-        keeper: Option<Keeper>,
+        keeper: Option<InventoryWatcher>,
     ) -> io::Result<Self> {
         let config = Rc::new(config);
         let engine =
--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -1,9 +1,9 @@
-//! The list of playout nodes as a file: read whole, checked, and kept as the last good one.
+//! The list of playout nodes (the inventory), read from a CSV file.
 //!
-//! The form is CSV with a header line (RFC 4180): `name,address,zone,cell,kind,weight,state,started`.
-//! `state` is `ready`, `draining` or `gone`; `started` is in milliseconds of Unix time, empty for "long
-//! ago". A node's rack is its cell modulo the number of racks. Unknown columns are passed over, so that
-//! tools may keep their own.
+//! The file is CSV with a header line (RFC 4180): `name,address,zone,cell,kind,weight,state,started`.
+//! `state` is `ready`, `draining` or `gone`; `started` is Unix time in milliseconds, and empty for a node that
+//! started long ago. A node's rack is its cell modulo the number of racks. Unknown columns are ignored, for tools
+//! that add their own.
 
 mod watcher;
 
@@ -14,57 +14,57 @@
 use std::hash::Hasher;
 use std::net::SocketAddr;
 
-pub use watcher::{Keeper, Look};
+pub use watcher::{InventoryWatcher, PollResult};
 
-/// Bytes of a list at most; 100,000 nodes take about 8 MB.
-pub const MOST_BYTES: u64 = 16 << 20;
+/// Largest list that is read, in bytes; 100,000 nodes take about 8 MB.
+pub const MAX_FILE_BYTES: u64 = 16 << 20;
 
-/// A playout node as the list names it.
+/// One row of the list.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// Its name, by which its id is made: the same in every front and after a restart.
+    /// Name of the node; its id is a hash of it, and so the same in every front and after a restart.
     pub name: String,
-    /// Where it speaks WHIP and WHEP.
+    /// Address of its WHIP and WHEP endpoints.
     pub address: SocketAddr,
-    /// What the decision module is told.
+    /// The node as the decision module reads it.
     pub entry: ServerEntry,
 }
 
-/// Names that a list may use, in the order of the settings.
+/// Zones, kinds and cells that a list may name, in the order of the settings.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct InventoryNames {
     /// Zones.
     pub zones: Vec<String>,
     /// Kinds of node.
     pub kinds: Vec<String>,
-    /// Number of cells; a cell is below it.
+    /// Number of cells; valid cells are 0 to this number less one.
     pub cells: u32,
 }
 
-/// One fault of a list, with its place.
+/// An error in a list, with its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    /// Line, from 1; 0 where the whole file is meant.
+pub struct ListError {
+    /// Line, counted from 1; 0 if the error concerns the whole file.
     pub line: u64,
-    /// Column of the table, by name; empty where the whole line is meant.
+    /// Name of the column; empty if the error concerns the whole line.
     pub column: String,
     /// What was found and what was expected.
-    pub what: String,
+    pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ListError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let column =
             if self.column.is_empty() { String::new() } else { format!(" column '{}':", self.column) };
         if self.line == 0 {
-            return f.write_str(&self.what);
+            return f.write_str(&self.message);
         }
-        write!(f, "line {}:{column} {}", self.line, self.what)
+        write!(f, "line {}:{column} {}", self.line, self.message)
     }
 }
 
-/// A hash that is the same in every process and on every machine: of names that fronts must agree on without
-/// speaking, and of contents that are compared.
+/// A hash (SipHash-1-3 with a zero key) that is the same in every process and on every machine. Fronts derive ids from
+/// names with it without exchanging messages; it also detects changed contents.
 #[must_use]
 pub fn stable_hash(bytes: &[u8]) -> u64 {
     let mut h = SipHasher13::new();
@@ -72,7 +72,7 @@
     h.finish()
 }
 
-/// The id of a node: a stable hash of its name, so that no front needs to agree on it with another.
+/// The id of a node: a stable hash of its name, which every front computes alike.
 #[must_use]
 pub fn node_id(name: &str) -> ServerId {
     let bits = stable_hash(name.as_bytes());
@@ -81,89 +81,92 @@
 
 const COLUMNS: [&str; 8] = ["name", "address", "zone", "cell", "kind", "weight", "state", "started"];
 
-/// Reads a list. All faults are reported, not only the first.
+/// Parses a list.
 ///
 /// # Errors
-/// Every line that cannot be used; the caller keeps what it had.
-pub fn read(text: &[u8], names: &Names) -> Result<Vec<Node>, Vec<Fault>> {
+/// All errors of the list, not only the first; no part of such a list is used.
+pub fn parse(text: &[u8], names: &InventoryNames) -> Result<Vec<Node>, Vec<ListError>> {
     let text = text.strip_prefix(b"\xef\xbb\xbf").unwrap_or(text);
     let mut rows = csv::ReaderBuilder::new().trim(csv::Trim::All).comment(Some(b'#')).from_reader(text);
-    let whole = |line: u64, what: String| Fault { line, column: String::new(), what };
-    let header = rows.headers().map_err(|e| vec![whole(1, e.to_string())])?.clone();
-    let mut at = [None; COLUMNS.len()];
-    let mut faults = Vec::new();
+    let line_error = |line: u64, message: String| ListError { line, column: String::new(), message };
+    let header = rows.headers().map_err(|e| vec![line_error(1, e.to_string())])?.clone();
+    let mut positions = [None; COLUMNS.len()];
+    let mut errors = Vec::new();
     for (i, column) in COLUMNS.iter().enumerate() {
-        at[i] = header.iter().position(|h| h == *column);
-        if at[i].is_none() && *column != "started" {
-            faults.push(whole(1, format!("there is no column '{column}'")));
+        positions[i] = header.iter().position(|h| h == *column);
+        if positions[i].is_none() && *column != "started" {
+            errors.push(line_error(1, format!("the header has no column '{column}'")));
         }
     }
-    if !faults.is_empty() {
-        return Err(faults);
+    if !errors.is_empty() {
+        return Err(errors);
     }
-    let (mut nodes, mut seen, mut ids) = (Vec::new(), BTreeMap::new(), BTreeMap::new());
+    let (mut nodes, mut lines_by_name, mut names_by_id) = (Vec::new(), BTreeMap::new(), BTreeMap::new());
     for row in rows.records() {
         let row = match row {
             Ok(row) => row,
             Err(e) => {
                 let line = e.position().map_or(0, csv::Position::line);
-                faults.push(whole(line, format!("not a row of this table: {e}")));
+                errors.push(line_error(line, format!("not a valid row: {e}")));
                 continue;
             }
         };
         let line = row.position().map_or(0, csv::Position::line);
-        let before = faults.len();
-        let get = |i: usize| at[i].and_then(|c| row.get(c)).unwrap_or("");
-        let mut bad =
-            |i: usize, what: String| faults.push(Fault { line, column: COLUMNS[i].to_owned(), what });
-        let name = get(0).to_owned();
+        let errors_before = errors.len();
+        let value = |i: usize| positions[i].and_then(|p| row.get(p)).unwrap_or("");
+        let mut bad = |i: usize, message: String| {
+            errors.push(ListError { line, column: COLUMNS[i].to_owned(), message })
+        };
+        let name = value(0).to_owned();
         if name.is_empty() || name.len() > 255 {
-            bad(0, "a name of 1 to 255 bytes is expected".into());
+            bad(0, format!("'{name}' has {} bytes; expected: a name of 1 to 255 bytes", name.len()));
         }
-        if let Some(first) = seen.insert(name.clone(), line) {
+        if let Some(first) = lines_by_name.insert(name.clone(), line) {
             bad(0, format!("'{name}' is listed twice, first in line {first}"));
         }
         let id = node_id(&name);
-        if let Some(other) = ids.insert(id, name.clone()).filter(|o| *o != name) {
+        if let Some(other) = names_by_id.insert(id, name.clone()).filter(|o| *o != name) {
             bad(0, format!("'{name}' and '{other}' have the same id; rename one"));
         }
-        let address = get(1).parse().map_err(|_| bad(1, format!("'{}' is no IP:port", get(1))));
-        let zone = names.zones.iter().position(|z| z == get(2));
+        let address = value(1)
+            .parse()
+            .map_err(|_| bad(1, format!("'{}' is not an address; expected: IP:port", value(1))));
+        let zone = names.zones.iter().position(|z| z == value(2));
         if zone.is_none() {
-            bad(2, format!("'{}' is none of {}", get(2), names.zones.join(", ")));
+            bad(2, format!("'{}' is not a zone; expected one of: {}", value(2), names.zones.join(", ")));
         }
-        let cell = get(3).parse::<u32>().ok().filter(|c| *c < names.cells);
+        let cell = value(3).parse::<u32>().ok().filter(|c| *c < names.cells);
         if cell.is_none() {
-            bad(3, format!("'{}' is no cell below {}", get(3), names.cells));
+            bad(3, format!("'{}' is not a cell; expected: a whole number below {}", value(3), names.cells));
         }
-        let kind = names.kinds.iter().position(|k| k == get(4));
+        let kind = names.kinds.iter().position(|k| k == value(4));
         if kind.is_none() {
-            bad(4, format!("'{}' is none of {}", get(4), names.kinds.join(", ")));
+            bad(4, format!("'{}' is not a kind; expected one of: {}", value(4), names.kinds.join(", ")));
         }
-        let weight = get(5).parse::<f64>().ok().filter(|w| w.is_finite() && *w > 0.0);
+        let weight = value(5).parse::<f64>().ok().filter(|w| w.is_finite() && *w > 0.0);
         if weight.is_none() {
-            bad(5, format!("'{}' is no number above 0", get(5)));
+            bad(5, format!("'{}' is not a weight; expected: a number above 0", value(5)));
         }
-        let state = match get(6) {
+        let state = match value(6) {
             "ready" => Some(ServerState::Ready),
             "draining" => Some(ServerState::Draining),
             "gone" => Some(ServerState::Gone),
             other => {
-                bad(6, format!("'{other}' is none of ready, draining, gone"));
+                bad(6, format!("'{other}' is not a state; expected one of: ready, draining, gone"));
                 None
             }
         };
-        let started = match get(7) {
+        let started = match value(7) {
             "" | "0" => None,
             ms => match ms.parse::<u64>() {
                 Ok(ms) => Some(ms.saturating_mul(1_000_000)),
                 Err(_) => {
-                    bad(7, format!("'{ms}' is no time in whole milliseconds"));
+                    bad(7, format!("'{ms}' is not a time; expected: Unix time in whole milliseconds"));
                     None
                 }
             },
         };
-        if faults.len() > before {
+        if errors.len() > errors_before {
             continue;
         }
         if let (Ok(address), Some(zone), Some(cell), Some(kind), Some(weight), Some(state)) =
@@ -174,27 +177,27 @@
             nodes.push(Node { name, address, entry });
         }
     }
-    if faults.is_empty() { Ok(nodes) } else { Err(faults) }
+    if errors.is_empty() { Ok(nodes) } else { Err(errors) }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn names() -> Names {
+    fn names() -> InventoryNames {
         let zones = vec!["gedung-a".to_owned(), "gedung-b".to_owned()];
-        Names { zones, kinds: vec!["small".to_owned()], cells: 4 }
+        InventoryNames { zones, kinds: vec!["small".to_owned()], cells: 4 }
     }
 
-    const HEAD: &str = "name,address,zone,cell,kind,weight,state,started,owner\n";
+    const HEADER: &str = "name,address,zone,cell,kind,weight,state,started,owner\n";
 
     #[test]
-    fn a_list_is_read_with_quotes_marks_and_unknown_columns() {
+    fn quotes_byte_order_mark_comments_and_unknown_columns_are_accepted() {
         let text = format!(
-            "\u{feff}{HEAD}\"box,1\",127.0.0.1:9001,gedung-a,0,small,1.5,ready,,x\r\n# note\r\n\
+            "\u{feff}{HEADER}\"box,1\",127.0.0.1:9001,gedung-a,0,small,1.5,ready,,x\r\n# note\r\n\
                             box2,[::1]:9002,gedung-b,3,small,1,draining,1700000000000,y\r\n"
         );
-        let nodes = read(text.as_bytes(), &names()).expect("a list");
+        let nodes = parse(text.as_bytes(), &names()).expect("a list");
         assert_eq!((nodes[0].name.as_str(), nodes[0].entry.zone), ("box,1", ZoneId(0)));
         assert_eq!(nodes[1].entry.state, ServerState::Draining);
         assert_eq!(nodes[1].entry.started, Some(1_700_000_000_000_000_000));
@@ -202,27 +205,27 @@
     }
 
     #[test]
-    fn every_fault_is_named_with_line_and_column() {
+    fn every_error_has_its_line_and_column() {
         let text = format!(
-            "{HEAD}a,127.0.0.1:1,gedung-a,0,small,1,ready,,\na,nowhere,gedung-x,9,tiny,-1,up,soon,\nb,1\n"
+            "{HEADER}a,127.0.0.1:1,gedung-a,0,small,1,ready,,\na,nowhere,gedung-x,9,tiny,-1,up,soon,\nb,1\n"
         );
-        let faults = read(text.as_bytes(), &names()).expect_err("faults");
-        let columns: Vec<_> = faults.iter().map(|f| (f.line, f.column.as_str())).collect();
+        let errors = parse(text.as_bytes(), &names()).expect_err("errors");
+        let columns: Vec<_> = errors.iter().map(|e| (e.line, e.column.as_str())).collect();
         let mut want: Vec<_> = COLUMNS.iter().map(|c| (3, *c)).collect();
         want.push((4, ""));
         assert_eq!(columns, want);
-        assert!(faults[0].to_string().contains("first in line 2"));
-        assert!(read(b"name,address\n", &names()).expect_err("columns").len() == 5);
+        assert!(errors[0].to_string().contains("first in line 2"));
+        assert!(parse(b"name,address\n", &names()).expect_err("columns").len() == 5);
     }
 
     #[test]
-    fn a_list_cut_anywhere_inside_a_row_is_no_list() {
+    fn a_list_truncated_within_a_row_is_rejected() {
         let text = format!(
-            "{HEAD}a,127.0.0.1:1,gedung-a,0,small,1,ready,,\nb,127.0.0.1:2,gedung-a,1,small,1,ready,,z\n"
+            "{HEADER}a,127.0.0.1:1,gedung-a,0,small,1,ready,,\nb,127.0.0.1:2,gedung-a,1,small,1,ready,,z\n"
         );
         let second = text.find("b,127").expect("second row");
         for cut in second + 1..text.len() - 2 {
-            assert!(read(&text.as_bytes()[..cut], &names()).is_err(), "cut at {cut}");
+            assert!(parse(&text.as_bytes()[..cut], &names()).is_err(), "cut at {cut}");
         }
     }
 }
--- a/crates/inventory/src/watcher.rs
+++ b/crates/inventory/src/watcher.rs
@@ -1,113 +1,116 @@
-//! Keeps the last good list: looks at the file, and at a copy of its own where the file cannot be used.
+//! Watches the inventory file and keeps a copy of the last valid version for restarts.
 
-use crate::{Fault, MOST_BYTES, Names, Node, read, stable_hash};
+use crate::{InventoryNames, ListError, MAX_FILE_BYTES, Node, parse, stable_hash};
 use std::fs;
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// What a look at the file brought.
+/// Result of one poll of the file.
 #[derive(Debug)]
-pub enum Look {
-    /// As it was.
-    Same,
-    /// It changed since the last look; it counts once it has stood still for one more.
+pub enum PollResult {
+    /// The content is the one last used or reported.
+    Unchanged,
+    /// The content differs from the previous poll; it is used once two polls in a row read the same.
     Changing,
-    /// A new list.
-    New(Vec<Node>),
-    /// It cannot be used; the last good list stays. Reported once for each content.
-    Bad(Vec<Fault>),
+    /// A new valid list.
+    Updated(Vec<Node>),
+    /// The list cannot be used; the last valid one stays in force. Reported once for each content.
+    Invalid(Vec<ListError>),
 }
 
-/// Watches one list of nodes.
+/// Watches one inventory file.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct InventoryWatcher {
     file: PathBuf,
+    /// Copy of the last valid list, in the state directory.
     copy: Option<PathBuf>,
-    names: Names,
-    /// Content seen at the last look, and the content last taken or reported.
-    seen: Option<u64>,
-    done: Option<u64>,
+    names: InventoryNames,
+    /// Hash of the content at the last poll; `None` if the file could not be read.
+    last_polled: Option<u64>,
+    /// Hash of the content last used or reported as invalid.
+    last_handled: Option<u64>,
 }
 
 fn load(path: &Path) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    fs::File::open(path)?.take(MOST_BYTES + 1).read_to_end(&mut bytes)?;
-    if bytes.len() as u64 > MOST_BYTES {
-        return Err(io::Error::other(format!("longer than {MOST_BYTES} bytes")));
+    fs::File::open(path)?.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes)?;
+    if bytes.len() as u64 > MAX_FILE_BYTES {
+        return Err(io::Error::other(format!("the file is longer than {MAX_FILE_BYTES} bytes")));
     }
     Ok(bytes)
 }
 
-fn unreadable(e: &io::Error) -> Vec<Fault> {
-    vec![Fault { line: 0, column: String::new(), what: format!("the list cannot be read: {e}") }]
+fn read_error(e: &io::Error) -> Vec<ListError> {
+    vec![ListError { line: 0, column: String::new(), message: format!("the list cannot be read: {e}") }]
 }
 
-impl Keeper {
-    /// Watches `file`; the last good list is also kept in `state_dir`, where there is one.
+impl InventoryWatcher {
+    /// Watches `file`; the last valid list is also copied into `state_dir`, if there is one.
     #[must_use]
-    pub fn new(file: PathBuf, state_dir: Option<&Path>, names: Names) -> Self {
+    pub fn new(file: PathBuf, state_dir: Option<&Path>, names: InventoryNames) -> Self {
         let copy = state_dir.map(|d| d.join("inventory.last.csv"));
-        Self { file, copy, names, seen: None, done: None }
+        Self { file, copy, names, last_polled: None, last_handled: None }
     }
 
-    /// The list to start with: the file's, or else the last good copy with the file's faults beside it.
+    /// Loads the list to start with: the file's, or else the last valid copy together with the file's errors.
     ///
     /// # Errors
-    /// The file's faults, where there is no copy that can be used.
-    pub fn start(&mut self) -> Result<(Vec<Node>, Vec<Fault>), Vec<Fault>> {
+    /// The file's errors, if there is no usable copy.
+    pub fn load_initial(&mut self) -> Result<(Vec<Node>, Vec<ListError>), Vec<ListError>> {
         let bytes = load(&self.file);
-        self.seen = bytes.as_ref().ok().map(|b| stable_hash(b));
-        self.done = self.seen;
-        let faults = match bytes.as_ref().map(|b| read(b, &self.names)) {
+        self.last_polled = bytes.as_ref().ok().map(|b| stable_hash(b));
+        self.last_handled = self.last_polled;
+        let errors = match bytes.as_ref().map(|b| parse(b, &self.names)) {
             Ok(Ok(nodes)) => {
-                self.keep(bytes.as_deref().unwrap_or_default());
+                self.save_copy(bytes.as_deref().unwrap_or_default());
                 return Ok((nodes, Vec::new()));
             }
-            Ok(Err(faults)) => faults,
-            Err(e) => unreadable(e),
+            Ok(Err(errors)) => errors,
+            Err(e) => read_error(&e),
         };
-        let last = self.copy.as_ref().and_then(|c| load(c).ok()).and_then(|b| read(&b, &self.names).ok());
-        last.map(|nodes| (nodes, faults.clone())).ok_or(faults)
+        let last = self.copy.as_ref().and_then(|c| load(c).ok()).and_then(|b| parse(&b, &self.names).ok());
+        last.map(|nodes| (nodes, errors.clone())).ok_or(errors)
     }
 
-    /// Looks again. A file that is being written is waited for: its content must stand still for two looks.
-    pub fn look(&mut self) -> Look {
+    /// Polls the file. A new content is used only when two polls in a row read the same, because another process
+    /// may still be writing it.
+    pub fn poll(&mut self) -> PollResult {
         let bytes = match load(&self.file) {
             Ok(bytes) => bytes,
             Err(e) => {
-                let first = self.seen.take().is_some();
-                self.done = None;
-                return if first { Look::Bad(unreadable(&e)) } else { Look::Same };
+                let first = self.last_polled.take().is_some();
+                self.last_handled = None;
+                return if first { PollResult::Invalid(read_error(&e)) } else { PollResult::Unchanged };
             }
         };
         let now = Some(stable_hash(&bytes));
-        if now == self.done {
-            self.seen = now;
-            return Look::Same;
+        if now == self.last_handled {
+            self.last_polled = now;
+            return PollResult::Unchanged;
         }
-        if std::mem::replace(&mut self.seen, now) != now {
-            return Look::Changing;
+        if std::mem::replace(&mut self.last_polled, now) != now {
+            return PollResult::Changing;
         }
-        self.done = now;
-        match read(&bytes, &self.names) {
+        self.last_handled = now;
+        match parse(&bytes, &self.names) {
             Ok(nodes) => {
-                self.keep(&bytes);
-                Look::New(nodes)
+                self.save_copy(&bytes);
+                PollResult::Updated(nodes)
             }
-            Err(faults) => Look::Bad(faults),
+            Err(errors) => PollResult::Invalid(errors),
         }
     }
 
-    /// Replaces the copy in one step, so that a crash leaves the old or the new one. A copy that cannot be
-    /// written costs only the restart after the file broke.
-    fn keep(&self, bytes: &[u8]) {
+    /// Replaces the copy atomically: after a crash it is the old or the new one. Write errors are ignored, because
+    /// the copy is only used when a front restarts while the file is invalid.
+    fn save_copy(&self, bytes: &[u8]) {
         let Some(copy) = &self.copy else { return };
-        let fresh = copy.with_extension("new");
+        let temporary = copy.with_extension("new");
         let write = || -> io::Result<()> {
-            let mut f = fs::File::create(&fresh)?;
+            let mut f = fs::File::create(&temporary)?;
             f.write_all(bytes)?;
             f.sync_all()?;
-            fs::rename(&fresh, copy)
+            fs::rename(&temporary, copy)
         };
         let _ = write();
     }
@@ -119,38 +122,42 @@
 
     const GOOD: &str = "name,address,zone,cell,kind,weight,state\na,127.0.0.1:1,z,0,k,1,ready\n";
 
-    fn keeper(dir: &Path) -> Keeper {
-        let names = Names { zones: vec!["z".into()], kinds: vec!["k".into()], cells: 1 };
-        Keeper::new(dir.join("nodes.csv"), Some(dir), names)
+    fn watcher(dir: &Path) -> InventoryWatcher {
+        let names = InventoryNames { zones: vec!["z".into()], kinds: vec!["k".into()], cells: 1 };
+        InventoryWatcher::new(dir.join("nodes.csv"), Some(dir), names)
     }
 
     #[test]
-    fn a_list_that_is_not_there_names_no_line() {
+    fn a_missing_list_is_reported_without_a_line() {
         let dir = tempfile::tempdir().expect("a folder");
-        let faults = keeper(dir.path()).start().expect_err("no list");
-        let said = faults.iter().map(ToString::to_string).collect::<String>();
-        assert!(said.contains("cannot be read") && !said.contains("line"), "{said}");
+        let errors = watcher(dir.path()).load_initial().expect_err("no list");
+        let text = errors.iter().map(ToString::to_string).collect::<String>();
+        assert!(text.contains("cannot be read") && !text.contains("line"), "{text}");
     }
 
     #[test]
-    fn a_file_in_writing_is_waited_for_and_a_bad_one_leaves_the_last_good_list() {
+    fn a_partly_written_file_is_not_used_and_an_invalid_one_keeps_the_last_valid_list() {
         let dir = tempfile::tempdir().expect("a folder");
         let file = dir.path().join("nodes.csv");
         fs::write(&file, GOOD).expect("written");
-        let mut k = keeper(dir.path());
-        assert_eq!(k.start().expect("a list").0.len(), 1);
-        assert!(matches!(k.look(), Look::Same));
+        let mut w = watcher(dir.path());
+        assert_eq!(w.load_initial().expect("a list").0.len(), 1);
+        assert!(matches!(w.poll(), PollResult::Unchanged));
         let two = format!("{GOOD}b,127.0.0.1:2,z,0,k,1,ready\n");
         fs::write(&file, &two[..two.len() - 9]).expect("written");
-        assert!(matches!(k.look(), Look::Changing));
+        assert!(matches!(w.poll(), PollResult::Changing));
         fs::write(&file, &two).expect("written");
-        assert!(matches!(k.look(), Look::Changing), "it changed again");
-        assert!(matches!(k.look(), Look::New(n) if n.len() == 2));
+        assert!(matches!(w.poll(), PollResult::Changing), "it changed again");
+        assert!(matches!(w.poll(), PollResult::Updated(n) if n.len() == 2));
         fs::write(&file, "name\n").expect("written");
-        assert!(matches!((k.look(), k.look(), k.look()), (Look::Changing, Look::Bad(_), Look::Same)));
+        assert!(matches!(
+            (w.poll(), w.poll(), w.poll()),
+            (PollResult::Changing, PollResult::Invalid(_), PollResult::Unchanged)
+        ));
         fs::remove_file(&file).expect("removed");
-        assert!(matches!((k.look(), k.look()), (Look::Bad(_), Look::Same)));
-        let (nodes, faults) = keeper(dir.path()).start().expect("the last good list after a restart");
-        assert_eq!((nodes.len(), faults.len()), (2, 1));
+        assert!(matches!((w.poll(), w.poll()), (PollResult::Invalid(_), PollResult::Unchanged)));
+        let (nodes, errors) =
+            watcher(dir.path()).load_initial().expect("the last valid list after a restart");
+        assert_eq!((nodes.len(), errors.len()), (2, 1));
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -15,7 +15,7 @@
 use pepperhook::{
     Class, DedupScope, Gauge, Idempotency, RetryBudget, Rules, Settings, Time, TitleId, ZoneId,
 };
-use pepperhook_inventory::Names;
+use pepperhook_inventory::InventoryNames;
 use section::{Fields, time};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -169,7 +169,7 @@
 /// What the fleet agrees on. Only where there is an exchange.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgreementSettings {
-    /// Names of the fronts that vote first; later voters are agreed on.
+    /// InventoryNames of the fronts that vote first; later voters are agreed on.
     pub voters: Vec<String>,
     /// A front knows for so long that nothing newer takes effect without it; and a change waits so long for one that is cut off.
     pub hold: Time,
@@ -246,8 +246,8 @@
     pub agreement: Option<AgreementSettings>,
     /// Bounds on announced peaks.
     pub holds: HoldSettings,
-    /// Names that the list of nodes may use.
-    pub names: Names,
+    /// InventoryNames that the list of nodes may use.
+    pub names: InventoryNames,
     /// What the decision module is told.
     pub decisions: Settings,
 }
@@ -623,7 +623,7 @@
     let inventory = f.word("inventory").map(|w| PathBuf::from(&w.text));
     let (racks, cells) = (f.parsed("racks", "whole number"), f.parsed("cells", "whole number"));
     let (racks, cells) = (f.need("racks", racks), f.need("cells", cells));
-    let names = Names { zones, kinds, cells };
+    let names = InventoryNames { zones, kinds, cells };
     let name = f.word("name").map(|w| w.text.clone());
     let config = Config {
         name: f.need("name", name),
