--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -152,13 +152,13 @@
         Verb::Check { config } => serve::check(&config),
         Verb::Playout { config, record } => run(serve::playout(config, record)),
         Verb::Rehearse(what) => {
-            log::start(pepperhook_settings::LogForm::Text, "warn");
+            log::start(pepperhook_settings::LogFormat::Text, "warn");
             run(rehearse::rehearse(what))
         }
         Verb::Peak { admin, key_file, verb } => run(peak::peak(admin, key_file, verb)),
         Verb::Policy { admin, key_file, verb } => run(policy::policy(admin, key_file, verb)),
         Verb::Demo { length, rate, seed } => {
-            log::start(pepperhook_settings::LogForm::Text, "warn");
+            log::start(pepperhook_settings::LogFormat::Text, "warn");
             run(demo::demo(length, rate, seed))
         }
     };
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -40,7 +40,7 @@
         eprintln!("pepperhook: {}: {e}", path.display());
         return Exit::Usage;
     }
-    log::start(pepperhook_settings::LogForm::Text, "info");
+    log::start(pepperhook_settings::LogFormat::Text, "info");
     match pepperhook_platform::run(config, path.clone(), signals).await {
         Ok(()) => Exit::Done,
         Err(e) => {
--- a/crates/fleet/src/agreed.rs
+++ b/crates/fleet/src/agreed.rs
@@ -75,7 +75,7 @@
 }
 
 fn patience_ms(policy: &Policy) -> u64 {
-    policy.fleet().classes.iter().map(|c| c.ours.patience).max().unwrap_or(0) / 1_000_000
+    policy.fleet().classes.iter().map(|c| c.front.patience).max().unwrap_or(0) / 1_000_000
 }
 
 /// What comes out, to the fleet.
--- a/crates/front/src/agreed.rs
+++ b/crates/front/src/agreed.rs
@@ -99,15 +99,15 @@
             me,
             run,
             voters,
-            lease_ms: ms(a.hold),
-            renew_ms: ms(a.look),
+            lease_ms: ms(a.lease),
+            renew_ms: ms(a.renew_interval),
             proposal_timeout_ms: PROPOSE_MS,
             seed: rand::random(),
         },
         kept,
         seed,
         patience_ms: ms(config.classes.iter().map(|c| c.patience).max().unwrap_or(0)),
-        serve_unknown: a.serve_unknown,
+        serve_unknown: a.serve_before_contact,
     };
     Ok(Some((settings, disk)))
 }
--- a/crates/front/src/engine/peaks.rs
+++ b/crates/front/src/engine/peaks.rs
@@ -29,10 +29,10 @@
 pub fn holds(config: &Config) -> Holds {
     let d = &config.decisions;
     let terms = Terms {
-        most_share: config.holds.share,
+        most_share: config.reservations.max_share,
         fronts: f64::from(d.fronts),
-        late_ms: config.holds.late / MS,
-        most_peaks: config.holds.most,
+        late_ms: config.reservations.no_show_after / MS,
+        most_peaks: config.reservations.max_peaks,
     };
     Holds::new(terms, d.cells, d.uplink_kb)
 }
--- a/crates/front/src/http.rs
+++ b/crates/front/src/http.rs
@@ -87,7 +87,7 @@
         }
         Ok(())
     };
-    match tokio::time::timeout(Duration::from_nanos(limits.body_time), whole).await {
+    match tokio::time::timeout(Duration::from_nanos(limits.body_timeout), whole).await {
         Ok(read) => read?,
         Err(_) => {
             return Err(Problem::new(408, "body-slow", "The body took too long", "send the body at once"));
@@ -189,7 +189,7 @@
     });
     let mut connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(Duration::from_nanos(limits.head_time))
+        .header_read_timeout(Duration::from_nanos(limits.head_timeout))
         .max_buf_size(limits.head)
         .serve_connection(TokioIo::new(stream), service);
     let whole = {
--- a/crates/front/src/shell.rs
+++ b/crates/front/src/shell.rs
@@ -288,7 +288,7 @@
 
     /// Looks at the list of nodes.
     async fn watch(self: Rc<Self>, mut keeper: InventoryWatcher) {
-        let mut ticks = tokio::time::interval(Duration::from_nanos(self.config.inventory_poll));
+        let mut ticks = tokio::time::interval(Duration::from_nanos(self.config.inventory_poll_interval));
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
@@ -344,7 +344,8 @@
         let key = config.admin_key.clone().unwrap_or_else(|| format!("{:032x}", rand::random::<u128>()));
         let (clock, fleet_time) = (Clock::new(), FleetTime::new()?);
         let (spread, socket) = Spread::start(&config, fleet_time.now_ms()).await?;
-        let upstream = Upstream::new(&config.name, rand::random(), Duration::from_nanos(config.connect_time));
+        let upstream =
+            Upstream::new(&config.name, rand::random(), Duration::from_nanos(config.connect_timeout));
         let shell = Rc::new(Shell {
             clock,
             fleet_time,
--- a/crates/front/src/spread.rs
+++ b/crates/front/src/spread.rs
@@ -101,7 +101,7 @@
             run,
             keys: x.map_or(Keys::new("", None), |x| Keys::new(&x.key, x.previous_key.as_deref())),
             peers: x.map_or(Vec::new(), |x| x.peers.clone()),
-            period_ms: x.map_or(1_000, |x| x.period / 1_000_000),
+            period_ms: x.map_or(1_000, |x| x.round_interval / 1_000_000),
             fanout: x.map_or(1, |x| x.fanout),
             seed: rand::random(),
         };
@@ -110,14 +110,14 @@
             address: x.advertise.unwrap_or(address),
             weight: x.weight,
             fronts,
-            period_ms: x.look / 1_000_000,
-            suspicion_ms: x.suspicion / 1_000_000,
+            period_ms: x.probe_interval / 1_000_000,
+            suspicion_ms: x.suspicion_timeout / 1_000_000,
         });
         let duties = x.zip(config.duties.as_ref()).map(|(x, d)| pepperhook_duties::Settings {
             me,
             weight: x.weight,
             max_fronts: fronts,
-            startup_delay_ms: 2 * x.look / 1_000_000,
+            startup_delay_ms: 2 * x.probe_interval / 1_000_000,
             kinds: kinds(d),
         });
         let zone = config.decisions.zone.0;
@@ -126,10 +126,10 @@
             run,
             zone,
             copies: r.copies,
-            grantors: r.guards,
+            grantors: r.grantors,
             lease_ms: r.lease / 1_000_000,
-            period_ms: r.look / 1_000_000,
-            bytes_per_s: r.rate,
+            period_ms: r.check_interval / 1_000_000,
+            bytes_per_s: r.bytes_per_s,
         });
         let (agreed, disk) = agreed::prepare(config, run)?.unzip();
         let disk = disk.flatten();
@@ -137,7 +137,7 @@
         let disk = RefCell::new(disk.zip(jobs));
         let settings = Settings { exchange, view, duties, copies, agreed };
         let fleet = RefCell::new(Fleet::new(settings, kept, now_ms));
-        let loss = x.map_or(0.0, |x| x.loss);
+        let loss = x.map_or(0.0, |x| x.simulated_loss);
         let (running, checking, warned) = (RefCell::default(), RefCell::default(), Cell::new(0));
         let adopted = RefCell::default();
         let (agreed, socket_) = (carried, socket.clone());
@@ -224,18 +224,18 @@
     let ms = |t: u64| t / 1_000_000;
     let reads = DutyKind {
         name: "probe".into(),
-        period_ms: ms(d.probe),
-        stagger_ms: ms(d.step),
-        timeout_ms: ms(d.limit),
-        max_runs_per_period: d.most,
+        period_ms: ms(d.probe_interval),
+        stagger_ms: ms(d.takeover_delay),
+        timeout_ms: ms(d.probe_timeout),
+        max_runs_per_period: d.max_per_period,
         include_draining: false,
     };
-    let lists = d.sessions.map(|period| DutyKind {
+    let lists = d.session_list_interval.map(|period| DutyKind {
         name: "sessions".into(),
         period_ms: ms(period),
         stagger_ms: ms(period / 4),
         timeout_ms: ms(period / 2),
-        max_runs_per_period: d.most,
+        max_runs_per_period: d.max_per_period,
         include_draining: true,
     });
     [reads].into_iter().chain(lists).collect()
@@ -385,7 +385,7 @@
                 }
             }
             Out::Seen(reading, age_ms) => {
-                if shell.config.duties.as_ref().is_some_and(|d| d.share) {
+                if shell.config.duties.as_ref().is_some_and(|d| d.share_readings) {
                     let load = load(&reading.values);
                     let input = Input::Seen(server(reading.node), reading.life, age_ms * 1_000_000, load);
                     shell.drive(input);
@@ -519,7 +519,7 @@
     let task = {
         let shell = shell.clone();
         spawn_local(async move {
-            let path = shell.config.duties.as_ref().map_or("/", |d| d.path.as_str());
+            let path = shell.config.duties.as_ref().map_or("/", |d| d.probe_path.as_str());
             let read = match address {
                 Some(address) => shell.upstream().probe(address, path, limit).await,
                 None => None,
@@ -527,7 +527,7 @@
             shell.spread.running.borrow_mut().remove(&(duty, round));
             let reading = of
                 .zip(read.as_ref().map(told))
-                .filter(|_| shell.config.duties.as_ref().is_some_and(|d| d.share));
+                .filter(|_| shell.config.duties.as_ref().is_some_and(|d| d.share_readings));
             let done = read.is_some();
             shell.drive(Input::Probed(node, read));
             with(&shell, |fleet, now_ms, out| fleet.finished(now_ms, duty, round, done, reading, out));
@@ -592,7 +592,7 @@
 
 async fn sessions(shell: &Rc<Shell>, node: ServerId, limit: Duration) -> Option<Vec<(String, String)>> {
     let address = shell.address(node)?;
-    let path = shell.config.duties.as_ref().map(|d| d.sessions_path.clone())?;
+    let path = shell.config.duties.as_ref().map(|d| d.session_list_path.clone())?;
     shell.upstream().sessions(address, &path, limit).await
 }
 
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,7 +1,7 @@
 //! The document: the fleet's part of the settings, in their form.
 
 use pepperhook_agreement::MAX_BODY_BYTES;
-use pepperhook_settings::{Config, Fleet, FleetClass};
+use pepperhook_settings::{Config, FleetClass, FleetSettings};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::hash::{Hash, Hasher};
@@ -66,7 +66,7 @@
 #[derive(Clone)]
 pub struct Policy {
     text: Arc<str>,
-    fleet: Arc<Fleet>,
+    fleet: Arc<FleetSettings>,
 }
 
 impl PartialEq for Policy {
@@ -98,11 +98,11 @@
         if text.len() > MOST_ASKED {
             return Err(PolicyError::TooLong { bytes: text.len(), most: MOST_ASKED });
         }
-        match Fleet::parse(name, text) {
+        match FleetSettings::parse(name, text) {
             Ok(fleet) => Self::from_fleet(&fleet),
             Err(mut faults) => {
-                let more = faults.faults.len().saturating_sub(MOST_FAULTS);
-                faults.faults.truncate(MOST_FAULTS);
+                let more = faults.errors.len().saturating_sub(MOST_FAULTS);
+                faults.errors.truncate(MOST_FAULTS);
                 let more = if more > 0 { format!("and {more} more\n") } else { String::new() };
                 Err(PolicyError::Faults(format!("{faults}{more}")))
             }
@@ -117,7 +117,7 @@
         if text.len() > MOST_TEXT {
             return Err(PolicyError::TooLong { bytes: text.len(), most: MOST_TEXT });
         }
-        let fleet = Fleet::parse("policy", text).map_err(|_| PolicyError::Unstable)?;
+        let fleet = FleetSettings::parse("policy", text).map_err(|_| PolicyError::Unstable)?;
         if fleet.text() != text {
             return Err(PolicyError::Unstable);
         }
@@ -129,10 +129,10 @@
     /// # Errors
     /// It is too long.
     pub fn from_config(config: &Config) -> Result<Self, PolicyError> {
-        Self::from_fleet(&config.fleet())
+        Self::from_fleet(&config.fleet_settings())
     }
 
-    pub(crate) fn from_fleet(fleet: &Fleet) -> Result<Self, PolicyError> {
+    pub(crate) fn from_fleet(fleet: &FleetSettings) -> Result<Self, PolicyError> {
         fleet.validate().map_err(PolicyError::Faults)?;
         Self::stored(&fleet.text())
     }
@@ -145,7 +145,7 @@
 
     /// Its figures.
     #[must_use]
-    pub fn fleet(&self) -> &Fleet {
+    pub fn fleet(&self) -> &FleetSettings {
         &self.fleet
     }
 
@@ -154,7 +154,7 @@
     /// # Errors
     /// Why that front cannot go by it.
     pub fn over(&self, config: &Config) -> Result<Config, String> {
-        config.with_fleet(&self.fleet)
+        config.with_fleet_settings(&self.fleet)
     }
 
     /// What `asked` means as the policy after this one: classes and tenants keep their places, since sessions and
@@ -165,11 +165,11 @@
     pub fn then(&self, asked: &Self) -> Result<Self, Fixed> {
         fixed(&self.fleet, &asked.fleet)?;
         let mut fleet = (*asked.fleet).clone();
-        let place = |name: &str| self.fleet.classes.iter().position(|c| c.ours.name == name);
+        let place = |name: &str| self.fleet.classes.iter().position(|c| c.front.name == name);
         let mut classes = self.fleet.classes.clone();
-        classes.iter_mut().for_each(|c| c.ours.closed = true);
+        classes.iter_mut().for_each(|c| c.front.closed = true);
         for class in &asked.fleet.classes {
-            match place(&class.ours.name).and_then(|at| classes.get_mut(at)) {
+            match place(&class.front.name).and_then(|at| classes.get_mut(at)) {
                 Some(there) => *there = class.clone(),
                 None => classes.push(class.clone()),
             }
@@ -207,7 +207,7 @@
 }
 
 /// What may never change while fronts run.
-pub(crate) fn fixed(old: &Fleet, new: &Fleet) -> Result<(), Fixed> {
+pub(crate) fn fixed(old: &FleetSettings, new: &FleetSettings) -> Result<(), Fixed> {
     if old.ladder.len() != new.ladder.len() {
         let why = format!(
             "sessions, nodes and messages name rungs by their place, and {} stand where {} are asked for",
@@ -217,9 +217,9 @@
         return Err(Fixed { field: "ladder".into(), why });
     }
     for class in &new.classes {
-        let name = &class.ours.name;
-        let Some(was) = old.classes.iter().find(|c| c.ours.name == *name) else { continue };
-        let is = |c: &FleetClass| [("live", c.class.live), ("ingest", c.ours.ingest)];
+        let name = &class.front.name;
+        let Some(was) = old.classes.iter().find(|c| c.front.name == *name) else { continue };
+        let is = |c: &FleetClass| [("live", c.class.live), ("ingest", c.front.ingest)];
         if let Some(((field, _), _)) = is(class).iter().zip(is(was)).find(|(is, was)| *is != was) {
             let why = "sessions under way were set up as what the class is; make another class".into();
             return Err(Fixed { field: format!("class {name}: {field}"), why });
--- a/crates/policy/src/tighter.rs
+++ b/crates/policy/src/tighter.rs
@@ -6,7 +6,7 @@
 
 use crate::policy::{Fixed, Policy, fixed};
 use pepperhook::{DedupScope, Idempotency, RetryBudget, Time};
-use pepperhook_settings::{Fleet, FleetClass};
+use pepperhook_settings::{FleetClass, FleetSettings};
 
 /// How the tighter value of a figure is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -102,18 +102,18 @@
 
 fn class(old: &FleetClass, new: &FleetClass) -> FleetClass {
     let mut both = old.clone();
-    both.ours.patience = old.ours.patience.min(new.ours.patience);
+    both.front.patience = old.front.patience.min(new.front.patience);
     both.class.set_up_target = old.class.set_up_target.min(new.class.set_up_target);
     both.class.idempotency = repeat(old.class.idempotency, new.class.idempotency);
     both.class.max_sessions_per_title =
         bound(old.class.max_sessions_per_title, new.class.max_sessions_per_title);
     both.class.lowest_rung = old.class.lowest_rung.max(new.class.lowest_rung);
     both.class.highest_rung = old.class.highest_rung.min(new.class.highest_rung);
-    both.ours.closed = old.ours.closed || new.ours.closed;
+    both.front.closed = old.front.closed || new.front.closed;
     if both.class.lowest_rung > both.class.highest_rung {
         // No rung is allowed by both: the class takes nothing new until the second step.
         both.class.highest_rung = both.class.lowest_rung;
-        both.ours.closed = true;
+        both.front.closed = true;
     }
     both
 }
@@ -129,28 +129,28 @@
     fixed(a, b)?;
     let of_class = |was: &FleetClass| {
         let mut closed = was.clone();
-        closed.ours.closed = true;
-        b.classes.iter().find(|c| c.ours.name == was.ours.name).map_or(closed, |is| class(was, is))
+        closed.front.closed = true;
+        b.classes.iter().find(|c| c.front.name == was.front.name).map_or(closed, |is| class(was, is))
     };
     let mut tenants = a.tenants.clone();
     for (name, tenant) in &mut tenants {
         let other = b.tenants.iter().find(|(n, _)| n == name).map_or(0.0, |(_, t)| t.quota_per_s);
         tenant.quota_per_s = tenant.quota_per_s.min(other);
     }
-    let mut both = Fleet {
+    let mut both = FleetSettings {
         classes: a.classes.iter().map(of_class).collect(),
         tenants,
         uplink_kb: a.uplink_kb.min(b.uplink_kb),
         kb_per_weight: bound(a.kb_per_weight, b.kb_per_weight),
         all_links_kb: bound(a.all_links_kb, b.all_links_kb),
-        join: a.join.max(b.join),
-        max_advice: a.max_advice.min(b.max_advice),
+        shared_stream_share: a.shared_stream_share.max(b.shared_stream_share),
+        max_retry_after: a.max_retry_after.min(b.max_retry_after),
         max_attempts: a.max_attempts.min(b.max_attempts),
         ..a.clone()
     };
-    both.holds.share = a.holds.share.min(b.holds.share);
-    both.holds.late = a.holds.late.min(b.holds.late);
-    both.holds.most = a.holds.most.min(b.holds.most);
+    both.reservations.max_share = a.reservations.max_share.min(b.reservations.max_share);
+    both.reservations.no_show_after = a.reservations.no_show_after.min(b.reservations.no_show_after);
+    both.reservations.max_peaks = a.reservations.max_peaks.min(b.reservations.max_peaks);
     both.rules.cold_share = a.rules.cold_share.min(b.rules.cold_share);
     both.rules.warm_up = a.rules.warm_up.max(b.rules.warm_up);
     both.rules.overload_multiple = a.rules.overload_multiple.min(b.rules.overload_multiple);
@@ -179,10 +179,10 @@
 fn within_class(a: &FleetClass, b: &FleetClass) -> bool {
     let range = a.class.lowest_rung >= b.class.lowest_rung && a.class.highest_rung <= b.class.highest_rung;
     a.class.set_up_target <= b.class.set_up_target
-        && a.ours.patience <= b.ours.patience
+        && a.front.patience <= b.front.patience
         && within_repeat(a.class.idempotency, b.class.idempotency)
         && within_bound(a.class.max_sessions_per_title, b.class.max_sessions_per_title)
-        && (a.ours.closed || (range && !b.ours.closed))
+        && (a.front.closed || (range && !b.front.closed))
 }
 
 /// Whether one policy allows no more than another, in all that adds up over the fleet or could contradict.
@@ -193,8 +193,8 @@
     let sooner = |x: Time, y: Time| x <= y;
     fixed(a, b).is_ok()
         && a.classes.iter().all(|c| {
-            let there = b.classes.iter().find(|o| o.ours.name == c.ours.name);
-            there.map_or(c.ours.closed, |there| within_class(c, there))
+            let there = b.classes.iter().find(|o| o.front.name == c.front.name);
+            there.map_or(c.front.closed, |there| within_class(c, there))
         })
         && a.tenants.iter().all(|(name, t)| {
             let there = b.tenants.iter().find(|(n, _)| n == name).map_or(0.0, |(_, t)| t.quota_per_s);
@@ -203,12 +203,12 @@
         && lower(a.uplink_kb, b.uplink_kb)
         && within_bound(a.kb_per_weight, b.kb_per_weight)
         && within_bound(a.all_links_kb, b.all_links_kb)
-        && lower(b.join, a.join)
-        && sooner(a.max_advice, b.max_advice)
+        && lower(b.shared_stream_share, a.shared_stream_share)
+        && sooner(a.max_retry_after, b.max_retry_after)
         && a.max_attempts <= b.max_attempts
-        && lower(a.holds.share, b.holds.share)
-        && sooner(a.holds.late, b.holds.late)
-        && a.holds.most <= b.holds.most
+        && lower(a.reservations.max_share, b.reservations.max_share)
+        && sooner(a.reservations.no_show_after, b.reservations.no_show_after)
+        && a.reservations.max_peaks <= b.reservations.max_peaks
         && lower(a.rules.cold_share, b.rules.cold_share)
         && sooner(b.rules.warm_up, a.rules.warm_up)
         && lower(a.rules.overload_multiple, b.rules.overload_multiple)
--- a/crates/policy/tests/documents.rs
+++ b/crates/policy/tests/documents.rs
@@ -6,7 +6,7 @@
     Trial, Undone, Watch,
 };
 use pepperhook_policy::{neighbours, tighter, within};
-use pepperhook_settings::{ClassSettings, Config, Fleet, FleetClass, HoldSettings};
+use pepperhook_settings::{ClassSettings, Config, FleetClass, FleetSettings, ReservationSettings};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -51,7 +51,7 @@
     let rungs = (0..RUNGS, 0..RUNGS).prop_map(|(a, b)| (a.min(b), a.max(b)));
     let figures = (time(), time(), repeat(), above_0(), above_0(), rungs, 0u32..4, any::<bool>());
     figures.prop_map(move |(aim, patience, repeat, value, scale, (floor, top), seats, closed)| FleetClass {
-        ours: ClassSettings { name: name.clone(), patience, ingest: name == "c0", closed },
+        front: ClassSettings { name: name.clone(), patience, ingest: name == "c0", closed },
         class: Class {
             set_up_target: aim,
             idempotency: repeat,
@@ -96,14 +96,14 @@
         times in (time(), time(), time()),
         prices in (number(), number(), number(), number(), number()),
         (advice, max_attempts, share, most) in (any::<bool>(), any::<u32>(), 0.0f64..=1.0, any::<u16>()),
-    ) -> Fleet {
+    ) -> FleetSettings {
         let named = |(class, name): (FleetClass, &str)| FleetClass {
-            ours: ClassSettings { name: name.into(), ingest: name == "c0", ..class.ours },
+            front: ClassSettings { name: name.into(), ingest: name == "c0", ..class.front },
             class: Class { live: name == "c1", ..class.class },
         };
         let mut kb = 0.0;
         let rung = |(step, worth): (f64, f64)| { kb += step; Rung { kb, worth } };
-        Fleet {
+        FleetSettings {
             classes: drawn.into_iter().zip(classes).map(named).collect(),
             tenants: tenants.iter().map(|t| (*t).to_owned())
                 .zip(quotas.into_iter().map(|quota_per_s| Tenant { quota_per_s })).collect(),
@@ -114,20 +114,20 @@
             uplink_kb: links.0,
             kb_per_weight: links.1,
             all_links_kb: links.2,
-            join: links.3,
-            refuses_from: links.4,
-            seen_after: times.0,
+            shared_stream_share: links.3,
+            link_refusal_threshold: links.4,
+            notification_delay: times.0,
             switch_cost_s: prices.4,
-            advice,
-            max_advice: times.1,
+            send_retry_after: advice,
+            max_retry_after: times.1,
             max_attempts,
-            holds: HoldSettings { share, late: times.2, most: most.into() },
+            reservations: ReservationSettings { max_share: share, no_show_after: times.2, max_peaks: most.into() },
         }
     }
 }
 
 fn drawn() -> impl Strategy<Value = Policy> {
-    let valid = |f: Fleet| f.ladder.windows(2).all(|w| w[0].kb < w[1].kb).then(|| policy(&f.text()));
+    let valid = |f: FleetSettings| f.ladder.windows(2).all(|w| w[0].kb < w[1].kb).then(|| policy(&f.text()));
     fleet().prop_filter_map("rungs ascend", valid)
 }
 
@@ -145,10 +145,10 @@
             f.tenants.clone_from(&other.tenants);
         }
         if bits & 4 > 0 {
-            (f.uplink_kb, f.join) = (other.uplink_kb, other.join);
+            (f.uplink_kb, f.shared_stream_share) = (other.uplink_kb, other.shared_stream_share);
         }
         if bits & 8 > 0 {
-            f.holds = other.holds;
+            f.reservations = other.reservations;
         }
         let b = policy(&f.text());
         (a, b)
@@ -200,7 +200,7 @@
     #[test]
     fn the_next_policy_keeps_every_place((a, b) in pair()) {
         let new = a.then(&b).expect("nothing fixed differs");
-        let names = |p: &Policy| p.fleet().classes.iter().map(|c| c.ours.name.clone()).collect::<Vec<_>>();
+        let names = |p: &Policy| p.fleet().classes.iter().map(|c| c.front.name.clone()).collect::<Vec<_>>();
         prop_assert!(names(&new).starts_with(&names(&a)));
         let both = tighter(&a, &new).expect("both");
         // Nobody's first step has a class or a tenant that the standing policy lacks.
@@ -248,7 +248,7 @@
     let without = format!("{}section class vod\naim 1s\npatience 2s\n{}", &TEXT[..cut], &TEXT[end..]);
     let new = old.then(&policy(&without.replace("tenant acme", "tenant other"))).expect("a policy");
     let classes = |p: &Policy| -> Vec<(String, bool)> {
-        p.fleet().classes.iter().map(|c| (c.ours.name.clone(), c.ours.closed)).collect()
+        p.fleet().classes.iter().map(|c| (c.front.name.clone(), c.front.closed)).collect()
     };
     let named = |name: &str, closed: bool| (name.to_owned(), closed);
     assert_eq!(classes(&new), [named("replay", true), named("live # 1", false), named("vod", false)]);
@@ -267,7 +267,7 @@
     assert!(!neighbours(&low, &high));
     let both = tighter(&low, &high).expect("both");
     let class = &both.fleet().classes[1];
-    assert!(class.ours.closed && class.class.lowest_rung == 2 && class.class.highest_rung == 2);
+    assert!(class.front.closed && class.class.lowest_rung == 2 && class.class.highest_rung == 2);
 }
 
 #[test]
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -1,64 +1,68 @@
-//! The part of the settings that is the fleet's and not one front's: what `crates/policy` agrees on. The same keywords,
-//! read by the same reader; addresses, files, bounds and what the list of nodes names stay each front's own.
+//! The settings that are the same for all fronts; `crates/policy` agrees on them. They have the same keywords and are
+//! read by the same code as in a front's file. Addresses, files, limits and the names used in the list of nodes are
+//! settings of each front and are not included.
 
-use crate::section::Fields;
-use crate::syntax::{Block, Loader};
-use crate::{ClassSettings, Config, Fault, Faults, HoldSettings, MS, SECOND, class, named, rules};
+use crate::section::SectionReader;
+use crate::syntax::{Loader, Section};
+use crate::{
+    ClassSettings, Config, MS, ReservationSettings, SECOND, SettingsError, SettingsErrors, class, named,
+    rules,
+};
 use pepperhook::{
     Class, DedupScope, Idempotency, Prices, RetryBudget, Rules, Rung, Settings, Tenant, Time, ZoneId,
 };
 use std::fmt::Write;
 
-/// A class: what the front and what the decision module is told of it.
+/// A class: its settings in the front and in the decision module.
 #[derive(Clone, Debug)]
 pub struct FleetClass {
-    /// Its name, patience and kind.
-    pub ours: ClassSettings,
-    /// Its aim, rungs and the rest.
+    /// Settings that the front uses.
+    pub front: ClassSettings,
+    /// Settings that the decision module uses.
     pub class: Class,
 }
 
-/// What is the same for every front.
+/// Settings that are the same for all fronts.
 #[derive(Clone, Debug)]
-pub struct Fleet {
+pub struct FleetSettings {
     /// Classes, in the order of [`Settings::classes`].
     pub classes: Vec<FleetClass>,
     /// Tenants, in the order of [`Settings::tenants`].
     pub tenants: Vec<(String, Tenant)>,
-    /// Worth of a session beyond its tenant's share, as a part of the usual.
+    /// Worth of a session beyond its tenant's share, as a fraction of the usual worth.
     pub over_share_worth: f64,
     /// The ladder, lowest rung first.
     pub ladder: Vec<Rung>,
-    /// Figures of the rules and the ration of further attempts.
+    /// Parameters of the placement rules and the retry budget.
     pub rules: Rules,
-    /// Prices.
+    /// Prices of moves, zone crossings and probes.
     pub prices: Prices,
-    /// Mean uplink of a rack, kB a second.
+    /// Mean uplink capacity of a rack, kB a second.
     pub uplink_kb: f64,
-    /// Link of a server for each unit of its weight, kB a second; 0 if not told.
+    /// Link capacity of a server for each unit of its weight, kB a second; 0 if unknown.
     pub kb_per_weight: f64,
-    /// All links together, kB a second; 0 if not told.
+    /// Capacity of all links together, kB a second; 0 if unknown.
     pub all_links_kb: f64,
-    /// What a further viewer adds to a shared live stream, as a part of the rate.
-    pub join: f64,
-    /// A server turns set-ups away at this use of its link; 0: never.
-    pub refuses_from: f64,
-    /// How late notes are.
-    pub seen_after: Time,
-    /// A change of rung costs so many seconds of worth.
+    /// Rate that a further viewer adds to a shared live stream, as a fraction of its full rate.
+    pub shared_stream_share: f64,
+    /// Utilisation of its link at which a server refuses set-ups; 0: never.
+    pub link_refusal_threshold: f64,
+    /// Delay of notifications from servers, nanoseconds.
+    pub notification_delay: Time,
+    /// Cost of a change of rung, in seconds of worth.
     pub switch_cost_s: f64,
-    /// Refused viewers are told when to come again.
-    pub advice: bool,
-    /// The longest advice.
-    pub max_advice: Time,
-    /// Attempts for one request at most.
+    /// Refused viewers get a retry-after time.
+    pub send_retry_after: bool,
+    /// Longest retry-after time, nanoseconds.
+    pub max_retry_after: Time,
+    /// Most attempts for one request.
     pub max_attempts: u32,
-    /// Bounds on announced peaks.
-    pub holds: HoldSettings,
+    /// Limits of the capacity reserved for announced peaks.
+    pub reservations: ReservationSettings,
 }
 
-/// Keywords before any section that are a front's own, or that nobody may change while fronts run.
-const OWN: [&str; 26] = [
+/// Keywords before any section that each front sets for itself, or that may not change while fronts run.
+const FRONT_KEYWORDS: [&str; 26] = [
     "name",
     "listen",
     "admin",
@@ -87,13 +91,13 @@
     "step",
 ];
 
-/// What is wrong where no section has the figures behind the rules; there are no defaults for those.
+/// Error for settings without a section `rules`, which has no defaults.
 const MISSING_RULES: &str = "these settings have no section rules, such as: section rules / cold-share 0.4 / cold 12s / \
     fall-multiple 2.5 / fall-window 2s";
 
-/// Writes a time so that it is read as the same one.
+/// Formats a time in the largest unit that divides it, in the form that the settings are read in.
 #[must_use]
-pub fn duration(time: Time) -> String {
+pub fn format_duration(time: Time) -> String {
     const UNITS: [(Time, &str); 4] = [(60 * SECOND, "m"), (SECOND, "s"), (MS, "ms"), (1_000, "us")];
     match UNITS.iter().find(|(unit, _)| time >= *unit && time % unit == 0) {
         Some((unit, name)) => format!("{}{name}", time / unit),
@@ -101,7 +105,7 @@
     }
 }
 
-/// Writes a word so that it is read as one.
+/// Quotes a value if it would not be read back as one value.
 fn quoted(word: &str) -> String {
     if !word.is_empty() && !word.contains(|c: char| c.is_whitespace() || matches!(c, '#' | '"' | '\\')) {
         return word.to_owned();
@@ -109,93 +113,95 @@
     format!("\"{}\"", word.replace('\\', "\\\\").replace('"', "\\\""))
 }
 
-fn yes(is: bool) -> String {
-    if is { "yes".into() } else { "no".into() }
+fn yes_no(value: bool) -> String {
+    if value { "yes".into() } else { "no".into() }
 }
 
-fn repeat(repeat: Idempotency) -> String {
-    let (group, span) = match repeat {
+fn format_repeat(repeat: Idempotency) -> String {
+    let (scope, span) = match repeat {
         Idempotency::Idempotent => return "harmless".into(),
         Idempotency::AtMostOnce => return "never".into(),
         Idempotency::Deduplicated(DedupScope::All, span) => ("all", span),
         Idempotency::Deduplicated(DedupScope::Zone, span) => ("zone", span),
         Idempotency::Deduplicated(DedupScope::Cell, span) => ("cell", span),
     };
-    format!("within {group} {}", duration(span))
+    format!("within {scope} {}", format_duration(span))
 }
 
-/// A section as it is written: kind, name, keywords with their values.
-type Section = (&'static str, Option<String>, Vec<(&'static str, String)>);
+/// A section to be written: kind, name, and keywords with their values.
+type WrittenSection = (&'static str, Option<String>, Vec<(&'static str, String)>);
 
-impl Fleet {
-    /// Reads the fleet's part of the settings from text that stands alone: it includes no files and has nothing in it
-    /// that is a front's own.
+impl FleetSettings {
+    /// Reads the fleet's settings from text. Includes and the keywords and sections of a single front are errors.
     ///
     /// # Errors
-    /// Every fault, with its place.
-    pub fn parse(name: &str, text: &str) -> Result<Self, Faults> {
-        let Loader { source, blocks, mut faults, .. } = Loader::alone(name, text);
+    /// All errors, with their positions.
+    pub fn parse(name: &str, text: &str) -> Result<Self, SettingsErrors> {
+        let Loader { sources, sections, mut errors, .. } = Loader::without_includes(name, text);
         const KINDS: [&str; 5] = ["ladder", "class", "tenant", "rules", "prices"];
-        for block in blocks.iter().skip(1).filter(|b| !KINDS.contains(&b.kind.as_str())) {
-            let what =
-                format!("section '{}' is no part of a policy; it has: {}", block.kind, KINDS.join(", "));
-            faults.push(Fault { place: block.place, what });
+        for section in sections.iter().skip(1).filter(|b| !KINDS.contains(&b.kind.as_str())) {
+            let message =
+                format!("section '{}' is no part of a policy; it has: {}", section.kind, KINDS.join(", "));
+            errors.push(SettingsError { position: section.position, message });
         }
-        // Told by name, so that it does not look like a slip of the pen.
-        let mut head = blocks[0].clone();
+        // Keywords of a front get an error of their own, because 'unknown keyword' would suggest a misspelling.
+        let mut head = sections[0].clone();
         head.lines.retain(|line| {
-            let own = OWN.contains(&line.keyword.text.as_str());
-            if own {
-                let what = format!(
+            let is_front_keyword = FRONT_KEYWORDS.contains(&line.keyword.text.as_str());
+            if is_front_keyword {
+                let message = format!(
                     "'{}' is no part of a policy: it is a front's own, or fixed while fronts run",
                     line.keyword.text
                 );
-                faults.push(Fault { place: line.keyword.place, what });
+                errors.push(SettingsError { position: line.keyword.position, message });
             }
-            !own
+            !is_front_keyword
         });
-        let mut f = Fields::new(&head);
-        let fleet = Self::read(&blocks, &mut f, &mut faults);
-        faults.extend(f.end());
-        if faults.is_empty() {
-            if let Err(what) = fleet.validate() {
-                faults.push(Fault { place: blocks[0].place, what });
+        let mut f = SectionReader::new(&head);
+        let fleet = Self::read(&sections, &mut f, &mut errors);
+        errors.extend(f.finish());
+        if errors.is_empty() {
+            if let Err(message) = fleet.validate() {
+                errors.push(SettingsError { position: sections[0].position, message });
             }
         }
-        faults.sort_by_key(|f| (f.place.file, f.place.line, f.place.column));
-        if faults.is_empty() { Ok(fleet) } else { Err(Faults { source, faults }) }
+        errors.sort_by_key(|f| (f.position.file, f.position.line, f.position.column));
+        if errors.is_empty() { Ok(fleet) } else { Err(SettingsErrors { sources, errors }) }
     }
 
-    /// Reads the fleet's part of blocks; `f` is the block before any section.
-    pub(crate) fn read(blocks: &[Block], f: &mut Fields, faults: &mut Vec<Fault>) -> Self {
+    /// Reads the fleet's settings from `sections`; `f` reads the lines before the first section.
+    pub(crate) fn read(sections: &[Section], f: &mut SectionReader, errors: &mut Vec<SettingsError>) -> Self {
         let mut ladder = Vec::new();
-        for block in blocks.iter().filter(|b| b.kind == "ladder") {
-            let mut f = Fields::new(block);
+        for section in sections.iter().filter(|b| b.kind == "ladder") {
+            let mut f = SectionReader::new(section);
             for line in f.lines("rung", 2, 2) {
                 match (line.values[0].text.parse(), line.values[1].text.parse()) {
                     (Ok(kb), Ok(worth)) => ladder.push(Rung { kb, worth }),
-                    _ => f.fault(line.values[0].place, "expected: rung KB-A-SECOND WORTH, two numbers"),
+                    _ => f.error(
+                        line.values[0].position,
+                        "expected: rung KB-A-SECOND WORTH, two numbers, such as: rung 600 1",
+                    ),
                 }
             }
-            faults.extend(f.end());
+            errors.extend(f.finish());
         }
         let highest = u8::try_from(ladder.len().saturating_sub(1)).unwrap_or(u8::MAX);
         let mut classes = Vec::new();
-        for (_, block) in named(blocks, "class", faults) {
-            let (ours, mut class) = class(block, faults);
+        for (_, section) in named(sections, "class", errors) {
+            let (front, mut class) = class(section, errors);
             class.highest_rung = class.highest_rung.min(highest);
-            classes.push(FleetClass { ours, class });
+            classes.push(FleetClass { front, class });
         }
         let mut tenants = Vec::new();
-        for (name, block) in named(blocks, "tenant", faults) {
-            let mut f = Fields::new(block);
+        for (name, section) in named(sections, "tenant", errors) {
+            let mut f = SectionReader::new(section);
             tenants.push((name, Tenant { quota_per_s: f.number("quota").unwrap_or(0.0) }));
-            faults.extend(f.end());
+            errors.extend(f.finish());
         }
-        let rules = match blocks.iter().find(|b| b.kind == "rules") {
-            Some(block) => rules(block, faults),
+        let rules = match sections.iter().find(|b| b.kind == "rules") {
+            Some(section) => rules(section, errors),
             None => {
-                faults.push(Fault { place: blocks[0].place, what: MISSING_RULES.into() });
+                errors.push(SettingsError { position: sections[0].position, message: MISSING_RULES.into() });
                 Rules {
                     cold_share: 1.0,
                     warm_up: 1,
@@ -206,13 +212,13 @@
             }
         };
         let (mut prices, mut over_share_worth) = (Prices::default(), 1.0);
-        for block in blocks.iter().filter(|b| b.kind == "prices") {
-            let mut f = Fields::new(block);
+        for section in sections.iter().filter(|b| b.kind == "prices") {
+            let mut f = SectionReader::new(section);
             prices.session_move = f.number("moved").unwrap_or(0.0);
             prices.cross_zone = f.number("cross-zone").unwrap_or(0.0);
             prices.probe = f.number("probe").unwrap_or(0.0);
             over_share_worth = f.number("over-share-worth").unwrap_or(1.0);
-            faults.extend(f.end());
+            errors.extend(f.finish());
         }
         let uplink = f.number("uplink-kb");
         Self {
@@ -222,28 +228,28 @@
             ladder,
             rules,
             prices,
-            uplink_kb: f.need("uplink-kb", uplink),
+            uplink_kb: f.require("uplink-kb", uplink),
             kb_per_weight: f.number("kb-per-weight").unwrap_or(0.0),
             all_links_kb: f.number("all-links-kb").unwrap_or(0.0),
-            join: f.number("join").unwrap_or(1.0),
-            refuses_from: f.number("refuses-from").unwrap_or(0.0),
-            seen_after: f.time("seen-after").unwrap_or(0),
+            shared_stream_share: f.number("join").unwrap_or(1.0),
+            link_refusal_threshold: f.number("refuses-from").unwrap_or(0.0),
+            notification_delay: f.time("seen-after").unwrap_or(0),
             switch_cost_s: f.number("switch-cost").unwrap_or(0.0),
-            advice: f.yes("advice").unwrap_or(true),
-            max_advice: f.time("max-advice").unwrap_or(SECOND),
-            max_attempts: f.parsed("max-attempts", "whole number").unwrap_or(3),
-            holds: HoldSettings {
-                share: f.number("hold-share").unwrap_or(0.5).min(1.0),
-                late: f.time("hold-late").unwrap_or(60 * SECOND),
-                most: f.parsed("max-peaks", "whole number").unwrap_or(64),
+            send_retry_after: f.boolean("advice").unwrap_or(true),
+            max_retry_after: f.time("max-advice").unwrap_or(SECOND),
+            max_attempts: f.parse("max-attempts", "whole number").unwrap_or(3),
+            reservations: ReservationSettings {
+                max_share: f.number("hold-share").unwrap_or(0.5).min(1.0),
+                no_show_after: f.time("hold-late").unwrap_or(60 * SECOND),
+                max_peaks: f.parse("max-peaks", "whole number").unwrap_or(64),
             },
         }
     }
 
-    /// Checks that the figures agree with one another, as a front's settings are checked.
+    /// Checks the values for consistency, as a front's settings are checked.
     ///
     /// # Errors
-    /// Names the first figure that is off.
+    /// Names the first inconsistent value.
     pub fn validate(&self) -> Result<(), String> {
         let settings = Settings {
             fronts: 1,
@@ -273,11 +279,11 @@
             prices: Prices::default(),
             rules: self.rules,
         };
-        self.onto(settings).validate().map_err(|e| e.0)
+        self.apply_to(settings).validate().map_err(|e| e.0)
     }
 
-    /// The decision module's settings with these figures in the place of theirs.
-    fn onto(&self, settings: Settings) -> Settings {
+    /// The decision module's settings with the fleet's values replaced by these.
+    fn apply_to(&self, settings: Settings) -> Settings {
         Settings {
             classes: self.classes.iter().map(|c| c.class.clone()).collect(),
             tenants: self.tenants.iter().map(|(_, t)| t.clone()).collect(),
@@ -286,12 +292,12 @@
             uplink_kb: self.uplink_kb,
             kb_per_weight: self.kb_per_weight,
             all_links_kb: self.all_links_kb,
-            shared_stream_share: self.join,
-            link_refusal_threshold: self.refuses_from,
-            notification_delay: self.seen_after,
+            shared_stream_share: self.shared_stream_share,
+            link_refusal_threshold: self.link_refusal_threshold,
+            notification_delay: self.notification_delay,
             switch_cost_s: self.switch_cost_s,
-            send_retry_after: self.advice,
-            max_retry_after: self.max_advice,
+            send_retry_after: self.send_retry_after,
+            max_retry_after: self.max_retry_after,
             max_attempts: self.max_attempts,
             prices: self.prices,
             rules: self.rules,
@@ -299,55 +305,55 @@
         }
     }
 
-    fn sections(&self) -> Vec<Section> {
-        let mut out: Vec<Section> = vec![(
+    fn sections(&self) -> Vec<WrittenSection> {
+        let mut out: Vec<WrittenSection> = vec![(
             "",
             None,
             vec![
                 ("uplink-kb", self.uplink_kb.to_string()),
                 ("kb-per-weight", self.kb_per_weight.to_string()),
                 ("all-links-kb", self.all_links_kb.to_string()),
-                ("join", self.join.to_string()),
-                ("refuses-from", self.refuses_from.to_string()),
-                ("seen-after", duration(self.seen_after)),
+                ("join", self.shared_stream_share.to_string()),
+                ("refuses-from", self.link_refusal_threshold.to_string()),
+                ("seen-after", format_duration(self.notification_delay)),
                 ("switch-cost", self.switch_cost_s.to_string()),
-                ("advice", yes(self.advice)),
-                ("max-advice", duration(self.max_advice)),
+                ("advice", yes_no(self.send_retry_after)),
+                ("max-advice", format_duration(self.max_retry_after)),
                 ("max-attempts", self.max_attempts.to_string()),
-                ("hold-share", self.holds.share.to_string()),
-                ("hold-late", duration(self.holds.late)),
-                ("max-peaks", self.holds.most.to_string()),
+                ("hold-share", self.reservations.max_share.to_string()),
+                ("hold-late", format_duration(self.reservations.no_show_after)),
+                ("max-peaks", self.reservations.max_peaks.to_string()),
             ],
         )];
         let rungs = self.ladder.iter().map(|r| ("rung", format!("{} {}", r.kb, r.worth)));
         out.push(("ladder", None, rungs.collect()));
-        for FleetClass { ours, class } in &self.classes {
+        for FleetClass { front, class } in &self.classes {
             let lines = vec![
-                ("aim", duration(class.set_up_target)),
-                ("patience", duration(ours.patience)),
-                ("repeat", repeat(class.idempotency)),
+                ("aim", format_duration(class.set_up_target)),
+                ("patience", format_duration(front.patience)),
+                ("repeat", format_repeat(class.idempotency)),
                 ("value", class.value.to_string()),
                 ("scale", class.rate_scale.to_string()),
                 ("floor", class.lowest_rung.to_string()),
                 ("top", class.highest_rung.to_string()),
                 ("seats", class.max_sessions_per_title.to_string()),
-                ("live", yes(class.live)),
-                ("ingest", yes(ours.ingest)),
-                ("closed", yes(ours.closed)),
+                ("live", yes_no(class.live)),
+                ("ingest", yes_no(front.ingest)),
+                ("closed", yes_no(front.closed)),
             ];
-            out.push(("class", Some(ours.name.clone()), lines));
+            out.push(("class", Some(front.name.clone()), lines));
         }
         for (name, tenant) in &self.tenants {
             out.push(("tenant", Some(name.clone()), vec![("quota", tenant.quota_per_s.to_string())]));
         }
         let mut lines = vec![
             ("cold-share", self.rules.cold_share.to_string()),
-            ("cold", duration(self.rules.warm_up)),
+            ("cold", format_duration(self.rules.warm_up)),
             ("fall-multiple", self.rules.overload_multiple.to_string()),
-            ("fall-window", duration(self.rules.overload_window)),
+            ("fall-window", format_duration(self.rules.overload_window)),
         ];
         if let Some(RetryBudget { min_retries: free, retry_ratio: share, window }) = self.rules.retry_budget {
-            lines.push(("budget", format!("{free} {share} {}", duration(window))));
+            lines.push(("budget", format!("{free} {share} {}", format_duration(window))));
         }
         out.push(("rules", None, lines));
         let lines = vec![
@@ -360,7 +366,7 @@
         out
     }
 
-    /// Writes it so that it is read as the same: every figure, in one order.
+    /// Writes all values in a fixed order, in the form that [`Self::parse`] reads.
     #[must_use]
     pub fn text(&self) -> String {
         let mut out = String::new();
@@ -377,7 +383,7 @@
         out
     }
 
-    /// Each figure with the name that a person looks for it by, such as `class replay: aim`.
+    /// Each value with a name for people, such as `class replay: aim`.
     #[must_use]
     pub fn figures(&self) -> Vec<(String, String)> {
         let mut out = Vec::new();
@@ -397,13 +403,13 @@
 }
 
 impl Config {
-    /// The fleet's part of these settings.
+    /// The settings that are the same for all fronts.
     #[must_use]
-    pub fn fleet(&self) -> Fleet {
+    pub fn fleet_settings(&self) -> FleetSettings {
         let d = &self.decisions;
         let classes = self.classes.iter().zip(&d.classes);
-        Fleet {
-            classes: classes.map(|(o, c)| FleetClass { ours: o.clone(), class: c.clone() }).collect(),
+        FleetSettings {
+            classes: classes.map(|(o, c)| FleetClass { front: o.clone(), class: c.clone() }).collect(),
             tenants: self.tenants.iter().cloned().zip(d.tenants.iter().cloned()).collect(),
             over_share_worth: d.over_share_worth,
             ladder: d.ladder.clone(),
@@ -412,34 +418,34 @@
             uplink_kb: d.uplink_kb,
             kb_per_weight: d.kb_per_weight,
             all_links_kb: d.all_links_kb,
-            join: d.shared_stream_share,
-            refuses_from: d.link_refusal_threshold,
-            seen_after: d.notification_delay,
+            shared_stream_share: d.shared_stream_share,
+            link_refusal_threshold: d.link_refusal_threshold,
+            notification_delay: d.notification_delay,
             switch_cost_s: d.switch_cost_s,
-            advice: d.send_retry_after,
-            max_advice: d.max_retry_after,
+            send_retry_after: d.send_retry_after,
+            max_retry_after: d.max_retry_after,
             max_attempts: d.max_attempts,
-            holds: self.holds,
+            reservations: self.reservations,
         }
     }
 
-    /// These settings with the fleet's part replaced. Titles and tokens keep their class and tenant by name.
+    /// These settings with the fleet's settings replaced. Titles and tokens keep their class and tenant by name.
     ///
     /// # Errors
-    /// Why this front cannot go by it: a title, a token or a figure of its own that the fleet's part leaves without a
-    /// footing.
-    pub fn with_fleet(&self, fleet: &Fleet) -> Result<Self, String> {
+    /// Why this front cannot use `fleet`: a title or a token refers to a class or tenant that it lacks, or the values
+    /// are inconsistent with this front's own.
+    pub fn with_fleet_settings(&self, fleet: &FleetSettings) -> Result<Self, String> {
         let mut config = self.clone();
         for (name, title) in &mut config.titles {
             let class = self.classes.get(usize::from(title.class)).map_or("", |c| c.name.as_str());
-            let Some(at) = fleet.classes.iter().position(|c| c.ours.name == class) else {
+            let Some(at) = fleet.classes.iter().position(|c| c.front.name == class) else {
                 return Err(format!("title {name} is of class {class}, which the policy does not have"));
             };
             title.class = u16::try_from(at).map_err(|_| "the policy has too many classes".to_owned())?;
         }
         for token in &mut config.tokens {
             let tenant = self.tenants.get(usize::from(token.tenant)).map_or("", String::as_str);
-            // Without tenants a token stands for none.
+            // Without tenants, tokens have none.
             if self.tenants.is_empty() {
                 continue;
             }
@@ -451,10 +457,10 @@
             };
             token.tenant = u16::try_from(at).map_err(|_| "the policy has too many tenants".to_owned())?;
         }
-        config.classes = fleet.classes.iter().map(|c| c.ours.clone()).collect();
+        config.classes = fleet.classes.iter().map(|c| c.front.clone()).collect();
         config.tenants = fleet.tenants.iter().map(|(n, _)| n.clone()).collect();
-        config.holds = fleet.holds;
-        config.decisions = fleet.onto(config.decisions);
+        config.reservations = fleet.reservations;
+        config.decisions = fleet.apply_to(config.decisions);
         config.decisions.validate().map_err(|e| e.0)?;
         Ok(config)
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Settings of the session front, in the manner of classic daemons.
+//! Settings of the session front, in a line-based format like that of classic daemons.
 //!
-//! A line is `keyword value ...`; `section kind [name]` opens a block that lasts to the next one; `#` starts
-//! a comment, `include FILE` reads another file in place. Every fault is told with file, line, column and
-//! what was expected, all of them at once. The keywords are listed in `docs/operators.md`.
+//! A line is `keyword value ...`; `section kind [name]` opens a section that lasts to the next one; `#` starts
+//! a comment, `include FILE` reads another file in place. All errors are reported together, each with its file, line,
+//! column and what was expected. The keywords are listed in `docs/operators.md`.
 
 mod fleet;
 mod section;
@@ -11,87 +11,87 @@
 use codespan_reporting::diagnostic::{Diagnostic, Label};
 use codespan_reporting::files::SimpleFiles;
 use codespan_reporting::term;
-pub use fleet::{Fleet, FleetClass, duration};
+pub use fleet::{FleetClass, FleetSettings, format_duration};
 use pepperhook::{
     Class, DedupScope, Gauge, Idempotency, RetryBudget, Rules, Settings, Time, TitleId, ZoneId,
 };
 use pepperhook_inventory::InventoryNames;
-use section::{Fields, time};
+use section::{SectionReader, parse_time};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
-use syntax::{Block, Loader};
-pub use syntax::{Fault, Place, Source};
+use syntax::{Loader, Section};
+pub use syntax::{Position, SettingsError, SourceFiles};
 
 const MS: Time = 1_000_000;
 const SECOND: Time = 1_000 * MS;
 
-/// Form of the log.
+/// Format of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LogForm {
-    /// A line a person reads.
+pub enum LogFormat {
+    /// Lines for people to read.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Bounds of the listener.
+/// Limits of the listener.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Connections at once; more are closed as they come.
+    /// Most open connections; further ones are closed when accepted.
     pub connections: usize,
-    /// Requests that wait for their answer at once; more are refused with 503.
+    /// Most requests that wait for their answer; further ones are refused with 503.
     pub waiting: usize,
-    /// Sessions held at once; more are refused with 503.
+    /// Most sessions; further ones are refused with 503.
     pub sessions: usize,
-    /// Bytes of a body; more is 413.
+    /// Most bytes of a body; a longer one is answered with 413.
     pub body: usize,
-    /// Bytes of a request's head; more is 431.
+    /// Most bytes of a request's head; a longer one is answered with 431.
     pub head: usize,
-    /// A head must have come within this time.
-    pub head_time: Time,
-    /// A body must have come within this time; else 408.
-    pub body_time: Time,
+    /// Time limit for receiving a head, nanoseconds.
+    pub head_timeout: Time,
+    /// Time limit for receiving a body, nanoseconds; after it the answer is 408.
+    pub body_timeout: Time,
 }
 
-/// A class with what the front adds to the module's.
+/// Settings of a class that the front uses; the others are in the decision module's `Class`.
 #[derive(Clone, Debug)]
 pub struct ClassSettings {
     /// Its name in paths and tokens.
     pub name: String,
-    /// A viewer gives up after this time.
+    /// Time after which a viewer gives up waiting, nanoseconds.
     pub patience: Time,
-    /// Sessions of publishers.
+    /// The sessions of this class are publishers.
     pub ingest: bool,
-    /// It takes nothing new; what plays goes on.
+    /// New sessions are refused; those that play continue.
     pub closed: bool,
 }
 
-/// Where a title lies.
+/// Placement and class of a title.
 #[derive(Clone, Copy, Debug)]
 pub struct Title {
-    /// Its id: a stable hash of its name.
+    /// Id: a stable hash of its name.
     pub id: TitleId,
     /// First cell that holds it.
     pub home: u32,
-    /// Cells in a row that hold it.
+    /// Number of consecutive cells that hold it.
     pub copies: u32,
     /// Class of its viewers.
     pub class: u16,
 }
 
-/// A bearer token (RFC 6750) and what it stands for. Its secret is never printed.
+/// A bearer token (RFC 6750) and its rights. The secret is never printed.
 #[derive(Clone)]
 pub struct Token {
     /// Its name, for logs.
     pub name: String,
     /// The secret itself.
     pub secret: String,
-    /// Tenant of those who bear it.
+    /// Tenant of its bearers.
     pub tenant: u16,
-    /// It may publish.
+    /// Bearers may publish.
     pub publish: bool,
-    /// Highest rung of those who bear it.
+    /// Highest rung of its bearers.
     pub top: Option<u8>,
 }
 
@@ -104,79 +104,81 @@
 /// The exchange with other fronts. Secrets are never printed.
 #[derive(Clone)]
 pub struct ExchangeSettings {
-    /// Where datagrams come.
+    /// Address on which datagrams are received.
     pub listen: SocketAddr,
-    /// Where the other fronts send them, if that is another address: behind a translation of addresses, or a relay.
+    /// Address to which the other fronts send, if it differs from `listen`: behind address translation or a relay.
     pub advertise: Option<SocketAddr>,
-    /// The other fronts.
+    /// Addresses of the other fronts.
     pub peers: Vec<SocketAddr>,
     /// Secret that all fronts share.
     pub key: String,
-    /// The one before, while keys are being changed.
+    /// The previous secret, still accepted while keys are being changed.
     pub previous_key: Option<String>,
-    /// Time between two rounds.
-    pub period: Time,
-    /// Others that are told in a round.
+    /// Time between two rounds of the exchange, nanoseconds.
+    pub round_interval: Time,
+    /// Number of fronts contacted in a round.
     pub fanout: usize,
-    /// Part of the datagrams that is lost on purpose, for rehearsals.
-    pub loss: f64,
-    /// This front's weight in shared work; 100 is one share.
+    /// Share of the datagrams that is dropped on purpose, for rehearsals: 0 to 1.
+    pub simulated_loss: f64,
+    /// This front's weight in shared work; 100 is the usual share.
     pub weight: u16,
-    /// Time between two looks at another front.
-    pub look: Time,
-    /// A front that does not answer is given up after this time.
-    pub suspicion: Time,
+    /// Time between two probes of another front, nanoseconds.
+    pub probe_interval: Time,
+    /// Time without an answer after which a suspected front is declared dead, nanoseconds.
+    pub suspicion_timeout: Time,
 }
 
-/// Duties that the fronts share. Only where there is an exchange.
+/// Periodic work that the fronts divide among themselves. Needs an exchange.
 #[derive(Clone, Debug)]
 pub struct DutySettings {
-    /// Each node is asked for its load once in this time, by one of the fronts.
-    pub probe: Time,
-    /// Who stands by asks so much later than the one before.
-    pub step: Time,
-    /// A node has so long to answer.
-    pub limit: Time,
-    /// Times a period that a node may hear it from all fronts together.
-    pub most: u32,
-    /// What is asked for, by OPTIONS.
-    pub path: String,
-    /// What was read is told to the other fronts, and theirs is heard.
-    pub share: bool,
-    /// The decision module may ask for a reading of its own, within the same bound.
-    pub ask: bool,
-    /// Each node's list of sessions is read once in this time, by one of the fronts; where nodes offer it.
-    pub sessions: Option<Time>,
-    /// Where that list is.
-    pub sessions_path: String,
+    /// Time between two load probes of a node, each by one of the fronts; nanoseconds.
+    pub probe_interval: Time,
+    /// Delay after which the next front in order takes over a probe that was not made, nanoseconds.
+    pub takeover_delay: Time,
+    /// Time limit for the answer of a node, nanoseconds.
+    pub probe_timeout: Time,
+    /// Most requests to a node in a period, from all fronts together.
+    pub max_per_period: u32,
+    /// Path of the load probe, an OPTIONS request.
+    pub probe_path: String,
+    /// Readings are sent to the other fronts, and theirs are used.
+    pub share_readings: bool,
+    /// The decision module may request further probes, within `max_per_period`.
+    pub module_probes: bool,
+    /// Time between two readings of a node's list of sessions, each by one of the fronts; nanoseconds. `None`: not read.
+    pub session_list_interval: Option<Time>,
+    /// Path of that list.
+    pub session_list_path: String,
 }
 
-/// Copies of what a front holds, on other fronts. Only where there is an exchange.
+/// Replication of a front's sessions on other fronts. Needs an exchange.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaSettings {
-    /// Copies beside the front's own.
+    /// Number of replicas, beside the front's own state.
     pub copies: usize,
-    /// Fronts that settle who may act on what; an odd number.
-    pub guards: usize,
-    /// A dead front's sessions are another's after about twice this time.
+    /// Number of fronts that grant leases on sessions; odd.
+    pub grantors: usize,
+    /// Duration of a lease, nanoseconds. Another front takes over the sessions of a dead one after about twice this time.
     pub lease: Time,
-    /// Time between two looks.
-    pub look: Time,
-    /// Bytes of copies a second.
-    pub rate: u64,
+    /// Time between two periodic checks of leases and replicas, nanoseconds.
+    pub check_interval: Time,
+    /// Most bytes of replica traffic a second.
+    pub bytes_per_s: u64,
 }
 
-/// What the fleet agrees on. Only where there is an exchange.
+/// Agreement of the fleet on its policy. Needs an exchange.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgreementSettings {
-    /// InventoryNames of the fronts that vote first; later voters are agreed on.
+    /// Names of the initial voters; later changes of the voters are agreed on.
     pub voters: Vec<String>,
-    /// A front knows for so long that nothing newer takes effect without it; and a change waits so long for one that is cut off.
-    pub hold: Time,
-    /// Time between two questions to the voters.
-    pub look: Time,
-    /// A front that has never heard of the voters serves by its file, instead of refusing: for the first roll-out.
-    pub serve_unknown: bool,
+    /// Duration of a front's lease, nanoseconds: while it lasts, no newer policy takes effect without that front. A
+    /// change waits at most this long for a front that is cut off.
+    pub lease: Time,
+    /// Time between two lease renewals from the voters, nanoseconds.
+    pub renew_interval: Time,
+    /// A front that has had no contact with the voters serves with its own file instead of refusing; for the first
+    /// roll-out.
+    pub serve_before_contact: bool,
 }
 
 impl std::fmt::Debug for ExchangeSettings {
@@ -188,45 +190,45 @@
     }
 }
 
-/// Bounds on announced peaks.
+/// Limits of the capacity reserved for announced peaks.
 #[derive(Clone, Copy, Debug)]
-pub struct HoldSettings {
-    /// Part of a link or uplink that may be held at most.
-    pub share: f64,
-    /// After the start plus this, room for viewers who have not come is given back.
-    pub late: Time,
-    /// Peaks known at once at most.
-    pub most: usize,
+pub struct ReservationSettings {
+    /// Largest share of a link or uplink that may be reserved, 0 to 1.
+    pub max_share: f64,
+    /// Time after the start at which the capacity for viewers who have not come is released, nanoseconds.
+    pub no_show_after: Time,
+    /// Most peaks at a time.
+    pub max_peaks: usize,
 }
 
-/// Everything that a front is told at its start.
+/// All settings of a front.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The front's name, in logs and in `Via`.
+    /// Name of the front, in logs and in `Via` headers.
     pub name: String,
-    /// Where viewers and publishers come.
+    /// Address of the listener for viewers and publishers.
     pub listen: SocketAddr,
-    /// Where the console is; loopback unless stated.
+    /// Address of the console; on loopback by default.
     pub admin: SocketAddr,
-    /// Key of the console; made at the start where none is given.
+    /// Key of the console; a random one is made at each start if none is given.
     pub admin_key: Option<String>,
-    /// Where the front keeps what a restart needs.
+    /// Directory for state that survives a restart.
     pub state_dir: Option<PathBuf>,
-    /// The list of nodes.
+    /// Path of the list of nodes.
     pub inventory: PathBuf,
-    /// Time between two looks at it.
-    pub inventory_poll: Time,
-    /// Form of the log.
-    pub log: LogForm,
-    /// Bounds.
+    /// Time between two polls of the list, nanoseconds.
+    pub inventory_poll_interval: Time,
+    /// Format of the log.
+    pub log: LogFormat,
+    /// Limits of the listener.
     pub limits: Limits,
-    /// A connection to a node must be up within this time.
-    pub connect_time: Time,
-    /// How long a node is heard out after an attempt timed out, before its connection is reset.
+    /// Time limit for connecting to a node, nanoseconds.
+    pub connect_timeout: Time,
+    /// Time after which the connection of a timed-out attempt is reset, nanoseconds; until then a late answer is read.
     pub close_grace: Time,
-    /// Kept back from each patience, so that the answer is with the viewer in time.
+    /// Subtracted from each patience, nanoseconds: the time that an answer needs to reach the viewer.
     pub answer_margin: Time,
-    /// A trickle fragment of the running ICE session is taken without `If-Match`, as many players send it.
+    /// A trickle fragment of the current ICE session is accepted without `If-Match`, because many players omit it.
     pub lenient_if_match: bool,
     /// Classes, in the order of [`Settings::classes`].
     pub classes: Vec<ClassSettings>,
@@ -234,49 +236,50 @@
     pub tenants: Vec<String>,
     /// Titles by name.
     pub titles: BTreeMap<String, Title>,
-    /// Tokens; without any, everyone is let in.
+    /// Tokens; if there are none, every request is accepted.
     pub tokens: Vec<Token>,
-    /// The exchange with other fronts, where there is one.
+    /// The exchange with other fronts, if configured.
     pub exchange: Option<ExchangeSettings>,
-    /// Duties that the fronts share, where there are any.
+    /// Duties that the fronts share, if configured.
     pub duties: Option<DutySettings>,
-    /// Copies on other fronts.
+    /// Replication on other fronts, if configured.
     pub replica: Option<ReplicaSettings>,
-    /// What the fleet agrees on.
+    /// Agreement of the fleet, if configured.
     pub agreement: Option<AgreementSettings>,
-    /// Bounds on announced peaks.
-    pub holds: HoldSettings,
-    /// InventoryNames that the list of nodes may use.
+    /// Limits of the capacity reserved for announced peaks.
+    pub reservations: ReservationSettings,
+    /// Names that the list of nodes may use.
     pub names: InventoryNames,
-    /// What the decision module is told.
+    /// Settings of the decision module.
     pub decisions: Settings,
 }
 
-/// Faults and the texts they were found in.
+/// Errors and the texts that they refer to.
 #[derive(Clone, Debug)]
-pub struct Faults {
+pub struct SettingsErrors {
     /// The texts.
-    pub source: Source,
-    /// What is wrong, in order of place.
-    pub faults: Vec<Fault>,
+    pub sources: SourceFiles,
+    /// The errors, in order of position.
+    pub errors: Vec<SettingsError>,
 }
 
-impl std::fmt::Display for Faults {
+impl std::fmt::Display for SettingsErrors {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let mut files = SimpleFiles::new();
         let ids: Vec<_> =
-            self.source.files.iter().map(|(p, t)| files.add(p.display().to_string(), t.as_str())).collect();
-        for fault in &self.faults {
-            let Some(id) = ids.get(fault.place.file) else { continue };
-            let text = &self.source.files[fault.place.file].1;
-            let start = text.split_inclusive('\n').take(fault.place.line - 1).map(str::len).sum::<usize>();
+            self.sources.files.iter().map(|(p, t)| files.add(p.display().to_string(), t.as_str())).collect();
+        for error in &self.errors {
+            let Some(id) = ids.get(error.position.file) else { continue };
+            let text = &self.sources.files[error.position.file].1;
+            let start = text.split_inclusive('\n').take(error.position.line - 1).map(str::len).sum::<usize>();
             let line = text[start..].lines().next().unwrap_or("");
-            let from: usize = line.chars().take(fault.place.column - 1).map(char::len_utf8).sum();
-            let long = line[from..].split([' ', '\t', '#']).next().map_or(0, str::len).max(1);
+            let from: usize = line.chars().take(error.position.column - 1).map(char::len_utf8).sum();
+            let length = line[from..].split([' ', '\t', '#']).next().map_or(0, str::len).max(1);
             let at = (start + from).min(text.len());
-            let range = at..(at + long).min(text.len());
-            let diagnostic =
-                Diagnostic::error().with_message(&fault.what).with_labels(vec![Label::primary(*id, range)]);
+            let range = at..(at + length).min(text.len());
+            let diagnostic = Diagnostic::error()
+                .with_message(&error.message)
+                .with_labels(vec![Label::primary(*id, range)]);
             let mut out = term::termcolor::NoColor::new(Vec::new());
             let shown = term::emit(&mut out, &term::Config::default(), &files, &diagnostic);
             shown.map_err(|_| std::fmt::Error)?;
@@ -286,67 +289,69 @@
     }
 }
 
-impl std::error::Error for Faults {}
+impl std::error::Error for SettingsErrors {}
 
-/// A stable id of a name.
+/// A hash of a name that is the same in every process; ids are made of it.
 #[must_use]
 pub fn name_hash(name: &str) -> u64 {
     pepperhook_inventory::stable_hash(name.as_bytes())
 }
 
 impl Config {
-    /// Reads settings from a file; relative paths in it are beside it.
+    /// Reads settings from a file; relative paths in it are relative to its folder.
     ///
     /// # Errors
-    /// Every fault, with its place.
-    pub fn load(path: &Path) -> Result<Self, Faults> {
-        let mut config = build(Loader::file(path))?;
-        let beside = path.parent().unwrap_or(Path::new(""));
-        config.inventory = beside.join(&config.inventory);
-        config.state_dir = config.state_dir.map(|d| beside.join(d));
+    /// All errors, with their positions.
+    pub fn load(path: &Path) -> Result<Self, SettingsErrors> {
+        let mut config = build(Loader::from_file(path))?;
+        let folder = path.parent().unwrap_or(Path::new(""));
+        config.inventory = folder.join(&config.inventory);
+        config.state_dir = config.state_dir.map(|d| folder.join(d));
         Ok(config)
     }
 
-    /// Reads settings from text.
+    /// Reads settings from text; `name` is its path in error messages.
     ///
     /// # Errors
-    /// Every fault, with its place.
-    pub fn parse(name: &str, text: &str) -> Result<Self, Faults> {
-        build(Loader::text(name, text))
+    /// All errors, with their positions.
+    pub fn parse(name: &str, text: &str) -> Result<Self, SettingsErrors> {
+        build(Loader::from_text(name, text))
     }
 }
 
-fn rung(fields: &mut Fields, keyword: &'static str) -> Option<u8> {
-    fields.parsed(keyword, "rung, a number from 0 to 255")
+fn rung(fields: &mut SectionReader, keyword: &'static str) -> Option<u8> {
+    fields.parse(keyword, "rung, a number from 0 to 255")
 }
 
-fn class(block: &Block, faults: &mut Vec<Fault>) -> (ClassSettings, Class) {
-    let mut f = Fields::new(block);
+fn class(section: &Section, errors: &mut Vec<SettingsError>) -> (ClassSettings, Class) {
+    let mut f = SectionReader::new(section);
     let aim = f.time("aim");
-    let aim = f.need("aim", aim);
+    let aim = f.require("aim", aim);
     let patience = f.time("patience");
-    let patience = f.need("patience", patience);
+    let patience = f.require("patience", patience);
     let mut repeat = Idempotency::Idempotent;
     for line in f.lines("repeat", 1, 3) {
-        let words: Vec<&str> = line.values.iter().map(|w| w.text.as_str()).collect();
-        let group = |g: &str| match g {
+        let values: Vec<&str> = line.values.iter().map(|v| v.text.as_str()).collect();
+        let scope = |g: &str| match g {
             "all" => Some(DedupScope::All),
             "zone" => Some(DedupScope::Zone),
             "cell" => Some(DedupScope::Cell),
             _ => None,
         };
-        let read = match words.as_slice() {
+        let parsed = match values.as_slice() {
             ["harmless"] => Some(Idempotency::Idempotent),
             ["never"] => Some(Idempotency::AtMostOnce),
-            ["within", g, t] => group(g).zip(time(t)).map(|(g, t)| Idempotency::Deduplicated(g, t)),
+            ["within", g, t] => scope(g).zip(parse_time(t)).map(|(g, t)| Idempotency::Deduplicated(g, t)),
             _ => None,
         };
-        match read {
+        match parsed {
             Some(r) => repeat = r,
-            None => f.fault(line.values[0].place, "expected: harmless, never, or within all|zone|cell TIME"),
+            None => {
+                f.error(line.values[0].position, "expected: harmless, never, or within all|zone|cell TIME")
+            }
         }
     }
-    let name = block.name.as_ref().map_or_else(String::new, |n| n.text.clone());
+    let name = section.name.as_ref().map_or_else(String::new, |n| n.text.clone());
     let class = Class {
         set_up_target: aim,
         idempotency: repeat,
@@ -354,181 +359,213 @@
         rate_scale: f.number("scale").unwrap_or(1.0),
         lowest_rung: rung(&mut f, "floor").unwrap_or(0),
         highest_rung: rung(&mut f, "top").unwrap_or(u8::MAX),
-        max_sessions_per_title: f.parsed("seats", "whole number").unwrap_or(0),
-        live: f.yes("live").unwrap_or(false),
+        max_sessions_per_title: f.parse("seats", "whole number").unwrap_or(0),
+        live: f.boolean("live").unwrap_or(false),
     };
-    let ingest = f.yes("ingest").unwrap_or(false);
-    let closed = f.yes("closed").unwrap_or(false);
-    faults.extend(f.end());
+    let ingest = f.boolean("ingest").unwrap_or(false);
+    let closed = f.boolean("closed").unwrap_or(false);
+    errors.extend(f.finish());
     (ClassSettings { name, patience, ingest, closed }, class)
 }
 
-fn rules(block: &Block, faults: &mut Vec<Fault>) -> Rules {
-    let mut f = Fields::new(block);
+fn rules(section: &Section, errors: &mut Vec<SettingsError>) -> Rules {
+    let mut f = SectionReader::new(section);
     let (share, cold) = (f.number("cold-share"), f.time("cold"));
     let (multiple, window) = (f.number("fall-multiple"), f.time("fall-window"));
     let mut budget = None;
     for line in f.lines("budget", 3, 3) {
         let v = &line.values;
         let number = |text: &str| text.parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0);
-        match (number(&v[0].text), number(&v[1].text), time(&v[2].text)) {
+        match (number(&v[0].text), number(&v[1].text), parse_time(&v[2].text)) {
             (Some(free), Some(share), Some(window)) => {
                 budget = Some(RetryBudget { min_retries: free, retry_ratio: share, window })
             }
-            _ => f.fault(v[0].place, "expected: budget FREE SHARE WINDOW, such as: budget 3 0.2 10s"),
+            _ => f.error(v[0].position, "expected: budget FREE SHARE WINDOW, such as: budget 3 0.2 10s"),
         }
     }
     let rules = Rules {
-        cold_share: f.need("cold-share", share),
-        warm_up: f.need("cold", cold),
-        overload_multiple: f.need("fall-multiple", multiple),
-        overload_window: f.need("fall-window", window),
+        cold_share: f.require("cold-share", share),
+        warm_up: f.require("cold", cold),
+        overload_multiple: f.require("fall-multiple", multiple),
+        overload_window: f.require("fall-window", window),
         retry_budget: budget,
     };
-    faults.extend(f.end());
+    errors.extend(f.finish());
     rules
 }
 
-fn exchange(block: &Block, faults: &mut Vec<Fault>) -> ExchangeSettings {
-    let mut f = Fields::new(block);
-    let listen = f.parsed("listen", "address such as 127.0.0.1:7400");
-    let listen = f.need("listen", listen.map(Some)).unwrap_or(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)));
-    let advertise = f.with("advertise", "address such as 10.0.0.7:7400, with its port", |t| {
+fn exchange(section: &Section, errors: &mut Vec<SettingsError>) -> ExchangeSettings {
+    let mut f = SectionReader::new(section);
+    let listen = f.parse("listen", "address such as 127.0.0.1:7400");
+    let listen = f.require("listen", listen.map(Some)).unwrap_or(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)));
+    let advertise = f.parse_with("advertise", "address such as 10.0.0.7:7400, with its port", |t| {
         t.parse::<SocketAddr>().ok().filter(|a| !a.ip().is_unspecified() && a.port() != 0)
     });
     let mut peers = Vec::new();
-    for word in f.lines("peer", 1, 1).into_iter().map(|l| &l.values[0]) {
-        match word.text.parse() {
-            Ok(peer) if peers.contains(&peer) => f.fault(word.place, "this peer is given twice"),
+    for value in f.lines("peer", 1, 1).into_iter().map(|l| &l.values[0]) {
+        match value.text.parse() {
+            Ok(peer) if peers.contains(&peer) => {
+                f.error(value.position, format!("peer '{}' is given twice", value.text))
+            }
             Ok(peer) => peers.push(peer),
-            Err(_) => f.fault(word.place, format!("'{}' is no address such as 127.0.0.1:7400", word.text)),
+            Err(_) => {
+                f.error(value.position, format!("'{}' is no address such as 127.0.0.1:7400", value.text))
+            }
         }
     }
-    let key = f.word("key").map(|w| w.text.clone());
+    let key = f.value("key").map(|w| w.text.clone());
     let settings = ExchangeSettings {
         listen,
         advertise,
         peers,
-        key: f.need("key", key),
-        previous_key: f.word("previous-key").map(|w| w.text.clone()),
-        period: f.time("period").unwrap_or(SECOND).max(50 * MS),
-        fanout: f.parsed("fanout", "whole number").unwrap_or(2).clamp(1, 16),
-        loss: f.number("loss").unwrap_or(0.0).min(1.0),
-        weight: f.parsed("weight", "whole number, 100 for one share").unwrap_or(100).clamp(1, 10_000),
-        look: f.time("look").unwrap_or(SECOND).max(100 * MS),
-        suspicion: f.time("suspicion").unwrap_or(3 * SECOND).max(200 * MS),
+        key: f.require("key", key),
+        previous_key: f.value("previous-key").map(|w| w.text.clone()),
+        round_interval: f.time("period").unwrap_or(SECOND).max(50 * MS),
+        fanout: f.parse("fanout", "whole number").unwrap_or(2).clamp(1, 16),
+        simulated_loss: f.number("loss").unwrap_or(0.0).min(1.0),
+        weight: f.parse("weight", "whole number, 100 for one share").unwrap_or(100).clamp(1, 10_000),
+        probe_interval: f.time("look").unwrap_or(SECOND).max(100 * MS),
+        suspicion_timeout: f.time("suspicion").unwrap_or(3 * SECOND).max(200 * MS),
     };
-    faults.extend(f.end());
+    errors.extend(f.finish());
     settings
 }
 
-fn duties(block: &Block, faults: &mut Vec<Fault>) -> DutySettings {
-    let mut f = Fields::new(block);
-    let probe = f.time("probe");
-    let probe = f.need("probe", probe).max(100 * MS);
+fn duties(section: &Section, errors: &mut Vec<SettingsError>) -> DutySettings {
+    let mut f = SectionReader::new(section);
+    let probe_interval = f.time("probe");
+    let probe_interval = f.require("probe", probe_interval).max(100 * MS);
     let mut path = |keyword, default: &str| {
-        let given = f.word(keyword).map(|w| (w.place, w.text.clone()));
-        if let Some((place, text)) = &given {
+        let given = f.value(keyword).map(|v| (v.position, v.text.clone()));
+        if let Some((position, text)) = &given {
             if !text.starts_with('/') || !text.bytes().all(|b| b.is_ascii_graphic()) {
-                f.fault(*place, "expected: a path such as /whep");
+                f.error(*position, format!("'{text}' is not a path; expected: a path such as /whep"));
             }
         }
         given.map_or_else(|| default.to_owned(), |(_, text)| text)
     };
-    let (path, sessions_path) = (path("path", "/whep"), path("sessions-path", "/sessions"));
+    let (probe_path, session_list_path) = (path("path", "/whep"), path("sessions-path", "/sessions"));
     let settings = DutySettings {
-        probe,
-        step: f.time("step").unwrap_or(probe / 4).clamp(10 * MS, probe / 2),
-        limit: f.time("limit").unwrap_or(probe / 2).max(10 * MS),
-        most: f.parsed("most", "whole number").unwrap_or(5).max(1),
-        path,
-        sessions: f.time("sessions").map(|t| t.max(100 * MS)),
-        sessions_path,
-        share: f.yes("share").unwrap_or(true),
-        ask: f.yes("ask").unwrap_or(false),
+        probe_interval,
+        takeover_delay: f.time("step").unwrap_or(probe_interval / 4).clamp(10 * MS, probe_interval / 2),
+        probe_timeout: f.time("limit").unwrap_or(probe_interval / 2).max(10 * MS),
+        max_per_period: f.parse("most", "whole number").unwrap_or(5).max(1),
+        probe_path,
+        session_list_interval: f.time("sessions").map(|t| t.max(100 * MS)),
+        session_list_path,
+        share_readings: f.boolean("share").unwrap_or(true),
+        module_probes: f.boolean("ask").unwrap_or(false),
     };
-    faults.extend(f.end());
+    errors.extend(f.finish());
     settings
 }
 
-fn replica(block: &Block, faults: &mut Vec<Fault>) -> ReplicaSettings {
-    let mut f = Fields::new(block);
-    let copies = f.parsed("copies", "whole number").unwrap_or(2usize);
-    let guards = f.parsed("guards", "whole number").unwrap_or(5usize);
+fn replica(section: &Section, errors: &mut Vec<SettingsError>) -> ReplicaSettings {
+    let mut f = SectionReader::new(section);
+    let copies = f.parse("copies", "whole number").unwrap_or(2usize);
+    let grantors = f.parse("guards", "whole number").unwrap_or(5usize);
     if !(1..=5).contains(&copies) {
-        f.fault(block.place, "expected: copies from 1 to 5");
+        f.error(section.position, format!("{copies} copies; expected: copies from 1 to 5"));
     }
-    if guards % 2 == 0 || guards > 9 {
-        f.fault(block.place, "expected: an odd number of guards, 9 at most");
+    if grantors % 2 == 0 || grantors > 9 {
+        f.error(section.position, format!("{grantors} guards; expected: an odd number of guards, 9 at most"));
     }
     let lease = f.time("lease").unwrap_or(3 * SECOND).max(500 * MS);
-    let look = f.time("look").unwrap_or(lease / 6);
-    if look < 50 * MS || look > lease / 4 {
-        f.fault(block.place, "expected: a look between 50ms and a quarter of the lease");
+    let check_interval = f.time("look").unwrap_or(lease / 6);
+    if check_interval < 50 * MS || check_interval > lease / 4 {
+        f.error(
+            section.position,
+            format!(
+                "a look of {}; expected: a look between 50ms and a quarter of the lease, {}",
+                format_duration(check_interval),
+                format_duration(lease / 4)
+            ),
+        );
     }
-    let rate = f.parsed("rate", "bytes a second").unwrap_or(200_000).max(10_000);
-    faults.extend(f.end());
-    ReplicaSettings { copies, guards, lease, look, rate }
+    let bytes_per_s = f.parse("rate", "bytes a second").unwrap_or(200_000).max(10_000);
+    errors.extend(f.finish());
+    ReplicaSettings { copies, grantors, lease, check_interval, bytes_per_s }
 }
 
-/// Time that a hold has beside the longest patience, at least: some questions to the voters fit into it.
-const HOLD_BESIDE: Time = SECOND;
+/// Smallest time by which a lease exceeds the longest patience, nanoseconds; several renewals fit into it.
+const MIN_LEASE_MARGIN: Time = SECOND;
 
-fn agreement(block: &Block, patience: Time, faults: &mut Vec<Fault>) -> AgreementSettings {
-    let mut f = Fields::new(block);
+fn agreement(section: &Section, patience: Time, errors: &mut Vec<SettingsError>) -> AgreementSettings {
+    let mut f = SectionReader::new(section);
     let mut voters: Vec<String> = Vec::new();
-    for word in f.lines("voter", 1, 1).into_iter().map(|l| &l.values[0]) {
-        if voters.contains(&word.text) {
-            f.fault(word.place, "this voter is given twice");
+    for value in f.lines("voter", 1, 1).into_iter().map(|l| &l.values[0]) {
+        if voters.contains(&value.text) {
+            f.error(value.position, format!("voter '{}' is given twice", value.text));
         }
-        voters.push(word.text.clone());
+        voters.push(value.text.clone());
     }
     if voters.len() % 2 == 0 || voters.len() > 7 {
-        f.fault(block.place, "expected: 1, 3, 5 or 7 lines such as: voter front-1");
+        f.error(
+            section.position,
+            format!("{} voters; expected: 1, 3, 5 or 7 lines such as: voter front-1", voters.len()),
+        );
     }
-    let least = patience.saturating_add(HOLD_BESIDE);
-    let hold = f.time("hold").unwrap_or(patience.saturating_add(4 * SECOND));
-    if hold < least {
-        f.fault(
-            block.place,
-            format!("expected: a hold of {} ms or more, the longest patience and a second", least / MS),
+    let min_lease = patience.saturating_add(MIN_LEASE_MARGIN);
+    let lease = f.time("hold").unwrap_or(patience.saturating_add(4 * SECOND));
+    if lease < min_lease {
+        f.error(
+            section.position,
+            format!(
+                "a hold of {}; expected: a hold of {} ms or more, the longest patience and a second",
+                format_duration(lease),
+                min_lease / MS
+            ),
         );
     }
-    let look = f.time("look").unwrap_or_else(|| (hold.saturating_sub(patience) / 8).max(100 * MS));
-    if look < 50 * MS || look > hold.saturating_sub(patience) / 2 {
-        f.fault(
-            block.place,
-            "expected: a look between 50ms and half of what the hold has beside the longest patience",
+    let renew_interval = f.time("look").unwrap_or_else(|| (lease.saturating_sub(patience) / 8).max(100 * MS));
+    if renew_interval < 50 * MS || renew_interval > lease.saturating_sub(patience) / 2 {
+        f.error(
+            section.position,
+            format!(
+                "a look of {}; expected: a look between 50ms and {}, half of the hold less the longest patience",
+                format_duration(renew_interval),
+                format_duration(lease.saturating_sub(patience) / 2)
+            ),
         );
     }
-    let serve_unknown = f
-        .with("unknown", "what a front does that never heard of the voters, refuse or serve", |t| match t {
-            "refuse" => Some(false),
-            "serve" => Some(true),
-            _ => None,
+    let serve_before_contact = f
+        .parse_with("unknown", "action for a front without contact to the voters, refuse or serve", |t| {
+            match t {
+                "refuse" => Some(false),
+                "serve" => Some(true),
+                _ => None,
+            }
         })
         .unwrap_or(false);
-    faults.extend(f.end());
-    AgreementSettings { voters, hold, look, serve_unknown }
+    errors.extend(f.finish());
+    AgreementSettings { voters, lease, renew_interval, serve_before_contact }
 }
 
-fn named<'a>(blocks: &'a [Block], kind: &'a str, faults: &mut Vec<Fault>) -> Vec<(String, &'a Block)> {
-    let mut out: Vec<(String, &Block)> = Vec::new();
-    for block in blocks.iter().filter(|b| b.kind == kind) {
-        match &block.name {
-            None => faults.push(Fault { place: block.place, what: format!("section {kind} needs a name") }),
+/// Sections of a kind with their names; a missing or repeated name is an error.
+fn named<'a>(
+    sections: &'a [Section],
+    kind: &'a str,
+    errors: &mut Vec<SettingsError>,
+) -> Vec<(String, &'a Section)> {
+    let mut out: Vec<(String, &Section)> = Vec::new();
+    for section in sections.iter().filter(|b| b.kind == kind) {
+        match &section.name {
+            None => errors.push(SettingsError {
+                position: section.position,
+                message: format!("section {kind} needs a name"),
+            }),
             Some(name) if out.iter().any(|(n, _)| *n == name.text) => {
-                let what = format!("section {kind} '{}' is given twice", name.text);
-                faults.push(Fault { place: name.place, what });
+                let message = format!("section {kind} '{}' is given twice", name.text);
+                errors.push(SettingsError { position: name.position, message });
             }
-            Some(name) => out.push((name.text.clone(), block)),
+            Some(name) => out.push((name.text.clone(), section)),
         }
     }
     out
 }
 
-fn build(loader: Loader) -> Result<Config, Faults> {
-    let Loader { source, blocks, mut faults, .. } = loader;
+fn build(loader: Loader) -> Result<Config, SettingsErrors> {
+    let Loader { sources, sections, mut errors, .. } = loader;
     const KINDS: [&str; 13] = [
         "",
         "class",
@@ -544,125 +581,130 @@
         "replica",
         "agreement",
     ];
-    for block in blocks.iter().filter(|b| !KINDS.contains(&b.kind.as_str())) {
-        let what = format!("unknown section '{}'; expected one of: {}", block.kind, KINDS[1..].join(", "));
-        faults.push(Fault { place: block.place, what });
+    for section in sections.iter().filter(|b| !KINDS.contains(&b.kind.as_str())) {
+        let message =
+            format!("unknown section '{}'; expected one of: {}", section.kind, KINDS[1..].join(", "));
+        errors.push(SettingsError { position: section.position, message });
     }
 
-    let mut f = Fields::new(&blocks[0]);
-    let fleet = Fleet::read(&blocks, &mut f, &mut faults);
+    let mut f = SectionReader::new(&sections[0]);
+    let fleet = FleetSettings::read(&sections, &mut f, &mut errors);
     let (mut kinds, mut kind_streams) = (Vec::new(), Vec::new());
-    for (name, block) in named(&blocks, "kind", &mut faults) {
-        let mut f = Fields::new(block);
+    for (name, section) in named(&sections, "kind", &mut errors) {
+        let mut f = SectionReader::new(section);
         let streams = f.number("streams");
-        kind_streams.push(f.need("streams", streams));
+        kind_streams.push(f.require("streams", streams));
         kinds.push(name);
-        faults.extend(f.end());
+        errors.extend(f.finish());
     }
     let (classes, library): (Vec<ClassSettings>, Vec<Class>) =
-        fleet.classes.into_iter().map(|c| (c.ours, c.class)).unzip();
+        fleet.classes.into_iter().map(|c| (c.front, c.class)).unzip();
     let (tenants, shares): (Vec<String>, Vec<_>) = fleet.tenants.into_iter().unzip();
     let mut titles = BTreeMap::new();
-    for (name, block) in named(&blocks, "title", &mut faults) {
-        let mut f = Fields::new(block);
-        let (home, copies) = (f.parsed("home", "cell"), f.parsed("copies", "whole number"));
-        let (home, copies) = (f.need("home", home), f.need("copies", copies));
+    for (name, section) in named(&sections, "title", &mut errors) {
+        let mut f = SectionReader::new(section);
+        let (home, copies) = (f.parse("home", "cell"), f.parse("copies", "whole number"));
+        let (home, copies) = (f.require("home", home), f.require("copies", copies));
         let by_name =
-            f.with("class", "class of these settings", |t| classes.iter().position(|c| c.name == t));
-        let class = f.need("class", by_name) as u16;
-        faults.extend(f.end());
+            f.parse_with("class", "class of these settings", |t| classes.iter().position(|c| c.name == t));
+        let class = f.require("class", by_name) as u16;
+        errors.extend(f.finish());
         titles.insert(name.clone(), Title { id: TitleId(name_hash(&name)), home, copies, class });
     }
     let mut tokens = Vec::new();
-    for (name, block) in named(&blocks, "token", &mut faults) {
-        let mut f = Fields::new(block);
-        let secret = f.word("secret").map(|w| w.text.clone());
-        let secret = f.need("secret", secret);
-        let tenant = f.with("tenant", "tenant of these settings", |t| tenants.iter().position(|n| n == t));
-        let (publish, top) = (f.yes("publish").unwrap_or(false), rung(&mut f, "top"));
-        faults.extend(f.end());
+    for (name, section) in named(&sections, "token", &mut errors) {
+        let mut f = SectionReader::new(section);
+        let secret = f.value("secret").map(|w| w.text.clone());
+        let secret = f.require("secret", secret);
+        let tenant =
+            f.parse_with("tenant", "tenant of these settings", |t| tenants.iter().position(|n| n == t));
+        let (publish, top) = (f.boolean("publish").unwrap_or(false), rung(&mut f, "top"));
+        errors.extend(f.finish());
         tokens.push(Token { name, secret, tenant: tenant.unwrap_or(0) as u16, publish, top });
     }
-    let exchange = blocks.iter().find(|b| b.kind == "exchange").map(|b| exchange(b, &mut faults));
-    let duty_block = blocks.iter().find(|b| b.kind == "duties");
-    let duties = duty_block.map(|b| duties(b, &mut faults));
-    if let Some(block) = duty_block.filter(|_| exchange.is_none()) {
-        let what = "duties are shared between fronts: they need a section exchange".into();
-        faults.push(Fault { place: block.place, what });
+    let exchange = sections.iter().find(|b| b.kind == "exchange").map(|b| exchange(b, &mut errors));
+    let duty_block = sections.iter().find(|b| b.kind == "duties");
+    let duties = duty_block.map(|b| duties(b, &mut errors));
+    if let Some(section) = duty_block.filter(|_| exchange.is_none()) {
+        let message = "duties are shared between fronts: they need a section exchange".into();
+        errors.push(SettingsError { position: section.position, message });
     }
-    let replica_block = blocks.iter().find(|b| b.kind == "replica");
-    let replica = replica_block.map(|b| replica(b, &mut faults));
-    if let Some(block) = replica_block.filter(|_| exchange.is_none()) {
-        let what = "copies are kept by other fronts: they need a section exchange".into();
-        faults.push(Fault { place: block.place, what });
+    let replica_block = sections.iter().find(|b| b.kind == "replica");
+    let replica = replica_block.map(|b| replica(b, &mut errors));
+    if let Some(section) = replica_block.filter(|_| exchange.is_none()) {
+        let message = "copies are kept by other fronts: they need a section exchange".into();
+        errors.push(SettingsError { position: section.position, message });
     }
-    let agreement_block = blocks.iter().find(|b| b.kind == "agreement");
+    let agreement_block = sections.iter().find(|b| b.kind == "agreement");
     let patience = classes.iter().map(|c| c.patience).max().unwrap_or(0);
-    let agreement = agreement_block.map(|b| agreement(b, patience, &mut faults));
-    if let Some(block) = agreement_block.filter(|_| exchange.is_none()) {
-        let what = "fronts agree over the exchange: they need a section exchange".into();
-        faults.push(Fault { place: block.place, what });
+    let agreement = agreement_block.map(|b| agreement(b, patience, &mut errors));
+    if let Some(section) = agreement_block.filter(|_| exchange.is_none()) {
+        let message = "fronts use the exchange to agree: they need a section exchange".into();
+        errors.push(SettingsError { position: section.position, message });
     }
 
     let zones: Vec<String> =
         f.lines("zones", 1, 64).iter().flat_map(|l| l.values.iter().map(|w| w.text.clone())).collect();
-    let zone = f.with("zone", "zone of these settings", |t| zones.iter().position(|z| z == t));
-    let zone = f.need("zone", zone);
+    let zone = f.parse_with("zone", "zone of these settings", |t| zones.iter().position(|z| z == t));
+    let zone = f.require("zone", zone);
     let mut gauges = Vec::new();
-    for word in f.lines("gauges", 1, 4).into_iter().flat_map(|l| &l.values) {
-        match word.text.as_str() {
+    for value in f.lines("gauges", 1, 4).into_iter().flat_map(|l| &l.values) {
+        match value.text.as_str() {
             "streams" => gauges.push(Gauge::Streams),
             "link-capped" => gauges.push(Gauge::LinkCapped),
             "link" => gauges.push(Gauge::Link),
             "uplink" => gauges.push(Gauge::Uplink),
-            other => f.fault(word.place, format!("'{other}' is none of streams, link-capped, link, uplink")),
+            other => f.error(
+                value.position,
+                format!("'{other}' is not a gauge; expected one of: streams, link-capped, link, uplink"),
+            ),
         }
     }
     let address = "address such as 127.0.0.1:8080";
-    let listen = f.parsed("listen", address);
-    let inventory = f.word("inventory").map(|w| PathBuf::from(&w.text));
-    let (racks, cells) = (f.parsed("racks", "whole number"), f.parsed("cells", "whole number"));
-    let (racks, cells) = (f.need("racks", racks), f.need("cells", cells));
+    let listen = f.parse("listen", address);
+    let inventory = f.value("inventory").map(|w| PathBuf::from(&w.text));
+    let (racks, cells) = (f.parse("racks", "whole number"), f.parse("cells", "whole number"));
+    let (racks, cells) = (f.require("racks", racks), f.require("cells", cells));
     let names = InventoryNames { zones, kinds, cells };
-    let name = f.word("name").map(|w| w.text.clone());
+    let name = f.value("name").map(|w| w.text.clone());
     let config = Config {
-        name: f.need("name", name),
-        listen: f.need("listen", listen.map(Some)).unwrap_or(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))),
-        admin: f.parsed("admin", address).unwrap_or(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))),
-        admin_key: f.word("admin-key").map(|w| w.text.clone()),
-        state_dir: f.word("state-dir").map(|w| PathBuf::from(&w.text)),
-        inventory: f.need("inventory", inventory),
-        inventory_poll: f.time("inventory-poll").unwrap_or(100 * MS).max(10 * MS),
+        name: f.require("name", name),
+        listen: f.require("listen", listen.map(Some)).unwrap_or(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))),
+        admin: f.parse("admin", address).unwrap_or(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))),
+        admin_key: f.value("admin-key").map(|w| w.text.clone()),
+        state_dir: f.value("state-dir").map(|w| PathBuf::from(&w.text)),
+        inventory: f.require("inventory", inventory),
+        inventory_poll_interval: f.time("inventory-poll").unwrap_or(100 * MS).max(10 * MS),
         log: f
-            .with("log", "form of log, text or json", |t| match t {
-                "text" => Some(LogForm::Text),
-                "json" => Some(LogForm::Json),
+            .parse_with("log", "log format, text or json", |t| match t {
+                "text" => Some(LogFormat::Text),
+                "json" => Some(LogFormat::Json),
                 _ => None,
             })
-            .unwrap_or(LogForm::Text),
+            .unwrap_or(LogFormat::Text),
         limits: Limits {
-            connections: f.parsed("max-connections", "whole number").unwrap_or(16_384),
-            waiting: f.parsed("max-waiting", "whole number").unwrap_or(4_096),
-            sessions: f.parsed("max-sessions", "whole number").unwrap_or(65_536),
-            body: f.parsed("max-body", "number of bytes").unwrap_or(64 << 10),
-            head: f.parsed("max-head", "number of bytes").unwrap_or(16 << 10).max(8 << 10),
-            head_time: f.time("head-time").unwrap_or(5 * SECOND),
-            body_time: f.time("body-time").unwrap_or(5 * SECOND),
+            connections: f.parse("max-connections", "whole number").unwrap_or(16_384),
+            waiting: f.parse("max-waiting", "whole number").unwrap_or(4_096),
+            sessions: f.parse("max-sessions", "whole number").unwrap_or(65_536),
+            body: f.parse("max-body", "number of bytes").unwrap_or(64 << 10),
+            head: f.parse("max-head", "number of bytes").unwrap_or(16 << 10).max(8 << 10),
+            head_timeout: f.time("head-time").unwrap_or(5 * SECOND),
+            body_timeout: f.time("body-time").unwrap_or(5 * SECOND),
         },
         exchange,
-        holds: fleet.holds,
-        connect_time: f.time("connect-time").unwrap_or(250 * MS),
+        reservations: fleet.reservations,
+        connect_timeout: f.time("connect-time").unwrap_or(250 * MS),
         close_grace: f.time("close-grace").unwrap_or(40 * MS),
         answer_margin: f.time("answer-margin").unwrap_or(250 * MS),
         lenient_if_match: f
-            .with("if-match", "way to take If-Match, strict or lenient", |t| match t {
+            .parse_with("if-match", "treatment of If-Match, strict or lenient", |t| match t {
                 "lenient" => Some(true),
                 "strict" => Some(false),
                 _ => None,
             })
             .unwrap_or(true),
         decisions: Settings {
-            fronts: f.parsed("fronts", "whole number").unwrap_or(1),
+            fronts: f.parse("fronts", "whole number").unwrap_or(1),
             zone: ZoneId(zone as u16),
             classes: library,
             tenants: shares,
@@ -674,15 +716,15 @@
             uplink_kb: fleet.uplink_kb,
             kb_per_weight: fleet.kb_per_weight,
             all_links_kb: fleet.all_links_kb,
-            shared_stream_share: fleet.join,
-            link_refusal_threshold: fleet.refuses_from,
-            notification_delay: fleet.seen_after,
+            shared_stream_share: fleet.shared_stream_share,
+            link_refusal_threshold: fleet.link_refusal_threshold,
+            notification_delay: fleet.notification_delay,
             switch_cost_s: fleet.switch_cost_s,
             gauges,
-            // Else what it knows comes with answers, event streams and the duties' readings.
-            probes: duties.as_ref().is_some_and(|d| d.ask),
-            send_retry_after: fleet.advice,
-            max_retry_after: fleet.max_advice,
+            // Without these probes the module learns loads from answers, event streams and readings of the duties.
+            probes: duties.as_ref().is_some_and(|d| d.module_probes),
+            send_retry_after: fleet.send_retry_after,
+            max_retry_after: fleet.max_retry_after,
             max_attempts: fleet.max_attempts,
             connection_idle_timeout: 0,
             list_on_request: false,
@@ -699,35 +741,39 @@
         tokens,
         names,
     };
-    faults.extend(f.end());
-    if faults.is_empty() {
-        let first = blocks[0].place;
+    errors.extend(f.finish());
+    if errors.is_empty() {
+        let first = sections[0].position;
         if let Err(e) = config.decisions.validate() {
-            faults.push(Fault { place: first, what: e.0 });
+            errors.push(SettingsError { position: first, message: e.0 });
         }
         if !config.admin.ip().is_loopback() && config.admin_key.is_none() {
-            faults
-                .push(Fault { place: first, what: "an 'admin' beyond loopback needs an 'admin-key'".into() });
+            errors.push(SettingsError {
+                position: first,
+                message: "an 'admin' address that is not on loopback needs an 'admin-key'".into(),
+            });
         }
         let fronts = config.decisions.fronts as usize;
-        if let Some((block, r)) = replica_block.zip(config.replica).filter(|(_, r)| r.copies >= fronts) {
-            let what = format!("{} copies need more fronts than the {fronts} of 'fronts'", r.copies);
-            faults.push(Fault { place: block.place, what });
+        if let Some((section, r)) = replica_block.zip(config.replica).filter(|(_, r)| r.copies >= fronts) {
+            let message = format!("'copies {}' needs more than the {fronts} fronts of 'fronts'", r.copies);
+            errors.push(SettingsError { position: section.position, message });
         }
         let votes = config.agreement.as_ref().is_some_and(|a| a.voters.contains(&config.name));
-        if let Some(block) = agreement_block.filter(|_| votes && config.state_dir.is_none()) {
-            let what = "this front votes: it needs a 'state-dir' for what it promised".into();
-            faults.push(Fault { place: block.place, what });
+        if let Some(section) = agreement_block.filter(|_| votes && config.state_dir.is_none()) {
+            let message = "this front is a voter: it needs a 'state-dir' for its stored votes".into();
+            errors.push(SettingsError { position: section.position, message });
         }
         if config.limits.waiting == 0 || config.limits.connections == 0 || config.limits.sessions == 0 {
-            faults.push(Fault {
-                place: first,
-                what: "max-connections, max-waiting and max-sessions are above 0".into(),
+            errors.push(SettingsError {
+                position: first,
+                message:
+                    "one of max-connections, max-waiting and max-sessions is 0; expected: numbers above 0"
+                        .into(),
             });
         }
     }
-    faults.sort_by_key(|f| (f.place.file, f.place.line, f.place.column));
-    if faults.is_empty() { Ok(config) } else { Err(Faults { source, faults }) }
+    errors.sort_by_key(|f| (f.position.file, f.position.line, f.position.column));
+    if errors.is_empty() { Ok(config) } else { Err(SettingsErrors { sources, errors }) }
 }
 
 #[cfg(test)]
--- a/crates/settings/src/section.rs
+++ b/crates/settings/src/section.rs
@@ -1,20 +1,23 @@
-//! Typed reading of one block: each keyword asked for is ticked off, and what is left is unknown.
+//! Typed access to the lines of one section. Each keyword that is read is recorded; the remaining keywords are
+//! reported as unknown.
 
-use crate::syntax::{Block, Fault, Line, Place, Word};
+use crate::syntax::{Lexeme, Line, Position, Section, SettingsError};
 use pepperhook::Time;
 use std::str::FromStr;
 
-/// Reads a block keyword by keyword, and gathers its faults.
-pub struct Fields<'a> {
-    block: &'a Block,
-    asked: Vec<&'static str>,
-    pub faults: Vec<Fault>,
+/// Reads a section keyword by keyword and collects its errors.
+pub struct SectionReader<'a> {
+    section: &'a Section,
+    /// Keywords that were read, as the error about an unknown keyword lists them.
+    known: Vec<&'static str>,
+    pub errors: Vec<SettingsError>,
 }
 
-/// A time with its unit: `250ms`, `4s`, `2m`, and `1ns` for what a program writes; nanoseconds.
-pub fn time(text: &str) -> Option<Time> {
-    let cut = text.find(|c: char| c.is_ascii_alphabetic())?;
-    let (number, unit) = text.split_at(cut);
+/// Parses a time with its unit, such as `250ms`, `4s` or `2m`, into nanoseconds. The unit `ns` occurs in texts that a
+/// program wrote.
+pub fn parse_time(text: &str) -> Option<Time> {
+    let unit_at = text.find(|c: char| c.is_ascii_alphabetic())?;
+    let (number, unit) = text.split_at(unit_at);
     let scale = match unit {
         "ns" => 1.0,
         "us" => 1e3,
@@ -28,100 +31,101 @@
     (value.is_finite() && (0.0..=1e18).contains(&value)).then_some(value as Time)
 }
 
-impl<'a> Fields<'a> {
-    pub fn new(block: &'a Block) -> Self {
-        Self { block, asked: Vec::new(), faults: Vec::new() }
+impl<'a> SectionReader<'a> {
+    pub fn new(section: &'a Section) -> Self {
+        Self { section, known: Vec::new(), errors: Vec::new() }
     }
 
-    pub fn fault(&mut self, place: Place, what: impl Into<String>) {
-        self.faults.push(Fault { place, what: what.into() });
+    pub fn error(&mut self, position: Position, message: impl Into<String>) {
+        self.errors.push(SettingsError { position, message: message.into() });
     }
 
-    /// All lines with this keyword, each with a number of values within the bounds.
-    pub fn lines(&mut self, keyword: &'static str, least: usize, most: usize) -> Vec<&'a Line> {
-        self.asked.push(keyword);
+    /// All lines with this keyword that have between `min` and `max` values; the others are errors.
+    pub fn lines(&mut self, keyword: &'static str, min: usize, max: usize) -> Vec<&'a Line> {
+        self.known.push(keyword);
         let mut out = Vec::new();
-        for line in self.block.lines.iter().filter(|l| l.keyword.text == keyword) {
+        for line in self.section.lines.iter().filter(|l| l.keyword.text == keyword) {
             let n = line.values.len();
-            if (least..=most).contains(&n) {
+            if (min..=max).contains(&n) {
                 out.push(line);
             } else {
-                let wanted = if least == most { least.to_string() } else { format!("{least} to {most}") };
-                let what = format!("'{keyword}' takes {wanted} value(s), {n} found");
-                self.fault(line.keyword.place, what);
+                let wanted = if min == max { min.to_string() } else { format!("{min} to {max}") };
+                let message = format!("'{keyword}' takes {wanted} value(s), {n} found");
+                self.error(line.keyword.position, message);
             }
         }
         out
     }
 
-    /// The one value of a keyword; given twice is a fault.
-    pub fn word(&mut self, keyword: &'static str) -> Option<&'a Word> {
+    /// The value of a keyword that may occur once.
+    pub fn value(&mut self, keyword: &'static str) -> Option<&'a Lexeme> {
         let lines = self.lines(keyword, 1, 1);
         if let Some(second) = lines.get(1) {
-            self.fault(second.keyword.place, format!("'{keyword}' is given twice"));
+            self.error(second.keyword.position, format!("'{keyword}' is given twice"));
         }
         lines.first().map(|l| &l.values[0])
     }
 
-    /// A value by a reader of its own; `wanted` says what it expects.
-    pub fn with<T>(
+    /// The value of a keyword, converted by `parse`; `expected` describes valid values in the error message.
+    pub fn parse_with<T>(
         &mut self,
         keyword: &'static str,
-        wanted: &str,
-        read: impl Fn(&str) -> Option<T>,
+        expected: &str,
+        parse: impl Fn(&str) -> Option<T>,
     ) -> Option<T> {
-        let word = self.word(keyword)?;
-        let value = read(&word.text);
+        let given = self.value(keyword)?;
+        let value = parse(&given.text);
         if value.is_none() {
-            self.fault(word.place, format!("'{}' is no {wanted}", word.text));
+            self.error(given.position, format!("'{}' is no {expected}", given.text));
         }
         value
     }
 
-    pub fn parsed<T: FromStr>(&mut self, keyword: &'static str, wanted: &str) -> Option<T> {
-        self.with(keyword, wanted, |t| t.parse().ok())
+    pub fn parse<T: FromStr>(&mut self, keyword: &'static str, expected: &str) -> Option<T> {
+        self.parse_with(keyword, expected, |t| t.parse().ok())
     }
 
     pub fn number(&mut self, keyword: &'static str) -> Option<f64> {
-        self.with(keyword, "number of 0 or more", |t| {
+        self.parse_with(keyword, "number of 0 or more", |t| {
             t.parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0)
         })
     }
 
     pub fn time(&mut self, keyword: &'static str) -> Option<Time> {
-        self.with(keyword, "time such as 250ms, 4s or 2m", time)
+        self.parse_with(keyword, "time such as 250ms, 4s or 2m", parse_time)
     }
 
-    pub fn yes(&mut self, keyword: &'static str) -> Option<bool> {
-        self.with(keyword, "yes or no", |t| match t {
+    pub fn boolean(&mut self, keyword: &'static str) -> Option<bool> {
+        self.parse_with(keyword, "yes or no", |t| match t {
             "yes" => Some(true),
             "no" => Some(false),
             _ => None,
         })
     }
 
-    /// What must be there.
-    pub fn need<T: Default>(&mut self, keyword: &'static str, value: Option<T>) -> T {
-        if value.is_none() && !self.block.lines.iter().any(|l| l.keyword.text == keyword) {
-            let here = if self.block.kind.is_empty() {
+    /// The value of a required keyword, or the default value and an error if the keyword is absent. A keyword that
+    /// is present with an invalid value has been reported already.
+    pub fn require<T: Default>(&mut self, keyword: &'static str, value: Option<T>) -> T {
+        if value.is_none() && !self.section.lines.iter().any(|l| l.keyword.text == keyword) {
+            let here = if self.section.kind.is_empty() {
                 "the settings".into()
             } else {
-                format!("section {}", self.block.kind)
+                format!("section {}", self.section.kind)
             };
-            self.fault(self.block.place, format!("{here} lack '{keyword}'"));
+            self.error(self.section.position, format!("{here} lack '{keyword}'"));
         }
         value.unwrap_or_default()
     }
 
-    /// Ends the block: keywords that nobody asked for are faults.
-    pub fn end(mut self) -> Vec<Fault> {
-        for line in &self.block.lines {
-            if !self.asked.contains(&line.keyword.text.as_str()) {
-                let known = self.asked.join(", ");
-                let what = format!("unknown keyword '{}'; expected one of: {known}", line.keyword.text);
-                self.faults.push(Fault { place: line.keyword.place, what });
+    /// All errors of the section, with one for each keyword that was not read.
+    pub fn finish(mut self) -> Vec<SettingsError> {
+        for line in &self.section.lines {
+            if !self.known.contains(&line.keyword.text.as_str()) {
+                let known = self.known.join(", ");
+                let message = format!("unknown keyword '{}'; expected one of: {known}", line.keyword.text);
+                self.errors.push(SettingsError { position: line.keyword.position, message });
             }
         }
-        self.faults
+        self.errors
     }
 }
--- a/crates/settings/src/syntax.rs
+++ b/crates/settings/src/syntax.rs
@@ -1,202 +1,228 @@
-//! Lines, words and blocks of the settings' form: `keyword value ...`, `section kind [name]`, `#` comments,
-//! `include FILE`, double quotes around words with spaces.
+//! Syntax of settings files: splits them into lines, lexemes and sections.
+//!
+//! The forms are `keyword value ...`, `section kind [name]`, `#` comments, `include FILE`, and double quotes around
+//! values with spaces.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// A place in one of the files.
+/// A position in one of the files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
-    /// Index into [`Source::files`].
+pub struct Position {
+    /// Index into [`SourceFiles::files`].
     pub file: usize,
-    /// Line, from 1.
+    /// Line, counted from 1.
     pub line: usize,
-    /// Column in characters, from 1.
+    /// Column in characters, counted from 1.
     pub column: usize,
 }
 
-/// What is wrong, where.
+/// An error in the settings, with its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    /// Where.
-    pub place: Place,
+pub struct SettingsError {
+    /// Position of the lexeme or section that is wrong.
+    pub position: Position,
     /// What was found and what was expected.
-    pub what: String,
+    pub message: String,
 }
 
-/// A word with its place.
+/// A keyword or value, without its quotes, and its position.
 #[derive(Clone, Debug)]
-pub struct Word {
+pub struct Lexeme {
     pub text: String,
-    pub place: Place,
+    pub position: Position,
 }
 
-/// A line: its keyword and the words after it.
+/// A line: a keyword and its values.
 #[derive(Clone, Debug)]
 pub struct Line {
-    pub keyword: Word,
-    pub values: Vec<Word>,
+    pub keyword: Lexeme,
+    pub values: Vec<Lexeme>,
 }
 
 /// The lines of one section.
 #[derive(Clone, Debug)]
-pub struct Block {
+pub struct Section {
+    /// Kind of the section; empty for the lines before the first section.
     pub kind: String,
-    pub name: Option<Word>,
-    pub place: Place,
+    pub name: Option<Lexeme>,
+    pub position: Position,
     pub lines: Vec<Line>,
 }
 
-/// All files that were read, for messages.
+/// All files that were read, for error messages.
 #[derive(Clone, Debug, Default)]
-pub struct Source {
+pub struct SourceFiles {
     /// Path and text of each file, in the order of reading.
     pub files: Vec<(PathBuf, String)>,
 }
 
-/// Files that one set of settings may be spread over, and bytes of each.
-const MOST_FILES: usize = 32;
-const MOST_BYTES: u64 = 4 << 20;
+/// Largest number of files of one set of settings; it also ends an include that includes itself.
+const MAX_FILES: usize = 32;
+/// Largest size of one file, in bytes.
+const MAX_FILE_BYTES: u64 = 4 << 20;
 
-/// Cuts a line into words; a quote that does not end is a fault.
-fn words(text: &str, file: usize, line: usize) -> Result<Vec<Word>, Fault> {
+/// Splits a line into lexemes; an unterminated quote is an error.
+fn split_line(text: &str, file: usize, line: usize) -> Result<Vec<Lexeme>, SettingsError> {
     let mut out = Vec::new();
     let mut chars = text.chars().enumerate().peekable();
     while let Some((i, c)) = chars.next() {
-        let place = Place { file, line, column: i + 1 };
+        let position = Position { file, line, column: i + 1 };
         match c {
             c if c.is_whitespace() => {}
             '#' => break,
             '"' => {
-                let mut word = String::new();
+                let mut text = String::new();
                 loop {
                     match chars.next() {
                         Some((_, '"')) => break,
-                        Some((_, '\\')) => word.extend(chars.next().map(|(_, c)| c)),
-                        Some((_, c)) => word.push(c),
+                        Some((_, '\\')) => text.extend(chars.next().map(|(_, c)| c)),
+                        Some((_, c)) => text.push(c),
                         None => {
-                            return Err(Fault { place, what: "this quote does not end on its line".into() });
+                            return Err(SettingsError {
+                                position,
+                                message: "this quote has no closing '\"' on its line".into(),
+                            });
                         }
                     }
                 }
-                out.push(Word { text: word, place });
+                out.push(Lexeme { text, position });
             }
             c => {
-                let mut word = String::from(c);
+                let mut text = String::from(c);
                 while let Some((_, c)) = chars.next_if(|(_, c)| !c.is_whitespace() && *c != '#') {
-                    word.push(c);
+                    text.push(c);
                 }
-                out.push(Word { text: word, place });
+                out.push(Lexeme { text, position });
             }
         }
     }
     Ok(out)
 }
 
-/// Reads a file and what it includes into blocks; the first block is the one before any section.
+/// Reads a file and the files that it includes into sections; the first section has the lines before any
+/// `section` line.
 pub struct Loader {
-    pub source: Source,
-    pub blocks: Vec<Block>,
-    pub faults: Vec<Fault>,
-    /// The text stands alone: it may name no file.
-    alone: bool,
+    pub sources: SourceFiles,
+    pub sections: Vec<Section>,
+    pub errors: Vec<SettingsError>,
+    /// `include` is an error.
+    includes_forbidden: bool,
 }
 
 impl Loader {
     /// Reads from the file system.
-    pub fn file(path: &Path) -> Self {
+    pub fn from_file(path: &Path) -> Self {
         let mut loader = Self::empty();
         loader.include(path, None);
         loader
     }
 
-    /// Reads from text, under a name for messages; `include` is looked up beside it.
-    pub fn text(name: &str, text: &str) -> Self {
+    /// Reads from text. `name` is its path in error messages; `include` paths are relative to that path's folder.
+    pub fn from_text(name: &str, text: &str) -> Self {
         let mut loader = Self::empty();
-        loader.take(PathBuf::from(name), text.to_owned());
+        loader.parse(PathBuf::from(name), text.to_owned());
         loader
     }
 
-    /// Reads from text that came from elsewhere: an `include` in it is a fault and reads nothing.
-    pub fn alone(name: &str, text: &str) -> Self {
-        let mut loader = Self { alone: true, ..Self::empty() };
-        loader.take(PathBuf::from(name), text.to_owned());
+    /// Reads from text that another process sent: an `include` in it is an error and reads no file.
+    pub fn without_includes(name: &str, text: &str) -> Self {
+        let mut loader = Self { includes_forbidden: true, ..Self::empty() };
+        loader.parse(PathBuf::from(name), text.to_owned());
         loader
     }
 
     fn empty() -> Self {
-        let place = Place { file: 0, line: 1, column: 1 };
-        let first = Block { kind: String::new(), name: None, place, lines: Vec::new() };
-        Self { source: Source::default(), blocks: vec![first], faults: Vec::new(), alone: false }
+        let position = Position { file: 0, line: 1, column: 1 };
+        let first = Section { kind: String::new(), name: None, position, lines: Vec::new() };
+        Self {
+            sources: SourceFiles::default(),
+            sections: vec![first],
+            errors: Vec::new(),
+            includes_forbidden: false,
+        }
     }
 
-    fn include(&mut self, path: &Path, from: Option<Place>) {
-        let place = from.unwrap_or(Place { file: self.source.files.len(), line: 1, column: 1 });
-        let what = if self.source.files.len() >= MOST_FILES {
-            Some(format!("more than {MOST_FILES} files, or one that includes itself"))
+    /// Reads a file; `from` is the position of the `include` line that names it, if any.
+    fn include(&mut self, path: &Path, from: Option<Position>) {
+        let position = from.unwrap_or(Position { file: self.sources.files.len(), line: 1, column: 1 });
+        let refusal = if self.sources.files.len() >= MAX_FILES {
+            Some(format!("more than {MAX_FILES} files, or a file that includes itself"))
         } else {
             match fs::metadata(path) {
-                Ok(m) if m.len() > MOST_BYTES => {
-                    Some(format!("{}: longer than {MOST_BYTES} bytes", path.display()))
-                }
+                Ok(m) if m.len() > MAX_FILE_BYTES => Some(format!(
+                    "{}: the file has {} bytes; at most {MAX_FILE_BYTES} are read",
+                    path.display(),
+                    m.len()
+                )),
                 _ => None,
             }
         };
-        let text = match what {
-            Some(what) => Err(what),
+        let text = match refusal {
+            Some(message) => Err(message),
             None => fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display())),
         };
         match text {
-            Ok(text) => self.take(path.to_owned(), text),
-            Err(what) => {
+            Ok(text) => self.parse(path.to_owned(), text),
+            Err(message) => {
                 if from.is_none() {
-                    self.source.files.push((path.to_owned(), String::new()));
+                    self.sources.files.push((path.to_owned(), String::new()));
                 }
-                self.faults.push(Fault { place, what });
+                self.errors.push(SettingsError { position, message });
             }
         }
     }
 
-    fn take(&mut self, path: PathBuf, text: String) {
-        let file = self.source.files.len();
-        let beside = path.parent().map(Path::to_owned).unwrap_or_default();
-        self.source.files.push((path, text.clone()));
+    fn parse(&mut self, path: PathBuf, text: String) {
+        let file = self.sources.files.len();
+        let folder = path.parent().map(Path::to_owned).unwrap_or_default();
+        self.sources.files.push((path, text.clone()));
         for (n, line) in text.lines().enumerate() {
-            let mut words = match words(line, file, n + 1) {
-                Ok(words) => words.into_iter(),
-                Err(fault) => {
-                    self.faults.push(fault);
+            let mut lexemes = match split_line(line, file, n + 1) {
+                Ok(lexemes) => lexemes.into_iter(),
+                Err(error) => {
+                    self.errors.push(error);
                     continue;
                 }
             };
-            let Some(keyword) = words.next() else { continue };
-            let values: Vec<Word> = words.collect();
+            let Some(keyword) = lexemes.next() else { continue };
+            let values: Vec<Lexeme> = lexemes.collect();
             match (keyword.text.as_str(), values.as_slice()) {
-                ("include", _) if self.alone => {
-                    let what = "this text stands alone: 'include' has no place in it".into();
-                    self.faults.push(Fault { place: keyword.place, what });
+                ("include", _) if self.includes_forbidden => {
+                    let message = "'include' is not allowed in this text".into();
+                    self.errors.push(SettingsError { position: keyword.position, message });
                 }
-                ("include", [file]) => self.include(&beside.join(&file.text), Some(file.place)),
-                ("section", [kind]) => self.open(&keyword, kind, None),
-                ("section", [kind, name]) => self.open(&keyword, kind, Some(name.clone())),
+                ("include", [file]) => self.include(&folder.join(&file.text), Some(file.position)),
+                ("section", [kind]) => self.open_section(&keyword, kind, None),
+                ("section", [kind, name]) => self.open_section(&keyword, kind, Some(name.clone())),
                 ("include" | "section", _) => {
-                    let what = format!(
-                        "'{}' takes a {}",
+                    let message = format!(
+                        "'{}' takes {}; {} value(s) found",
                         keyword.text,
-                        if keyword.text == "include" { "file" } else { "kind and, for most kinds, a name" }
+                        if keyword.text == "include" {
+                            "one file"
+                        } else {
+                            "a kind and, for most kinds, a name"
+                        },
+                        values.len()
                     );
-                    self.faults.push(Fault { place: keyword.place, what });
+                    self.errors.push(SettingsError { position: keyword.position, message });
                 }
                 _ => {
-                    if let Some(block) = self.blocks.last_mut() {
-                        block.lines.push(Line { keyword, values });
+                    if let Some(section) = self.sections.last_mut() {
+                        section.lines.push(Line { keyword, values });
                     }
                 }
             }
         }
     }
 
-    fn open(&mut self, keyword: &Word, kind: &Word, name: Option<Word>) {
-        self.blocks.push(Block { kind: kind.text.clone(), name, place: keyword.place, lines: Vec::new() });
+    fn open_section(&mut self, keyword: &Lexeme, kind: &Lexeme, name: Option<Lexeme>) {
+        self.sections.push(Section {
+            kind: kind.text.clone(),
+            name,
+            position: keyword.position,
+            lines: Vec::new(),
+        });
     }
 }
