--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -5,8 +5,8 @@
 use crate::section::SectionReader;
 use crate::syntax::{Loader, Section};
 use crate::{
-    ClassSettings, Config, MS, ReservationSettings, SECOND, SettingsError, SettingsErrors, class, named,
-    rules,
+    ClassSettings, Config, MS, ReservationSettings, SECOND, SettingsError, SettingsErrors, named_sections,
+    read_class, read_rules,
 };
 use pepperhook::{
     Class, DedupScope, Idempotency, Prices, RetryBudget, Rules, Rung, Settings, Tenant, Time, ZoneId,
@@ -139,9 +139,12 @@
     pub fn parse(name: &str, text: &str) -> Result<Self, SettingsErrors> {
         let Loader { sources, sections, mut errors, .. } = Loader::without_includes(name, text);
         const KINDS: [&str; 5] = ["ladder", "class", "tenant", "rules", "prices"];
-        for section in sections.iter().skip(1).filter(|b| !KINDS.contains(&b.kind.as_str())) {
-            let message =
-                format!("section '{}' is no part of a policy; it has: {}", section.kind, KINDS.join(", "));
+        for section in sections.iter().skip(1).filter(|s| !KINDS.contains(&s.kind.as_str())) {
+            let message = format!(
+                "section '{}' does not belong in a policy; expected one of: {}",
+                section.kind,
+                KINDS.join(", ")
+            );
             errors.push(SettingsError { position: section.position, message });
         }
         // Keywords of a front get an error of their own, because 'unknown keyword' would suggest a misspelling.
@@ -172,7 +175,7 @@
     /// Reads the fleet's settings from `sections`; `f` reads the lines before the first section.
     pub(crate) fn read(sections: &[Section], f: &mut SectionReader, errors: &mut Vec<SettingsError>) -> Self {
         let mut ladder = Vec::new();
-        for section in sections.iter().filter(|b| b.kind == "ladder") {
+        for section in sections.iter().filter(|s| s.kind == "ladder") {
             let mut f = SectionReader::new(section);
             for line in f.lines("rung", 2, 2) {
                 match (line.values[0].text.parse(), line.values[1].text.parse()) {
@@ -187,19 +190,19 @@
         }
         let highest = u8::try_from(ladder.len().saturating_sub(1)).unwrap_or(u8::MAX);
         let mut classes = Vec::new();
-        for (_, section) in named(sections, "class", errors) {
-            let (front, mut class) = class(section, errors);
+        for (_, section) in named_sections(sections, "class", errors) {
+            let (front, mut class) = read_class(section, errors);
             class.highest_rung = class.highest_rung.min(highest);
             classes.push(FleetClass { front, class });
         }
         let mut tenants = Vec::new();
-        for (name, section) in named(sections, "tenant", errors) {
+        for (name, section) in named_sections(sections, "tenant", errors) {
             let mut f = SectionReader::new(section);
             tenants.push((name, Tenant { quota_per_s: f.number("quota").unwrap_or(0.0) }));
             errors.extend(f.finish());
         }
-        let rules = match sections.iter().find(|b| b.kind == "rules") {
-            Some(section) => rules(section, errors),
+        let rules = match sections.iter().find(|s| s.kind == "rules") {
+            Some(section) => read_rules(section, errors),
             None => {
                 errors.push(SettingsError { position: sections[0].position, message: MISSING_RULES.into() });
                 Rules {
@@ -212,7 +215,7 @@
             }
         };
         let (mut prices, mut over_share_worth) = (Prices::default(), 1.0);
-        for section in sections.iter().filter(|b| b.kind == "prices") {
+        for section in sections.iter().filter(|s| s.kind == "prices") {
             let mut f = SectionReader::new(section);
             prices.session_move = f.number("moved").unwrap_or(0.0);
             prices.cross_zone = f.number("cross-zone").unwrap_or(0.0);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -319,17 +319,17 @@
     }
 }
 
-fn rung(fields: &mut SectionReader, keyword: &'static str) -> Option<u8> {
+fn read_rung(fields: &mut SectionReader, keyword: &'static str) -> Option<u8> {
     fields.parse(keyword, "rung, a number from 0 to 255")
 }
 
-fn class(section: &Section, errors: &mut Vec<SettingsError>) -> (ClassSettings, Class) {
+fn read_class(section: &Section, errors: &mut Vec<SettingsError>) -> (ClassSettings, Class) {
     let mut f = SectionReader::new(section);
-    let aim = f.time("aim");
-    let aim = f.require("aim", aim);
+    let set_up_target = f.time("aim");
+    let set_up_target = f.require("aim", set_up_target);
     let patience = f.time("patience");
     let patience = f.require("patience", patience);
-    let mut repeat = Idempotency::Idempotent;
+    let mut idempotency = Idempotency::Idempotent;
     for line in f.lines("repeat", 1, 3) {
         let values: Vec<&str> = line.values.iter().map(|v| v.text.as_str()).collect();
         let scope = |g: &str| match g {
@@ -341,24 +341,27 @@
         let parsed = match values.as_slice() {
             ["harmless"] => Some(Idempotency::Idempotent),
             ["never"] => Some(Idempotency::AtMostOnce),
-            ["within", g, t] => scope(g).zip(parse_time(t)).map(|(g, t)| Idempotency::Deduplicated(g, t)),
+            ["within", group, time] => scope(group)
+                .zip(parse_time(time))
+                .map(|(scope, window)| Idempotency::Deduplicated(scope, window)),
             _ => None,
         };
         match parsed {
-            Some(r) => repeat = r,
-            None => {
-                f.error(line.values[0].position, "expected: harmless, never, or within all|zone|cell TIME")
-            }
+            Some(i) => idempotency = i,
+            None => f.error(
+                line.values[0].position,
+                "expected: harmless, never, or within all|zone|cell TIME, such as: within zone 5s",
+            ),
         }
     }
     let name = section.name.as_ref().map_or_else(String::new, |n| n.text.clone());
     let class = Class {
-        set_up_target: aim,
-        idempotency: repeat,
+        set_up_target,
+        idempotency,
         value: f.number("value").unwrap_or(1.0),
         rate_scale: f.number("scale").unwrap_or(1.0),
-        lowest_rung: rung(&mut f, "floor").unwrap_or(0),
-        highest_rung: rung(&mut f, "top").unwrap_or(u8::MAX),
+        lowest_rung: read_rung(&mut f, "floor").unwrap_or(0),
+        highest_rung: read_rung(&mut f, "top").unwrap_or(u8::MAX),
         max_sessions_per_title: f.parse("seats", "whole number").unwrap_or(0),
         live: f.boolean("live").unwrap_or(false),
     };
@@ -368,24 +371,24 @@
     (ClassSettings { name, patience, ingest, closed }, class)
 }
 
-fn rules(section: &Section, errors: &mut Vec<SettingsError>) -> Rules {
+fn read_rules(section: &Section, errors: &mut Vec<SettingsError>) -> Rules {
     let mut f = SectionReader::new(section);
-    let (share, cold) = (f.number("cold-share"), f.time("cold"));
+    let (cold_share, warm_up) = (f.number("cold-share"), f.time("cold"));
     let (multiple, window) = (f.number("fall-multiple"), f.time("fall-window"));
     let mut budget = None;
     for line in f.lines("budget", 3, 3) {
-        let v = &line.values;
+        let values = &line.values;
         let number = |text: &str| text.parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0);
-        match (number(&v[0].text), number(&v[1].text), parse_time(&v[2].text)) {
+        match (number(&values[0].text), number(&values[1].text), parse_time(&values[2].text)) {
             (Some(free), Some(share), Some(window)) => {
                 budget = Some(RetryBudget { min_retries: free, retry_ratio: share, window })
             }
-            _ => f.error(v[0].position, "expected: budget FREE SHARE WINDOW, such as: budget 3 0.2 10s"),
+            _ => f.error(values[0].position, "expected: budget FREE SHARE WINDOW, such as: budget 3 0.2 10s"),
         }
     }
     let rules = Rules {
-        cold_share: f.require("cold-share", share),
-        warm_up: f.require("cold", cold),
+        cold_share: f.require("cold-share", cold_share),
+        warm_up: f.require("cold", warm_up),
         overload_multiple: f.require("fall-multiple", multiple),
         overload_window: f.require("fall-window", window),
         retry_budget: budget,
@@ -394,7 +397,7 @@
     rules
 }
 
-fn exchange(section: &Section, errors: &mut Vec<SettingsError>) -> ExchangeSettings {
+fn read_exchange(section: &Section, errors: &mut Vec<SettingsError>) -> ExchangeSettings {
     let mut f = SectionReader::new(section);
     let listen = f.parse("listen", "address such as 127.0.0.1:7400");
     let listen = f.require("listen", listen.map(Some)).unwrap_or(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)));
@@ -408,18 +411,19 @@
                 f.error(value.position, format!("peer '{}' is given twice", value.text))
             }
             Ok(peer) => peers.push(peer),
-            Err(_) => {
-                f.error(value.position, format!("'{}' is no address such as 127.0.0.1:7400", value.text))
-            }
+            Err(_) => f.error(
+                value.position,
+                format!("'{}' is not valid; expected: address such as 127.0.0.1:7400", value.text),
+            ),
         }
     }
-    let key = f.value("key").map(|w| w.text.clone());
+    let key = f.value("key").map(|v| v.text.clone());
     let settings = ExchangeSettings {
         listen,
         advertise,
         peers,
         key: f.require("key", key),
-        previous_key: f.value("previous-key").map(|w| w.text.clone()),
+        previous_key: f.value("previous-key").map(|v| v.text.clone()),
         round_interval: f.time("period").unwrap_or(SECOND).max(50 * MS),
         fanout: f.parse("fanout", "whole number").unwrap_or(2).clamp(1, 16),
         simulated_loss: f.number("loss").unwrap_or(0.0).min(1.0),
@@ -431,7 +435,7 @@
     settings
 }
 
-fn duties(section: &Section, errors: &mut Vec<SettingsError>) -> DutySettings {
+fn read_duties(section: &Section, errors: &mut Vec<SettingsError>) -> DutySettings {
     let mut f = SectionReader::new(section);
     let probe_interval = f.time("probe");
     let probe_interval = f.require("probe", probe_interval).max(100 * MS);
@@ -460,7 +464,7 @@
     settings
 }
 
-fn replica(section: &Section, errors: &mut Vec<SettingsError>) -> ReplicaSettings {
+fn read_replica(section: &Section, errors: &mut Vec<SettingsError>) -> ReplicaSettings {
     let mut f = SectionReader::new(section);
     let copies = f.parse("copies", "whole number").unwrap_or(2usize);
     let grantors = f.parse("guards", "whole number").unwrap_or(5usize);
@@ -490,7 +494,7 @@
 /// Smallest time by which a lease exceeds the longest patience, nanoseconds; several renewals fit into it.
 const MIN_LEASE_MARGIN: Time = SECOND;
 
-fn agreement(section: &Section, patience: Time, errors: &mut Vec<SettingsError>) -> AgreementSettings {
+fn read_agreement(section: &Section, patience: Time, errors: &mut Vec<SettingsError>) -> AgreementSettings {
     let mut f = SectionReader::new(section);
     let mut voters: Vec<String> = Vec::new();
     for value in f.lines("voter", 1, 1).into_iter().map(|l| &l.values[0]) {
@@ -542,13 +546,13 @@
 }
 
 /// Sections of a kind with their names; a missing or repeated name is an error.
-fn named<'a>(
+fn named_sections<'a>(
     sections: &'a [Section],
     kind: &'a str,
     errors: &mut Vec<SettingsError>,
 ) -> Vec<(String, &'a Section)> {
     let mut out: Vec<(String, &Section)> = Vec::new();
-    for section in sections.iter().filter(|b| b.kind == kind) {
+    for section in sections.iter().filter(|s| s.kind == kind) {
         match &section.name {
             None => errors.push(SettingsError {
                 position: section.position,
@@ -564,6 +568,7 @@
     out
 }
 
+/// Builds the settings from the sections, or returns all errors.
 fn build(loader: Loader) -> Result<Config, SettingsErrors> {
     let Loader { sources, sections, mut errors, .. } = loader;
     const KINDS: [&str; 13] = [
@@ -581,7 +586,7 @@
         "replica",
         "agreement",
     ];
-    for section in sections.iter().filter(|b| !KINDS.contains(&b.kind.as_str())) {
+    for section in sections.iter().filter(|s| !KINDS.contains(&s.kind.as_str())) {
         let message =
             format!("unknown section '{}'; expected one of: {}", section.kind, KINDS[1..].join(", "));
         errors.push(SettingsError { position: section.position, message });
@@ -590,62 +595,68 @@
     let mut f = SectionReader::new(&sections[0]);
     let fleet = FleetSettings::read(&sections, &mut f, &mut errors);
     let (mut kinds, mut kind_streams) = (Vec::new(), Vec::new());
-    for (name, section) in named(&sections, "kind", &mut errors) {
+    for (name, section) in named_sections(&sections, "kind", &mut errors) {
         let mut f = SectionReader::new(section);
         let streams = f.number("streams");
         kind_streams.push(f.require("streams", streams));
         kinds.push(name);
         errors.extend(f.finish());
     }
-    let (classes, library): (Vec<ClassSettings>, Vec<Class>) =
+    let (classes, module_classes): (Vec<ClassSettings>, Vec<Class>) =
         fleet.classes.into_iter().map(|c| (c.front, c.class)).unzip();
-    let (tenants, shares): (Vec<String>, Vec<_>) = fleet.tenants.into_iter().unzip();
+    let (tenants, module_tenants): (Vec<String>, Vec<_>) = fleet.tenants.into_iter().unzip();
     let mut titles = BTreeMap::new();
-    for (name, section) in named(&sections, "title", &mut errors) {
+    for (name, section) in named_sections(&sections, "title", &mut errors) {
         let mut f = SectionReader::new(section);
         let (home, copies) = (f.parse("home", "cell"), f.parse("copies", "whole number"));
         let (home, copies) = (f.require("home", home), f.require("copies", copies));
-        let by_name =
-            f.parse_with("class", "class of these settings", |t| classes.iter().position(|c| c.name == t));
+        let class_names = classes.iter().map(|c| c.name.as_str()).collect::<Vec<_>>().join(", ");
+        let by_name = f.parse_with("class", &format!("class of these settings: {class_names}"), |t| {
+            classes.iter().position(|c| c.name == t)
+        });
         let class = f.require("class", by_name) as u16;
         errors.extend(f.finish());
         titles.insert(name.clone(), Title { id: TitleId(name_hash(&name)), home, copies, class });
     }
     let mut tokens = Vec::new();
-    for (name, section) in named(&sections, "token", &mut errors) {
+    for (name, section) in named_sections(&sections, "token", &mut errors) {
         let mut f = SectionReader::new(section);
-        let secret = f.value("secret").map(|w| w.text.clone());
+        let secret = f.value("secret").map(|v| v.text.clone());
         let secret = f.require("secret", secret);
         let tenant =
-            f.parse_with("tenant", "tenant of these settings", |t| tenants.iter().position(|n| n == t));
-        let (publish, top) = (f.boolean("publish").unwrap_or(false), rung(&mut f, "top"));
+            f.parse_with("tenant", &format!("tenant of these settings: {}", tenants.join(", ")), |t| {
+                tenants.iter().position(|n| n == t)
+            });
+        let (publish, top) = (f.boolean("publish").unwrap_or(false), read_rung(&mut f, "top"));
         errors.extend(f.finish());
         tokens.push(Token { name, secret, tenant: tenant.unwrap_or(0) as u16, publish, top });
     }
-    let exchange = sections.iter().find(|b| b.kind == "exchange").map(|b| exchange(b, &mut errors));
-    let duty_block = sections.iter().find(|b| b.kind == "duties");
-    let duties = duty_block.map(|b| duties(b, &mut errors));
-    if let Some(section) = duty_block.filter(|_| exchange.is_none()) {
+    let exchange = sections.iter().find(|s| s.kind == "exchange").map(|s| read_exchange(s, &mut errors));
+    let duty_section = sections.iter().find(|s| s.kind == "duties");
+    let duties = duty_section.map(|s| read_duties(s, &mut errors));
+    if let Some(section) = duty_section.filter(|_| exchange.is_none()) {
         let message = "duties are shared between fronts: they need a section exchange".into();
         errors.push(SettingsError { position: section.position, message });
     }
-    let replica_block = sections.iter().find(|b| b.kind == "replica");
-    let replica = replica_block.map(|b| replica(b, &mut errors));
-    if let Some(section) = replica_block.filter(|_| exchange.is_none()) {
+    let replica_section = sections.iter().find(|s| s.kind == "replica");
+    let replica = replica_section.map(|s| read_replica(s, &mut errors));
+    if let Some(section) = replica_section.filter(|_| exchange.is_none()) {
         let message = "copies are kept by other fronts: they need a section exchange".into();
         errors.push(SettingsError { position: section.position, message });
     }
-    let agreement_block = sections.iter().find(|b| b.kind == "agreement");
+    let agreement_section = sections.iter().find(|s| s.kind == "agreement");
     let patience = classes.iter().map(|c| c.patience).max().unwrap_or(0);
-    let agreement = agreement_block.map(|b| agreement(b, patience, &mut errors));
-    if let Some(section) = agreement_block.filter(|_| exchange.is_none()) {
+    let agreement = agreement_section.map(|s| read_agreement(s, patience, &mut errors));
+    if let Some(section) = agreement_section.filter(|_| exchange.is_none()) {
         let message = "fronts use the exchange to agree: they need a section exchange".into();
         errors.push(SettingsError { position: section.position, message });
     }
 
     let zones: Vec<String> =
-        f.lines("zones", 1, 64).iter().flat_map(|l| l.values.iter().map(|w| w.text.clone())).collect();
-    let zone = f.parse_with("zone", "zone of these settings", |t| zones.iter().position(|z| z == t));
+        f.lines("zones", 1, 64).iter().flat_map(|l| l.values.iter().map(|v| v.text.clone())).collect();
+    let zone = f.parse_with("zone", &format!("zone of these settings: {}", zones.join(", ")), |t| {
+        zones.iter().position(|z| z == t)
+    });
     let zone = f.require("zone", zone);
     let mut gauges = Vec::new();
     for value in f.lines("gauges", 1, 4).into_iter().flat_map(|l| &l.values) {
@@ -662,17 +673,17 @@
     }
     let address = "address such as 127.0.0.1:8080";
     let listen = f.parse("listen", address);
-    let inventory = f.value("inventory").map(|w| PathBuf::from(&w.text));
+    let inventory = f.value("inventory").map(|v| PathBuf::from(&v.text));
     let (racks, cells) = (f.parse("racks", "whole number"), f.parse("cells", "whole number"));
     let (racks, cells) = (f.require("racks", racks), f.require("cells", cells));
     let names = InventoryNames { zones, kinds, cells };
-    let name = f.value("name").map(|w| w.text.clone());
+    let name = f.value("name").map(|v| v.text.clone());
     let config = Config {
         name: f.require("name", name),
         listen: f.require("listen", listen.map(Some)).unwrap_or(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))),
         admin: f.parse("admin", address).unwrap_or(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))),
-        admin_key: f.value("admin-key").map(|w| w.text.clone()),
-        state_dir: f.value("state-dir").map(|w| PathBuf::from(&w.text)),
+        admin_key: f.value("admin-key").map(|v| v.text.clone()),
+        state_dir: f.value("state-dir").map(|v| PathBuf::from(&v.text)),
         inventory: f.require("inventory", inventory),
         inventory_poll_interval: f.time("inventory-poll").unwrap_or(100 * MS).max(10 * MS),
         log: f
@@ -706,8 +717,8 @@
         decisions: Settings {
             fronts: f.parse("fronts", "whole number").unwrap_or(1),
             zone: ZoneId(zone as u16),
-            classes: library,
-            tenants: shares,
+            classes: module_classes,
+            tenants: module_tenants,
             over_share_worth: fleet.over_share_worth,
             ladder: fleet.ladder,
             kind_max_streams: kind_streams,
@@ -754,12 +765,12 @@
             });
         }
         let fronts = config.decisions.fronts as usize;
-        if let Some((section, r)) = replica_block.zip(config.replica).filter(|(_, r)| r.copies >= fronts) {
+        if let Some((section, r)) = replica_section.zip(config.replica).filter(|(_, r)| r.copies >= fronts) {
             let message = format!("'copies {}' needs more than the {fronts} fronts of 'fronts'", r.copies);
             errors.push(SettingsError { position: section.position, message });
         }
         let votes = config.agreement.as_ref().is_some_and(|a| a.voters.contains(&config.name));
-        if let Some(section) = agreement_block.filter(|_| votes && config.state_dir.is_none()) {
+        if let Some(section) = agreement_section.filter(|_| votes && config.state_dir.is_none()) {
             let message = "this front is a voter: it needs a 'state-dir' for its stored votes".into();
             errors.push(SettingsError { position: section.position, message });
         }
--- a/crates/settings/src/section.rs
+++ b/crates/settings/src/section.rs
@@ -76,7 +76,7 @@
         let given = self.value(keyword)?;
         let value = parse(&given.text);
         if value.is_none() {
-            self.error(given.position, format!("'{}' is no {expected}", given.text));
+            self.error(given.position, format!("'{}' is not valid; expected: {expected}", given.text));
         }
         value
     }
