--- a/crates/front/benches/engine.rs
+++ b/crates/front/benches/engine.rs
@@ -140,7 +140,7 @@
         let mut run = Run::new(60, 60 * HELD);
         let now_ms = run.now / MS;
         for p in 0..peaks {
-            let said = Announcement {
+            let announcement = Announcement {
                 name: format!("peak-{p}"),
                 titles: vec![format!("event-{p}")],
                 class: "replay".into(),
@@ -152,7 +152,7 @@
                 cancelled: false,
             };
             let titles = vec![(TitleId(1_000 + u64::from(p)), p * 7 % 60, 4)];
-            let peak = Peak { number: u64::from(p), said, titles, kb: 350.0 };
+            let peak = Peak { number: u64::from(p), announcement, titles, per_viewer_kb: 350.0 };
             run.engine.handle(run.now, Input::Peak(peak), &mut run.effects);
         }
         group.bench_with_input(BenchmarkId::from_parameter(peaks), &peaks, |b, _| b.iter(|| run.once()));
--- a/crates/front/src/console.rs
+++ b/crates/front/src/console.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use hyper::header::{AUTHORIZATION, CONTENT_TYPE, COOKIE, SET_COOKIE};
 use hyper::{Method, Request, Response};
-use pepperhook_peaks::{Announcement, Refused};
+use pepperhook_peaks::{AdmissionError, Announcement};
 use pepperhook_signalling::{Problem, write_event};
 use std::rc::Rc;
 use std::time::Duration;
@@ -160,18 +160,18 @@
 
 fn not_taken(why: &NotTaken) -> Problem {
     match why {
-        NotTaken::Refused(Refused::Fields(faults)) => {
+        NotTaken::Refused(AdmissionError::Fields(faults)) => {
             let detail =
                 faults.iter().map(|f| format!("{}: {}", f.field, f.what)).collect::<Vec<_>>().join("; ");
             let fields = serde_json::to_value(faults).unwrap_or_default();
             Problem::new(422, "announcement", "Not an announcement", detail).with("fields", fields)
         }
-        NotTaken::Refused(Refused::Room { could }) => {
+        NotTaken::Refused(AdmissionError::Capacity { viewers }) => {
             let detail =
-                format!("there is room for {could} viewers at their most, beside the peaks that stand");
-            Problem::new(409, "room", "Not the room", detail).with("could-hold-viewers", (*could).into())
+                format!("there is room for {viewers} viewers at their most, beside the peaks that stand");
+            Problem::new(409, "room", "Not the room", detail).with("could-hold-viewers", (*viewers).into())
         }
-        NotTaken::Refused(Refused::Many) => {
+        NotTaken::Refused(AdmissionError::TooManyPeaks) => {
             Problem::new(409, "many", "Too many peaks", "max-peaks is reached")
         }
         NotTaken::Exists => {
--- a/crates/front/src/engine/mod.rs
+++ b/crates/front/src/engine/mod.rs
@@ -25,7 +25,7 @@
 };
 use pepperhook_inventory::Node;
 use pepperhook_net::Timers;
-use pepperhook_peaks::Holds;
+use pepperhook_peaks::Reservations;
 use pepperhook_settings::Config;
 use pepperhook_signalling::{Direction, EVENT_MOVE, LoadReport, Offer};
 pub use policy::PolicyShown;
@@ -125,7 +125,7 @@
     published: BTreeMap<TitleId, SessionId>,
     nodes: BTreeMap<ServerId, NodeState>,
     claims: Claims,
-    holds: Holds,
+    reservations: Reservations,
     /// A timer for the next plan is set.
     planned: bool,
     returning: Returning,
@@ -162,7 +162,7 @@
             published: BTreeMap::new(),
             nodes: BTreeMap::new(),
             claims: Claims::default(),
-            holds: peaks::holds(&config),
+            reservations: peaks::holds(&config),
             planned: false,
             returning: Returning::new(RETURNING_KEPT),
             policies: Policies::default(),
@@ -690,7 +690,7 @@
             out.push(Effect::Copy(id.0, None));
         }
         self.claims.end(live.ask.viewer, id);
-        self.holds.ended(id.0);
+        self.reservations.session_ended(id.0);
         self.resources.remove(&p.resource);
         if let Some(state) = self.nodes.get_mut(&p.node) {
             state.playing.remove(&p.path);
--- a/crates/front/src/engine/peaks.rs
+++ b/crates/front/src/engine/peaks.rs
@@ -2,7 +2,10 @@
 
 use super::{Engine, Wake};
 use pepperhook::{Event, ServerState, SessionId, Time, TitleId};
-use pepperhook_peaks::{Announcement, HoldRow, Holds, Known, NodeRoom, Peak, Refused, Terms};
+use pepperhook_peaks::{
+    AdmissionError, Announcement, Catalogue, NodeCapacity, Peak, ReservationLimits, ReservationRow,
+    Reservations,
+};
 use pepperhook_settings::{Config, name_hash};
 
 const MS: Time = 1_000_000;
@@ -12,7 +15,7 @@
 /// What announcements may refer to: titles and classes of the settings, those apart that take nothing new.
 pub struct Settled<'a>(pub &'a Config, pub &'a [u16]);
 
-impl Known for Settled<'_> {
+impl Catalogue for Settled<'_> {
     fn title(&self, name: &str) -> Option<(TitleId, u32, u32)> {
         self.0.titles.get(name).map(|t| (t.id, t.home, t.copies))
     }
@@ -26,15 +29,15 @@
 }
 
 /// Holds under the settings' bounds.
-pub fn holds(config: &Config) -> Holds {
+pub fn holds(config: &Config) -> Reservations {
     let d = &config.decisions;
-    let terms = Terms {
-        most_share: config.reservations.max_share,
+    let limits = ReservationLimits {
+        max_share: config.reservations.max_share,
         fronts: f64::from(d.fronts),
-        late_ms: config.reservations.no_show_after / MS,
-        most_peaks: config.reservations.max_peaks,
+        no_show_after_ms: config.reservations.no_show_after / MS,
+        max_peaks: config.reservations.max_peaks,
     };
-    Holds::new(terms, d.cells, d.uplink_kb)
+    Reservations::new(limits, d.cells, d.uplink_kb)
 }
 
 impl Engine {
@@ -42,27 +45,32 @@
     ///
     /// # Errors
     /// Its faults by field, or what could be held.
-    pub fn admit_peak(&self, now: Time, said: &Announcement) -> Result<Peak, Refused> {
-        self.holds.admit(now / MS, name_hash(&said.name), said, &Settled(&self.config, &self.policies.closed))
+    pub fn admit_peak(&self, now: Time, said: &Announcement) -> Result<Peak, AdmissionError> {
+        self.reservations.admit(
+            now / MS,
+            name_hash(&said.name),
+            said,
+            &Settled(&self.config, &self.policies.closed),
+        )
     }
 
     /// Checks one that another front has admitted: its promise stands, if the titles are known here.
     ///
     /// # Errors
     /// As `admit_peak`.
-    pub fn heard_peak(&self, now: Time, said: &Announcement) -> Result<Peak, Refused> {
+    pub fn heard_peak(&self, now: Time, said: &Announcement) -> Result<Peak, AdmissionError> {
         said.check(now / MS, name_hash(&said.name), &Settled(&self.config, &self.policies.closed))
-            .map_err(Refused::Fields)
+            .map_err(AdmissionError::Fields)
     }
 
     /// Holds for the console.
     #[must_use]
-    pub fn hold_rows(&self, now: Time) -> Vec<HoldRow> {
-        self.holds.rows(now / MS)
+    pub fn hold_rows(&self, now: Time) -> Vec<ReservationRow> {
+        self.reservations.rows(now / MS)
     }
 
     pub(super) fn take_peak(&mut self, now: Time, peak: Peak) {
-        self.holds.take(peak);
+        self.reservations.insert(peak);
         // Sessions that play already count as come.
         let playing: Vec<SessionId> =
             self.live.iter().filter(|(_, l)| l.playing.is_some()).map(|(id, _)| *id).collect();
@@ -81,22 +89,22 @@
     }
 
     fn plan_again(&mut self, now: Time) {
-        if !self.planned && !self.holds.is_empty() {
+        if !self.planned && !self.reservations.is_empty() {
             self.planned = true;
             self.timers.set(now.saturating_add(PERIOD), Wake::Holds);
         }
     }
 
     fn tell_holds(&mut self, now: Time) {
-        for held in self.holds.step(now / MS) {
-            self.pending.push_back(Event::Reserved(held.id, held.hold));
+        for update in self.reservations.replan(now / MS) {
+            self.pending.push_back(Event::Reserved(update.id, update.reservation));
         }
     }
 
     /// A session plays: it is one of those who were expected, where it is.
     pub(super) fn came(&mut self, id: SessionId) {
         if let Some(live) = self.live.get(&id) {
-            self.holds.plays(id.0, live.ask.title);
+            self.reservations.session_started(id.0, live.ask.title);
         }
     }
 
@@ -106,16 +114,16 @@
         let even = d.all_links_kb / self.nodes.len().max(1) as f64;
         let room = |n: &super::NodeState| {
             let e = n.node.entry;
-            NodeRoom {
+            NodeCapacity {
                 server: e.server,
                 cell: e.cell,
                 rack: e.cell % d.racks,
                 link_kb: if d.kb_per_weight > 0.0 { e.weight * d.kb_per_weight } else { even },
                 ready: e.state == ServerState::Ready,
-                warm_ms: e.started.map_or(0, |t| t.saturating_add(d.rules.warm_up) / MS),
+                warm_at_ms: e.started.map_or(0, |t| t.saturating_add(d.rules.warm_up) / MS),
             }
         };
         let rooms = self.nodes.values().map(room).collect();
-        self.holds.nodes(rooms);
+        self.reservations.set_nodes(rooms);
     }
 }
--- a/crates/front/src/engine/policy.rs
+++ b/crates/front/src/engine/policy.rs
@@ -219,7 +219,7 @@
         let (decisions, classes, tenants) = (f.settings, f.classes, f.tenants);
         let config = Config { decisions, classes, tenants, ..(*self.config).clone() };
         self.config = Rc::new(config);
-        self.holds.uplink(self.config.decisions.uplink_kb);
+        self.reservations.set_uplink_kb(self.config.decisions.uplink_kb);
         self.rooms();
         out.push(Effect::Log(format!("policy {version} is in force")));
         for action in actions {
--- a/crates/front/src/engine/view.rs
+++ b/crates/front/src/engine/view.rs
@@ -7,7 +7,7 @@
 use pepperhook_duties::{Counters as DutyCounters, DutyRow};
 use pepperhook_exchange::Counters;
 use pepperhook_fleet::MemberRow;
-use pepperhook_peaks::HoldRow;
+use pepperhook_peaks::ReservationRow;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -70,7 +70,7 @@
     /// Nodes.
     pub nodes: Vec<NodeRow>,
     /// Announced peaks and what is held for them.
-    pub holds: Vec<HoldRow>,
+    pub holds: Vec<ReservationRow>,
     /// What the fleet agrees on, where it does.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub agreement: Option<pepperhook_fleet::AgreedShown>,
--- a/crates/front/src/spread.rs
+++ b/crates/front/src/spread.rs
@@ -10,7 +10,7 @@
 use pepperhook_exchange::{Id, Keys, MergeResult, Record, Store};
 use pepperhook_fleet::{AgreedShown, Fleet, Note, Out, READS, Settings, View};
 use pepperhook_membership::Change;
-use pepperhook_peaks::{Announcement, Refused};
+use pepperhook_peaks::{AdmissionError, Announcement};
 use pepperhook_replica::StreamRow;
 use pepperhook_settings::{Config, DutySettings, name_hash};
 use pepperhook_signalling::LoadReport;
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 pub enum NotTaken {
     /// By the holds.
-    Refused(Refused),
+    Refused(AdmissionError),
     /// A peak of this name stands; it must be amended.
     Exists,
     /// There is none of this name.
@@ -272,8 +272,8 @@
         Ok(peak) => {
             info!(
                 event = "peak-heard",
-                name = peak.said.name,
-                cancelled = peak.said.cancelled,
+                name = peak.announcement.name,
+                cancelled = peak.announcement.cancelled,
                 version = record.version.counter,
                 "a peak is in force"
             );
--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -119,7 +119,7 @@
         };
         let name = value(0).to_owned();
         if name.is_empty() || name.len() > 255 {
-            bad(0, format!("'{name}' has {} bytes; expected: a name of 1 to 255 bytes", name.len()));
+            bad(0, format!("the name has {} bytes; expected: 1 to 255 bytes", name.len()));
         }
         if let Some(first) = lines_by_name.insert(name.clone(), line) {
             bad(0, format!("'{name}' is listed twice, first in line {first}"));
--- a/crates/peaks/src/announcement.rs
+++ b/crates/peaks/src/announcement.rs
@@ -1,49 +1,50 @@
-//! What an operator announces, and its checks.
+//! Announcements of peaks, and their validation.
 
 use pepperhook::TitleId;
 use serde::{Deserialize, Serialize};
 
-/// Viewers of one peak at most.
-pub const MOST_VIEWERS: u32 = 1_000_000;
-/// Titles of one peak at most.
-const MOST_TITLES: usize = 16;
-/// Steps of the expected course at most.
-const MOST_STEPS: usize = 32;
-/// A peak lasts so long at most, and is announced so long ahead at most, milliseconds.
-const LONGEST_MS: u64 = 24 * 3_600_000;
-const AHEAD_MS: u64 = 30 * 24 * 3_600_000;
-/// Room is held so long ahead of the start at most, milliseconds.
-const MOST_LEAD_MS: u64 = 3_600_000;
-/// Clocks of fronts may differ by this much, milliseconds.
-pub(crate) const SKEW_MS: u64 = 30_000;
-
-/// A peak as it is announced and as it travels between fronts, as JSON.
+/// Most viewers of one peak.
+pub const MAX_VIEWERS: u32 = 1_000_000;
+/// Most titles of one peak.
+const MAX_TITLES: usize = 16;
+/// Most steps of the expected number of viewers over time.
+const MAX_STEPS: usize = 32;
+/// Longest duration of a peak, milliseconds.
+const MAX_DURATION_MS: u64 = 24 * 3_600_000;
+/// Longest time between announcement and start, milliseconds.
+const MAX_AHEAD_MS: u64 = 30 * 24 * 3_600_000;
+/// Longest time before the start from which capacity is reserved, milliseconds.
+const MAX_LEAD_MS: u64 = 3_600_000;
+/// Largest accepted difference between the clocks of two fronts, milliseconds.
+const MAX_CLOCK_SKEW_MS: u64 = 30_000;
+
+/// The announcement of a peak; JSON in the operators' interface and between fronts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
-    /// Its name; the same for all its versions.
+    /// Name of the peak; the same in all its versions.
     pub name: String,
-    /// Titles, by name.
+    /// Names of its titles.
     pub titles: Vec<String>,
-    /// Class of its viewers.
+    /// Name of the class of its viewers.
     pub class: String,
-    /// Expected viewers at once: seconds from the start, and how many. Between two steps it is the earlier one.
+    /// Expected number of concurrent viewers: steps of (seconds after the start, viewers). A step lasts until the next.
     pub viewers: Vec<(u64, u32)>,
     /// Start, Unix milliseconds.
     pub start_ms: u64,
     /// End, Unix milliseconds.
     pub end_ms: u64,
-    /// Room is held from so long before the start, milliseconds.
+    /// Time before the start from which capacity is reserved, milliseconds.
     pub lead_ms: u64,
-    /// Rung that is held for each viewer.
+    /// Rung whose rate is reserved for each viewer.
     #[serde(default)]
     pub rung: u8,
-    /// Called off.
+    /// The peak is called off.
     #[serde(default)]
     pub cancelled: bool,
 }
 
-/// A fault of an announcement, with its field.
+/// An error in a field of an announcement. Its `Debug` text is logged and its JSON is answered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FieldFault {
     /// Name of the field.
@@ -52,113 +53,144 @@
     pub what: String,
 }
 
-/// What an announcement may refer to.
-pub trait Known {
-    /// A title's id, first cell and number of cells.
+/// The titles and classes that an announcement may refer to.
+pub trait Catalogue {
+    /// Id, first cell and number of cells of a title.
     fn title(&self, name: &str) -> Option<(TitleId, u32, u32)>;
-    /// A class's index and its rates by rung, kB a second.
+    /// Index of a class and its rate at each rung, kB a second.
     fn class(&self, name: &str) -> Option<(u16, Vec<f64>)>;
 }
 
-/// A peak that passed the checks.
+/// A validated announcement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peak {
-    /// Its number: a stable hash of its name.
+    /// Number of the peak: a stable hash of its name.
     pub number: u64,
-    /// As announced.
-    pub said: Announcement,
-    /// Titles with their cells.
+    /// The announcement.
+    pub announcement: Announcement,
+    /// Id, first cell and number of cells of each title.
     pub titles: Vec<(TitleId, u32, u32)>,
-    /// Rate that is held for each viewer, kB a second.
-    pub kb: f64,
+    /// Rate reserved for each viewer, kB a second.
+    pub per_viewer_kb: f64,
 }
 
 impl Announcement {
-    /// Checks it against the clock and what is known. All faults are reported.
+    /// Validates the announcement against the clock and the catalogue.
     ///
     /// # Errors
-    /// Each fault with its field (422).
-    pub fn check(&self, now_ms: u64, number: u64, known: &impl Known) -> Result<Peak, Vec<FieldFault>> {
-        let mut faults = Vec::new();
-        let mut bad = |field, what: String| faults.push(FieldFault { field, what });
+    /// All errors with their fields (answered with 422).
+    pub fn check(
+        &self,
+        now_ms: u64,
+        number: u64,
+        catalogue: &impl Catalogue,
+    ) -> Result<Peak, Vec<FieldFault>> {
+        let mut errors = Vec::new();
+        let mut bad = |field, what: String| errors.push(FieldFault { field, what });
         if self.name.is_empty() || self.name.len() > 64 || self.name.chars().any(char::is_control) {
-            bad("name", "1 to 64 bytes without control characters are expected".into());
+            bad(
+                "name",
+                format!(
+                    "the name has {} bytes; expected: 1 to 64 bytes without control characters",
+                    self.name.len()
+                ),
+            );
         }
-        if self.titles.is_empty() || self.titles.len() > MOST_TITLES {
-            bad("titles", format!("1 to {MOST_TITLES} titles are expected, {} found", self.titles.len()));
+        if self.titles.is_empty() || self.titles.len() > MAX_TITLES {
+            bad("titles", format!("1 to {MAX_TITLES} titles are expected; {} found", self.titles.len()));
         }
         let mut titles: Vec<(TitleId, u32, u32)> = Vec::new();
-        for name in self.titles.iter().take(MOST_TITLES) {
-            match known.title(name) {
+        for name in self.titles.iter().take(MAX_TITLES) {
+            match catalogue.title(name) {
                 Some(t) if titles.iter().any(|o| o.0 == t.0) => {
-                    bad("titles", format!("'{name}' is named twice"))
+                    bad("titles", format!("title '{name}' is given twice"))
                 }
                 Some(t) => titles.push(t),
-                None => bad("titles", format!("'{name}' is no title")),
+                None => bad("titles", format!("'{name}' is not a title")),
             }
         }
-        let class = known.class(&self.class);
-        let mut kb = 0.0;
+        let class = catalogue.class(&self.class);
+        let mut per_viewer_kb = 0.0;
         match &class {
-            None => bad("class", format!("'{}' is no class", self.class)),
+            None => bad("class", format!("'{}' is not a class open to viewers", self.class)),
             Some((_, rates)) => match rates.get(usize::from(self.rung)) {
-                Some(rate) => kb = *rate,
+                Some(rate) => per_viewer_kb = *rate,
                 None => bad(
                     "rung",
-                    format!("{} is no rung; the highest is {}", self.rung, rates.len().saturating_sub(1)),
+                    format!(
+                        "rung {} does not exist; the highest is {}",
+                        self.rung,
+                        rates.len().saturating_sub(1)
+                    ),
                 ),
             },
         }
-        if self.viewers.is_empty() || self.viewers.len() > MOST_STEPS {
-            bad("viewers", format!("1 to {MOST_STEPS} steps are expected, {} found", self.viewers.len()));
+        if self.viewers.is_empty() || self.viewers.len() > MAX_STEPS {
+            bad("viewers", format!("1 to {MAX_STEPS} steps are expected; {} found", self.viewers.len()));
         }
-        if self.viewers.windows(2).any(|w| w[0].0 >= w[1].0) {
-            bad("viewers", "the steps' seconds must ascend".into());
+        if let Some(w) = self.viewers.windows(2).find(|w| w[0].0 >= w[1].0) {
+            bad(
+                "viewers",
+                format!("a step at {} s follows one at {} s; expected: ascending seconds", w[1].0, w[0].0),
+            );
         }
-        if let Some((_, n)) = self.viewers.iter().find(|(_, n)| *n > MOST_VIEWERS) {
-            bad("viewers", format!("{n} viewers; {MOST_VIEWERS} at most"));
+        if let Some((_, n)) = self.viewers.iter().find(|(_, n)| *n > MAX_VIEWERS) {
+            bad("viewers", format!("{n} viewers; expected: at most {MAX_VIEWERS}"));
         }
         if self.viewers.iter().all(|(_, n)| *n == 0) {
-            bad("viewers", "nobody is expected".into());
+            bad("viewers", "no step has any viewers; expected: at least one above 0".into());
         }
         if self.end_ms <= self.start_ms {
-            bad("end_ms", "the end must come after the start".into());
-        } else if self.end_ms - self.start_ms > LONGEST_MS {
-            bad("end_ms", "a peak lasts a day at most".into());
+            bad("end_ms", format!("the end {} is not after the start {}", self.end_ms, self.start_ms));
+        } else if self.end_ms - self.start_ms > MAX_DURATION_MS {
+            bad(
+                "end_ms",
+                format!(
+                    "it lasts {} ms; expected: at most {MAX_DURATION_MS} (one day)",
+                    self.end_ms - self.start_ms
+                ),
+            );
+        }
+        if self.start_ms > now_ms.saturating_add(MAX_AHEAD_MS) {
+            bad(
+                "start_ms",
+                format!("{} is more than 30 days after the present time {now_ms}", self.start_ms),
+            );
         }
-        if self.start_ms > now_ms.saturating_add(AHEAD_MS) {
-            bad("start_ms", "it starts more than 30 days from now".into());
+        if !self.cancelled && self.end_ms.saturating_add(MAX_CLOCK_SKEW_MS) <= now_ms {
+            bad("end_ms", format!("{} is in the past; the present time is {now_ms}", self.end_ms));
         }
-        if !self.cancelled && self.end_ms.saturating_add(SKEW_MS) <= now_ms {
-            bad("end_ms", "it is over".into());
+        if self.lead_ms > MAX_LEAD_MS {
+            bad("lead_ms", format!("{} found; expected: at most {MAX_LEAD_MS}", self.lead_ms));
         }
-        if self.lead_ms > MOST_LEAD_MS {
-            bad("lead_ms", format!("{MOST_LEAD_MS} at most"));
+        if errors.is_empty() {
+            Ok(Peak { number, announcement: self.clone(), titles, per_viewer_kb })
+        } else {
+            Err(errors)
         }
-        if faults.is_empty() { Ok(Peak { number, said: self.clone(), titles, kb }) } else { Err(faults) }
     }
 
-    /// Viewers expected at once at a moment, or shortly after: room must be there before they come.
+    /// Most concurrent viewers expected between `now_ms` and `ahead_ms` later: capacity must be reserved before they come.
     #[must_use]
-    pub fn expected(&self, now_ms: u64, ahead_ms: u64) -> u32 {
+    pub fn expected_viewers(&self, now_ms: u64, ahead_ms: u64) -> u32 {
         let from = now_ms.max(self.start_ms);
         let until = now_ms.saturating_add(ahead_ms).max(from);
-        let at = |s: &(u64, u32)| self.start_ms.saturating_add(s.0.saturating_mul(1_000));
+        let begin_ms = |step: &(u64, u32)| self.start_ms.saturating_add(step.0.saturating_mul(1_000));
         // The step in force at `from`, and those that begin before `until`.
-        let before = self.viewers.iter().rev().find(|s| at(s) <= from).or(self.viewers.first());
-        let later = self.viewers.iter().filter(|s| at(s) > from && at(s) <= until);
+        let before = self.viewers.iter().rev().find(|s| begin_ms(s) <= from).or(self.viewers.first());
+        let later = self.viewers.iter().filter(|s| begin_ms(s) > from && begin_ms(s) <= until);
         before.into_iter().chain(later).map(|s| s.1).max().unwrap_or(0)
     }
 
-    /// The most viewers that it ever expects at once.
+    /// Most concurrent viewers that are expected at any time.
     #[must_use]
-    pub fn most(&self) -> u32 {
+    pub fn max_viewers(&self) -> u32 {
         self.viewers.iter().map(|(_, n)| *n).max().unwrap_or(0)
     }
 
-    /// When room is held, Unix milliseconds: from, to.
+    /// Begin and end of the time in which capacity is reserved, Unix milliseconds.
     #[must_use]
-    pub fn held_between(&self) -> (u64, u64) {
+    pub fn reserved_between(&self) -> (u64, u64) {
         (self.start_ms.saturating_sub(self.lead_ms), self.end_ms)
     }
 }
@@ -167,9 +199,10 @@
 pub(crate) mod tests {
     use super::*;
 
-    pub struct Two;
+    /// Titles 'final' and 'talk', and one class 'event' with two rungs.
+    pub struct TestCatalogue;
 
-    impl Known for Two {
+    impl Catalogue for TestCatalogue {
         fn title(&self, name: &str) -> Option<(TitleId, u32, u32)> {
             match name {
                 "final" => Some((TitleId(1), 0, 4)),
@@ -197,15 +230,15 @@
     }
 
     #[test]
-    fn a_sound_announcement_is_a_peak() {
-        let p = announcement().check(500_000, 7, &Two).expect("a peak");
-        assert_eq!((p.kb, p.titles.len(), p.said.most()), (600.0, 1, 30));
-        let json = serde_json::to_string(&p.said).expect("JSON");
-        assert_eq!(serde_json::from_str::<Announcement>(&json).expect("back"), p.said);
+    fn a_valid_announcement_becomes_a_peak() {
+        let p = announcement().check(500_000, 7, &TestCatalogue).expect("a peak");
+        assert_eq!((p.per_viewer_kb, p.titles.len(), p.announcement.max_viewers()), (600.0, 1, 30));
+        let json = serde_json::to_string(&p.announcement).expect("JSON");
+        assert_eq!(serde_json::from_str::<Announcement>(&json).expect("back"), p.announcement);
     }
 
     #[test]
-    fn nonsense_is_named_by_field() {
+    fn invalid_fields_are_reported_by_name() {
         type Change = fn(&mut Announcement);
         let cases: [(&str, Change); 12] = [
             ("name", |a| a.name.clear()),
@@ -224,10 +257,10 @@
         for (field, change) in cases {
             let mut a = announcement();
             change(&mut a);
-            let faults = a.check(500_000, 7, &Two).expect_err(field);
-            assert!(faults.iter().any(|f| f.field == field), "{field}: {faults:?}");
+            let errors = a.check(500_000, 7, &TestCatalogue).expect_err(field);
+            assert!(errors.iter().any(|f| f.field == field), "{field}: {errors:?}");
         }
-        assert_eq!(announcement().check(1_400_000, 7, &Two).expect_err("over")[0].field, "end_ms");
+        assert_eq!(announcement().check(1_400_000, 7, &TestCatalogue).expect_err("over")[0].field, "end_ms");
         assert!(
             serde_json::from_str::<Announcement>(r#"{"name":"x","viewers":[[0,-5]]}"#).is_err(),
             "negative"
@@ -235,7 +268,7 @@
     }
 
     #[test]
-    fn the_course_is_a_staircase_looked_at_a_little_ahead() {
+    fn expected_viewers_are_the_highest_step_in_the_interval() {
         let a = announcement();
         for (now_s, ahead_s, viewers) in [
             (900, 0, 10),
@@ -246,7 +279,7 @@
             (1_119, 10, 30),
             (1_130, 10, 5),
         ] {
-            assert_eq!(a.expected(now_s * 1_000, ahead_s * 1_000), viewers, "at {now_s}");
+            assert_eq!(a.expected_viewers(now_s * 1_000, ahead_s * 1_000), viewers, "at {now_s}");
         }
     }
 }
--- a/crates/peaks/src/lib.rs
+++ b/crates/peaks/src/lib.rs
@@ -1,15 +1,17 @@
-//! Announced peaks: how much room is held where, from when, and how it is given back.
+//! Announced peaks: reserves capacity on playout nodes ahead of announced events and releases it again.
 //!
-//! - [`Announcement`]: what an operator says; checked into a [`Peak`], every fault with its field.
-//! - [`plan`]: which holders hold how much, by a linear program and, where that is too large or fails, greedily.
-//! - [`Holds`]: the life of the holds: kept ahead, turned into sessions as viewers come, given back at the end.
+//! - [`Announcement`]: the announcement of an operator; checked, it becomes a [`Peak`].
+//! - [`plan`]: which nodes reserve how much, by a linear program; by a greedy plan if the program is too large or fails.
+//! - [`Reservations`]: the reservations over time: made ahead of the start, reduced as viewers come, released at the end.
 //!
-//! No I/O, no clock: time is handed in. What comes out is told to the decision module as held room
-//! (`pepperhook::Event::Reserved`), which counts it as demand to everyone but the peak's own viewers.
+//! The crate does no I/O and reads no clock; callers pass the time. The results go to the decision module as
+//! `pepperhook::Event::Reserved`, which counts reserved capacity as demand for all but the peak's own viewers.
 
 mod announcement;
 pub mod plan;
 mod reservations;
 
-pub use announcement::{Announcement, FieldFault, Known, MOST_VIEWERS, Peak};
-pub use reservations::{Held, HoldRow, Holds, NodeRoom, Refused, Terms};
+pub use announcement::{Announcement, Catalogue, FieldFault, MAX_VIEWERS, Peak};
+pub use reservations::{
+    AdmissionError, NodeCapacity, ReservationLimits, ReservationRow, ReservationUpdate, Reservations,
+};
