--- a/crates/inventory/src/watcher.rs
+++ b/crates/inventory/src/watcher.rs
@@ -66,7 +66,7 @@
                 return Ok((nodes, Vec::new()));
             }
             Ok(Err(errors)) => errors,
-            Err(e) => read_error(&e),
+            Err(e) => read_error(e),
         };
         let last = self.copy.as_ref().and_then(|c| load(c).ok()).and_then(|b| parse(&b, &self.names).ok());
         last.map(|nodes| (nodes, errors.clone())).ok_or(errors)
