--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -160,33 +160,37 @@
             }
             !is_front_keyword
         });
-        let mut f = SectionReader::new(&head);
-        let fleet = Self::read(&sections, &mut f, &mut errors);
-        errors.extend(f.finish());
+        let mut reader = SectionReader::new(&head);
+        let fleet = Self::read(&sections, &mut reader, &mut errors);
+        errors.extend(reader.finish());
         if errors.is_empty() {
             if let Err(message) = fleet.validate() {
                 errors.push(SettingsError { position: sections[0].position, message });
             }
         }
-        errors.sort_by_key(|f| (f.position.file, f.position.line, f.position.column));
+        errors.sort_by_key(|e| (e.position.file, e.position.line, e.position.column));
         if errors.is_empty() { Ok(fleet) } else { Err(SettingsErrors { sources, errors }) }
     }
 
-    /// Reads the fleet's settings from `sections`; `f` reads the lines before the first section.
-    pub(crate) fn read(sections: &[Section], f: &mut SectionReader, errors: &mut Vec<SettingsError>) -> Self {
+    /// Reads the fleet's settings from `sections`; `reader` reads the lines before the first section.
+    pub(crate) fn read(
+        sections: &[Section],
+        reader: &mut SectionReader,
+        errors: &mut Vec<SettingsError>,
+    ) -> Self {
         let mut ladder = Vec::new();
         for section in sections.iter().filter(|s| s.kind == "ladder") {
-            let mut f = SectionReader::new(section);
-            for line in f.lines("rung", 2, 2) {
+            let mut reader = SectionReader::new(section);
+            for line in reader.lines("rung", 2, 2) {
                 match (line.values[0].text.parse(), line.values[1].text.parse()) {
                     (Ok(kb), Ok(worth)) => ladder.push(Rung { kb, worth }),
-                    _ => f.error(
+                    _ => reader.error(
                         line.values[0].position,
                         "expected: rung KB-A-SECOND WORTH, two numbers, such as: rung 600 1",
                     ),
                 }
             }
-            errors.extend(f.finish());
+            errors.extend(reader.finish());
         }
         let highest = u8::try_from(ladder.len().saturating_sub(1)).unwrap_or(u8::MAX);
         let mut classes = Vec::new();
@@ -197,9 +201,9 @@
         }
         let mut tenants = Vec::new();
         for (name, section) in named_sections(sections, "tenant", errors) {
-            let mut f = SectionReader::new(section);
-            tenants.push((name, Tenant { quota_per_s: f.number("quota").unwrap_or(0.0) }));
-            errors.extend(f.finish());
+            let mut reader = SectionReader::new(section);
+            tenants.push((name, Tenant { quota_per_s: reader.number("quota").unwrap_or(0.0) }));
+            errors.extend(reader.finish());
         }
         let rules = match sections.iter().find(|s| s.kind == "rules") {
             Some(section) => read_rules(section, errors),
@@ -216,14 +220,14 @@
         };
         let (mut prices, mut over_share_worth) = (Prices::default(), 1.0);
         for section in sections.iter().filter(|s| s.kind == "prices") {
-            let mut f = SectionReader::new(section);
-            prices.session_move = f.number("moved").unwrap_or(0.0);
-            prices.cross_zone = f.number("cross-zone").unwrap_or(0.0);
-            prices.probe = f.number("probe").unwrap_or(0.0);
-            over_share_worth = f.number("over-share-worth").unwrap_or(1.0);
-            errors.extend(f.finish());
+            let mut reader = SectionReader::new(section);
+            prices.session_move = reader.number("moved").unwrap_or(0.0);
+            prices.cross_zone = reader.number("cross-zone").unwrap_or(0.0);
+            prices.probe = reader.number("probe").unwrap_or(0.0);
+            over_share_worth = reader.number("over-share-worth").unwrap_or(1.0);
+            errors.extend(reader.finish());
         }
-        let uplink = f.number("uplink-kb");
+        let uplink = reader.number("uplink-kb");
         Self {
             classes,
             tenants,
@@ -231,20 +235,20 @@
             ladder,
             rules,
             prices,
-            uplink_kb: f.require("uplink-kb", uplink),
-            kb_per_weight: f.number("kb-per-weight").unwrap_or(0.0),
-            all_links_kb: f.number("all-links-kb").unwrap_or(0.0),
-            shared_stream_share: f.number("join").unwrap_or(1.0),
-            link_refusal_threshold: f.number("refuses-from").unwrap_or(0.0),
-            notification_delay: f.time("seen-after").unwrap_or(0),
-            switch_cost_s: f.number("switch-cost").unwrap_or(0.0),
-            send_retry_after: f.boolean("advice").unwrap_or(true),
-            max_retry_after: f.time("max-advice").unwrap_or(SECOND),
-            max_attempts: f.parse("max-attempts", "whole number").unwrap_or(3),
+            uplink_kb: reader.require("uplink-kb", uplink),
+            kb_per_weight: reader.number("kb-per-weight").unwrap_or(0.0),
+            all_links_kb: reader.number("all-links-kb").unwrap_or(0.0),
+            shared_stream_share: reader.number("join").unwrap_or(1.0),
+            link_refusal_threshold: reader.number("refuses-from").unwrap_or(0.0),
+            notification_delay: reader.time("seen-after").unwrap_or(0),
+            switch_cost_s: reader.number("switch-cost").unwrap_or(0.0),
+            send_retry_after: reader.boolean("advice").unwrap_or(true),
+            max_retry_after: reader.time("max-advice").unwrap_or(SECOND),
+            max_attempts: reader.parse("max-attempts", "whole number").unwrap_or(3),
             reservations: ReservationSettings {
-                max_share: f.number("hold-share").unwrap_or(0.5).min(1.0),
-                no_show_after: f.time("hold-late").unwrap_or(60 * SECOND),
-                max_peaks: f.parse("max-peaks", "whole number").unwrap_or(64),
+                max_share: reader.number("hold-share").unwrap_or(0.5).min(1.0),
+                no_show_after: reader.time("hold-late").unwrap_or(60 * SECOND),
+                max_peaks: reader.parse("max-peaks", "whole number").unwrap_or(64),
             },
         }
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -273,9 +273,9 @@
             let text = &self.sources.files[error.position.file].1;
             let start = text.split_inclusive('\n').take(error.position.line - 1).map(str::len).sum::<usize>();
             let line = text[start..].lines().next().unwrap_or("");
-            let from: usize = line.chars().take(error.position.column - 1).map(char::len_utf8).sum();
-            let length = line[from..].split([' ', '\t', '#']).next().map_or(0, str::len).max(1);
-            let at = (start + from).min(text.len());
+            let offset: usize = line.chars().take(error.position.column - 1).map(char::len_utf8).sum();
+            let length = line[offset..].split([' ', '\t', '#']).next().map_or(0, str::len).max(1);
+            let at = (start + offset).min(text.len());
             let range = at..(at + length).min(text.len());
             let diagnostic = Diagnostic::error()
                 .with_message(&error.message)
@@ -319,20 +319,20 @@
     }
 }
 
-fn read_rung(fields: &mut SectionReader, keyword: &'static str) -> Option<u8> {
-    fields.parse(keyword, "rung, a number from 0 to 255")
+fn read_rung(reader: &mut SectionReader, keyword: &'static str) -> Option<u8> {
+    reader.parse(keyword, "rung, a number from 0 to 255")
 }
 
 fn read_class(section: &Section, errors: &mut Vec<SettingsError>) -> (ClassSettings, Class) {
-    let mut f = SectionReader::new(section);
-    let set_up_target = f.time("aim");
-    let set_up_target = f.require("aim", set_up_target);
-    let patience = f.time("patience");
-    let patience = f.require("patience", patience);
+    let mut reader = SectionReader::new(section);
+    let set_up_target = reader.time("aim");
+    let set_up_target = reader.require("aim", set_up_target);
+    let patience = reader.time("patience");
+    let patience = reader.require("patience", patience);
     let mut idempotency = Idempotency::Idempotent;
-    for line in f.lines("repeat", 1, 3) {
+    for line in reader.lines("repeat", 1, 3) {
         let values: Vec<&str> = line.values.iter().map(|v| v.text.as_str()).collect();
-        let scope = |g: &str| match g {
+        let scope = |group: &str| match group {
             "all" => Some(DedupScope::All),
             "zone" => Some(DedupScope::Zone),
             "cell" => Some(DedupScope::Cell),
@@ -348,7 +348,7 @@
         };
         match parsed {
             Some(i) => idempotency = i,
-            None => f.error(
+            None => reader.error(
                 line.values[0].position,
                 "expected: harmless, never, or within all|zone|cell TIME, such as: within zone 5s",
             ),
@@ -358,92 +358,94 @@
     let class = Class {
         set_up_target,
         idempotency,
-        value: f.number("value").unwrap_or(1.0),
-        rate_scale: f.number("scale").unwrap_or(1.0),
-        lowest_rung: read_rung(&mut f, "floor").unwrap_or(0),
-        highest_rung: read_rung(&mut f, "top").unwrap_or(u8::MAX),
-        max_sessions_per_title: f.parse("seats", "whole number").unwrap_or(0),
-        live: f.boolean("live").unwrap_or(false),
+        value: reader.number("value").unwrap_or(1.0),
+        rate_scale: reader.number("scale").unwrap_or(1.0),
+        lowest_rung: read_rung(&mut reader, "floor").unwrap_or(0),
+        highest_rung: read_rung(&mut reader, "top").unwrap_or(u8::MAX),
+        max_sessions_per_title: reader.parse("seats", "whole number").unwrap_or(0),
+        live: reader.boolean("live").unwrap_or(false),
     };
-    let ingest = f.boolean("ingest").unwrap_or(false);
-    let closed = f.boolean("closed").unwrap_or(false);
-    errors.extend(f.finish());
+    let ingest = reader.boolean("ingest").unwrap_or(false);
+    let closed = reader.boolean("closed").unwrap_or(false);
+    errors.extend(reader.finish());
     (ClassSettings { name, patience, ingest, closed }, class)
 }
 
 fn read_rules(section: &Section, errors: &mut Vec<SettingsError>) -> Rules {
-    let mut f = SectionReader::new(section);
-    let (cold_share, warm_up) = (f.number("cold-share"), f.time("cold"));
-    let (multiple, window) = (f.number("fall-multiple"), f.time("fall-window"));
+    let mut reader = SectionReader::new(section);
+    let (cold_share, warm_up) = (reader.number("cold-share"), reader.time("cold"));
+    let (multiple, window) = (reader.number("fall-multiple"), reader.time("fall-window"));
     let mut budget = None;
-    for line in f.lines("budget", 3, 3) {
+    for line in reader.lines("budget", 3, 3) {
         let values = &line.values;
         let number = |text: &str| text.parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0);
         match (number(&values[0].text), number(&values[1].text), parse_time(&values[2].text)) {
             (Some(free), Some(share), Some(window)) => {
                 budget = Some(RetryBudget { min_retries: free, retry_ratio: share, window })
             }
-            _ => f.error(values[0].position, "expected: budget FREE SHARE WINDOW, such as: budget 3 0.2 10s"),
+            _ => reader
+                .error(values[0].position, "expected: budget FREE SHARE WINDOW, such as: budget 3 0.2 10s"),
         }
     }
     let rules = Rules {
-        cold_share: f.require("cold-share", cold_share),
-        warm_up: f.require("cold", warm_up),
-        overload_multiple: f.require("fall-multiple", multiple),
-        overload_window: f.require("fall-window", window),
+        cold_share: reader.require("cold-share", cold_share),
+        warm_up: reader.require("cold", warm_up),
+        overload_multiple: reader.require("fall-multiple", multiple),
+        overload_window: reader.require("fall-window", window),
         retry_budget: budget,
     };
-    errors.extend(f.finish());
+    errors.extend(reader.finish());
     rules
 }
 
 fn read_exchange(section: &Section, errors: &mut Vec<SettingsError>) -> ExchangeSettings {
-    let mut f = SectionReader::new(section);
-    let listen = f.parse("listen", "address such as 127.0.0.1:7400");
-    let listen = f.require("listen", listen.map(Some)).unwrap_or(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)));
-    let advertise = f.parse_with("advertise", "address such as 10.0.0.7:7400, with its port", |t| {
+    let mut reader = SectionReader::new(section);
+    let listen = reader.parse("listen", "address such as 127.0.0.1:7400");
+    let listen =
+        reader.require("listen", listen.map(Some)).unwrap_or(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)));
+    let advertise = reader.parse_with("advertise", "address such as 10.0.0.7:7400, with its port", |t| {
         t.parse::<SocketAddr>().ok().filter(|a| !a.ip().is_unspecified() && a.port() != 0)
     });
     let mut peers = Vec::new();
-    for value in f.lines("peer", 1, 1).into_iter().map(|l| &l.values[0]) {
+    for value in reader.lines("peer", 1, 1).into_iter().map(|l| &l.values[0]) {
         match value.text.parse() {
             Ok(peer) if peers.contains(&peer) => {
-                f.error(value.position, format!("peer '{}' is given twice", value.text))
+                reader.error(value.position, format!("peer '{}' is given twice", value.text))
             }
             Ok(peer) => peers.push(peer),
-            Err(_) => f.error(
+            Err(_) => reader.error(
                 value.position,
                 format!("'{}' is not valid; expected: address such as 127.0.0.1:7400", value.text),
             ),
         }
     }
-    let key = f.value("key").map(|v| v.text.clone());
+    let key = reader.value("key").map(|v| v.text.clone());
     let settings = ExchangeSettings {
         listen,
         advertise,
         peers,
-        key: f.require("key", key),
-        previous_key: f.value("previous-key").map(|v| v.text.clone()),
-        round_interval: f.time("period").unwrap_or(SECOND).max(50 * MS),
-        fanout: f.parse("fanout", "whole number").unwrap_or(2).clamp(1, 16),
-        simulated_loss: f.number("loss").unwrap_or(0.0).min(1.0),
-        weight: f.parse("weight", "whole number, 100 for one share").unwrap_or(100).clamp(1, 10_000),
-        probe_interval: f.time("look").unwrap_or(SECOND).max(100 * MS),
-        suspicion_timeout: f.time("suspicion").unwrap_or(3 * SECOND).max(200 * MS),
+        key: reader.require("key", key),
+        previous_key: reader.value("previous-key").map(|v| v.text.clone()),
+        round_interval: reader.time("period").unwrap_or(SECOND).max(50 * MS),
+        fanout: reader.parse("fanout", "whole number").unwrap_or(2).clamp(1, 16),
+        simulated_loss: reader.number("loss").unwrap_or(0.0).min(1.0),
+        weight: reader.parse("weight", "whole number, 100 for one share").unwrap_or(100).clamp(1, 10_000),
+        probe_interval: reader.time("look").unwrap_or(SECOND).max(100 * MS),
+        suspicion_timeout: reader.time("suspicion").unwrap_or(3 * SECOND).max(200 * MS),
     };
-    errors.extend(f.finish());
+    errors.extend(reader.finish());
     settings
 }
 
 fn read_duties(section: &Section, errors: &mut Vec<SettingsError>) -> DutySettings {
-    let mut f = SectionReader::new(section);
-    let probe_interval = f.time("probe");
-    let probe_interval = f.require("probe", probe_interval).max(100 * MS);
+    let mut reader = SectionReader::new(section);
+    let probe_interval = reader.time("probe");
+    let probe_interval = reader.require("probe", probe_interval).max(100 * MS);
     let mut path = |keyword, default: &str| {
-        let given = f.value(keyword).map(|v| (v.position, v.text.clone()));
+        let given = reader.value(keyword).map(|v| (v.position, v.text.clone()));
         if let Some((position, text)) = &given {
             if !text.starts_with('/') || !text.bytes().all(|b| b.is_ascii_graphic()) {
-                f.error(*position, format!("'{text}' is not a path; expected: a path such as /whep"));
+                reader.error(*position, format!("'{text}' is not a path; expected: a path such as /whep"));
             }
         }
         given.map_or_else(|| default.to_owned(), |(_, text)| text)
@@ -451,33 +453,36 @@
     let (probe_path, session_list_path) = (path("path", "/whep"), path("sessions-path", "/sessions"));
     let settings = DutySettings {
         probe_interval,
-        takeover_delay: f.time("step").unwrap_or(probe_interval / 4).clamp(10 * MS, probe_interval / 2),
-        probe_timeout: f.time("limit").unwrap_or(probe_interval / 2).max(10 * MS),
-        max_per_period: f.parse("most", "whole number").unwrap_or(5).max(1),
+        takeover_delay: reader.time("step").unwrap_or(probe_interval / 4).clamp(10 * MS, probe_interval / 2),
+        probe_timeout: reader.time("limit").unwrap_or(probe_interval / 2).max(10 * MS),
+        max_per_period: reader.parse("most", "whole number").unwrap_or(5).max(1),
         probe_path,
-        session_list_interval: f.time("sessions").map(|t| t.max(100 * MS)),
+        session_list_interval: reader.time("sessions").map(|t| t.max(100 * MS)),
         session_list_path,
-        share_readings: f.boolean("share").unwrap_or(true),
-        module_probes: f.boolean("ask").unwrap_or(false),
+        share_readings: reader.boolean("share").unwrap_or(true),
+        module_probes: reader.boolean("ask").unwrap_or(false),
     };
-    errors.extend(f.finish());
+    errors.extend(reader.finish());
     settings
 }
 
 fn read_replica(section: &Section, errors: &mut Vec<SettingsError>) -> ReplicaSettings {
-    let mut f = SectionReader::new(section);
-    let copies = f.parse("copies", "whole number").unwrap_or(2usize);
-    let grantors = f.parse("guards", "whole number").unwrap_or(5usize);
+    let mut reader = SectionReader::new(section);
+    let copies = reader.parse("copies", "whole number").unwrap_or(2usize);
+    let grantors = reader.parse("guards", "whole number").unwrap_or(5usize);
     if !(1..=5).contains(&copies) {
-        f.error(section.position, format!("{copies} copies; expected: copies from 1 to 5"));
+        reader.error(section.position, format!("{copies} copies; expected: copies from 1 to 5"));
     }
     if grantors % 2 == 0 || grantors > 9 {
-        f.error(section.position, format!("{grantors} guards; expected: an odd number of guards, 9 at most"));
+        reader.error(
+            section.position,
+            format!("{grantors} guards; expected: an odd number of guards, 9 at most"),
+        );
     }
-    let lease = f.time("lease").unwrap_or(3 * SECOND).max(500 * MS);
-    let check_interval = f.time("look").unwrap_or(lease / 6);
+    let lease = reader.time("lease").unwrap_or(3 * SECOND).max(500 * MS);
+    let check_interval = reader.time("look").unwrap_or(lease / 6);
     if check_interval < 50 * MS || check_interval > lease / 4 {
-        f.error(
+        reader.error(
             section.position,
             format!(
                 "a look of {}; expected: a look between 50ms and a quarter of the lease, {}",
@@ -486,8 +491,8 @@
             ),
         );
     }
-    let bytes_per_s = f.parse("rate", "bytes a second").unwrap_or(200_000).max(10_000);
-    errors.extend(f.finish());
+    let bytes_per_s = reader.parse("rate", "bytes a second").unwrap_or(200_000).max(10_000);
+    errors.extend(reader.finish());
     ReplicaSettings { copies, grantors, lease, check_interval, bytes_per_s }
 }
 
@@ -495,24 +500,24 @@
 const MIN_LEASE_MARGIN: Time = SECOND;
 
 fn read_agreement(section: &Section, patience: Time, errors: &mut Vec<SettingsError>) -> AgreementSettings {
-    let mut f = SectionReader::new(section);
+    let mut reader = SectionReader::new(section);
     let mut voters: Vec<String> = Vec::new();
-    for value in f.lines("voter", 1, 1).into_iter().map(|l| &l.values[0]) {
+    for value in reader.lines("voter", 1, 1).into_iter().map(|l| &l.values[0]) {
         if voters.contains(&value.text) {
-            f.error(value.position, format!("voter '{}' is given twice", value.text));
+            reader.error(value.position, format!("voter '{}' is given twice", value.text));
         }
         voters.push(value.text.clone());
     }
     if voters.len() % 2 == 0 || voters.len() > 7 {
-        f.error(
+        reader.error(
             section.position,
             format!("{} voters; expected: 1, 3, 5 or 7 lines such as: voter front-1", voters.len()),
         );
     }
     let min_lease = patience.saturating_add(MIN_LEASE_MARGIN);
-    let lease = f.time("hold").unwrap_or(patience.saturating_add(4 * SECOND));
+    let lease = reader.time("hold").unwrap_or(patience.saturating_add(4 * SECOND));
     if lease < min_lease {
-        f.error(
+        reader.error(
             section.position,
             format!(
                 "a hold of {}; expected: a hold of {} ms or more, the longest patience and a second",
@@ -521,9 +526,10 @@
             ),
         );
     }
-    let renew_interval = f.time("look").unwrap_or_else(|| (lease.saturating_sub(patience) / 8).max(100 * MS));
+    let renew_interval =
+        reader.time("look").unwrap_or_else(|| (lease.saturating_sub(patience) / 8).max(100 * MS));
     if renew_interval < 50 * MS || renew_interval > lease.saturating_sub(patience) / 2 {
-        f.error(
+        reader.error(
             section.position,
             format!(
                 "a look of {}; expected: a look between 50ms and {}, half of the hold less the longest patience",
@@ -532,7 +538,7 @@
             ),
         );
     }
-    let serve_before_contact = f
+    let serve_before_contact = reader
         .parse_with("unknown", "action for a front without contact to the voters, refuse or serve", |t| {
             match t {
                 "refuse" => Some(false),
@@ -541,7 +547,7 @@
             }
         })
         .unwrap_or(false);
-    errors.extend(f.finish());
+    errors.extend(reader.finish());
     AgreementSettings { voters, lease, renew_interval, serve_before_contact }
 }
 
@@ -592,43 +598,43 @@
         errors.push(SettingsError { position: section.position, message });
     }
 
-    let mut f = SectionReader::new(&sections[0]);
-    let fleet = FleetSettings::read(&sections, &mut f, &mut errors);
+    let mut reader = SectionReader::new(&sections[0]);
+    let fleet = FleetSettings::read(&sections, &mut reader, &mut errors);
     let (mut kinds, mut kind_streams) = (Vec::new(), Vec::new());
     for (name, section) in named_sections(&sections, "kind", &mut errors) {
-        let mut f = SectionReader::new(section);
-        let streams = f.number("streams");
-        kind_streams.push(f.require("streams", streams));
+        let mut reader = SectionReader::new(section);
+        let streams = reader.number("streams");
+        kind_streams.push(reader.require("streams", streams));
         kinds.push(name);
-        errors.extend(f.finish());
+        errors.extend(reader.finish());
     }
     let (classes, module_classes): (Vec<ClassSettings>, Vec<Class>) =
         fleet.classes.into_iter().map(|c| (c.front, c.class)).unzip();
     let (tenants, module_tenants): (Vec<String>, Vec<_>) = fleet.tenants.into_iter().unzip();
     let mut titles = BTreeMap::new();
     for (name, section) in named_sections(&sections, "title", &mut errors) {
-        let mut f = SectionReader::new(section);
-        let (home, copies) = (f.parse("home", "cell"), f.parse("copies", "whole number"));
-        let (home, copies) = (f.require("home", home), f.require("copies", copies));
+        let mut reader = SectionReader::new(section);
+        let (home, copies) = (reader.parse("home", "cell"), reader.parse("copies", "whole number"));
+        let (home, copies) = (reader.require("home", home), reader.require("copies", copies));
         let class_names = classes.iter().map(|c| c.name.as_str()).collect::<Vec<_>>().join(", ");
-        let by_name = f.parse_with("class", &format!("class of these settings: {class_names}"), |t| {
+        let by_name = reader.parse_with("class", &format!("class of these settings: {class_names}"), |t| {
             classes.iter().position(|c| c.name == t)
         });
-        let class = f.require("class", by_name) as u16;
-        errors.extend(f.finish());
+        let class = reader.require("class", by_name) as u16;
+        errors.extend(reader.finish());
         titles.insert(name.clone(), Title { id: TitleId(name_hash(&name)), home, copies, class });
     }
     let mut tokens = Vec::new();
     for (name, section) in named_sections(&sections, "token", &mut errors) {
-        let mut f = SectionReader::new(section);
-        let secret = f.value("secret").map(|v| v.text.clone());
-        let secret = f.require("secret", secret);
+        let mut reader = SectionReader::new(section);
+        let secret = reader.value("secret").map(|v| v.text.clone());
+        let secret = reader.require("secret", secret);
         let tenant =
-            f.parse_with("tenant", &format!("tenant of these settings: {}", tenants.join(", ")), |t| {
+            reader.parse_with("tenant", &format!("tenant of these settings: {}", tenants.join(", ")), |t| {
                 tenants.iter().position(|n| n == t)
             });
-        let (publish, top) = (f.boolean("publish").unwrap_or(false), read_rung(&mut f, "top"));
-        errors.extend(f.finish());
+        let (publish, top) = (reader.boolean("publish").unwrap_or(false), read_rung(&mut reader, "top"));
+        errors.extend(reader.finish());
         tokens.push(Token { name, secret, tenant: tenant.unwrap_or(0) as u16, publish, top });
     }
     let exchange = sections.iter().find(|s| s.kind == "exchange").map(|s| read_exchange(s, &mut errors));
@@ -653,40 +659,42 @@
     }
 
     let zones: Vec<String> =
-        f.lines("zones", 1, 64).iter().flat_map(|l| l.values.iter().map(|v| v.text.clone())).collect();
-    let zone = f.parse_with("zone", &format!("zone of these settings: {}", zones.join(", ")), |t| {
+        reader.lines("zones", 1, 64).iter().flat_map(|l| l.values.iter().map(|v| v.text.clone())).collect();
+    let zone = reader.parse_with("zone", &format!("zone of these settings: {}", zones.join(", ")), |t| {
         zones.iter().position(|z| z == t)
     });
-    let zone = f.require("zone", zone);
+    let zone = reader.require("zone", zone);
     let mut gauges = Vec::new();
-    for value in f.lines("gauges", 1, 4).into_iter().flat_map(|l| &l.values) {
+    for value in reader.lines("gauges", 1, 4).into_iter().flat_map(|l| &l.values) {
         match value.text.as_str() {
             "streams" => gauges.push(Gauge::Streams),
             "link-capped" => gauges.push(Gauge::LinkCapped),
             "link" => gauges.push(Gauge::Link),
             "uplink" => gauges.push(Gauge::Uplink),
-            other => f.error(
+            other => reader.error(
                 value.position,
                 format!("'{other}' is not a gauge; expected one of: streams, link-capped, link, uplink"),
             ),
         }
     }
     let address = "address such as 127.0.0.1:8080";
-    let listen = f.parse("listen", address);
-    let inventory = f.value("inventory").map(|v| PathBuf::from(&v.text));
-    let (racks, cells) = (f.parse("racks", "whole number"), f.parse("cells", "whole number"));
-    let (racks, cells) = (f.require("racks", racks), f.require("cells", cells));
+    let listen = reader.parse("listen", address);
+    let inventory = reader.value("inventory").map(|v| PathBuf::from(&v.text));
+    let (racks, cells) = (reader.parse("racks", "whole number"), reader.parse("cells", "whole number"));
+    let (racks, cells) = (reader.require("racks", racks), reader.require("cells", cells));
     let names = InventoryNames { zones, kinds, cells };
-    let name = f.value("name").map(|v| v.text.clone());
+    let name = reader.value("name").map(|v| v.text.clone());
     let config = Config {
-        name: f.require("name", name),
-        listen: f.require("listen", listen.map(Some)).unwrap_or(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))),
-        admin: f.parse("admin", address).unwrap_or(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))),
-        admin_key: f.value("admin-key").map(|v| v.text.clone()),
-        state_dir: f.value("state-dir").map(|v| PathBuf::from(&v.text)),
-        inventory: f.require("inventory", inventory),
-        inventory_poll_interval: f.time("inventory-poll").unwrap_or(100 * MS).max(10 * MS),
-        log: f
+        name: reader.require("name", name),
+        listen: reader
+            .require("listen", listen.map(Some))
+            .unwrap_or(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))),
+        admin: reader.parse("admin", address).unwrap_or(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))),
+        admin_key: reader.value("admin-key").map(|v| v.text.clone()),
+        state_dir: reader.value("state-dir").map(|v| PathBuf::from(&v.text)),
+        inventory: reader.require("inventory", inventory),
+        inventory_poll_interval: reader.time("inventory-poll").unwrap_or(100 * MS).max(10 * MS),
+        log: reader
             .parse_with("log", "log format, text or json", |t| match t {
                 "text" => Some(LogFormat::Text),
                 "json" => Some(LogFormat::Json),
@@ -694,20 +702,20 @@
             })
             .unwrap_or(LogFormat::Text),
         limits: Limits {
-            connections: f.parse("max-connections", "whole number").unwrap_or(16_384),
-            waiting: f.parse("max-waiting", "whole number").unwrap_or(4_096),
-            sessions: f.parse("max-sessions", "whole number").unwrap_or(65_536),
-            body: f.parse("max-body", "number of bytes").unwrap_or(64 << 10),
-            head: f.parse("max-head", "number of bytes").unwrap_or(16 << 10).max(8 << 10),
-            head_timeout: f.time("head-time").unwrap_or(5 * SECOND),
-            body_timeout: f.time("body-time").unwrap_or(5 * SECOND),
+            connections: reader.parse("max-connections", "whole number").unwrap_or(16_384),
+            waiting: reader.parse("max-waiting", "whole number").unwrap_or(4_096),
+            sessions: reader.parse("max-sessions", "whole number").unwrap_or(65_536),
+            body: reader.parse("max-body", "number of bytes").unwrap_or(64 << 10),
+            head: reader.parse("max-head", "number of bytes").unwrap_or(16 << 10).max(8 << 10),
+            head_timeout: reader.time("head-time").unwrap_or(5 * SECOND),
+            body_timeout: reader.time("body-time").unwrap_or(5 * SECOND),
         },
         exchange,
         reservations: fleet.reservations,
-        connect_timeout: f.time("connect-time").unwrap_or(250 * MS),
-        close_grace: f.time("close-grace").unwrap_or(40 * MS),
-        answer_margin: f.time("answer-margin").unwrap_or(250 * MS),
-        lenient_if_match: f
+        connect_timeout: reader.time("connect-time").unwrap_or(250 * MS),
+        close_grace: reader.time("close-grace").unwrap_or(40 * MS),
+        answer_margin: reader.time("answer-margin").unwrap_or(250 * MS),
+        lenient_if_match: reader
             .parse_with("if-match", "treatment of If-Match, strict or lenient", |t| match t {
                 "lenient" => Some(true),
                 "strict" => Some(false),
@@ -715,7 +723,7 @@
             })
             .unwrap_or(true),
         decisions: Settings {
-            fronts: f.parse("fronts", "whole number").unwrap_or(1),
+            fronts: reader.parse("fronts", "whole number").unwrap_or(1),
             zone: ZoneId(zone as u16),
             classes: module_classes,
             tenants: module_tenants,
@@ -739,7 +747,7 @@
             max_attempts: fleet.max_attempts,
             connection_idle_timeout: 0,
             list_on_request: false,
-            min_event_interval: f.time("step").unwrap_or(MS),
+            min_event_interval: reader.time("step").unwrap_or(MS),
             prices: fleet.prices,
             rules: fleet.rules,
         },
@@ -752,7 +760,7 @@
         tokens,
         names,
     };
-    errors.extend(f.finish());
+    errors.extend(reader.finish());
     if errors.is_empty() {
         let first = sections[0].position;
         if let Err(e) = config.decisions.validate() {
@@ -783,7 +791,7 @@
             });
         }
     }
-    errors.sort_by_key(|f| (f.position.file, f.position.line, f.position.column));
+    errors.sort_by_key(|e| (e.position.file, e.position.line, e.position.column));
     if errors.is_empty() { Ok(config) } else { Err(SettingsErrors { sources, errors }) }
 }
 
