--- a/crates/peaks/src/plan.rs
+++ b/crates/peaks/src/plan.rs
@@ -59,11 +59,12 @@
     /// Highest utilisation of a node: the reserved share of the capacity that may be reserved.
     #[must_use]
     pub fn max_utilisation(&self, problem: &Problem) -> f64 {
-        let mut held = vec![0.0; problem.nodes.len()];
-        self.allocations.iter().flatten().for_each(|(n, kb)| held[*n] += kb);
-        held.iter()
+        let mut totals = vec![0.0; problem.nodes.len()];
+        self.allocations.iter().flatten().for_each(|(n, kb)| totals[*n] += kb);
+        totals
+            .iter()
             .zip(&problem.nodes)
-            .map(|(h, n)| if n.kb > 0.0 { h / n.kb } else { 0.0 })
+            .map(|(total, n)| if n.kb > 0.0 { total / n.kb } else { 0.0 })
             .fold(0.0, f64::max)
     }
 }
@@ -185,8 +186,8 @@
         }
     }
     let within = |used: &f64, limit: f64| *used <= limit.max(0.0) * (1.0 + 1e-6) + 1e-3;
-    node_totals.iter().zip(&problem.nodes).all(|(h, n)| within(h, n.kb))
-        && rack_totals.iter().zip(&problem.racks).all(|(h, r)| within(h, *r))
+    node_totals.iter().zip(&problem.nodes).all(|(total, n)| within(total, n.kb))
+        && rack_totals.iter().zip(&problem.racks).all(|(total, limit)| within(total, *limit))
 }
 
 #[cfg(test)]
--- a/crates/peaks/src/reservations.rs
+++ b/crates/peaks/src/reservations.rs
@@ -1,8 +1,8 @@
 //! The reservations of one front over time.
 //!
-//! A reservation begins `lead` before the start of its peak. It covers the expected viewers who have not come yet. A
+//! A reservation begins `lead_ms` before the start of its peak. It covers the expected viewers who have not come yet. A
 //! front sees only its own sessions and multiplies them by the number of fronts, as the decision module does. After
-//! the end, or as soon as the peak is called off, nothing is reserved; this demands no message, because the end is part
+//! the end, or as soon as the peak is called off, nothing is reserved; this needs no message, because the end is part
 //! of the announcement.
 
 use crate::announcement::{Announcement, Catalogue, FieldFault, Peak};
@@ -24,7 +24,8 @@
     pub max_peaks: usize,
 }
 
-/// Capacity is reserved for the viewers expected within this time, milliseconds. Plans are made twice a second.
+/// Capacity is reserved for the viewers expected within this time, milliseconds; longer than the half second between
+/// two plans.
 const LOOKAHEAD_MS: u64 = 5_000;
 /// After a late start, capacity is reserved for this many further viewers for each one who has come, so that an audience
 /// that is still growing finds capacity.
@@ -39,7 +40,7 @@
     pub server: ServerId,
     /// Its cell; a title is held by consecutive cells.
     pub cell: u32,
-    /// Index of its rack.
+    /// Index of its rack, from 0.
     pub rack: u32,
     /// Capacity of its link when it is warm, kB a second.
     pub link_kb: f64,
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -106,26 +106,26 @@
 }
 
 /// Quotes a value if it would not be read back as one value.
-fn quoted(word: &str) -> String {
-    if !word.is_empty() && !word.contains(|c: char| c.is_whitespace() || matches!(c, '#' | '"' | '\\')) {
-        return word.to_owned();
+fn quoted(value: &str) -> String {
+    if !value.is_empty() && !value.contains(|c: char| c.is_whitespace() || matches!(c, '#' | '"' | '\\')) {
+        return value.to_owned();
     }
-    format!("\"{}\"", word.replace('\\', "\\\\").replace('"', "\\\""))
+    format!("\"{}\"", value.replace('\\', "\\\\").replace('"', "\\\""))
 }
 
 fn yes_no(value: bool) -> String {
     if value { "yes".into() } else { "no".into() }
 }
 
-fn format_repeat(repeat: Idempotency) -> String {
-    let (scope, span) = match repeat {
+fn format_repeat(idempotency: Idempotency) -> String {
+    let (scope, window) = match idempotency {
         Idempotency::Idempotent => return "harmless".into(),
         Idempotency::AtMostOnce => return "never".into(),
-        Idempotency::Deduplicated(DedupScope::All, span) => ("all", span),
-        Idempotency::Deduplicated(DedupScope::Zone, span) => ("zone", span),
-        Idempotency::Deduplicated(DedupScope::Cell, span) => ("cell", span),
+        Idempotency::Deduplicated(DedupScope::All, window) => ("all", window),
+        Idempotency::Deduplicated(DedupScope::Zone, window) => ("zone", window),
+        Idempotency::Deduplicated(DedupScope::Cell, window) => ("cell", window),
     };
-    format!("within {scope} {}", format_duration(span))
+    format!("within {scope} {}", format_duration(window))
 }
 
 /// A section to be written: kind, name, and keywords with their values.
@@ -148,8 +148,8 @@
             errors.push(SettingsError { position: section.position, message });
         }
         // Keywords of a front get an error of their own, because 'unknown keyword' would suggest a misspelling.
-        let mut head = sections[0].clone();
-        head.lines.retain(|line| {
+        let mut first_section = sections[0].clone();
+        first_section.lines.retain(|line| {
             let is_front_keyword = FRONT_KEYWORDS.contains(&line.keyword.text.as_str());
             if is_front_keyword {
                 let message = format!(
@@ -160,7 +160,7 @@
             }
             !is_front_keyword
         });
-        let mut reader = SectionReader::new(&head);
+        let mut reader = SectionReader::new(&first_section);
         let fleet = Self::read(&sections, &mut reader, &mut errors);
         errors.extend(reader.finish());
         if errors.is_empty() {
@@ -227,7 +227,7 @@
             over_share_worth = reader.number("over-share-worth").unwrap_or(1.0);
             errors.extend(reader.finish());
         }
-        let uplink = reader.number("uplink-kb");
+        let uplink_kb = reader.number("uplink-kb");
         Self {
             classes,
             tenants,
@@ -235,7 +235,7 @@
             ladder,
             rules,
             prices,
-            uplink_kb: reader.require("uplink-kb", uplink),
+            uplink_kb: reader.require("uplink-kb", uplink_kb),
             kb_per_weight: reader.number("kb-per-weight").unwrap_or(0.0),
             all_links_kb: reader.number("all-links-kb").unwrap_or(0.0),
             shared_stream_share: reader.number("join").unwrap_or(1.0),
@@ -359,8 +359,8 @@
             ("fall-multiple", self.rules.overload_multiple.to_string()),
             ("fall-window", format_duration(self.rules.overload_window)),
         ];
-        if let Some(RetryBudget { min_retries: free, retry_ratio: share, window }) = self.rules.retry_budget {
-            lines.push(("budget", format!("{free} {share} {}", format_duration(window))));
+        if let Some(RetryBudget { min_retries, retry_ratio, window }) = self.rules.retry_budget {
+            lines.push(("budget", format!("{min_retries} {retry_ratio} {}", format_duration(window))));
         }
         out.push(("rules", None, lines));
         let lines = vec![
@@ -413,25 +413,25 @@
     /// The settings that are the same for all fronts.
     #[must_use]
     pub fn fleet_settings(&self) -> FleetSettings {
-        let d = &self.decisions;
-        let classes = self.classes.iter().zip(&d.classes);
+        let decisions = &self.decisions;
+        let classes = self.classes.iter().zip(&decisions.classes);
         FleetSettings {
             classes: classes.map(|(o, c)| FleetClass { front: o.clone(), class: c.clone() }).collect(),
-            tenants: self.tenants.iter().cloned().zip(d.tenants.iter().cloned()).collect(),
-            over_share_worth: d.over_share_worth,
-            ladder: d.ladder.clone(),
-            rules: d.rules,
-            prices: d.prices,
-            uplink_kb: d.uplink_kb,
-            kb_per_weight: d.kb_per_weight,
-            all_links_kb: d.all_links_kb,
-            shared_stream_share: d.shared_stream_share,
-            link_refusal_threshold: d.link_refusal_threshold,
-            notification_delay: d.notification_delay,
-            switch_cost_s: d.switch_cost_s,
-            send_retry_after: d.send_retry_after,
-            max_retry_after: d.max_retry_after,
-            max_attempts: d.max_attempts,
+            tenants: self.tenants.iter().cloned().zip(decisions.tenants.iter().cloned()).collect(),
+            over_share_worth: decisions.over_share_worth,
+            ladder: decisions.ladder.clone(),
+            rules: decisions.rules,
+            prices: decisions.prices,
+            uplink_kb: decisions.uplink_kb,
+            kb_per_weight: decisions.kb_per_weight,
+            all_links_kb: decisions.all_links_kb,
+            shared_stream_share: decisions.shared_stream_share,
+            link_refusal_threshold: decisions.link_refusal_threshold,
+            notification_delay: decisions.notification_delay,
+            switch_cost_s: decisions.switch_cost_s,
+            send_retry_after: decisions.send_retry_after,
+            max_retry_after: decisions.max_retry_after,
+            max_attempts: decisions.max_attempts,
             reservations: self.reservations,
         }
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -57,7 +57,7 @@
 /// Settings of a class that the front uses; the others are in the decision module's `Class`.
 #[derive(Clone, Debug)]
 pub struct ClassSettings {
-    /// Its name in paths and tokens.
+    /// Name of the class, in settings and requests.
     pub name: String,
     /// Time after which a viewer gives up waiting, nanoseconds.
     pub patience: Time,
@@ -85,7 +85,7 @@
 pub struct Token {
     /// Its name, for logs.
     pub name: String,
-    /// The secret itself.
+    /// Secret that a request must present.
     pub secret: String,
     /// Tenant of its bearers.
     pub tenant: u16,
@@ -374,14 +374,14 @@
 fn read_rules(section: &Section, errors: &mut Vec<SettingsError>) -> Rules {
     let mut reader = SectionReader::new(section);
     let (cold_share, warm_up) = (reader.number("cold-share"), reader.time("cold"));
-    let (multiple, window) = (reader.number("fall-multiple"), reader.time("fall-window"));
+    let (overload_multiple, overload_window) = (reader.number("fall-multiple"), reader.time("fall-window"));
     let mut budget = None;
     for line in reader.lines("budget", 3, 3) {
         let values = &line.values;
         let number = |text: &str| text.parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0);
         match (number(&values[0].text), number(&values[1].text), parse_time(&values[2].text)) {
-            (Some(free), Some(share), Some(window)) => {
-                budget = Some(RetryBudget { min_retries: free, retry_ratio: share, window })
+            (Some(min_retries), Some(retry_ratio), Some(window)) => {
+                budget = Some(RetryBudget { min_retries, retry_ratio, window })
             }
             _ => reader
                 .error(values[0].position, "expected: budget FREE SHARE WINDOW, such as: budget 3 0.2 10s"),
@@ -390,8 +390,8 @@
     let rules = Rules {
         cold_share: reader.require("cold-share", cold_share),
         warm_up: reader.require("cold", warm_up),
-        overload_multiple: reader.require("fall-multiple", multiple),
-        overload_window: reader.require("fall-window", window),
+        overload_multiple: reader.require("fall-multiple", overload_multiple),
+        overload_window: reader.require("fall-window", overload_window),
         retry_budget: budget,
     };
     errors.extend(reader.finish());
