--- a/src/decide.rs
+++ b/src/decide.rs
@@ -67,7 +67,8 @@
 /// Time limit of an attempt that can be followed by another, as a fraction of the class's set-up target.
 const ATTEMPT_TARGET_SHARE: f64 = 0.5;
 /// Fraction of the set-up pace of a cold server that is used. It is applied twice: to the pace, since set-ups
-/// differ in work, and to a front's part of it, since the fronts' lots are random.
+/// differ in work, and to a front's part of it, since the fronts select their
+/// windows at random.
 const COLD_PACE_SHARE: f64 = 0.55;
 /// Lowest warmth of a server, as a share of its capacity.
 const MIN_WARMTH: f64 = 0.05;
@@ -794,9 +795,8 @@
         }
     }
 
-    /// Raises sessions by one rung towards their fair rung after a time without shortage. Each rise is taken
-    /// at random with the fraction of the server's sessions for which the capacity below the mark would
-    /// suffice.
+    /// Raises sessions by one rung towards their fair rung after a time without shortage. The probability of
+    /// a rise is the fraction of the server's sessions for which the capacity below the mark would suffice.
     fn raise_rungs(&mut self, now: Time, out: &mut Vec<Action>) {
         let settled = |t: Option<Time>| t.is_none_or(|t| t + SETTLE_TIME <= now);
         let delay = self.rise_delay();
@@ -1210,11 +1210,11 @@
     }
 
     /// Rule 4: each front keeps to its part of the set-ups that a cold server can take in a window. If that
-    /// part is less than one set-up, at most one is sent in a window, and only in windows that the front wins
-    /// by lot. The probability falls with the recent rate of requests for titles that the server stores, so
-    /// the sum over all fronts keeps to the limit. Demand may rise at any time, and any window of the server
-    /// overlaps two windows of a front, so the probability never exceeds the part over `COLD_PACE_SHARE`,
-    /// however rare the requests were.
+    /// part is less than one set-up, at most one is sent in a window, and only in windows that are selected
+    /// at random. The probability falls with the recent rate of requests for titles that the server stores,
+    /// so the sum over all fronts keeps to the limit. Demand may rise at any time, and any window of the
+    /// server overlaps two windows of a front, so the probability never exceeds the part over
+    /// `COLD_PACE_SHARE`, however rare the requests were.
     fn cold_pace_allows(&self, now: Time, server: &Server) -> bool {
         let (warmth, r) = (self.warmth(now, server), &self.settings.rules);
         if warmth >= 1.0 {
@@ -1231,11 +1231,11 @@
         // The windows of each front have an offset of their own.
         let window =
             now.saturating_add(self.instance_seed % r.overload_window.max(1)) / r.overload_window.max(1);
-        let lot =
+        let random_bits =
             mix_bits(self.instance_seed ^ mix_bits(window ^ mix_bits(u64::from(server.entry.server.0))));
         server.set_ups.sum_after(ago(now, r.overload_window)) + 1.0 <= own_part.max(1.0)
             && (own_part >= 1.0
-                || unit_interval(lot)
+                || unit_interval(random_bits)
                     * (requests_per_s * seconds(r.overload_window)).clamp(COLD_PACE_SHARE, 1.0)
                     <= own_part)
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -290,7 +290,7 @@
         );
         ensure!(
             positive(self.all_links_kb) || positive(self.kb_per_weight),
-            "the links have no capacity: neither the total ({} kB/s) nor the capacity per weight ({} kB/s) is a \
+            "the links have no capacity: neither the total {} kB/s nor the capacity per weight {} kB/s is a \
              positive number",
             self.all_links_kb,
             self.kb_per_weight
