--- a/src/decide.rs
+++ b/src/decide.rs
@@ -67,8 +67,7 @@
 /// Time limit of an attempt that can be followed by another, as a fraction of the class's set-up target.
 const ATTEMPT_TARGET_SHARE: f64 = 0.5;
 /// Fraction of the set-up pace of a cold server that is used. It is applied twice: to the pace, since set-ups
-/// differ in work, and to a front's part of it, since the fronts select their
-/// windows at random.
+/// differ in work, and to a front's part of it, since the fronts select their windows at random.
 const COLD_PACE_SHARE: f64 = 0.55;
 /// Lowest warmth of a server, as a share of its capacity.
 const MIN_WARMTH: f64 = 0.05;
