--- a/crates/platform/src/core/attempts.rs
+++ b/crates/platform/src/core/attempts.rs
@@ -16,7 +16,7 @@
 
 /// One attempt.
 pub struct Attempt {
-    pub life: LifeId,
+    pub life: IncarnationId,
     pub number: u32,
     pub link: LinkId,
     /// The front end waits for it until then.
@@ -98,7 +98,7 @@
         if let Phase::Open(Some(attempt)) = &mut s.phase {
             attempt.stage = Stage::Offered(tried);
         }
-        out.push(Effect::Look(conn, link, id));
+        out.push(Effect::CheckViewer(conn, link, id));
     }
 
     /// Writes a set-up whose viewer waits. The node is looked at again, since dialling takes time.
@@ -113,8 +113,8 @@
         let Some(s) = self.sessions.get_mut(&id) else { return };
         let word = ToNode::SetUp {
             id,
-            title: s.ask.wish.title.0,
-            class: s.ask.wish.class.0,
+            title: s.ask.spec.title.0,
+            class: s.ask.spec.class.0,
             wait_ms: (until - now).div_ceil(MS),
             rung: s.rung,
             body: s.ask.body.clone(),
@@ -168,7 +168,7 @@
     pub(super) fn give_up(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
         let Some(attempt) = self.take_attempt(id) else { return };
         if attempt.stage == Stage::Sent {
-            self.write(now, attempt.link, ToNode::GiveUp(id, self.title(id)), out);
+            self.write(now, attempt.link, ToNode::CancelSetUp(id, self.title(id)), out);
         }
     }
 
@@ -184,7 +184,7 @@
                 if let Some(attempt) = self.attempt_mut(id) {
                     attempt.stage = Stage::Closing;
                 }
-                self.write(now, link, ToNode::GiveUp(id, self.title(id)), out);
+                self.write(now, link, ToNode::CancelSetUp(id, self.title(id)), out);
                 self.at(now + GRACE, Wake::AttemptClosed(id, number));
                 // A node that does not answer may be gone without a sign.
                 self.doubt_if_quiet(now, life, out);
--- a/crates/platform/src/core/links.rs
+++ b/crates/platform/src/core/links.rs
@@ -24,7 +24,7 @@
 
 /// A connection to a node.
 pub struct Link {
-    pub life: LifeId,
+    pub life: IncarnationId,
     pub way: Way,
     /// When it was dialled, then when it came up.
     pub opened: Time,
@@ -62,7 +62,7 @@
 /// A question for a node's load.
 pub struct Probe {
     server: ServerId,
-    life: LifeId,
+    life: IncarnationId,
     link: LinkId,
     /// It was asked on a second connection already.
     again: bool,
@@ -70,8 +70,8 @@
 
 impl Core {
     /// Dials a node; never one that is listed no more, since its address may be another's.
-    pub(super) fn dial(&mut self, now: Time, life: LifeId, out: &mut Vec<Effect>) -> Option<LinkId> {
-        if !self.lives.get(&life).is_some_and(Life::may_dial) {
+    pub(super) fn dial(&mut self, now: Time, life: IncarnationId, out: &mut Vec<Effect>) -> Option<LinkId> {
+        if !self.lives.get(&life).is_some_and(Incarnation::may_dial) {
             return None;
         }
         if self.links.len() >= self.bounds.links && !self.evict(out) {
@@ -114,7 +114,7 @@
 
     pub(super) fn close_link(&mut self, link: LinkId, out: &mut Vec<Effect>) {
         let Some(l) = self.drop_link(link) else { return };
-        out.push(Effect::Close(link));
+        out.push(Effect::CloseLink(link));
         for id in l.probes {
             self.probe_ended(id, None);
         }
@@ -134,7 +134,7 @@
         link.used + self.sockets.idle / 5 * 4 > now
     }
 
-    fn ups(&self, life: LifeId) -> impl Iterator<Item = (LinkId, &Link)> {
+    fn ups(&self, life: IncarnationId) -> impl Iterator<Item = (LinkId, &Link)> {
         let ids = self.lives.get(&life).into_iter().flat_map(|l| &l.links);
         ids.filter_map(|id| self.links.get(id).map(|l| (*id, l))).filter(|(_, l)| l.up())
     }
@@ -144,7 +144,7 @@
     pub(super) fn link_for_set_up(
         &mut self,
         now: Time,
-        life: LifeId,
+        life: IncarnationId,
         out: &mut Vec<Effect>,
     ) -> Option<LinkId> {
         let free = self.ups(life).filter(|(_, l)| l.open.is_empty() && !l.blocked && self.fresh(now, l));
@@ -163,12 +163,12 @@
     pub(super) fn write(&mut self, now: Time, link: LinkId, word: ToNode, out: &mut Vec<Effect>) {
         if let Some(l) = self.links.get_mut(&link).filter(|l| l.up()) {
             l.used = now;
-            out.push(Effect::Write(link, word));
+            out.push(Effect::SendToNode(link, word));
         }
     }
 
     /// What concerns a standing session goes over any connection to its node.
-    pub(super) fn tell_node(&mut self, now: Time, life: LifeId, word: ToNode, out: &mut Vec<Effect>) {
+    pub(super) fn tell_node(&mut self, now: Time, life: IncarnationId, word: ToNode, out: &mut Vec<Effect>) {
         let up = self.ups(life).filter(|(_, l)| self.fresh(now, l)).max_by_key(|(_, l)| (l.carried, l.used));
         if let Some((link, _)) = up {
             return self.write(now, link, word, out);
@@ -180,7 +180,12 @@
     }
 
     /// A connection that is being dialled, else a new one.
-    pub(super) fn link_to_come(&mut self, now: Time, life: LifeId, out: &mut Vec<Effect>) -> Option<LinkId> {
+    pub(super) fn link_to_come(
+        &mut self,
+        now: Time,
+        life: IncarnationId,
+        out: &mut Vec<Effect>,
+    ) -> Option<LinkId> {
         let ids = &self.lives.get(&life)?.links;
         let dialled =
             ids.iter().copied().find(|id| self.links.get(id).is_some_and(|l| l.way == Way::Dialled));
@@ -201,7 +206,7 @@
         self.ask_load(now, id, link, out);
     }
 
-    fn link_for_probe(&mut self, now: Time, life: LifeId, out: &mut Vec<Effect>) -> Option<LinkId> {
+    fn link_for_probe(&mut self, now: Time, life: IncarnationId, out: &mut Vec<Effect>) -> Option<LinkId> {
         let up = self.ups(life).filter(|(_, l)| self.fresh(now, l)).min_by_key(|(_, l)| l.open.len());
         if let Some((link, _)) = up {
             return Some(link);
@@ -213,7 +218,7 @@
         if let Some(l) = self.links.get_mut(&link) {
             l.probes.insert(id);
         }
-        self.write(now, link, ToNode::AskLoad(id), out);
+        self.write(now, link, ToNode::QueryLoad(id), out);
     }
 
     fn probe_ended(&mut self, id: ProbeId, report: Option<Vec<f64>>) -> Option<Probe> {
@@ -252,14 +257,14 @@
     // ---- what becomes of connections -----------------------------------------------------------
 
     pub(super) fn link_up(&mut self, now: Time, link: LinkId, out: &mut Vec<Effect>) {
-        let Some(l) = self.links.get_mut(&link) else { return out.push(Effect::Close(link)) };
+        let Some(l) = self.links.get_mut(&link) else { return out.push(Effect::CloseLink(link)) };
         (l.way, l.used, l.opened) = (Way::Up, now, now);
         let (life, queue) = (l.life, std::mem::take(&mut l.queue));
         let (open, probes) = (l.open.clone(), l.probes.clone());
         self.lives_on(now, life, link, out);
         queue.into_iter().for_each(|word| self.write(now, link, word, out));
         open.into_iter().for_each(|id| self.write_set_up(now, id, out));
-        probes.into_iter().for_each(|id| self.write(now, link, ToNode::AskLoad(id), out));
+        probes.into_iter().for_each(|id| self.write(now, link, ToNode::QueryLoad(id), out));
     }
 
     pub(super) fn link_failed(&mut self, now: Time, link: LinkId, how: DialEnd, out: &mut Vec<Effect>) {
@@ -337,16 +342,18 @@
             life.heard = now;
         }
         match said {
-            FromNode::Plays(id, body) => self.plays(now, link, id, body, out),
-            FromNode::Ended(id, outcome, report) => self.node_ended(link, id, outcome, report),
-            FromNode::Over(id, outcome, report) => self.node_over(now, link, id, outcome, report, out),
-            FromNode::Heard(id) => {
+            FromNode::Started(id, body) => self.plays(now, link, id, body, out),
+            FromNode::SetUpFailed(id, outcome, report) => self.node_ended(link, id, outcome, report),
+            FromNode::SessionEnded(id, outcome, report) => {
+                self.node_over(now, link, id, outcome, report, out)
+            }
+            FromNode::Acknowledged(id) => {
                 if self.attempt(id).is_some_and(|a| a.link == link && a.stage == Stage::Closing) {
                     self.attempt_ended(id, Outcome::TimedOut, Vec::new());
                 }
             }
-            FromNode::Note(id, kind, value) => self.note(link, id, kind, value),
-            FromNode::Load(id, report) => {
+            FromNode::Notification(id, kind, value) => self.note(link, id, kind, value),
+            FromNode::LoadReport(id, report) => {
                 if self.probes.get(&id).is_some_and(|p| p.link == link) {
                     self.probe_ended(id, report);
                 }
@@ -360,7 +367,7 @@
     pub(super) fn shut(&mut self, now: Time, link: LinkId, out: &mut Vec<Effect>) {
         let Some(l) = self.links.get_mut(&link).filter(|l| l.up()) else { return };
         l.way = Way::Shut(now);
-        out.push(Effect::Shut(link));
+        out.push(Effect::HalfCloseLink(link));
         self.at(now + UNHEARD, Wake::Shut(link));
     }
 
@@ -389,12 +396,12 @@
 
     /// A connection of a node that carries nothing, if there is another that is up: rather one that never carried a
     /// set-up, then the one used longest ago.
-    pub(super) fn spare(&self, life: LifeId) -> Option<LinkId> {
+    pub(super) fn spare(&self, life: IncarnationId) -> Option<LinkId> {
         self.idle(life).filter(|_| self.ups(life).count() > 1)
     }
 
     /// The same, its only one included.
-    pub(super) fn idle(&self, life: LifeId) -> Option<LinkId> {
+    pub(super) fn idle(&self, life: IncarnationId) -> Option<LinkId> {
         let idle = self.ups(life).filter(|(_, l)| l.idle());
         idle.min_by_key(|(_, l)| (l.carried, l.used)).map(|(link, _)| link)
     }
--- a/crates/platform/src/core/lives.rs
+++ b/crates/platform/src/core/lives.rs
@@ -41,7 +41,7 @@
 const CUTS: usize = 512;
 
 /// One life of a node.
-pub struct Life {
+pub struct Incarnation {
     pub server: ServerId,
     pub address: SocketAddrV4,
     started_ms: u64,
@@ -70,7 +70,7 @@
     timed: bool,
 }
 
-impl Life {
+impl Incarnation {
     pub fn may_dial(&self) -> bool {
         !self.past
     }
@@ -93,7 +93,7 @@
 }
 
 impl Core {
-    pub(super) fn is_ready(&self, life: LifeId) -> bool {
+    pub(super) fn is_ready(&self, life: IncarnationId) -> bool {
         self.lives.get(&life).is_some_and(|l| l.state == State::Ready && !l.past)
     }
 
@@ -119,9 +119,9 @@
     }
 
     fn begin(&mut self, now: Time, e: &Entry) {
-        let life = LifeId(self.number());
+        let life = IncarnationId(self.number());
         self.current.insert(ServerId(e.id), life);
-        let new = Life {
+        let new = Incarnation {
             server: ServerId(e.id),
             address: e.address,
             started_ms: e.started_ms,
@@ -139,7 +139,7 @@
     }
 
     /// A node is listed where it was. Where it has started anew since, what is older than that start is over.
-    fn relist(&mut self, now: Time, life: LifeId, e: &Entry, out: &mut Vec<Effect>) {
+    fn relist(&mut self, now: Time, life: IncarnationId, e: &Entry, out: &mut Vec<Effect>) {
         let Some(l) = self.lives.get_mut(&life) else { return };
         l.state = e.state;
         if l.started_ms >= e.started_ms {
@@ -172,12 +172,12 @@
     fn since(&self, id: SessionId) -> Option<(Time, bool)> {
         let s = self.sessions.get(&id)?;
         let Phase::Standing(_, since) = s.phase else { return None };
-        Some((since, s.ask.at.is_some()))
+        Some((since, s.ask.playing_at.is_some()))
     }
 
     /// A life is past: its id stands for another address, or the list names it no more. Its connections tell when it
     /// ends.
-    fn pass(&mut self, now: Time, life: LifeId, out: &mut Vec<Effect>) {
+    fn pass(&mut self, now: Time, life: IncarnationId, out: &mut Vec<Effect>) {
         let Some(l) = self.lives.get_mut(&life) else { return };
         (l.past, l.state, l.doubt) = (true, State::Gone, None);
         let (server, links) = (l.server, l.links.clone());
@@ -232,14 +232,14 @@
     }
 
     /// Whether this is the life of its id that the list names, or the last one that it named.
-    pub(super) fn is_current(&self, life: LifeId) -> bool {
+    pub(super) fn is_current(&self, life: IncarnationId) -> bool {
         let server = self.lives.get(&life).map(|l| l.server);
         server.and_then(|s| self.current.get(&s)).is_none_or(|current| *current == life)
     }
 
     /// How an attempt or a session ended, as the module is to hear of it: what befell an older life of an id is no
     /// ground to suspect the node that has the id now.
-    pub(super) fn fair(&self, life: LifeId, outcome: Outcome) -> Outcome {
+    pub(super) fn fair(&self, life: IncarnationId, outcome: Outcome) -> Outcome {
         match outcome {
             Outcome::Served | Outcome::Cancelled => outcome,
             _ if self.is_current(life) => outcome,
@@ -249,7 +249,7 @@
     }
 
     /// A session was handed over with this node: whether it is dead is found out anew.
-    pub(super) fn revive(&mut self, life: LifeId) {
+    pub(super) fn revive(&mut self, life: IncarnationId) {
         if let Some(l) = self.lives.get_mut(&life) {
             l.dead = false;
         }
@@ -267,7 +267,7 @@
     }
 
     /// Everything at a life is over.
-    fn bury(&mut self, now: Time, life: LifeId, out: &mut Vec<Effect>) {
+    fn bury(&mut self, now: Time, life: IncarnationId, out: &mut Vec<Effect>) {
         let Some(l) = self.lives.get_mut(&life) else { return };
         (l.dead, l.doubt) = (true, None);
         let (links, standing) = (l.links.clone(), l.standing.clone());
@@ -282,30 +282,30 @@
         }
     }
 
-    fn due_at(&mut self, life: LifeId, word: ToNode) {
+    fn due_at(&mut self, life: IncarnationId, word: ToNode) {
         if let Some(l) = self.lives.get_mut(&life).filter(|l| l.cuts.len() < CUTS) {
             l.cuts.push_back(word);
         }
     }
 
     /// Words that no connection took: releases are due later, rungs are not.
-    pub(super) fn not_told(&mut self, life: LifeId, words: Vec<ToNode>) {
+    pub(super) fn not_told(&mut self, life: IncarnationId, words: Vec<ToNode>) {
         words.into_iter().filter(|w| matches!(w, ToNode::Release(..))).for_each(|w| self.due_at(life, w));
     }
 
     /// Requests whose attempt there waits to learn whether the node lives.
-    fn torn(&self, life: LifeId) -> impl Iterator<Item = SessionId> {
+    fn torn(&self, life: IncarnationId) -> impl Iterator<Item = SessionId> {
         let torn = move |s: &Session| matches!(&s.phase, Phase::Open(Some(a)) if a.life == life && a.stage == Stage::Torn);
         self.sessions.iter().filter(move |(_, s)| torn(s)).map(|(id, _)| *id)
     }
 
-    fn end_torn(&mut self, life: LifeId, outcome: Outcome) {
+    fn end_torn(&mut self, life: IncarnationId, outcome: Outcome) {
         let ids: Vec<_> = self.torn(life).collect();
         ids.into_iter().for_each(|id| self.attempt_ended(id, outcome, Vec::new()));
     }
 
     /// A connection came up: the node lives.
-    pub(super) fn lives_on(&mut self, now: Time, life: LifeId, link: LinkId, out: &mut Vec<Effect>) {
+    pub(super) fn lives_on(&mut self, now: Time, life: IncarnationId, link: LinkId, out: &mut Vec<Effect>) {
         let Some(l) = self.lives.get_mut(&life) else { return };
         (l.heard, l.doubt, l.dead) = (now, None, false);
         let cuts = std::mem::take(&mut l.cuts);
@@ -314,7 +314,7 @@
     }
 
     /// A connection broke or ended.
-    pub(super) fn broke(&mut self, now: Time, life: LifeId, work: bool, out: &mut Vec<Effect>) {
+    pub(super) fn broke(&mut self, now: Time, life: IncarnationId, work: bool, out: &mut Vec<Effect>) {
         let Some(l) = self.lives.get(&life) else { return };
         if l.past {
             if l.links.is_empty() {
@@ -327,11 +327,11 @@
         }
     }
 
-    fn doubt(&mut self, now: Time, life: LifeId, out: &mut Vec<Effect>) {
+    fn doubt(&mut self, now: Time, life: IncarnationId, out: &mut Vec<Effect>) {
         self.doubt_since(now, now, life, out);
     }
 
-    pub(super) fn doubt_since(&mut self, now: Time, since: Time, life: LifeId, out: &mut Vec<Effect>) {
+    pub(super) fn doubt_since(&mut self, now: Time, since: Time, life: IncarnationId, out: &mut Vec<Effect>) {
         let Some(l) = self.lives.get_mut(&life).filter(|l| !l.past && !l.dead) else { return };
         l.doubt.get_or_insert(Doubt { since, refused: 0, asked: false, timed: false });
         if self.link_to_come(now, life, out).is_none() {
@@ -339,27 +339,27 @@
         }
     }
 
-    fn doubt_later(&mut self, now: Time, life: LifeId) {
+    fn doubt_later(&mut self, now: Time, life: IncarnationId) {
         if let Some(doubt) = self.lives.get_mut(&life).and_then(|l| l.doubt.as_mut()).filter(|d| !d.timed) {
             doubt.timed = true;
             self.at(now + AGAIN, Wake::Doubt(life));
         }
     }
 
-    pub(super) fn doubt_if_quiet(&mut self, now: Time, life: LifeId, out: &mut Vec<Effect>) {
+    pub(super) fn doubt_if_quiet(&mut self, now: Time, life: IncarnationId, out: &mut Vec<Effect>) {
         if self.lives.get(&life).is_some_and(|l| l.heard + UNHEARD < now) {
             self.doubt(now, life, out);
         }
     }
 
-    pub(super) fn doubt_again(&mut self, now: Time, life: LifeId, out: &mut Vec<Effect>) {
+    pub(super) fn doubt_again(&mut self, now: Time, life: IncarnationId, out: &mut Vec<Effect>) {
         let Some(doubt) = self.lives.get_mut(&life).and_then(|l| l.doubt.as_mut()) else { return };
         doubt.timed = false;
         self.doubt(now, life, out);
     }
 
     /// A dial brought no connection.
-    pub(super) fn dial_ended(&mut self, now: Time, life: LifeId, how: DialEnd, out: &mut Vec<Effect>) {
+    pub(super) fn dial_ended(&mut self, now: Time, life: IncarnationId, how: DialEnd, out: &mut Vec<Effect>) {
         let dial = self.sockets.dial;
         let Some(l) = self.lives.get_mut(&life) else { return };
         if l.past {
@@ -400,10 +400,10 @@
     }
 
     /// Asks a node that is listed no more whether it is still there, and ends what stands there if it says nothing.
-    fn ask_past(&mut self, now: Time, life: LifeId, out: &mut Vec<Effect>) {
+    fn ask_past(&mut self, now: Time, life: IncarnationId, out: &mut Vec<Effect>) {
         if !self.probing {
             // Nothing may be asked; a process that died has reset its connections, a machine that vanished is silent.
-            let quiet = |l: &Life| l.heard.saturating_add(self.patience(life, l.heard)) < now;
+            let quiet = |l: &Incarnation| l.heard.saturating_add(self.patience(life, l.heard)) < now;
             if self.lives.get(&life).is_some_and(quiet) {
                 self.bury(now, life, out);
             }
@@ -420,7 +420,7 @@
 
     /// Asks on each connection that is up; whatever comes back is a sign of life. Where nodes may not be asked, one that
     /// carries nothing is shut: a node that lives ends it, and has a place for the next one.
-    fn ask_sign(&mut self, now: Time, life: LifeId, out: &mut Vec<Effect>) {
+    fn ask_sign(&mut self, now: Time, life: IncarnationId, out: &mut Vec<Effect>) {
         if !self.probing {
             if let Some(link) = self.idle(life) {
                 self.shut(now, link, out);
@@ -430,14 +430,14 @@
         let Some(l) = self.lives.get(&life) else { return };
         for link in l.links.clone() {
             let question = ProbeId(self.number());
-            self.write(now, link, ToNode::AskLoad(question), out);
+            self.write(now, link, ToNode::QueryLoad(question), out);
         }
     }
 
     /// A node with standing sessions may say nothing for so long: what is left of the time for telling an end when a
     /// vanished machine has been found out. Less up to an eighth that each front and node draw anew each time, so that
     /// fronts which heard a node at one moment do not all ask it at one moment.
-    fn patience(&self, life: LifeId, heard: Time) -> Time {
+    fn patience(&self, life: IncarnationId, heard: Time) -> Time {
         let found = SWEEP + SILENT + self.sockets.dial + AGAIN + MARGIN;
         let all = TOLD_WITHIN.saturating_sub(found);
         let draw = (life.0 ^ heard).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 56;
@@ -446,7 +446,7 @@
 
     /// Looks for a sign of life of a node that has said nothing for long: the end of a connection that can be spared,
     /// else a new one.
-    fn look(&mut self, now: Time, life: LifeId, out: &mut Vec<Effect>) {
+    fn look(&mut self, now: Time, life: IncarnationId, out: &mut Vec<Effect>) {
         match self.spare(life) {
             Some(link) => self.shut(now, link, out),
             None => self.doubt(now, life, out),
@@ -454,16 +454,16 @@
     }
 
     pub(super) fn sweep_lives(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let shut = |l: &Life| l.links.iter().any(|id| self.links.get(id).is_some_and(Link::is_shut));
-        let quiet = |id: &LifeId, l: &Life| {
+        let shut = |l: &Incarnation| l.links.iter().any(|id| self.links.get(id).is_some_and(Link::is_shut));
+        let quiet = |id: &IncarnationId, l: &Incarnation| {
             let asked = l.doubt.is_some() || shut(l);
             l.links.is_empty() || (!asked && l.heard + self.patience(*id, l.heard) < now)
         };
-        let watched = |l: &Life| !l.past && !l.dead && !l.standing.is_empty();
+        let watched = |l: &Incarnation| !l.past && !l.dead && !l.standing.is_empty();
         let all = self.lives.iter().filter(|(id, l)| watched(l) && quiet(id, l));
         let look: Vec<_> = all.map(|(id, _)| *id).collect();
         look.into_iter().for_each(|life| self.look(now, life, out));
-        let past = |l: &Life| l.past && !l.standing.is_empty();
+        let past = |l: &Incarnation| l.past && !l.standing.is_empty();
         let past: Vec<_> = self.lives.iter().filter(|(_, l)| past(l)).map(|(id, _)| *id).collect();
         past.into_iter().for_each(|life| self.ask_past(now, life, out));
         self.lives.retain(|_, l| !(l.past && l.standing.is_empty() && l.links.is_empty()));
--- a/crates/platform/src/core/mod.rs
+++ b/crates/platform/src/core/mod.rs
@@ -14,7 +14,7 @@
 mod types;
 
 use links::Link;
-use lives::Life;
+use lives::Incarnation;
 use pepperhook::{Action, Controller, Event, ServerId, SessionId, Settings, SettingsError, Time};
 use pepperhook_net::Timers;
 use pepperhook_parameters::Sockets;
@@ -41,9 +41,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// Requests without an answer.
-    pub open: usize,
+    pub open_requests: usize,
     /// Requests without an answer on one connection.
-    pub open_each: usize,
+    pub open_requests_per_conn: usize,
     /// Requests and standing sessions together.
     pub sessions: usize,
     /// Connections of viewers.
@@ -51,7 +51,7 @@
     /// Connections to nodes.
     pub links: usize,
     /// Ended ids that are remembered.
-    pub remembered: usize,
+    pub ended_sessions: usize,
 }
 
 impl Bounds {
@@ -62,12 +62,12 @@
     pub fn for_descriptors(descriptors: usize) -> Self {
         let left = descriptors.saturating_sub(OWN);
         Self {
-            open: 1_024,
-            open_each: 256,
+            open_requests: 1_024,
+            open_requests_per_conn: 256,
             sessions: 16_384,
             viewers: (left / 2).max(1),
             links: (left * 2 / 5).max(1),
-            remembered: 4_096,
+            ended_sessions: 4_096,
         }
     }
 }
@@ -88,7 +88,7 @@
     /// A question for load has no answer.
     ProbeTime(ProbeId),
     /// A node in doubt is dialled again.
-    Doubt(LifeId),
+    Doubt(IncarnationId),
     /// A connection that is being ended in order has waited long enough for its node.
     Shut(LinkId),
     /// A session that was handed over is still at no node that the list names.
@@ -99,7 +99,7 @@
 
 /// A request, and the session that comes of it.
 struct Session {
-    ask: Ask,
+    ask: SetUpRequest,
     conn: ConnId,
     peer: IpAddr,
     rung: u8,
@@ -111,7 +111,7 @@
     /// Without an answer; the attempt that is out.
     Open(Option<attempts::Attempt>),
     /// It stands at a node since then, or since it was handed over.
-    Standing(LifeId, Time),
+    Standing(IncarnationId, Time),
 }
 
 /// A viewer's connection.
@@ -151,8 +151,8 @@
     sessions: BTreeMap<SessionId, Session>,
     open: usize,
     conns: BTreeMap<ConnId, Conn>,
-    lives: BTreeMap<LifeId, Life>,
-    current: BTreeMap<ServerId, LifeId>,
+    lives: BTreeMap<IncarnationId, Incarnation>,
+    current: BTreeMap<ServerId, IncarnationId>,
     links: BTreeMap<LinkId, Link>,
     probes: BTreeMap<ProbeId, links::Probe>,
     ended: BTreeMap<SessionId, Ended>,
@@ -212,28 +212,28 @@
     /// Takes in one input and appends what is to be done.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Effect>) {
         match input {
-            Input::Opened(conn, peer) => {
+            Input::ViewerConnected(conn, peer) => {
                 let new = Conn { peer, good: false, left: false, open: BTreeSet::new(), carries: 0 };
                 self.conns.insert(conn, new);
             }
-            Input::Ask(conn, ask) => self.ask(now, conn, ask, out),
-            Input::End(conn, id) => self.end(now, conn, id, out),
-            Input::Left(conn) => self.left(now, conn, out),
-            Input::Gone(conn) => self.gone(now, conn, out),
-            Input::Waits(id) => self.send_set_up(now, id, out),
-            Input::Blocked(id) => self.blocked(now, id, out),
-            Input::GiveWay(conn) => self.give_way(conn, out),
+            Input::SetUp(conn, ask) => self.ask(now, conn, ask, out),
+            Input::Release(conn, id) => self.end(now, conn, id, out),
+            Input::ViewerHalfClosed(conn) => self.left(now, conn, out),
+            Input::ViewerDisconnected(conn) => self.gone(now, conn, out),
+            Input::ViewerWaits(id) => self.send_set_up(now, id, out),
+            Input::LinkBlocked(id) => self.blocked(now, id, out),
+            Input::EvictViewer(conn) => self.give_way(conn, out),
             Input::LinkUp(link) => self.link_up(now, link, out),
-            Input::LinkFailed(link, how) => self.link_failed(now, link, how, out),
+            Input::DialFailed(link, how) => self.link_failed(now, link, how, out),
             Input::LinkDown(link) => self.link_down(now, link, out),
-            Input::LinkShut(link) => self.link_shut(now, link, out),
-            Input::Node(link, said) => self.node(now, link, said, out),
-            Input::Nodes(entries) => {
+            Input::LinkEndedByNode(link) => self.link_shut(now, link, out),
+            Input::NodeMessage(link, said) => self.node(now, link, said, out),
+            Input::NodeList(entries) => {
                 self.nodes(now, &entries, out);
                 self.place_handed(now, out);
             }
-            Input::Closing => self.closing = true,
-            Input::Last => self.answer_all(now, out),
+            Input::StopAccepting => self.closing = true,
+            Input::AnswerAll => self.answer_all(now, out),
         }
         self.run(now, out);
     }
@@ -265,19 +265,19 @@
 
     /// Requests without an answer.
     #[must_use]
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.open
     }
 
     /// Whether nobody waits for anything: no request is open, and no release waits for a connection to its node.
     #[must_use]
-    pub fn is_quiet(&self) -> bool {
+    pub fn has_no_pending_work(&self) -> bool {
         self.open == 0 && self.links.values().all(Link::owes_nothing)
     }
 
     /// Sessions that stand.
     #[must_use]
-    pub fn standing(&self) -> usize {
+    pub fn playing_sessions(&self) -> usize {
         self.sessions.len() - self.open
     }
 
@@ -313,7 +313,7 @@
 
     /// The title of a session that is held.
     fn title(&self, id: SessionId) -> u64 {
-        self.sessions.get(&id).map_or(0, |s| s.ask.wish.title.0)
+        self.sessions.get(&id).map_or(0, |s| s.ask.spec.title.0)
     }
 
     fn number(&mut self) -> u64 {
@@ -328,7 +328,7 @@
         self.sweep_untold(now, out);
         self.early.retain(|_, e| e.at + REMEMBERED > now);
         while self.ended_order.front().is_some_and(|id| {
-            self.ended_order.len() > self.bounds.remembered
+            self.ended_order.len() > self.bounds.ended_sessions
                 || self.ended.get(id).is_none_or(|e| e.at + REMEMBERED < now)
         }) {
             if let Some(id) = self.ended_order.pop_front() {
--- a/crates/platform/src/core/requests.rs
+++ b/crates/platform/src/core/requests.rs
@@ -5,29 +5,29 @@
 use pepperhook::Outcome;
 
 impl Core {
-    pub(super) fn ask(&mut self, now: Time, conn: ConnId, ask: Ask, out: &mut Vec<Effect>) {
+    pub(super) fn ask(&mut self, now: Time, conn: ConnId, ask: SetUpRequest, out: &mut Vec<Effect>) {
         let id = ask.id;
         let Some(from) = self.conns.get(&conn) else {
             // It was closed from here while the request was on its way: nothing was sent for it.
-            return out.push(Effect::Tell(conn, ToViewer::Refused(id, None)));
+            return out.push(Effect::SendToViewer(conn, ToViewer::Refused(id, None)));
         };
         let peer = from.peer;
-        if ask.at.is_none() && (self.sessions.contains_key(&id) || self.ended.contains_key(&id)) {
+        if ask.playing_at.is_none() && (self.sessions.contains_key(&id) || self.ended.contains_key(&id)) {
             return self.conflict(now, conn, id, out);
         }
-        if let Some(server) = ask.at {
+        if let Some(server) = ask.playing_at {
             return self.under_way(now, conn, peer, ask, server, out);
         }
         let full = self.closing
             || from.left
-            || self.open >= self.bounds.open
-            || from.open.len() >= self.bounds.open_each
+            || self.open >= self.bounds.open_requests
+            || from.open.len() >= self.bounds.open_requests_per_conn
             || self.sessions.len() >= self.bounds.sessions;
         if full {
             // Nothing was sent for it, so that a refusal is honest for every class.
-            return out.push(Effect::Tell(conn, ToViewer::Refused(id, None)));
+            return out.push(Effect::SendToViewer(conn, ToViewer::Refused(id, None)));
         }
-        let (wish, deadline) = (ask.wish, now.saturating_add(ask.wish.max_wait));
+        let (spec, deadline) = (ask.spec, now.saturating_add(ask.spec.max_wait));
         let new = Session { ask, conn, peer, rung: 0, attempts: 0, phase: Phase::Open(None) };
         self.sessions.insert(id, new);
         self.open += 1;
@@ -36,7 +36,7 @@
         }
         self.became_good(now, conn, out);
         self.at(deadline.saturating_add(BACKSTOP), Wake::Backstop(id));
-        self.pending.push_back(Event::Request(id, wish));
+        self.pending.push_back(Event::Request(id, spec));
     }
 
     /// A second request under a known id. Where both came on one connection the first is not served either: its
@@ -47,10 +47,10 @@
         if open {
             self.withdraw(now, id, out);
         }
-        out.push(Effect::Tell(conn, ToViewer::Conflict(id)));
+        out.push(Effect::SendToViewer(conn, ToViewer::Conflict(id)));
         // The others on it are answered before it ends.
         self.left(now, conn, out);
-        out.push(Effect::Hang(conn));
+        out.push(Effect::CloseViewer(conn));
     }
 
     /// Takes an open request out of the accounts; its attempt is given up, the module forgets it.
@@ -72,7 +72,7 @@
             conn.open.remove(&id);
         }
         let cut = s.attempts > 0;
-        self.remember(now, id, s.ask.wish.title.0, cut);
+        self.remember(now, id, s.ask.spec.title.0, cut);
         Some(s)
     }
 
@@ -81,7 +81,7 @@
         // With an attempt out the module does not answer; should it, nothing may be left running at a node.
         self.give_up(now, id, out);
         if let Some(s) = self.close_request(now, id) {
-            out.push(Effect::Tell(s.conn, word));
+            out.push(Effect::SendToViewer(s.conn, word));
         }
     }
 
@@ -92,7 +92,7 @@
         let life = attempt.as_ref().map(|a| a.life);
         self.give_up(now, id, out);
         let Some(s) = self.close_request(now, id) else { return };
-        out.push(Effect::Tell(s.conn, ToViewer::Failed(id)));
+        out.push(Effect::SendToViewer(s.conn, ToViewer::Failed(id)));
         let server = life.and_then(|life| self.lives.get(&life).map(|l| (l.server, life)));
         self.pending.push_back(match server {
             Some((server, life)) => ended(id, server, self.fair(life, Outcome::TimedOut), true, Vec::new()),
@@ -125,7 +125,10 @@
         if heard {
             self.became_good(now, conn, out);
         }
-        out.push(Effect::Tell(conn, if heard { ToViewer::Heard(id) } else { ToViewer::Unknown(id) }));
+        out.push(Effect::SendToViewer(
+            conn,
+            if heard { ToViewer::Acknowledge(id) } else { ToViewer::UnknownSession(id) },
+        ));
     }
 
     /// The viewer has closed its side. One that has closed all of it and one that still reads look alike from here; the
@@ -138,7 +141,7 @@
             let sent = self.sessions.get(&id).is_some_and(|s| s.attempts > 0);
             let word = if sent { ToViewer::Failed(id) } else { ToViewer::Refused(id, None) };
             self.withdraw(now, id, out);
-            out.push(Effect::Tell(conn, word));
+            out.push(Effect::SendToViewer(conn, word));
         }
     }
 
@@ -159,7 +162,7 @@
     /// Connections that may give way to another viewer's: who never said anything, and, if none of them can go, who
     /// carries nothing. None has an open request.
     #[must_use]
-    pub fn may_give_way(&self) -> [Vec<ConnId>; 2] {
+    pub fn evictable_viewers(&self) -> [Vec<ConnId>; 2] {
         let idle = self.conns.iter().filter(|(_, c)| c.is_spare());
         let (good, silent): (Vec<_>, Vec<_>) = idle.partition(|(_, c)| c.good);
         [silent, good].map(|of| of.into_iter().map(|(id, _)| *id).collect())
@@ -169,7 +172,7 @@
     pub(super) fn give_way(&mut self, conn: ConnId, out: &mut Vec<Effect>) {
         if self.conns.get(&conn).is_some_and(Conn::is_spare) {
             self.conns.remove(&conn);
-            out.push(Effect::Hang(conn));
+            out.push(Effect::CloseViewer(conn));
         }
     }
 }
--- a/crates/platform/src/core/standing.rs
+++ b/crates/platform/src/core/standing.rs
@@ -26,7 +26,7 @@
 pub struct Unplaced {
     conn: ConnId,
     peer: IpAddr,
-    ask: Ask,
+    ask: SetUpRequest,
     server: ServerId,
 }
 
@@ -44,38 +44,38 @@
         now: Time,
         conn: ConnId,
         peer: IpAddr,
-        ask: Ask,
+        ask: SetUpRequest,
         server: ServerId,
         out: &mut Vec<Effect>,
     ) {
-        let (id, wish) = (ask.id, ask.wish);
+        let (id, spec) = (ask.id, ask.spec);
         if self.sessions.contains_key(&id) || self.unplaced.contains_key(&id) {
             return;
         }
-        let title = wish.title.0;
+        let title = spec.title.0;
         if self.ended.contains_key(&id) {
             // Its viewer has not heard of the end, or it would not hand the session over.
-            return self.tell_end(now, conn, peer, ToViewer::Over(id, title, CUT), out);
+            return self.tell_end(now, conn, peer, ToViewer::Ended(id, title, CUT), out);
         }
         if self.sessions.len() >= self.bounds.sessions {
-            return out.push(Effect::Tell(conn, ToViewer::Refused(id, None)));
+            return out.push(Effect::SendToViewer(conn, ToViewer::Refused(id, None)));
         }
         // Nothing of it is sent on.
-        let ask = Ask { body: Bytes::new(), ..ask };
+        let ask = SetUpRequest { body: Bytes::new(), ..ask };
         let Some(life) = self.current.get(&server).copied() else {
-            if self.unplaced.len() >= self.bounds.open {
-                return out.push(Effect::Tell(conn, ToViewer::Unknown(id)));
+            if self.unplaced.len() >= self.bounds.open_requests {
+                return out.push(Effect::SendToViewer(conn, ToViewer::UnknownSession(id)));
             }
             self.unplaced.insert(id, Unplaced { conn, peer, ask, server });
             return self.at(now + LATE, Wake::Handed(id));
         };
         let phase = Phase::Standing(life, now);
         // The description is of no further use, and thousands of long ones would fill the memory.
-        let ask = Ask { body: Bytes::new(), ..ask };
+        let ask = SetUpRequest { body: Bytes::new(), ..ask };
         self.sessions.insert(id, Session { ask, conn, peer, rung: 0, attempts: 1, phase });
         self.stands(life, conn, id);
         self.became_good(now, conn, out);
-        self.pending.push_back(Event::Adopted(id, wish, server));
+        self.pending.push_back(Event::Adopted(id, spec, server));
         // Its node may have told its end while the front was away: on the first connection that it was offered.
         if let Some(early) = self.early.remove(&id).filter(|e| e.server == server) {
             return self.over(now, id, early.outcome, Vec::new(), out);
@@ -101,12 +101,12 @@
     /// The list does not name its node: it is over, and whoever made it up hears that there is none.
     pub(super) fn handed_time(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
         let Some(Unplaced { conn, peer, ask, .. }) = self.unplaced.remove(&id) else { return };
-        self.remember(now, id, ask.wish.title.0, false);
-        self.tell_end(now, conn, peer, ToViewer::Over(id, ask.wish.title.0, CUT), out);
-        out.push(Effect::Tell(conn, ToViewer::Unknown(id)));
+        self.remember(now, id, ask.spec.title.0, false);
+        self.tell_end(now, conn, peer, ToViewer::Ended(id, ask.spec.title.0, CUT), out);
+        out.push(Effect::SendToViewer(conn, ToViewer::UnknownSession(id)));
     }
 
-    fn stands(&mut self, life: LifeId, conn: ConnId, id: SessionId) {
+    fn stands(&mut self, life: IncarnationId, conn: ConnId, id: SessionId) {
         if let Some(life) = self.lives.get_mut(&life) {
             life.standing.insert(id);
         }
@@ -138,7 +138,7 @@
                     conn.open.remove(&id);
                 }
                 self.stands(life, conn, id);
-                out.push(Effect::Tell(conn, ToViewer::Plays(id, body)));
+                out.push(Effect::SendToViewer(conn, ToViewer::Started(id, body)));
                 let Some(server) = self.lives.get(&life).map(|l| l.server) else { return };
                 self.pending.push_back(Event::Started(id, server));
             }
@@ -167,14 +167,14 @@
         report: Vec<f64>,
         out: &mut Vec<Effect>,
     ) {
-        self.write(now, link, ToNode::Heard(id), out);
+        self.write(now, link, ToNode::Acknowledge(id), out);
         let life = self.links.get(&link).map(|l| l.life);
         match self.sessions.get(&id).map(|s| &s.phase) {
             Some(Phase::Standing(at, _)) if Some(*at) == life => self.over(now, id, outcome, report, out),
             Some(Phase::Open(Some(a))) if Some(a.life) == life && a.stage != Stage::Torn => {
                 self.attempt_ended(id, Outcome::LinkBroken, report);
             }
-            None if !self.ended.contains_key(&id) && self.early.len() < self.bounds.remembered => {
+            None if !self.ended.contains_key(&id) && self.early.len() < self.bounds.ended_sessions => {
                 let server = life.and_then(|life| self.lives.get(&life)).map(|l| l.server);
                 if let Some(server) = server {
                     self.early.insert(id, Early { at: now, server, outcome });
@@ -201,14 +201,14 @@
             _ => Some(CUT),
         };
         if let Some(cause) = cause {
-            let word = ToViewer::Over(id, s.ask.wish.title.0, cause);
+            let word = ToViewer::Ended(id, s.ask.spec.title.0, cause);
             self.tell_end(now, s.conn, s.peer, word, out);
         }
         let report = if self.is_current(life) { report } else { Vec::new() };
         self.pending.push_back(ended(id, server, self.fair(life, outcome), true, report));
     }
 
-    fn standing_at(&self, id: SessionId) -> Option<LifeId> {
+    fn standing_at(&self, id: SessionId) -> Option<IncarnationId> {
         let Phase::Standing(life, _) = self.sessions.get(&id)?.phase else { return None };
         Some(life)
     }
@@ -218,7 +218,7 @@
         let Some(Phase::Standing(life, _)) = self.sessions.get(&id).map(|s| &s.phase) else { return };
         let life = *life;
         let Some((s, server)) = self.take_standing(now, id) else { return };
-        self.tell_node(now, life, ToNode::Release(id, s.ask.wish.title.0, CANCELLED), out);
+        self.tell_node(now, life, ToNode::Release(id, s.ask.spec.title.0, CANCELLED), out);
         self.pending.push_back(ended(id, server, Outcome::Cancelled, true, Vec::new()));
     }
 
@@ -229,7 +229,7 @@
         let Some(s) = self.sessions.get(&id).filter(|s| matches!(s.phase, Phase::Standing(..))) else {
             return;
         };
-        let (conn, peer, word) = (s.conn, s.peer, ToViewer::Move(id, s.ask.wish.title.0));
+        let (conn, peer, word) = (s.conn, s.peer, ToViewer::Move(id, s.ask.spec.title.0));
         self.tell_end(now, conn, peer, word, out);
         self.at(now + MOVED, Wake::Moved(id));
     }
@@ -240,7 +240,7 @@
         let Some(s) = self.sessions.get(&id).filter(|s| matches!(s.phase, Phase::Standing(..))) else {
             return;
         };
-        let (conn, peer, word) = (s.conn, s.peer, ToViewer::Over(id, s.ask.wish.title.0, CANCELLED));
+        let (conn, peer, word) = (s.conn, s.peer, ToViewer::Ended(id, s.ask.spec.title.0, CANCELLED));
         self.cut(now, id, out);
         self.tell_end(now, conn, peer, word, out);
     }
@@ -251,7 +251,7 @@
         if let Some(conn) = self.conns.get_mut(&s.conn) {
             conn.carries = conn.carries.saturating_sub(1);
         }
-        self.remember(now, id, s.ask.wish.title.0, false);
+        self.remember(now, id, s.ask.spec.title.0, false);
         let life = self.lives.get_mut(&life)?;
         life.standing.remove(&id);
         Some((s, life.server))
@@ -261,8 +261,8 @@
     /// as there is one.
     fn tell_end(&mut self, now: Time, conn: ConnId, peer: IpAddr, word: ToViewer, out: &mut Vec<Effect>) {
         match self.way_to(conn, peer) {
-            Some(conn) => out.push(Effect::Tell(conn, word)),
-            None if self.untold.len() < self.bounds.remembered => {
+            Some(conn) => out.push(Effect::SendToViewer(conn, word)),
+            None if self.untold.len() < self.bounds.ended_sessions => {
                 self.untold.push_back(Untold { peer, until: now + TOLD_WITHIN, word });
             }
             None => {}
@@ -279,7 +279,7 @@
         for _ in 0..self.untold.len() {
             let Some(untold) = self.untold.pop_front().filter(|u| u.until > now) else { continue };
             match self.way_to(ConnId(u64::MAX), untold.peer) {
-                Some(conn) => out.push(Effect::Tell(conn, untold.word)),
+                Some(conn) => out.push(Effect::SendToViewer(conn, untold.word)),
                 None => self.untold.push_back(untold),
             }
         }
@@ -289,8 +289,8 @@
         let Some(s) = self.sessions.get_mut(&id) else { return };
         s.rung = rung;
         if let Phase::Standing(life, _) = s.phase {
-            let title = s.ask.wish.title.0;
-            self.tell_node(now, life, ToNode::Rung(id, title, rung), out);
+            let title = s.ask.spec.title.0;
+            self.tell_node(now, life, ToNode::SetRung(id, title, rung), out);
         }
     }
 
--- a/crates/platform/src/core/tests/checker.rs
+++ b/crates/platform/src/core/tests/checker.rs
@@ -122,14 +122,16 @@
     /// What goes into the core, before it is handed in.
     pub fn input(&mut self, now: Time, input: &Input) {
         match input {
-            Input::Opened(conn, _) => drop(self.conns.insert(conn.0)),
+            Input::ViewerConnected(conn, _) => drop(self.conns.insert(conn.0)),
             // Handed over: no answer is owed.
-            Input::Ask(_, ask) if ask.at.is_some() => {}
-            Input::Ask(conn, ask) if self.conns.contains(&conn.0) && !self.requests.contains_key(&ask.id) => {
-                let paid = self.paid[usize::from(ask.wish.class.0)];
-                let due = now + ask.wish.max_wait + SLACK;
+            Input::SetUp(_, ask) if ask.playing_at.is_some() => {}
+            Input::SetUp(conn, ask)
+                if self.conns.contains(&conn.0) && !self.requests.contains_key(&ask.id) =>
+            {
+                let paid = self.paid[usize::from(ask.spec.class.0)];
+                let due = now + ask.spec.max_wait + SLACK;
                 let (class, title, top) =
-                    (usize::from(ask.wish.class.0), ask.wish.title.0, ask.wish.highest_rung);
+                    (usize::from(ask.spec.class.0), ask.spec.title.0, ask.spec.highest_rung);
                 let left = self.left.contains(&conn.0);
                 let new = Request {
                     class,
@@ -145,40 +147,40 @@
                 self.requests.insert(ask.id, new);
                 self.taken.push(now);
             }
-            Input::Ask(conn, ask) => {
+            Input::SetUp(conn, ask) => {
                 // A second request under one id: on the same connection it takes the first one along.
                 if let Some(r) = self.requests.get_mut(&ask.id).filter(|r| r.conn == conn.0 && !r.answered) {
                     (r.dropped, r.answered) = (true, true);
                 }
                 self.leave(conn.0);
             }
-            Input::Left(conn) => self.leave(conn.0),
-            Input::End(_, id) => {
+            Input::ViewerHalfClosed(conn) => self.leave(conn.0),
+            Input::Release(_, id) => {
                 self.standing.remove(id);
                 self.seated.remove(id);
                 if let Some(r) = self.requests.get_mut(id) {
                     r.dropped = true;
                 }
             }
-            Input::Gone(conn) => {
+            Input::ViewerDisconnected(conn) => {
                 self.conns.remove(&conn.0);
                 self.leave(conn.0);
             }
-            Input::LinkDown(link) | Input::LinkShut(link) | Input::LinkFailed(link, _) => {
+            Input::LinkDown(link) | Input::LinkEndedByNode(link) | Input::DialFailed(link, _) => {
                 self.links.remove(link);
                 self.requests.values_mut().filter(|r| r.out == Some(*link)).for_each(|r| r.out = None);
             }
-            Input::Node(link, said) => self.said(*link, said),
-            Input::Nodes(entries) => {
+            Input::NodeMessage(link, said) => self.said(*link, said),
+            Input::NodeList(entries) => {
                 let ready = |e: &&Entry| e.state == State::Ready;
                 self.ready = entries.iter().filter(ready).map(|e| e.address.into()).collect();
             }
-            Input::GiveWay(_)
+            Input::EvictViewer(_)
             | Input::LinkUp(_)
-            | Input::Waits(_)
-            | Input::Blocked(_)
-            | Input::Closing
-            | Input::Last => {}
+            | Input::ViewerWaits(_)
+            | Input::LinkBlocked(_)
+            | Input::StopAccepting
+            | Input::AnswerAll => {}
         }
     }
 
@@ -203,17 +205,19 @@
     }
 
     fn said(&mut self, link: LinkId, said: &FromNode) {
-        let (FromNode::Plays(id, ..) | FromNode::Ended(id, ..) | FromNode::Over(id, ..)) = said else {
+        let (FromNode::Started(id, ..) | FromNode::SetUpFailed(id, ..) | FromNode::SessionEnded(id, ..)) =
+            said
+        else {
             return;
         };
-        if matches!(said, FromNode::Over(..)) {
+        if matches!(said, FromNode::SessionEnded(..)) {
             self.seated.remove(id);
         }
         let Some(r) = self.requests.get_mut(id).filter(|r| r.out == Some(link)) else { return };
         r.out = None;
         match said {
-            FromNode::Plays(_, body) if !r.dropped => r.ready_answer = Some(body.clone()),
-            FromNode::Ended(_, Outcome::Full | Outcome::Unsent, _) => r.may_have_run = false,
+            FromNode::Started(_, body) if !r.dropped => r.ready_answer = Some(body.clone()),
+            FromNode::SetUpFailed(_, Outcome::Full | Outcome::Unsent, _) => r.may_have_run = false,
             _ => {}
         }
     }
@@ -222,17 +226,17 @@
     pub fn effect(&mut self, now: Time, effect: &Effect) -> Result<(), String> {
         match effect {
             Effect::Dial(link, address) => drop(self.links.insert(*link, *address)),
-            Effect::Close(link) => {
+            Effect::CloseLink(link) => {
                 self.links.remove(link);
                 self.requests.values_mut().filter(|r| r.out == Some(*link)).for_each(|r| r.out = None);
             }
-            Effect::Write(link, word) => self.judge_node(now, *link, word)?,
-            Effect::Tell(_, word) => self.judge_viewer(now, word)?,
-            Effect::Shut(link) if self.requests.values().any(|r| r.out == Some(*link)) => {
+            Effect::SendToNode(link, word) => self.judge_node(now, *link, word)?,
+            Effect::SendToViewer(_, word) => self.judge_viewer(now, word)?,
+            Effect::HalfCloseLink(link) if self.requests.values().any(|r| r.out == Some(*link)) => {
                 return Err(format!("{link:?} is shut under an attempt"));
             }
-            Effect::Shut(link) => drop(self.shut.insert(*link)),
-            Effect::Hang(_) | Effect::Look(..) | Effect::Log(..) => {}
+            Effect::HalfCloseLink(link) => drop(self.shut.insert(*link)),
+            Effect::CloseViewer(_) | Effect::CheckViewer(..) | Effect::Log(..) => {}
         }
         Ok(())
     }
@@ -262,7 +266,7 @@
                 (r.out, r.may_have_run) = (Some(link), true);
                 r.attempts += 1;
             }
-            ToNode::GiveUp(id, _) => {
+            ToNode::CancelSetUp(id, _) => {
                 if let Some(r) = self.requests.get_mut(id) {
                     r.out = None;
                 }
@@ -274,12 +278,12 @@
 
     fn judge_viewer(&mut self, now: Time, word: &ToViewer) -> Result<(), String> {
         let (id, plays, refused) = match word {
-            ToViewer::Plays(id, body) => (id, Some(body), false),
+            ToViewer::Started(id, body) => (id, Some(body), false),
             ToViewer::Refused(id, _) => (id, None, true),
             ToViewer::Failed(id) => (id, None, false),
-            ToViewer::Over(id, ..) | ToViewer::Move(id, _) => {
+            ToViewer::Ended(id, ..) | ToViewer::Move(id, _) => {
                 self.seated.remove(id);
-                let stood = if matches!(word, ToViewer::Over(..)) {
+                let stood = if matches!(word, ToViewer::Ended(..)) {
                     self.standing.remove(id)
                 } else {
                     self.standing.contains(id)
@@ -290,7 +294,7 @@
                     Err(format!("{id:?} did not stand and is told to be over"))
                 };
             }
-            ToViewer::Conflict(_) | ToViewer::Heard(_) | ToViewer::Unknown(_) => return Ok(()),
+            ToViewer::Conflict(_) | ToViewer::Acknowledge(_) | ToViewer::UnknownSession(_) => return Ok(()),
         };
         let r = self.requests.get_mut(id).ok_or("an answer that nobody asked for")?;
         if r.answered || r.dropped {
--- a/crates/platform/src/core/tests/churn.rs
+++ b/crates/platform/src/core/tests/churn.rs
@@ -72,7 +72,7 @@
             self.next += u32::from(self.listed[at].id == self.next);
         }
         let listed = self.listed.clone();
-        self.w.tell(Input::Nodes(listed));
+        self.w.tell(Input::NodeList(listed));
     }
 
     /// Whether the process that a connection leads to still runs.
@@ -91,35 +91,35 @@
                 match there {
                     Some(n) => drop(self.ends.insert(*link, (n.id, n.started_ms))),
                     None => {
-                        todo.extend(self.w.tell(Input::LinkFailed(*link, DialEnd::Refused)));
+                        todo.extend(self.w.tell(Input::DialFailed(*link, DialEnd::Refused)));
                         continue;
                     }
                 }
             }
             let input = match e {
                 // A process that is gone says nothing, or its connection is reset.
-                Effect::Write(link, _) | Effect::Shut(link) if !self.runs(link) => match what {
+                Effect::SendToNode(link, _) | Effect::HalfCloseLink(link) if !self.runs(link) => match what {
                     0..10 => Input::LinkDown(link),
                     _ => continue,
                 },
                 Effect::Dial(link, _) => match what {
-                    0 => Input::LinkFailed(link, DialEnd::Refused),
-                    1 => Input::LinkFailed(link, DialEnd::TimedOut),
-                    2 => Input::LinkFailed(link, DialEnd::Failed),
+                    0 => Input::DialFailed(link, DialEnd::Refused),
+                    1 => Input::DialFailed(link, DialEnd::TimedOut),
+                    2 => Input::DialFailed(link, DialEnd::Failed),
                     3 => continue,
                     _ => Input::LinkUp(link),
                 },
-                Effect::Write(link, ToNode::SetUp { id, .. }) => match what {
-                    0 => Input::Node(link, FromNode::Ended(id, Outcome::Full, Vec::new())),
-                    1 => Input::Node(link, FromNode::Ended(id, Outcome::Error, vec![0.5, 0.5])),
+                Effect::SendToNode(link, ToNode::SetUp { id, .. }) => match what {
+                    0 => Input::NodeMessage(link, FromNode::SetUpFailed(id, Outcome::Full, Vec::new())),
+                    1 => Input::NodeMessage(link, FromNode::SetUpFailed(id, Outcome::Error, vec![0.5, 0.5])),
                     2 => Input::LinkDown(link),
                     3 => continue,
-                    _ => Input::Node(link, plays(id.0)),
+                    _ => Input::NodeMessage(link, plays(id.0)),
                 },
-                Effect::Write(link, ToNode::AskLoad(id)) if what > 1 => {
-                    Input::Node(link, FromNode::Load(id, Some(vec![0.3, 0.3])))
+                Effect::SendToNode(link, ToNode::QueryLoad(id)) if what > 1 => {
+                    Input::NodeMessage(link, FromNode::LoadReport(id, Some(vec![0.3, 0.3])))
                 }
-                Effect::Shut(link) if what > 2 => Input::LinkShut(link),
+                Effect::HalfCloseLink(link) if what > 2 => Input::LinkEndedByNode(link),
                 _ => continue,
             };
             todo.extend(self.w.tell(input));
@@ -132,27 +132,32 @@
             let id = self.id;
             if self.draw(3) == 0 {
                 self.conn += 1;
-                self.w.tell(Input::Opened(ConnId(self.conn), HERE));
+                self.w.tell(Input::ViewerConnected(ConnId(self.conn), HERE));
             }
             let conn = ConnId(self.conn);
             let asked = ask(id, (id % 2) as u16);
             let at = self.draw(self.listed.len() as u64) as usize;
             let some = self.listed[at].id;
             let out = match self.draw(10) {
-                0 => self.w.tell(Input::Ask(conn, Ask { at: Some(ServerId(some)), ..asked })),
-                1 => self.w.tell(Input::Ask(conn, Ask { at: Some(ServerId(9_999_999)), ..asked })),
+                0 => self
+                    .w
+                    .tell(Input::SetUp(conn, SetUpRequest { playing_at: Some(ServerId(some)), ..asked })),
+                1 => self.w.tell(Input::SetUp(
+                    conn,
+                    SetUpRequest { playing_at: Some(ServerId(9_999_999)), ..asked },
+                )),
                 2 => {
-                    let out = self.w.tell(Input::Ask(conn, asked));
+                    let out = self.w.tell(Input::SetUp(conn, asked));
                     self.answer(out);
-                    self.w.tell(Input::End(conn, SessionId(id)))
+                    self.w.tell(Input::Release(conn, SessionId(id)))
                 }
                 3 => {
-                    let gone = self.w.tell(Input::Gone(conn));
+                    let gone = self.w.tell(Input::ViewerDisconnected(conn));
                     self.conn += 1;
-                    self.w.tell(Input::Opened(ConnId(self.conn), HERE));
+                    self.w.tell(Input::ViewerConnected(ConnId(self.conn), HERE));
                     gone
                 }
-                _ => self.w.tell(Input::Ask(conn, asked)),
+                _ => self.w.tell(Input::SetUp(conn, asked)),
             };
             self.answer(out);
         }
@@ -161,7 +166,8 @@
         for link in links.into_iter().filter(|l| self.runs(*l)).collect::<Vec<_>>() {
             let id = 1 + self.draw(self.id);
             let how = [Outcome::Served, Outcome::Cancelled, Outcome::Broken][self.draw(3) as usize];
-            let out = self.w.tell(Input::Node(link, FromNode::Over(SessionId(id), how, Vec::new())));
+            let out =
+                self.w.tell(Input::NodeMessage(link, FromNode::SessionEnded(SessionId(id), how, Vec::new())));
             self.answer(out);
         }
         let out = self.w.pass(200 * MS);
@@ -190,18 +196,18 @@
         assert!(most <= 60, "{most} lives were held at a time");
         // The world goes quiet: the last connections of viewers go, nodes end what they have, and time passes.
         let conns: Vec<_> = c.w.core.conns.keys().copied().filter(|conn| conn.0 != 1).collect();
-        conns.into_iter().for_each(|conn| drop(c.w.tell(Input::Gone(conn))));
+        conns.into_iter().for_each(|conn| drop(c.w.tell(Input::ViewerDisconnected(conn))));
         // The same ten nodes as at first, started anew.
         let started_ms = c.w.now / MS;
         c.listed = first.iter().map(|e| Entry { started_ms, ..*e }).collect();
         let listed = c.listed.clone();
-        c.w.tell(Input::Nodes(listed));
+        c.w.tell(Input::NodeList(listed));
         for _ in 0..400 {
             let out = c.w.pass(100 * MS);
             c.answer(out);
             for (id, e) in c.w.core.sessions.iter().map(|(id, s)| (*id, s.ask.id)).collect::<Vec<_>>() {
                 assert_eq!(id, e);
-                c.w.tell(Input::End(ConnId(1), id));
+                c.w.tell(Input::Release(ConnId(1), id));
             }
         }
         assert_eq!(sizes(&c.w), before, "seed {seed}");
--- a/crates/platform/src/core/tests/customers.rs
+++ b/crates/platform/src/core/tests/customers.rs
@@ -1,5 +1,5 @@
 //! Settings at random, in the form in which the platform hands them over and within what its pages allow, each with a
-//! random history judged by the checker: no customer's figures break an account, and no good wish is turned away unread.
+//! random history judged by the checker: no customer's figures break an account, and no good spec is turned away unread.
 
 use super::histories::Judged;
 use super::*;
@@ -108,7 +108,7 @@
         if what % 16 <= 3 {
             match read(&good_wish(&mut rng, &v, j.next), &known, cells) {
                 Ok(FromViewer::Ask(ask)) => j.ask(*ask),
-                _ => return Err("a good wish was not taken".to_owned()),
+                _ => return Err("a good spec was not taken".to_owned()),
             }
         } else if (11..13).contains(&(what % 16)) {
             j.latest_plays();
@@ -149,7 +149,7 @@
     assert!(sum.get()[3..].iter().all(|n| *n > 50), "{:?}", sum.get());
 }
 
-/// Every wish counted for the first tenant, whoever asked.
+/// Every spec counted for the first tenant, whoever asked.
 #[test]
 fn a_wish_counts_for_the_tenant_that_its_set_up_names() {
     let mut v = settings();
@@ -158,7 +158,7 @@
         let m = good_wish(&mut StdRng::seed_from_u64(1), v, 1);
         let m = name.map_or(m.clone(), |name| m.with("P-Customer", name));
         match read(&m, &known, 3) {
-            Ok(FromViewer::Ask(ask)) => Some(ask.wish.tenant.0),
+            Ok(FromViewer::Ask(ask)) => Some(ask.spec.tenant.0),
             _ => None,
         }
     };
--- a/crates/platform/src/core/tests/histories.rs
+++ b/crates/platform/src/core/tests/histories.rs
@@ -37,7 +37,7 @@
         let nodes = [1, 2, 3].map(|id| node(id, State::Ready));
         let mut world = World::of(settings, descriptors, &[]);
         let mut checker = Checker::new(paid, settings);
-        checker.input(T0, &Input::Opened(ConnId(1), HERE));
+        checker.input(T0, &Input::ViewerConnected(ConnId(1), HERE));
         world.out.clear();
         let mut j = Self {
             world,
@@ -55,7 +55,7 @@
             ends: [0; 3],
             fault: None,
         };
-        j.tell(Input::Nodes(nodes.to_vec()));
+        j.tell(Input::NodeList(nodes.to_vec()));
         j
     }
 
@@ -66,13 +66,13 @@
             }
             match e {
                 Effect::Dial(link, _) => self.dials.push(link),
-                Effect::Write(link, ToNode::SetUp { id, .. }) => self.sent.push((link, id)),
-                Effect::Close(link) => {
+                Effect::SendToNode(link, ToNode::SetUp { id, .. }) => self.sent.push((link, id)),
+                Effect::CloseLink(link) => {
                     self.dials.retain(|l| *l != link);
                     self.links.retain(|l| *l != link);
                     self.shut.retain(|l| *l != link);
                 }
-                Effect::Shut(link) => self.shut.push(link),
+                Effect::HalfCloseLink(link) => self.shut.push(link),
                 _ => {}
             }
         }
@@ -84,10 +84,10 @@
         self.take(out);
     }
 
-    pub fn ask(&mut self, ask: Ask) {
+    pub fn ask(&mut self, ask: SetUpRequest) {
         self.asked.push(ask.id);
-        self.wishes.insert(ask.id, ask.wish);
-        self.tell(Input::Ask(ConnId(self.conn), ask));
+        self.wishes.insert(ask.id, ask.spec);
+        self.tell(Input::SetUp(ConnId(self.conn), ask));
         self.next += 1;
     }
 
@@ -98,7 +98,7 @@
         self.away.push(ConnId(self.conn));
         self.ends[0] += 1;
         self.conn += 1;
-        self.tell(Input::Opened(ConnId(self.conn), HERE));
+        self.tell(Input::ViewerConnected(ConnId(self.conn), HERE));
     }
 
     /// The core hears of a connection that was closed, in one step or two.
@@ -108,9 +108,9 @@
         }
         let conn = self.away.remove(which % self.away.len());
         if which % 2 == 0 {
-            self.tell(Input::Left(conn));
+            self.tell(Input::ViewerHalfClosed(conn));
         }
-        self.tell(Input::Gone(conn));
+        self.tell(Input::ViewerDisconnected(conn));
     }
 
     /// The process is killed and comes up again from nothing; some of what stands is handed over to it.
@@ -127,13 +127,13 @@
         self.asked.clear();
         self.away.clear();
         self.ends[1] += 1;
-        self.tell(Input::Nodes([1, 2, 3].map(|id| node(id, State::Ready)).to_vec()));
-        self.tell(Input::Opened(ConnId(self.conn), HERE));
+        self.tell(Input::NodeList([1, 2, 3].map(|id| node(id, State::Ready)).to_vec()));
+        self.tell(Input::ViewerConnected(ConnId(self.conn), HERE));
         for id in stands {
             // Where it plays is not kept here: its node says nothing of it, or its own end.
             let at = Some(ServerId(1 + (id.0 % 3) as u32));
-            let wish = self.wishes.get(&id).copied().unwrap_or(ask(id.0, 0).wish);
-            self.tell(Input::Ask(ConnId(self.conn), Ask { at, wish, ..ask(id.0, 0) }));
+            let spec = self.wishes.get(&id).copied().unwrap_or(ask(id.0, 0).spec);
+            self.tell(Input::SetUp(ConnId(self.conn), SetUpRequest { playing_at: at, spec, ..ask(id.0, 0) }));
             self.ends[2] += 1;
         }
     }
@@ -145,7 +145,7 @@
             self.notices(0);
         }
         let standing: Vec<_> = self.world.core.sessions.keys().copied().collect();
-        standing.into_iter().for_each(|id| self.tell(Input::End(ConnId(self.conn), id)));
+        standing.into_iter().for_each(|id| self.tell(Input::Release(ConnId(self.conn), id)));
         self.pass(120 * S);
         self.verdict()?;
         let c = &self.world.core;
@@ -168,7 +168,7 @@
     /// The node of the latest set-up says that it plays.
     pub fn latest_plays(&mut self) {
         if let Some((link, id)) = self.sent.last().copied() {
-            self.tell(Input::Node(link, plays(id.0)));
+            self.tell(Input::NodeMessage(link, plays(id.0)));
         }
     }
 
@@ -181,7 +181,11 @@
     pub fn verdict(&self) -> Result<(), String> {
         self.fault.clone().map_or(Ok(()), Err)?;
         self.checker.end()?;
-        if self.world.core.open() == 0 { Ok(()) } else { Err("a request is open for ever".to_owned()) }
+        if self.world.core.open_requests() == 0 {
+            Ok(())
+        } else {
+            Err("a request is open for ever".to_owned())
+        }
     }
 
     pub fn pass(&mut self, time: Time) {
@@ -198,14 +202,14 @@
         let pick = |n: usize| if n == 0 { None } else { Some(which % n) };
         match what % 16 {
             0..=3 => {
-                self.tell(Input::Ask(ConnId(self.conn), ask(self.next, u16::from(which % 2 == 1))));
+                self.tell(Input::SetUp(ConnId(self.conn), ask(self.next, u16::from(which % 2 == 1))));
                 self.next += 1;
             }
-            4 => self.tell(Input::End(ConnId(self.conn), SessionId(1 + which as u64 % self.next))),
+            4 => self.tell(Input::Release(ConnId(self.conn), SessionId(1 + which as u64 % self.next))),
             5 if which % 4 == 0 => {
-                self.tell(Input::Gone(ConnId(self.conn)));
+                self.tell(Input::ViewerDisconnected(ConnId(self.conn)));
                 self.conn += 1;
-                self.tell(Input::Opened(ConnId(self.conn), HERE));
+                self.tell(Input::ViewerConnected(ConnId(self.conn), HERE));
             }
             6..=8 => {
                 if let Some(i) = pick(self.dials.len()) {
@@ -218,20 +222,20 @@
                 if let Some(i) = pick(self.dials.len()) {
                     let how = [DialEnd::Refused, DialEnd::TimedOut, DialEnd::Failed][which % 3];
                     let link = self.dials.remove(i);
-                    self.tell(Input::LinkFailed(link, how));
+                    self.tell(Input::DialFailed(link, how));
                 }
             }
             10 => {
                 if let Some(i) = pick(self.links.len()) {
                     let link = self.links.remove(i);
                     let shut = self.shut.contains(&link) && which % 3 > 0;
-                    self.tell(if shut { Input::LinkShut(link) } else { Input::LinkDown(link) });
+                    self.tell(if shut { Input::LinkEndedByNode(link) } else { Input::LinkDown(link) });
                 }
             }
             11 | 12 => {
                 if let Some(i) = pick(self.sent.len()) {
                     let (link, id) = self.sent[i];
-                    self.tell(Input::Node(link, plays(id.0)));
+                    self.tell(Input::NodeMessage(link, plays(id.0)));
                 }
             }
             13 => {
@@ -239,20 +243,20 @@
                     let (link, id) = self.sent[i];
                     let how =
                         [Outcome::Full, Outcome::Error, Outcome::Unsent, Outcome::LinkBroken][which % 4];
-                    self.tell(Input::Node(link, FromNode::Ended(id, how, vec![0.5, 0.5])));
+                    self.tell(Input::NodeMessage(link, FromNode::SetUpFailed(id, how, vec![0.5, 0.5])));
                 }
             }
             14 => {
                 if let Some(i) = pick(self.sent.len()) {
                     let (link, id) = self.sent[i];
                     let how = [Outcome::Served, Outcome::Cancelled, Outcome::Broken][which % 3];
-                    self.tell(Input::Node(link, FromNode::Over(id, how, Vec::new())));
+                    self.tell(Input::NodeMessage(link, FromNode::SessionEnded(id, how, Vec::new())));
                 }
             }
             15 => {
                 let state = |i: usize| if which >> i & 1 == 1 { State::Draining } else { State::Ready };
                 let nodes = (0..3).filter(|i| which % 5 != *i);
-                self.tell(Input::Nodes(nodes.map(|i| node(i as u32 + 1, state(i))).collect()));
+                self.tell(Input::NodeList(nodes.map(|i| node(i as u32 + 1, state(i))).collect()));
             }
             _ => {}
         }
@@ -273,14 +277,14 @@
         j.pass(20 * S);
         prop_assert_eq!(j.fault.clone(), None);
         prop_assert_eq!(j.checker.end(), Ok(()));
-        prop_assert_eq!(j.world.core.open(), 0);
+        prop_assert_eq!(j.world.core.open_requests(), 0);
     }
 }
 
 /// A request that was sent to a node, and the checker that saw it.
 fn sent(class: u16) -> (Judged, LinkId) {
     let mut j = Judged::new();
-    j.tell(Input::Ask(ConnId(1), ask(1, class)));
+    j.tell(Input::SetUp(ConnId(1), ask(1, class)));
     let link = j.dials[0];
     j.tell(Input::LinkUp(link));
     assert!(j.fault.is_none() && j.sent == [(link, SessionId(1))]);
@@ -289,58 +293,67 @@
 
 fn again(link: LinkId) -> Effect {
     let body = Bytes::new();
-    Effect::Write(link, ToNode::SetUp { id: SessionId(1), title: 7, class: 0, wait_ms: 1, rung: 0, body })
+    Effect::SendToNode(
+        link,
+        ToNode::SetUp { id: SessionId(1), title: 7, class: 0, wait_ms: 1, rung: 0, body },
+    )
 }
 
 #[test]
 fn the_checker_sees_violations_that_are_planted() {
-    let failed = Effect::Tell(ConnId(1), ToViewer::Failed(SessionId(1)));
-    let served = Effect::Tell(ConnId(1), ToViewer::Plays(SessionId(1), Bytes::from_static(b"made up")));
-    let refused = Effect::Tell(ConnId(1), ToViewer::Refused(SessionId(1), None));
+    let failed = Effect::SendToViewer(ConnId(1), ToViewer::Failed(SessionId(1)));
+    let served =
+        Effect::SendToViewer(ConnId(1), ToViewer::Started(SessionId(1), Bytes::from_static(b"made up")));
+    let refused = Effect::SendToViewer(ConnId(1), ToViewer::Refused(SessionId(1), None));
     let fault = |j: &mut Judged, e: &Effect| j.checker.effect(j.world.now, e).expect_err("a violation");
 
     let (mut j, link) = sent(0);
     assert!(fault(&mut j, &again(link)).contains("two attempts"));
     assert!(fault(&mut j, &served).contains("no node made"));
     assert!(j.checker.end().is_err(), "an answer is owed");
-    assert!(fault(&mut j, &Effect::Shut(link)).contains("under an attempt"));
+    assert!(fault(&mut j, &Effect::HalfCloseLink(link)).contains("under an attempt"));
     assert_eq!(j.checker.effect(j.world.now, &failed), Ok(()));
     assert!(fault(&mut j, &failed).contains("nothing is owed"));
 
     let (mut j, link) = sent(1);
     assert!(fault(&mut j, &refused).contains("refused"));
-    j.checker
-        .input(j.world.now, &Input::Node(link, FromNode::Ended(SessionId(1), Outcome::Error, Vec::new())));
+    j.checker.input(
+        j.world.now,
+        &Input::NodeMessage(link, FromNode::SetUpFailed(SessionId(1), Outcome::Error, Vec::new())),
+    );
     assert!(fault(&mut j, &again(link)).contains("paid"));
 
     let (mut j, link) = sent(0);
-    j.checker
-        .input(j.world.now, &Input::Node(link, FromNode::Ended(SessionId(1), Outcome::Full, Vec::new())));
-    j.checker.input(j.world.now, &Input::Nodes(vec![]));
+    j.checker.input(
+        j.world.now,
+        &Input::NodeMessage(link, FromNode::SetUpFailed(SessionId(1), Outcome::Full, Vec::new())),
+    );
+    j.checker.input(j.world.now, &Input::NodeList(vec![]));
     assert!(fault(&mut j, &again(link)).contains("not ready"));
     assert!(j.checker.effect(j.world.now + 4 * S, &failed).expect_err("late").contains("too late"));
-    let over = Effect::Tell(ConnId(1), ToViewer::Over(SessionId(1), 7, 16));
+    let over = Effect::SendToViewer(ConnId(1), ToViewer::Ended(SessionId(1), 7, 16));
     assert!(fault(&mut j, &over).contains("did not stand"));
 
-    let full = Input::Node(link, FromNode::Ended(SessionId(1), Outcome::Full, Vec::new()));
+    let full = Input::NodeMessage(link, FromNode::SetUpFailed(SessionId(1), Outcome::Full, Vec::new()));
     let (mut j, _) = sent(0);
     j.checker.input(j.world.now, &full);
     j.checker.departs(ConnId(1));
     assert!(fault(&mut j, &again(link)).contains("nobody waits"), "it has closed, though nobody was told");
-    j.checker.input(j.world.now, &Input::Node(link, plays(1)));
-    j.checker.input(j.world.now, &Input::Left(ConnId(1)));
+    j.checker.input(j.world.now, &Input::NodeMessage(link, plays(1)));
+    j.checker.input(j.world.now, &Input::ViewerHalfClosed(ConnId(1)));
     assert!(j.checker.end().is_err_and(|e| e.contains("no answer")), "whoever reads on is owed the end");
     let mut served = Checker::new(vec![false, true], &settings());
-    served.input(T0, &Input::Opened(ConnId(1), HERE));
-    served.input(T0, &Input::Ask(ConnId(1), ask(1, 0)));
-    served.input(T0, &Input::Left(ConnId(1)));
-    let plays_now = Effect::Tell(ConnId(1), ToViewer::Plays(SessionId(1), Bytes::from_static(b"answer")));
+    served.input(T0, &Input::ViewerConnected(ConnId(1), HERE));
+    served.input(T0, &Input::SetUp(ConnId(1), ask(1, 0)));
+    served.input(T0, &Input::ViewerHalfClosed(ConnId(1)));
+    let plays_now =
+        Effect::SendToViewer(ConnId(1), ToViewer::Started(SessionId(1), Bytes::from_static(b"answer")));
     assert!(served.effect(T0, &plays_now).is_err_and(|e| e.contains("has left")));
 
     let (mut j, link) = sent(0);
-    j.checker.input(j.world.now, &Input::Node(link, plays(1)));
-    assert_eq!(j.checker.effect(j.world.now, &Effect::Shut(link)), Ok(()));
-    let word = Effect::Write(link, ToNode::Heard(SessionId(1)));
+    j.checker.input(j.world.now, &Input::NodeMessage(link, plays(1)));
+    assert_eq!(j.checker.effect(j.world.now, &Effect::HalfCloseLink(link)), Ok(()));
+    let word = Effect::SendToNode(link, ToNode::Acknowledge(SessionId(1)));
     assert!(fault(&mut j, &word).contains("after it was shut"));
 }
 
@@ -348,23 +361,23 @@
 fn the_checker_sees_terms_that_are_broken() {
     let set_up = |rung| {
         let body = Bytes::new();
-        Effect::Write(
+        Effect::SendToNode(
             LinkId(1),
             ToNode::SetUp { id: SessionId(2), title: 7, class: 0, wait_ms: 1, rung, body },
         )
     };
     let judge = |v: &Value, rung: u8, sent: usize| {
         let mut j = Judged::of(v, 256, vec![false, true]);
-        j.tell(Input::Ask(ConnId(1), ask(1, 0)));
+        j.tell(Input::SetUp(ConnId(1), ask(1, 0)));
         let link = j.dials[0];
         j.tell(Input::LinkUp(link));
-        j.tell(Input::Ask(ConnId(1), ask(2, 0)));
-        let Effect::Write(_, word) = set_up(rung) else { unreachable!() };
+        j.tell(Input::SetUp(ConnId(1), ask(2, 0)));
+        let Effect::SendToNode(_, word) = set_up(rung) else { unreachable!() };
         let mut last = Ok(());
         for _ in 0..sent {
-            last = j.checker.effect(j.world.now, &Effect::Write(link, word.clone()));
-            let full = FromNode::Ended(SessionId(2), Outcome::Full, Vec::new());
-            j.checker.input(j.world.now, &Input::Node(link, full));
+            last = j.checker.effect(j.world.now, &Effect::SendToNode(link, word.clone()));
+            let full = FromNode::SetUpFailed(SessionId(2), Outcome::Full, Vec::new());
+            j.checker.input(j.world.now, &Input::NodeMessage(link, full));
         }
         last
     };
--- a/crates/platform/src/core/tests/lists.rs
+++ b/crates/platform/src/core/tests/lists.rs
@@ -6,11 +6,11 @@
 use std::net::SocketAddr;
 
 fn probes(out: &[Effect]) -> usize {
-    out.iter().filter(|e| matches!(e, Effect::Write(_, ToNode::AskLoad(_)))).count()
+    out.iter().filter(|e| matches!(e, Effect::SendToNode(_, ToNode::QueryLoad(_)))).count()
 }
 
 fn set_ups(out: &[Effect]) -> usize {
-    out.iter().filter(|e| matches!(e, Effect::Write(_, ToNode::SetUp { .. }))).count()
+    out.iter().filter(|e| matches!(e, Effect::SendToNode(_, ToNode::SetUp { .. }))).count()
 }
 
 /// What the module holds of a node.
@@ -30,12 +30,12 @@
     let (old, _) = w.standing(1);
     let (late, _) = dialled(&w.pass(6 * S)).expect("a quiet node is dialled");
     let new = started(&w, Entry { id: 4, ..node(1, State::Ready) });
-    let out = w.tell(Input::Nodes(vec![new]));
-    assert!(out.contains(&Effect::Close(late)) && !out.contains(&Effect::Close(old)), "{out:?}");
+    let out = w.tell(Input::NodeList(vec![new]));
+    assert!(out.contains(&Effect::CloseLink(late)) && !out.contains(&Effect::CloseLink(old)), "{out:?}");
     let out = w.tell(Input::LinkUp(late));
-    assert_eq!(out, [Effect::Close(late)], "it came up all the same: nothing goes over it");
-    assert_eq!(w.core.standing(), 1, "the old connection has its chance to speak");
-    assert!(w.tell(Input::Node(late, FromNode::Other)).is_empty());
+    assert_eq!(out, [Effect::CloseLink(late)], "it came up all the same: nothing goes over it");
+    assert_eq!(w.core.playing_sessions(), 1, "the old connection has its chance to speak");
+    assert!(w.tell(Input::NodeMessage(late, FromNode::Other)).is_empty());
     let out = w.pass(1_100 * MS);
     assert!(told(&out, &over(1, 41)), "nothing came on it");
 }
@@ -44,12 +44,12 @@
 #[test]
 fn a_set_up_that_waits_for_a_node_that_leaves_the_list_goes_elsewhere_at_once() {
     let mut w = World::three();
-    let out = w.tell(Input::Ask(ConnId(1), ask(1, 1)));
+    let out = w.tell(Input::SetUp(ConnId(1), ask(1, 1)));
     let (first, address) = dialled(&out).expect("a dial");
     let all = [1, 2, 3].map(|id| node(id, State::Ready));
     let rest = all.into_iter().filter(|n| SocketAddr::from(n.address) != address).collect();
-    let out = w.tell(Input::Nodes(rest));
-    assert!(out.contains(&Effect::Close(first)), "{out:?}");
+    let out = w.tell(Input::NodeList(rest));
+    assert!(out.contains(&Effect::CloseLink(first)), "{out:?}");
     let (second, other) = dialled(&out).expect("another node is dialled");
     assert_ne!(address, other);
     assert_eq!(set_up(&w.tell(Input::LinkUp(second))), Some((second, SessionId(1))));
@@ -66,18 +66,18 @@
     w.pass(100 * MS);
     let (check, _) = dialled(&w.tell(Input::LinkDown(link))).expect("the node is dialled");
     w.tell(Input::LinkUp(check));
-    assert_eq!(w.core.standing(), 1, "as far as can be told, the connection alone broke");
+    assert_eq!(w.core.playing_sessions(), 1, "as far as can be told, the connection alone broke");
     // Set up over it meanwhile: it really plays at the newcomer.
-    let out = w.tell(Input::Ask(ConnId(1), ask(2, 0)));
+    let out = w.tell(Input::SetUp(ConnId(1), ask(2, 0)));
     assert_eq!(set_up(&out), Some((check, SessionId(2))));
-    w.tell(Input::Node(check, plays(2)));
+    w.tell(Input::NodeMessage(check, plays(2)));
     w.pass(3 * S);
-    let out = w.tell(Input::Nodes(vec![new]));
+    let out = w.tell(Input::NodeList(vec![new]));
     assert!(told(&out, &over(1, 41)) && told(&out, &over(2, 41)), "{out:?}");
     assert!(wrote(&out, &ToNode::Release(SessionId(2), 7, 41)), "it does not play on for nobody");
     assert!(!wrote(&out, &ToNode::Release(SessionId(1), 7, 41)), "the newcomer never had it");
-    assert!(out.contains(&Effect::Close(check)));
-    assert_eq!(w.core.standing(), 0);
+    assert!(out.contains(&Effect::CloseLink(check)));
+    assert_eq!(w.core.playing_sessions(), 0);
     assert!(!view(&w, 4).barred, "nothing of the old node is held against the new one");
 }
 
@@ -89,18 +89,18 @@
     let (old, _) = w.standing(1);
     w.pass(S);
     let new = started(&w, Entry { id: 4, ..node(1, State::Ready) });
-    w.tell(Input::Nodes(vec![new]));
-    let (fresh, _) = dialled(&w.tell(Input::Ask(ConnId(1), ask(2, 0)))).expect("a connection of its own");
+    w.tell(Input::NodeList(vec![new]));
+    let (fresh, _) = dialled(&w.tell(Input::SetUp(ConnId(1), ask(2, 0)))).expect("a connection of its own");
     let out = w.tell(Input::LinkUp(fresh));
     assert_eq!(set_up(&out), Some((fresh, SessionId(2))));
-    w.tell(Input::Node(fresh, plays(2)));
+    w.tell(Input::NodeMessage(fresh, plays(2)));
     let mut out = Vec::new();
     for _ in 0..12 {
         out.extend(w.pass(100 * MS));
-        w.tell(Input::Node(fresh, FromNode::Other));
+        w.tell(Input::NodeMessage(fresh, FromNode::Other));
     }
-    assert!(probes(&out) > 0 && told(&out, &over(1, 41)) && out.contains(&Effect::Close(old)), "{out:?}");
-    assert_eq!(w.core.standing(), 1);
+    assert!(probes(&out) > 0 && told(&out, &over(1, 41)) && out.contains(&Effect::CloseLink(old)), "{out:?}");
+    assert_eq!(w.core.playing_sessions(), 1);
     assert!(!told(&out, &over(2, 41)));
 }
 
@@ -111,13 +111,13 @@
         let (link, address) = w.sent(1, 1);
         let all = [1, 2, 3].map(|id| node(id, State::Ready));
         let rest: Vec<_> = all.into_iter().filter(|n| SocketAddr::from(n.address) != address).collect();
-        let out = w.tell(Input::Nodes(rest.clone()));
+        let out = w.tell(Input::NodeList(rest.clone()));
         assert!(!told(&out, &failed(1)) && set_ups(&out) == 0, "one attempt at a time: {out:?}");
         let out = match ending {
             // It answers: the session stands there, and is over with the node.
             0 => {
-                let out = w.tell(Input::Node(link, plays(1)));
-                assert!(told(&out, &ToViewer::Plays(SessionId(1), Bytes::from_static(b"answer"))));
+                let out = w.tell(Input::NodeMessage(link, plays(1)));
+                assert!(told(&out, &ToViewer::Started(SessionId(1), Bytes::from_static(b"answer"))));
                 w.tell(Input::LinkDown(link))
             }
             // Its connection ends: it may have run.
@@ -128,7 +128,7 @@
         let word = if ending == 0 { over(1, 41) } else { failed(1) };
         assert!(told(&out, &word), "{ending}: {out:?}");
         assert!(dialled(&out).is_none_or(|(_, at)| at != address), "its address may be another's");
-        assert_eq!((w.core.open(), w.core.standing()), (0, 0));
+        assert_eq!((w.core.open_requests(), w.core.playing_sessions()), (0, 0));
         w.pass(15 * S);
         assert!(w.core.lives.values().all(|l| !l.links.contains(&link)) && w.core.lives.len() == 2);
     }
@@ -140,7 +140,7 @@
     for gone in [false, true] {
         let mut w = World::three();
         let (up, address) = w.sent(1, 0);
-        let waits = w.tell(Input::Ask(ConnId(1), ask(2, 0)));
+        let waits = w.tell(Input::SetUp(ConnId(1), ask(2, 0)));
         let waits = dialled(&waits);
         let all = [1, 2, 3].map(|id| node(id, State::Ready));
         let list = all.into_iter().filter_map(|n| match SocketAddr::from(n.address) == address {
@@ -148,7 +148,7 @@
             true => Some(Entry { state: State::Draining, ..n }),
             false => Some(n),
         });
-        w.tell(Input::Nodes(list.collect()));
+        w.tell(Input::NodeList(list.collect()));
         if let Some((link, _)) = waits {
             w.tell(Input::LinkUp(link));
         }
@@ -156,7 +156,7 @@
         w.out.clear();
         let mut links = BTreeMap::new();
         for id in 3..30 {
-            let mut out = w.tell(Input::Ask(ConnId(1), ask(id, 0)));
+            let mut out = w.tell(Input::SetUp(ConnId(1), ask(id, 0)));
             out.extend(w.pass(50 * MS));
             while let Some((link, at)) = dialled(&out) {
                 assert!(!gone || at != address, "dialled though it is gone");
@@ -165,12 +165,12 @@
             }
             let sent = w.out.iter().rev().find_map(|e| set_up(std::slice::from_ref(e)));
             if let Some((link, id)) = sent {
-                w.tell(Input::Node(link, plays(id.0)));
+                w.tell(Input::NodeMessage(link, plays(id.0)));
             }
         }
         let there: BTreeSet<_> = links.iter().filter(|(_, at)| **at == address).map(|(l, _)| *l).collect();
         for e in &w.out {
-            if let Effect::Write(link, ToNode::SetUp { .. }) = e {
+            if let Effect::SendToNode(link, ToNode::SetUp { .. }) = e {
                 assert!(*link != up && !there.contains(link), "{e:?}");
             }
         }
@@ -189,17 +189,17 @@
     // The process starts anew, the list does not tell it yet: the broken connection is dialled, and takes a set-up.
     let (fresh, _) = dialled(&w.tell(Input::LinkDown(old))).expect("the node is dialled");
     w.tell(Input::LinkUp(fresh));
-    assert_eq!(set_up(&w.tell(Input::Ask(ConnId(1), ask(2, 0)))), Some((fresh, SessionId(2))));
-    w.tell(Input::Node(fresh, plays(2)));
+    assert_eq!(set_up(&w.tell(Input::SetUp(ConnId(1), ask(2, 0)))), Some((fresh, SessionId(2))));
+    w.tell(Input::NodeMessage(fresh, plays(2)));
     assert_eq!(view(&w, 1).warmth, 1.0, "nobody has told");
-    let out = w.tell(Input::Nodes(vec![back]));
+    let out = w.tell(Input::NodeList(vec![back]));
     assert!(told(&out, &over(1, 41)) && !told(&out, &over(2, 41)), "{out:?}");
-    assert!(!out.contains(&Effect::Close(fresh)), "it leads to the new process");
+    assert!(!out.contains(&Effect::CloseLink(fresh)), "it leads to the new process");
     let now = view(&w, 1);
     assert!(now.warmth < 0.5 && !now.barred && now.sessions == 1, "{now:?}");
     // Told again it changes nothing.
-    assert!(w.tell(Input::Nodes(vec![back])).is_empty());
-    assert_eq!(w.core.standing(), 1);
+    assert!(w.tell(Input::NodeList(vec![back])).is_empty());
+    assert_eq!(w.core.playing_sessions(), 1);
 }
 
 /// It may also be gone from the list in between, and come back at another address: two lives of one id.
@@ -208,23 +208,23 @@
     let mut w = World::new(&[node(1, State::Ready)]);
     let (old, _) = w.sent(1, 0);
     let (out_there, _) = w.sent(2, 1);
-    w.tell(Input::Node(old, plays(1)));
+    w.tell(Input::NodeMessage(old, plays(1)));
     w.pass(S);
     let moved = Entry { address: node(9, State::Ready).address, ..started(&w, node(1, State::Ready)) };
-    w.tell(Input::Nodes(vec![moved]));
+    w.tell(Input::NodeList(vec![moved]));
     w.pass(10 * MS);
     assert!(!view(&w, 1).barred);
     // The old process dies, with a session and an attempt; a report comes late.
     let report = vec![9.0, 9.0];
     let used = view(&w, 1).link_use;
-    w.tell(Input::Node(old, FromNode::Over(SessionId(1), Outcome::Broken, report)));
+    w.tell(Input::NodeMessage(old, FromNode::SessionEnded(SessionId(1), Outcome::Broken, report)));
     w.tell(Input::LinkDown(out_there));
     let out = w.tell(Input::LinkDown(old));
-    assert!(w.out.contains(&Effect::Tell(ConnId(1), failed(2))), "{out:?}");
+    assert!(w.out.contains(&Effect::SendToViewer(ConnId(1), failed(2))), "{out:?}");
     let now = view(&w, 1);
     assert!(!now.barred && now.sessions == 0 && now.link_use <= used + 0.1, "{now:?}");
     // It serves.
-    let (link, at) = dialled(&w.tell(Input::Ask(ConnId(1), ask(3, 0)))).expect("a dial");
+    let (link, at) = dialled(&w.tell(Input::SetUp(ConnId(1), ask(3, 0)))).expect("a dial");
     assert_eq!(at, moved.address.into());
     assert_eq!(set_up(&w.tell(Input::LinkUp(link))), Some((link, SessionId(3))));
 }
@@ -238,14 +238,14 @@
     let mut dials = 0;
     for id in 10..30u64 {
         let asked = w.now;
-        let mut out = w.tell(Input::Ask(ConnId(1), ask(id, 1)));
+        let mut out = w.tell(Input::SetUp(ConnId(1), ask(id, 1)));
         let mut answers = 0;
         while w.now < asked + 3 * S + 100 * MS {
             // The system takes connections for it.
             let links: Vec<_> =
                 out.iter().filter_map(|e| if let Effect::Dial(l, _) = e { Some(*l) } else { None }).collect();
             dials += links.len();
-            let own = |e: &&Effect| matches!(e, Effect::Tell(_, ToViewer::Failed(i) | ToViewer::Refused(i, _)) if i.0 == id);
+            let own = |e: &&Effect| matches!(e, Effect::SendToViewer(_, ToViewer::Failed(i) | ToViewer::Refused(i, _)) if i.0 == id);
             answers += out.iter().filter(own).count();
             out = links.into_iter().flat_map(|l| w.tell(Input::LinkUp(l))).collect();
             out.extend(w.pass(50 * MS));
@@ -253,14 +253,14 @@
         answers += usize::from(told(&out, &failed(id)));
         assert_eq!(answers, 1, "request {id}");
     }
-    assert_eq!(w.core.standing(), 1, "a process that stalls may go on");
+    assert_eq!(w.core.playing_sessions(), 1, "a process that stalls may go on");
     assert!(dials <= 20 + 14, "{dials} connections in a minute");
     assert!(w.core.links.len() <= 8, "{} connections are held", w.core.links.len());
     // It was there all the time.
     let open: Vec<_> = w.core.links.keys().copied().collect();
     let on = if open.contains(&link) { link } else { open[0] };
     assert!(told(
-        &w.tell(Input::Node(on, FromNode::Over(SessionId(1), Outcome::Served, Vec::new()))),
+        &w.tell(Input::NodeMessage(on, FromNode::SessionEnded(SessionId(1), Outcome::Served, Vec::new()))),
         &over(1, 16)
     ));
 }
@@ -273,8 +273,8 @@
     let mut w = World::three();
     let (link, dead) = w.standing(1);
     let mut id = 2;
-    while w.core.standing() < 3 {
-        let out = w.tell(Input::Ask(ConnId(1), ask(id, 0)));
+    while w.core.playing_sessions() < 3 {
+        let out = w.tell(Input::SetUp(ConnId(1), ask(id, 0)));
         if let Some((l, _)) = dialled(&out) {
             w.tell(Input::LinkUp(l));
         }
@@ -282,7 +282,7 @@
             Phase::Open(Some(a)) => Some(a.link),
             _ => None,
         });
-        w.tell(Input::Node(on.expect("an attempt"), plays(id)));
+        w.tell(Input::NodeMessage(on.expect("an attempt"), plays(id)));
         id += 1;
     }
     let there = w.core.lives.values().filter(|l| SocketAddr::from(l.address) == dead);
@@ -294,10 +294,10 @@
             .iter()
             .filter_map(|e| if let Effect::Dial(l, a) = e { Some((*l, *a)) } else { None })
             .collect();
-        told_over += out.iter().filter(|e| matches!(e, Effect::Tell(_, ToViewer::Over(..)))).count();
+        told_over += out.iter().filter(|e| matches!(e, Effect::SendToViewer(_, ToViewer::Ended(..)))).count();
         out = Vec::new();
         for (l, a) in links {
-            let end = if a == dead { Input::LinkFailed(l, DialEnd::Refused) } else { Input::LinkUp(l) };
+            let end = if a == dead { Input::DialFailed(l, DialEnd::Refused) } else { Input::LinkUp(l) };
             out.extend(w.tell(end));
         }
         out.extend(w.pass(20 * MS));
@@ -305,16 +305,16 @@
         let each_second = w.now % S < 20 * MS;
         let ups = w.core.links.iter().filter(|(_, l)| each_second && l.up()).map(|(id, _)| *id);
         for l in ups.collect::<Vec<_>>() {
-            out.extend(w.tell(Input::Node(l, FromNode::Other)));
+            out.extend(w.tell(Input::NodeMessage(l, FromNode::Other)));
         }
     }
     assert_eq!(told_over, there);
-    assert_eq!(w.core.standing(), 3 - there);
+    assert_eq!(w.core.playing_sessions(), 3 - there);
     let all = [1, 2, 3].map(|id| node(id, State::Ready));
     let rest = all.into_iter().filter(|n| SocketAddr::from(n.address) != dead).collect();
-    let out = w.tell(Input::Nodes(rest));
-    assert!(!out.iter().any(|e| matches!(e, Effect::Tell(_, ToViewer::Over(..)))), "{out:?}");
-    assert_eq!(w.core.standing(), 3 - there);
+    let out = w.tell(Input::NodeList(rest));
+    assert!(!out.iter().any(|e| matches!(e, Effect::SendToViewer(_, ToViewer::Ended(..)))), "{out:?}");
+    assert_eq!(w.core.playing_sessions(), 3 - there);
 }
 
 /// A connection to a node that has left the list is not kept for its idle time once nothing stands there.
@@ -322,11 +322,11 @@
 fn an_idle_connection_to_a_node_that_left_the_list_is_closed_at_once() {
     let mut w = World::new(&[node(1, State::Ready)]);
     let (link, _) = w.standing(1);
-    w.tell(Input::Nodes(Vec::new()));
+    w.tell(Input::NodeList(Vec::new()));
     assert_eq!(w.core.links.len(), 1, "its session may still be told of");
-    w.tell(Input::Node(link, FromNode::Over(SessionId(1), Outcome::Served, Vec::new())));
+    w.tell(Input::NodeMessage(link, FromNode::SessionEnded(SessionId(1), Outcome::Served, Vec::new())));
     let out = w.pass(250 * MS);
-    assert!(out.contains(&Effect::Close(link)), "{out:?}");
+    assert!(out.contains(&Effect::CloseLink(link)), "{out:?}");
     w.pass(250 * MS);
     assert!(w.core.links.is_empty() && w.core.lives.is_empty());
 }
@@ -338,8 +338,8 @@
     let (old, _) = w.sent(1, 0);
     w.pass(100 * MS);
     let moved = Entry { address: node(9, State::Ready).address, ..started(&w, node(1, State::Ready)) };
-    w.tell(Input::Nodes(vec![moved]));
+    w.tell(Input::NodeList(vec![moved]));
     let used = view(&w, 1).link_use;
-    w.tell(Input::Node(old, FromNode::Ended(SessionId(1), Outcome::Full, vec![9.0, 9.0])));
+    w.tell(Input::NodeMessage(old, FromNode::SetUpFailed(SessionId(1), Outcome::Full, vec![9.0, 9.0])));
     assert!(view(&w, 1).link_use <= used + 0.1, "{:?}", view(&w, 1));
 }
--- a/crates/platform/src/core/tests/watch.rs
+++ b/crates/platform/src/core/tests/watch.rs
@@ -78,22 +78,23 @@
                     self.dials += 1;
                     let refused = matches!(self.fault, Fault::Reset | Fault::Deaf);
                     self.due.push(if refused {
-                        (now + 2 * WAY, Input::LinkFailed(link, DialEnd::Refused))
+                        (now + 2 * WAY, Input::DialFailed(link, DialEnd::Refused))
                     } else if self.reached() {
                         (now + 2 * WAY, Input::LinkUp(link))
                     } else {
-                        (now + DIAL, Input::LinkFailed(link, DialEnd::TimedOut))
+                        (now + DIAL, Input::DialFailed(link, DialEnd::TimedOut))
                     });
                 }
-                Effect::Shut(link) => self.shut.push(link),
-                Effect::Close(link) => {
+                Effect::HalfCloseLink(link) => self.shut.push(link),
+                Effect::CloseLink(link) => {
                     self.links.retain(|l| *l != link);
                     self.shut.retain(|l| *l != link);
                 }
-                Effect::Write(link, ToNode::AskLoad(id)) => {
+                Effect::SendToNode(link, ToNode::QueryLoad(id)) => {
                     self.questions += 1;
                     if self.acts() {
-                        self.due.push((now + 2 * WAY, Input::Node(link, FromNode::Load(id, None))));
+                        self.due
+                            .push((now + 2 * WAY, Input::NodeMessage(link, FromNode::LoadReport(id, None))));
                     }
                 }
                 _ => {}
@@ -102,7 +103,7 @@
         if self.acts() {
             for link in std::mem::take(&mut self.shut) {
                 self.links.retain(|l| *l != link);
-                self.due.push((now + 2 * WAY, Input::LinkShut(link)));
+                self.due.push((now + 2 * WAY, Input::LinkEndedByNode(link)));
             }
         }
     }
@@ -123,7 +124,7 @@
                 self.take(out);
             }
         }
-        self.w.core.standing() == 1
+        self.w.core.playing_sessions() == 1
     }
 }
 
@@ -136,7 +137,7 @@
         scene.begin(fault);
         let began = scene.w.now;
         while scene.w.now < began + 12 * S && scene.pass(10 * MS) {}
-        if scene.w.core.standing() == 0 {
+        if scene.w.core.playing_sessions() == 0 {
             dead += 1;
             slowest = slowest.max(scene.w.now - began);
         }
@@ -189,7 +190,7 @@
     let (link, _) = w.standing(1);
     let (newer, _) = dialled(&w.pass(6 * S)).expect("a quiet node is dialled");
     w.tell(Input::LinkUp(newer));
-    let out = w.tell(Input::Ask(ConnId(1), ask(2, 0)));
+    let out = w.tell(Input::SetUp(ConnId(1), ask(2, 0)));
     assert_eq!(set_up(&out), Some((link, SessionId(2))));
 }
 
@@ -200,11 +201,11 @@
         w.standing(1);
         let (newer, _) = dialled(&w.pass(6 * S)).expect("a quiet node is dialled");
         w.tell(Input::LinkUp(newer));
-        let shut = |e: &Effect| if let Effect::Shut(link) = e { Some(*link) } else { None };
+        let shut = |e: &Effect| if let Effect::HalfCloseLink(link) = e { Some(*link) } else { None };
         let link =
             (0..60).find_map(|_| w.pass(100 * MS).iter().find_map(shut)).expect("the older one is shut");
-        let out = w.tell(if reset { Input::LinkDown(link) } else { Input::LinkShut(link) });
+        let out = w.tell(if reset { Input::LinkDown(link) } else { Input::LinkEndedByNode(link) });
         assert_eq!(dialled(&out).is_some(), reset);
-        assert_eq!(w.core.standing(), 1);
+        assert_eq!(w.core.playing_sessions(), 1);
     }
 }
--- a/crates/platform/src/core/types.rs
+++ b/crates/platform/src/core/types.rs
@@ -1,7 +1,11 @@
-//! What goes into the core and what comes out.
+//! The inputs and effects of the core, and the values that they carry.
+//!
+//! The shell traces inputs and the messages to viewers and nodes in their `Debug` form, which log readers match. The
+//! hand-written `Debug` implementations below keep that form independent of the names used in the code.
 
 use bytes::Bytes;
 use pepperhook::{NotificationKind, Outcome, ServerId, SessionId, SessionSpec, Time};
+use std::fmt;
 use std::net::{IpAddr, SocketAddr};
 
 macro_rules! id {
@@ -17,162 +21,259 @@
     ConnId,
     /// A connection to a node.
     LinkId,
-    /// One life of a node: an id, an address, a start. Nothing of one life counts for another.
-    LifeId,
-    /// A question for a node's load.
+    /// One incarnation of a node: an id at one address. State of one incarnation never counts for another.
+    IncarnationId,
+    /// A load query to a node.
     ProbeId,
 }
 
-/// A viewer's set-up, checked.
-#[derive(Clone, Debug)]
-pub struct Ask {
-    /// Its id.
+/// A viewer's set-up request, validated.
+#[derive(Clone)]
+pub struct SetUpRequest {
+    /// Id of the session to set up.
     pub id: SessionId,
-    /// What is wished.
-    pub wish: SessionSpec,
-    /// The description, passed on unchanged.
+    /// What the viewer asks for.
+    pub spec: SessionSpec,
+    /// The session description, passed on unchanged.
     pub body: Bytes,
-    /// It plays at this node already.
-    pub at: Option<ServerId>,
+    /// The node at which the session plays already, for a session that is handed over after a restart of the front.
+    pub playing_at: Option<ServerId>,
 }
 
-/// How a dial ended that brought no connection.
+impl fmt::Debug for SetUpRequest {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Ask")
+            .field("id", &self.id)
+            .field("wish", &self.spec)
+            .field("body", &self.body)
+            .field("at", &self.playing_at)
+            .finish()
+    }
+}
+
+/// Why a dial failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DialEnd {
-    /// Refused: no process listens there.
+    /// The connection was refused: no process listens there.
     Refused,
-    /// Not up in time.
+    /// The connection was not up within the dial timeout.
     TimedOut,
-    /// It failed on this side, or was reset while it came up.
+    /// A local error, or a reset while the connection came up.
     Failed,
 }
 
-/// What a node says.
-#[derive(Clone, Debug, PartialEq)]
+/// A message from a node.
+#[derive(Clone, PartialEq)]
 pub enum FromNode {
-    /// The session stands; the description of the answer.
-    Plays(SessionId, Bytes),
-    /// The set-up ended otherwise.
-    Ended(SessionId, Outcome, Vec<f64>),
-    /// A session that stands is over, or a set-up broke.
-    Over(SessionId, Outcome, Vec<f64>),
-    /// A give-up or a release was heard.
-    Heard(SessionId),
-    /// A note on a session.
-    Note(SessionId, NotificationKind, f64),
-    /// The answer to a question for load; `None` if the test failed.
-    Load(ProbeId, Option<Vec<f64>>),
-    /// Something that needs no answer; it shows that the node lives.
+    /// The session plays; carries the description of the answer.
+    Started(SessionId, Bytes),
+    /// The set-up failed, with its outcome and the node's load report.
+    SetUpFailed(SessionId, Outcome, Vec<f64>),
+    /// A playing session has ended, or a set-up broke, with its outcome and the node's load report.
+    SessionEnded(SessionId, Outcome, Vec<f64>),
+    /// Acknowledges a cancelled set-up or a release.
+    Acknowledged(SessionId),
+    /// A measurement of a session.
+    Notification(SessionId, NotificationKind, f64),
+    /// The answer to a load query; `None` if the query failed.
+    LoadReport(ProbeId, Option<Vec<f64>>),
+    /// A message that needs no answer. It still shows that the node is alive.
     Other,
 }
 
-/// What goes to a node.
-#[derive(Clone, Debug, PartialEq)]
+impl fmt::Debug for FromNode {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Started(id, body) => f.debug_tuple("Plays").field(id).field(body).finish(),
+            Self::SetUpFailed(id, outcome, report) => {
+                f.debug_tuple("Ended").field(id).field(outcome).field(report).finish()
+            }
+            Self::SessionEnded(id, outcome, report) => {
+                f.debug_tuple("Over").field(id).field(outcome).field(report).finish()
+            }
+            Self::Acknowledged(id) => f.debug_tuple("Heard").field(id).finish(),
+            Self::Notification(id, kind, value) => {
+                f.debug_tuple("Note").field(id).field(kind).field(value).finish()
+            }
+            Self::LoadReport(id, report) => f.debug_tuple("Load").field(id).field(report).finish(),
+            Self::Other => f.write_str("Other"),
+        }
+    }
+}
+
+/// A message to a node.
+#[derive(Clone, PartialEq)]
 pub enum ToNode {
-    /// A set-up.
+    /// Sets up a session.
     SetUp {
-        /// Its id.
+        /// Id of the session.
         id: SessionId,
-        /// Title as asked for.
+        /// The requested title.
         title: u64,
-        /// Index of the class.
+        /// Index of the class in the settings.
         class: u16,
-        /// The front end waits so long, milliseconds.
+        /// Time for which the front waits for the answer, milliseconds.
         wait_ms: u64,
-        /// The rung.
+        /// The initial rung.
         rung: u8,
-        /// The viewer's description.
+        /// The viewer's session description.
         body: Bytes,
     },
-    /// A set-up is given up.
-    GiveUp(SessionId, u64),
-    /// A session that stands is cut, with its title and cause.
+    /// Cancels a set-up: session and title.
+    CancelSetUp(SessionId, u64),
+    /// Ends a playing session: session, title and cause.
     Release(SessionId, u64, u16),
-    /// A new rung for a session that stands.
-    Rung(SessionId, u64, u8),
-    /// A question for its load.
-    AskLoad(ProbeId),
-    /// Its release was heard.
-    Heard(SessionId),
+    /// Sets the rung of a playing session: session, title and rung.
+    SetRung(SessionId, u64, u8),
+    /// Asks for the node's load.
+    QueryLoad(ProbeId),
+    /// Acknowledges the node's release of a session.
+    Acknowledge(SessionId),
 }
 
-/// What goes to a viewer.
-#[derive(Clone, Debug, PartialEq)]
+impl fmt::Debug for ToNode {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::SetUp { id, title, class, wait_ms, rung, body } => f
+                .debug_struct("SetUp")
+                .field("id", id)
+                .field("title", title)
+                .field("class", class)
+                .field("wait_ms", wait_ms)
+                .field("rung", rung)
+                .field("body", body)
+                .finish(),
+            Self::CancelSetUp(id, title) => f.debug_tuple("GiveUp").field(id).field(title).finish(),
+            Self::Release(id, title, cause) => {
+                f.debug_tuple("Release").field(id).field(title).field(cause).finish()
+            }
+            Self::SetRung(id, title, rung) => {
+                f.debug_tuple("Rung").field(id).field(title).field(rung).finish()
+            }
+            Self::QueryLoad(probe) => f.debug_tuple("AskLoad").field(probe).finish(),
+            Self::Acknowledge(id) => f.debug_tuple("Heard").field(id).finish(),
+        }
+    }
+}
+
+/// A message to a viewer.
+#[derive(Clone, PartialEq)]
 pub enum ToViewer {
-    /// The session stands, with the node's description.
-    Plays(SessionId, Bytes),
-    /// Refused, with advice when to come again.
+    /// The session plays; carries the node's session description.
+    Started(SessionId, Bytes),
+    /// The set-up is refused; carries the time after which the viewer may retry, if one is advised.
     Refused(SessionId, Option<Time>),
-    /// Failed.
+    /// The set-up failed.
     Failed(SessionId),
-    /// The request cannot be taken: it is at odds with one that is open.
+    /// The request conflicts with another one under the same id.
     Conflict(SessionId),
-    /// The session is over, with its title and cause.
-    Over(SessionId, u64, u16),
-    /// The viewer is to come again for another node.
+    /// The session has ended: session, title and cause.
+    Ended(SessionId, u64, u16),
+    /// Asks the viewer to set the session up again at another node: session and title.
     Move(SessionId, u64),
-    /// A give-up or a release was heard.
-    Heard(SessionId),
+    /// Acknowledges the viewer's release.
+    Acknowledge(SessionId),
     /// There is no such session.
-    Unknown(SessionId),
+    UnknownSession(SessionId),
+}
+
+impl fmt::Debug for ToViewer {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Started(id, body) => f.debug_tuple("Plays").field(id).field(body).finish(),
+            Self::Refused(id, retry_after) => f.debug_tuple("Refused").field(id).field(retry_after).finish(),
+            Self::Failed(id) => f.debug_tuple("Failed").field(id).finish(),
+            Self::Conflict(id) => f.debug_tuple("Conflict").field(id).finish(),
+            Self::Ended(id, title, cause) => {
+                f.debug_tuple("Over").field(id).field(title).field(cause).finish()
+            }
+            Self::Move(id, title) => f.debug_tuple("Move").field(id).field(title).finish(),
+            Self::Acknowledge(id) => f.debug_tuple("Heard").field(id).finish(),
+            Self::UnknownSession(id) => f.debug_tuple("Unknown").field(id).finish(),
+        }
+    }
 }
 
-/// What happens.
-#[derive(Clone, Debug)]
+/// An input of the core.
+#[derive(Clone)]
 pub enum Input {
-    /// A viewer's connection came, from this address.
-    Opened(ConnId, IpAddr),
-    /// A set-up came.
-    Ask(ConnId, Ask),
-    /// A viewer gives a set-up up or ends a session.
-    End(ConnId, SessionId),
-    /// A viewer has closed its side of a connection: it has left, whatever it may still read.
-    Left(ConnId),
-    /// A viewer's connection is gone.
-    Gone(ConnId),
-    /// The viewer of a set-up that is about to be sent was looked for and waits.
-    Waits(SessionId),
-    /// The connection to the node takes no bytes now, so that a set-up would be sent at some later moment, or the node
-    /// has ended it.
-    Blocked(SessionId),
-    /// There are as many viewers' connections as there may be, and this one gives way.
-    GiveWay(ConnId),
+    /// A viewer connected from this address.
+    ViewerConnected(ConnId, IpAddr),
+    /// A viewer sent a set-up request.
+    SetUp(ConnId, SetUpRequest),
+    /// A viewer cancels a set-up or ends a session.
+    Release(ConnId, SessionId),
+    /// A viewer has closed its sending side: it counts as gone, though it may still read.
+    ViewerHalfClosed(ConnId),
+    /// A viewer's connection is closed.
+    ViewerDisconnected(ConnId),
+    /// Answers [`Effect::CheckViewer`]: the viewer still waits for its set-up, which can be sent.
+    ViewerWaits(SessionId),
+    /// Answers [`Effect::CheckViewer`]: the set-up cannot be sent now, since the connection to the node accepts no bytes
+    /// or the node has closed it.
+    LinkBlocked(SessionId),
+    /// The limit on viewers' connections is reached, and this one is closed to make room.
+    EvictViewer(ConnId),
     /// A connection to a node is up.
     LinkUp(LinkId),
-    /// A dial ended without a connection.
-    LinkFailed(LinkId, DialEnd),
-    /// A connection to a node broke or ended.
+    /// A dial failed.
+    DialFailed(LinkId, DialEnd),
+    /// A connection to a node broke or was closed.
     LinkDown(LinkId),
-    /// The node ended a connection after this side had shut its own half.
-    LinkShut(LinkId),
-    /// A node said something.
-    Node(LinkId, FromNode),
-    /// The list of nodes is this now.
-    Nodes(Vec<pepperhook_changelog::Entry>),
-    /// The front is about to end: what comes from now on is refused, since it might not be answered in time.
-    Closing,
-    /// The front ends now: whatever is open has its answer.
-    Last,
+    /// The node closed a connection after this side had half-closed it.
+    LinkEndedByNode(LinkId),
+    /// A node sent a message.
+    NodeMessage(LinkId, FromNode),
+    /// The list of nodes has changed to this.
+    NodeList(Vec<pepperhook_changelog::Entry>),
+    /// The front is about to stop: new requests are refused, since they might not be answered in time.
+    StopAccepting,
+    /// The front stops now: every open request is answered.
+    AnswerAll,
+}
+
+impl fmt::Debug for Input {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::ViewerConnected(conn, peer) => f.debug_tuple("Opened").field(conn).field(peer).finish(),
+            Self::SetUp(conn, request) => f.debug_tuple("Ask").field(conn).field(request).finish(),
+            Self::Release(conn, id) => f.debug_tuple("End").field(conn).field(id).finish(),
+            Self::ViewerHalfClosed(conn) => f.debug_tuple("Left").field(conn).finish(),
+            Self::ViewerDisconnected(conn) => f.debug_tuple("Gone").field(conn).finish(),
+            Self::ViewerWaits(id) => f.debug_tuple("Waits").field(id).finish(),
+            Self::LinkBlocked(id) => f.debug_tuple("Blocked").field(id).finish(),
+            Self::EvictViewer(conn) => f.debug_tuple("GiveWay").field(conn).finish(),
+            Self::LinkUp(link) => f.debug_tuple("LinkUp").field(link).finish(),
+            Self::DialFailed(link, end) => f.debug_tuple("LinkFailed").field(link).field(end).finish(),
+            Self::LinkDown(link) => f.debug_tuple("LinkDown").field(link).finish(),
+            Self::LinkEndedByNode(link) => f.debug_tuple("LinkShut").field(link).finish(),
+            Self::NodeMessage(link, message) => f.debug_tuple("Node").field(link).field(message).finish(),
+            Self::NodeList(entries) => f.debug_tuple("Nodes").field(entries).finish(),
+            Self::StopAccepting => f.write_str("Closing"),
+            Self::AnswerAll => f.write_str("Last"),
+        }
+    }
 }
 
-/// What is to be done.
+/// An action that the shell carries out for the core.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Tell a viewer.
-    Tell(ConnId, ToViewer),
-    /// Close a viewer's connection, in order.
-    Hang(ConnId),
-    /// A set-up is about to be sent over a connection to a node: look whether its viewer still waits, and say so by
-    /// [`Input::Waits`] or [`Input::Blocked`]; where it has left, what shows that is all that follows.
-    Look(ConnId, LinkId, SessionId),
-    /// Dial a node.
+    /// Sends a message to a viewer.
+    SendToViewer(ConnId, ToViewer),
+    /// Closes a viewer's connection after its pending writes.
+    CloseViewer(ConnId),
+    /// A set-up is about to be sent to a node: checks that its viewer still waits and answers with
+    /// [`Input::ViewerWaits`] or [`Input::LinkBlocked`]. For a viewer that has left there is no answer: the reader of its
+    /// connection reports that.
+    CheckViewer(ConnId, LinkId, SessionId),
+    /// Dials a node.
     Dial(LinkId, SocketAddr),
-    /// Tell a node.
-    Write(LinkId, ToNode),
-    /// Close a connection to a node.
-    Close(LinkId),
-    /// Shut the sending side of a connection to a node and wait for the node to end it.
-    Shut(LinkId),
-    /// A line for the log.
+    /// Sends a message to a node.
+    SendToNode(LinkId, ToNode),
+    /// Closes a connection to a node.
+    CloseLink(LinkId),
+    /// Half-closes a connection to a node and waits for the node to close it.
+    HalfCloseLink(LinkId),
+    /// Writes a line to the log, under this event.
     Log(&'static str, String),
 }
--- a/crates/platform/src/node.rs
+++ b/crates/platform/src/node.rs
@@ -18,21 +18,23 @@
     match (&m.start, session) {
         (StartLine::Response(100..=199), _) => Ok(FromNode::Other),
         (StartLine::Response(status), Some(session)) => Ok(match (number, *status) {
-            ("1", 200) => FromNode::Plays(SessionId(session), m.body.clone()),
+            ("1", 200) => FromNode::Started(SessionId(session), m.body.clone()),
             ("1", status) => {
-                FromNode::Ended(SessionId(session), outcome(status), report().unwrap_or_default())
+                FromNode::SetUpFailed(SessionId(session), outcome(status), report().unwrap_or_default())
             }
-            ("2", _) => FromNode::Heard(SessionId(session)),
+            ("2", _) => FromNode::Acknowledged(SessionId(session)),
             // A node that has no report yet passes its test without one.
-            ("3", 200) => FromNode::Load(ProbeId(session), Some(report().unwrap_or_default())),
-            ("3", _) => FromNode::Load(ProbeId(session), None),
+            ("3", 200) => FromNode::LoadReport(ProbeId(session), Some(report().unwrap_or_default())),
+            ("3", _) => FromNode::LoadReport(ProbeId(session), None),
             _ => FromNode::Other,
         }),
         (StartLine::Response(_), None) => Err(Bad),
         (StartLine::Request(method, _), session) => match (method.as_str(), session) {
-            ("TEARDOWN", Some(session)) => {
-                Ok(FromNode::Over(SessionId(session), end(m.field("Reason")), report().unwrap_or_default()))
-            }
+            ("TEARDOWN", Some(session)) => Ok(FromNode::SessionEnded(
+                SessionId(session),
+                end(m.field("Reason")),
+                report().unwrap_or_default(),
+            )),
             ("ANNOUNCE", Some(session)) => {
                 let kind = match m.field("Warning-Word") {
                     Some("delivered") => NotificationKind::Delivered,
@@ -42,7 +44,7 @@
                     _ => return Ok(FromNode::Other),
                 };
                 let value = m.field("X-Value").and_then(|v| v.parse::<f64>().ok()).filter(|v| v.is_finite());
-                Ok(value.map_or(FromNode::Other, |v| FromNode::Note(SessionId(session), kind, v)))
+                Ok(value.map_or(FromNode::Other, |v| FromNode::Notification(SessionId(session), kind, v)))
             }
             _ => Ok(FromNode::Other),
         },
@@ -87,13 +89,13 @@
             let m = request("SETUP", title, 1, id).with("Priority-Class", class);
             m.with("Expires-Ms", wait_ms).with("X-Rung", rung).body(body.clone())
         }
-        ToNode::GiveUp(id, title) => request("TEARDOWN", title, 2, id),
+        ToNode::CancelSetUp(id, title) => request("TEARDOWN", title, 2, id),
         ToNode::Release(id, title, cause) => release(title, id, cause),
-        ToNode::Rung(id, title, rung) => request("SET_PARAMETER", title, 4, id).with("X-Rung", rung),
-        ToNode::AskLoad(probe) => {
+        ToNode::SetRung(id, title, rung) => request("SET_PARAMETER", title, 4, id).with("X-Rung", rung),
+        ToNode::QueryLoad(probe) => {
             let m = Message::request("OPTIONS", format!("{ROOT}load"));
             m.with("CSeq", 3).with("Session", id_text(probe.0))
         }
-        ToNode::Heard(id) => answer(200, 2, id),
+        ToNode::Acknowledge(id) => answer(200, 2, id),
     }
 }
--- a/crates/platform/src/shell.rs
+++ b/crates/platform/src/shell.rs
@@ -78,7 +78,7 @@
         trace!(event = "input", ?input);
         let of_link = matches!(
             input,
-            Input::LinkUp(_) | Input::LinkFailed(..) | Input::LinkDown(_) | Input::LinkShut(_)
+            Input::LinkUp(_) | Input::DialFailed(..) | Input::LinkDown(_) | Input::LinkEndedByNode(_)
         );
         if self.parting.get() && of_link {
             // What ends because the front does tells nothing of a node, and no other connection is to take its place.
@@ -92,36 +92,36 @@
     fn carry_out(self: &Rc<Self>, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Tell(conn, word) => {
+                Effect::SendToViewer(conn, word) => {
                     trace!(event = "to-viewer", conn = conn.0, ?word);
                     if let Some(peer) = self.viewers.borrow().get(&conn) {
                         peer.send(&viewer::write(&word));
                     }
                 }
-                Effect::Hang(conn) => {
+                Effect::CloseViewer(conn) => {
                     if let Some(peer) = self.viewers.borrow().get(&conn) {
                         peer.close();
                     }
                 }
-                Effect::Look(conn, link, id) => self.look(conn, link, id),
+                Effect::CheckViewer(conn, link, id) => self.look(conn, link, id),
                 // A node would tell what it has to tell to a process that ends.
                 Effect::Dial(..) if self.parting.get() => {}
                 Effect::Dial(link, address) => {
                     trace!(event = "dial", link = link.0, %address);
                     spawn_local(self.clone().link(link, address));
                 }
-                Effect::Write(link, word) => {
+                Effect::SendToNode(link, word) => {
                     trace!(event = "to-node", link = link.0, ?word);
                     if let Some(peer) = self.nodes.borrow().get(&link) {
                         peer.send(&node::write(&word, &self.sockets));
                     }
                 }
-                Effect::Close(link) => {
+                Effect::CloseLink(link) => {
                     if let Some(peer) = self.nodes.borrow_mut().remove(&link) {
                         peer.close();
                     }
                 }
-                Effect::Shut(link) => {
+                Effect::HalfCloseLink(link) => {
                     if let Some(peer) = self.nodes.borrow().get(&link) {
                         peer.shut();
                     }
@@ -146,8 +146,8 @@
         trace!(event = "look", conn = conn.0, id = id.0, left, blocked);
         match (left, blocked) {
             (true, _) => {}
-            (false, true) => self.drive(Input::Blocked(id)),
-            (false, false) => self.drive(Input::Waits(id)),
+            (false, true) => self.drive(Input::LinkBlocked(id)),
+            (false, false) => self.drive(Input::ViewerWaits(id)),
         }
     }
 
@@ -190,7 +190,7 @@
     fn take_list(self: &Rc<Self>) {
         let now = self.clock.now() / 1_000_000;
         let entries = self.roster.borrow_mut().usable(&self.list.borrow(), now);
-        self.drive(Input::Nodes(entries));
+        self.drive(Input::NodeList(entries));
     }
 
     // ---- connections ---------------------------------------------------------------------------
@@ -202,12 +202,12 @@
         let end = peer
             .pump(patience, |word| {
                 let Word::Message(m) = word else {
-                    self.drive(Input::Left(id));
+                    self.drive(Input::ViewerHalfClosed(id));
                     return ControlFlow::Continue(());
                 };
                 match viewer::read(&m, &self.sockets, self.cells) {
-                    Ok(FromViewer::Ask(ask)) => self.drive(Input::Ask(id, *ask)),
-                    Ok(FromViewer::End(session)) => self.drive(Input::End(id, session)),
+                    Ok(FromViewer::Ask(ask)) => self.drive(Input::SetUp(id, *ask)),
+                    Ok(FromViewer::End(session)) => self.drive(Input::Release(id, session)),
                     Ok(FromViewer::Test(answer)) => peer.send(&answer),
                     Ok(FromViewer::Nothing) => {}
                     Err(viewer::Bad(answer)) => {
@@ -222,7 +222,7 @@
             })
             .await;
         // While it can still be told: what is open on it gets its answer.
-        self.drive(Input::Gone(id));
+        self.drive(Input::ViewerDisconnected(id));
         self.viewers.borrow_mut().remove(&id);
         if matches!(end, End::Noise | End::Unreadable(_)) {
             peer.send(&pepperhook_rtsp::Message::response(400));
@@ -243,15 +243,15 @@
         let stream = match tokio::time::timeout(dial, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => {
-                return self.drive(Input::LinkFailed(id, DialEnd::Refused));
+                return self.drive(Input::DialFailed(id, DialEnd::Refused));
             }
             Ok(Err(e)) => {
                 if self.may_warn("dial") {
                     warn!(event = "dial-failed", %address, "{e}");
                 }
-                return self.drive(Input::LinkFailed(id, DialEnd::Failed));
+                return self.drive(Input::DialFailed(id, DialEnd::Failed));
             }
-            Err(_) => return self.drive(Input::LinkFailed(id, DialEnd::TimedOut)),
+            Err(_) => return self.drive(Input::DialFailed(id, DialEnd::TimedOut)),
         };
         let _ = stream.set_nodelay(true);
         let peer = Rc::new(Peer::new(stream));
@@ -263,7 +263,7 @@
                 let Word::Message(m) = word else { return ControlFlow::Continue(()) };
                 match node::read(&m, &self.sockets) {
                     Ok(said) => {
-                        self.drive(Input::Node(id, said));
+                        self.drive(Input::NodeMessage(id, said));
                         ControlFlow::Continue(())
                     }
                     Err(node::Bad) => {
@@ -281,7 +281,7 @@
         self.nodes.borrow_mut().remove(&id);
         // The socket is closed before the core hears of it: what was open on it is given up by that.
         drop(peer);
-        self.drive(if end == End::Shut { Input::LinkShut(id) } else { Input::LinkDown(id) });
+        self.drive(if end == End::Shut { Input::LinkEndedByNode(id) } else { Input::LinkDown(id) });
     }
 
     /// Runs the core's timers.
@@ -393,7 +393,11 @@
             _ = hup.recv() => shell.reload(&path),
         }
     }
-    info!(event = "stopping", open = shell.core.borrow().open(), standing = shell.core.borrow().standing());
+    info!(
+        event = "stopping",
+        open = shell.core.borrow().open_requests(),
+        standing = shell.core.borrow().playing_sessions()
+    );
     let end = shell.clone().stop(longest, accepting, timers, listener);
     tokio::pin!(end);
     loop {
--- a/crates/platform/src/shell/arrivals.rs
+++ b/crates/platform/src/shell/arrivals.rs
@@ -58,14 +58,14 @@
         let id = ConnId(self.next.replace(self.next.get() + 1));
         let connection = Rc::new(Peer::new(stream));
         self.viewers.borrow_mut().insert(id, connection.clone());
-        self.drive(Input::Opened(id, peer.ip()));
+        self.drive(Input::ViewerConnected(id, peer.ip()));
         spawn_local(self.clone().viewer(id, connection));
     }
 
     /// Ends a connection that may give way, of those that come first the one that has been quiet longest. What the core
     /// does not see is looked at here: bytes that nobody has read, half a message, an answer that is not written.
     pub(super) fn make_way(self: &Rc<Self>) -> bool {
-        let ranks = self.core.borrow().may_give_way();
+        let ranks = self.core.borrow().evictable_viewers();
         let victim = ranks.iter().find_map(|rank| {
             let viewers = self.viewers.borrow();
             let peers = rank.iter().filter_map(|id| viewers.get(id).map(|p| (p.heard(), *id, p)));
@@ -77,7 +77,7 @@
             self.end_stuck(ranks.iter().flatten());
             return false;
         };
-        self.drive(Input::GiveWay(id));
+        self.drive(Input::EvictViewer(id));
         self.viewers.borrow_mut().remove(&id);
         true
     }
@@ -87,7 +87,7 @@
     fn end_stuck<'a>(self: &Rc<Self>, spare: impl Iterator<Item = &'a ConnId>) {
         let is_stuck = |id: &&ConnId| self.viewers.borrow().get(id).is_some_and(|p| p.is_stuck(self.past));
         for id in spare.filter(is_stuck) {
-            self.drive(Input::GiveWay(*id));
+            self.drive(Input::EvictViewer(*id));
         }
     }
 }
--- a/crates/platform/src/shell/leave.rs
+++ b/crates/platform/src/shell/leave.rs
@@ -63,9 +63,9 @@
         let killed = began + longest.min(LONGEST) + KILLED;
         let last = killed - BEFORE;
         sleep_until(last.min(began + STILL_COMING)).await;
-        self.drive(Input::Closing);
+        self.drive(Input::StopAccepting);
         sleep_until(last.min(began + EARLIEST)).await;
-        while Instant::now() < last && !self.core.borrow().is_quiet() {
+        while Instant::now() < last && !self.core.borrow().has_no_pending_work() {
             self.look_again().await;
         }
         accepting.abort();
@@ -74,7 +74,7 @@
         self.hear_out(&listener, came, began, last).await;
         // In the same turn in which nobody waited there.
         drop(listener);
-        self.drive(Input::Last);
+        self.drive(Input::AnswerAll);
         let end = Instant::now() + LAST_WORDS;
         while Instant::now() < end && self.is_writing() {
             self.look_again().await;
@@ -101,7 +101,8 @@
             let now = Instant::now();
             // Who has just been taken in may have written before that, or is about to.
             let fresh = came.is_some_and(|at| now < at + QUIET);
-            let over = self.core.borrow().is_quiet() && (now >= late || (all && !fresh && self.is_idle()));
+            let over = self.core.borrow().has_no_pending_work()
+                && (now >= late || (all && !fresh && self.is_idle()));
             if now >= last || over {
                 return;
             }
--- a/crates/platform/src/viewer.rs
+++ b/crates/platform/src/viewer.rs
@@ -1,6 +1,6 @@
 //! The face to viewers: what they may send, checked, and what they are told.
 
-use crate::core::{Ask, ToViewer};
+use crate::core::{SetUpRequest, ToViewer};
 use crate::words::{self, ROOT, answer, release, request};
 use pepperhook::{ClassId, ServerId, SessionId, SessionSpec, TenantId, Time, TitleId, ViewerKey};
 use pepperhook_parameters::Sockets;
@@ -14,7 +14,7 @@
 /// What a viewer sends.
 pub enum FromViewer {
     /// A set-up.
-    Ask(Box<Ask>),
+    Ask(Box<SetUpRequest>),
     /// A set-up is given up or a session ended.
     End(SessionId),
     /// A test, answered at once; the message to answer with.
@@ -65,7 +65,7 @@
     matches!(&m.start, StartLine::Request(method, _) if method == "TEARDOWN") && named()
 }
 
-fn ask(m: &Message, uri: &str, id: SessionId, known: &Sockets, cells: u32) -> Option<Ask> {
+fn ask(m: &Message, uri: &str, id: SessionId, known: &Sockets, cells: u32) -> Option<SetUpRequest> {
     let title = words::id(&uri[ROOT.len()..])?;
     let class = m.field("Priority-Class")?;
     let class = known.classes.iter().position(|c| c == class)?;
@@ -113,20 +113,20 @@
         expected_length: length.map(|ms| (ms * 1e6) as Time),
         reconnect: again,
     };
-    Some(Ask { id, wish, body: m.body.clone(), at })
+    Some(SetUpRequest { id, spec: wish, body: m.body.clone(), playing_at: at })
 }
 
 /// What a viewer is told, as a message.
 pub fn write(word: &ToViewer) -> Message {
     match word {
-        ToViewer::Plays(id, body) => answer(200, 1, id).body(body.clone()),
+        ToViewer::Started(id, body) => answer(200, 1, id).body(body.clone()),
         ToViewer::Refused(id, Some(after)) => answer(503, 1, id).with("P-Back-Off", after / 1_000_000),
         ToViewer::Refused(id, None) => answer(503, 1, id),
         ToViewer::Failed(id) => answer(500, 1, id),
         ToViewer::Conflict(id) => answer(455, 1, id),
-        ToViewer::Over(id, title, cause) => release(title, id, cause),
+        ToViewer::Ended(id, title, cause) => release(title, id, cause),
         ToViewer::Move(id, title) => request("REDIRECT", title, 2, id),
-        ToViewer::Heard(id) => answer(200, 2, id),
-        ToViewer::Unknown(id) => answer(454, 2, id),
+        ToViewer::Acknowledge(id) => answer(200, 2, id),
+        ToViewer::UnknownSession(id) => answer(454, 2, id),
     }
 }
