--- a/crates/platform/src/core/links.rs
+++ b/crates/platform/src/core/links.rs
@@ -2,7 +2,7 @@
 //! spoils one set-up; standing sessions need none, but one is kept where some stand, so that their end is heard.
 
 use super::attempts::Stage;
-use super::lives::UNHEARD;
+use super::liveness::UNHEARD;
 use super::*;
 use pepperhook::Outcome;
 
--- a/crates/platform/src/core/lives.rs
+++ b/crates/platform/src/core/liveness.rs
@@ -15,7 +15,7 @@
 
 use super::attempts::{Attempt, Stage};
 use super::links::Way;
-use super::standing::CUT;
+use super::playing::CUT;
 use super::*;
 use pepperhook::{Outcome, ServerEntry, ServerState, ZoneId};
 use pepperhook_changelog::{Entry, State};
--- a/crates/platform/src/core/mod.rs
+++ b/crates/platform/src/core/mod.rs
@@ -6,15 +6,15 @@
 
 mod attempts;
 mod links;
-mod lives;
+mod liveness;
+mod playing;
 mod requests;
-mod standing;
 #[cfg(test)]
 mod tests;
 mod types;
 
 use links::Link;
-use lives::Incarnation;
+use liveness::Incarnation;
 use pepperhook::{Action, Controller, Event, ServerId, SessionId, Settings, SettingsError, Time};
 use pepperhook_net::Timers;
 use pepperhook_parameters::Sockets;
@@ -158,11 +158,11 @@
     ended: BTreeMap<SessionId, Ended>,
     ended_order: VecDeque<SessionId>,
     /// Sessions that were handed over with a node that the list does not name yet.
-    unplaced: BTreeMap<SessionId, standing::Unplaced>,
+    unplaced: BTreeMap<SessionId, playing::Unplaced>,
     /// Ends that nodes told of sessions that nobody has handed over yet.
-    early: BTreeMap<SessionId, standing::Early>,
+    early: BTreeMap<SessionId, playing::Early>,
     /// Ends that no connection could take yet.
-    untold: VecDeque<standing::Untold>,
+    untold: VecDeque<playing::Untold>,
     timers: Timers<Wake>,
     pending: VecDeque<Event>,
     next: u64,
