--- a/crates/platform/src/core/attempts.rs
+++ b/crates/platform/src/core/attempts.rs
@@ -9,18 +9,18 @@
 
 /// After a give-up the node is heard out so long: the way there and back, and its work in between. No settings name the way;
 /// where a word comes later, the give-up that it crossed ends the session at its node.
-const GRACE: Time = 30 * MS;
+const CANCEL_GRACE: Time = 30 * MS;
 
 /// Connections that are tried for one attempt, at most: one that the node had just ended, one that takes no bytes, a new one.
-const TRIED: u8 = 3;
+const MAX_LINKS_PER_ATTEMPT: u8 = 3;
 
 /// One attempt.
 pub struct Attempt {
-    pub life: IncarnationId,
+    pub incarnation: IncarnationId,
     pub number: u32,
     pub link: LinkId,
     /// The front end waits for it until then.
-    pub until: Time,
+    pub deadline: Time,
     pub stage: Stage,
 }
 
@@ -31,113 +31,123 @@
     Dialling(u8),
     /// Its connection is up; whether its viewer still waits is being looked at. Nothing was sent. So many connections were
     /// tried for it.
-    Offered(u8),
+    CheckingViewer(u8),
     /// Sent.
     Sent,
     /// Given up; the node is heard out.
-    Closing,
+    Cancelling,
     /// Its connection broke; whether the node lives is being found out.
-    Torn,
+    LinkLost,
 }
 
 impl Core {
     pub(super) fn attempt(&self, id: SessionId) -> Option<&Attempt> {
         match &self.sessions.get(&id)?.phase {
             Phase::Open(attempt) => attempt.as_ref(),
-            Phase::Standing(..) => None,
+            Phase::Playing(..) => None,
         }
     }
 
     pub(super) fn attempt_mut(&mut self, id: SessionId) -> Option<&mut Attempt> {
         match &mut self.sessions.get_mut(&id)?.phase {
             Phase::Open(attempt) => attempt.as_mut(),
-            Phase::Standing(..) => None,
+            Phase::Playing(..) => None,
         }
     }
 
-    pub(super) fn set_up(
+    pub(super) fn start_attempt(
         &mut self,
         now: Time,
         id: SessionId,
         server: ServerId,
-        wait: Time,
+        max_wait: Time,
         out: &mut Vec<Effect>,
     ) {
-        let life = self.current.get(&server).copied().filter(|l| self.is_ready(*l));
-        let link = life.and_then(|life| self.link_for_set_up(now, life, out).map(|link| (life, link)));
+        let incarnation = self.current.get(&server).copied().filter(|l| self.is_ready(*l));
+        let link = incarnation.and_then(|incarnation| {
+            self.link_for_set_up(now, incarnation, out).map(|link| (incarnation, link))
+        });
         let Some(s) = self.sessions.get_mut(&id) else { return };
         let Phase::Open(attempt @ None) = &mut s.phase else { return };
-        let Some((life, link)) = link else {
-            return self.pending.push_back(ended(id, server, Outcome::Unsent, false, Vec::new()));
+        let Some((incarnation, link)) = link else {
+            return self.pending.push_back(ended_event(id, server, Outcome::Unsent, false, Vec::new()));
         };
         s.attempts += 1;
-        let (number, until) = (s.attempts, now.saturating_add(wait));
-        *attempt = Some(Attempt { life, number, link, until, stage: Stage::Dialling(1) });
-        self.at(until, Wake::AttemptTime(id, number));
+        let (number, deadline) = (s.attempts, now.saturating_add(max_wait));
+        *attempt = Some(Attempt { incarnation, number, link, deadline, stage: Stage::Dialling(1) });
+        self.set_timer(deadline, Wake::AttemptTimeout(id, number));
         if let Some(link) = self.links.get_mut(&link) {
-            link.open.insert(id);
+            link.set_ups.insert(id);
         }
-        self.write_set_up(now, id, out);
+        self.check_viewer(now, id, out);
     }
 
     /// Offers a set-up once its connection is up: its viewer may have left since it was decided, and nothing of that may
     /// have been read yet.
-    pub(super) fn write_set_up(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
-        let Some(Attempt { life, link, until, stage: Stage::Dialling(tried), .. }) = self.attempt(id) else {
+    pub(super) fn check_viewer(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
+        let Some(Attempt { incarnation, link, deadline, stage: Stage::Dialling(tried), .. }) =
+            self.attempt(id)
+        else {
             return;
         };
-        let (life, link, until, tried) = (*life, *link, *until, *tried);
-        if !self.links.get(&link).is_some_and(Link::up) {
+        let (incarnation, link, deadline, tried) = (*incarnation, *link, *deadline, *tried);
+        if !self.links.get(&link).is_some_and(Link::is_up) {
             return;
         }
-        if !self.is_ready(life) || until <= now {
+        if !self.is_ready(incarnation) || deadline <= now {
             return self.attempt_ended(id, Outcome::Unsent, Vec::new());
         }
         let Some(s) = self.sessions.get_mut(&id) else { return };
         let conn = s.conn;
         if let Phase::Open(Some(attempt)) = &mut s.phase {
-            attempt.stage = Stage::Offered(tried);
+            attempt.stage = Stage::CheckingViewer(tried);
         }
         out.push(Effect::CheckViewer(conn, link, id));
     }
 
     /// Writes a set-up whose viewer waits. The node is looked at again, since dialling takes time.
     pub(super) fn send_set_up(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
-        let Some(Attempt { life, link, until, stage: Stage::Offered(_), .. }) = self.attempt(id) else {
+        let Some(Attempt { incarnation, link, deadline, stage: Stage::CheckingViewer(_), .. }) =
+            self.attempt(id)
+        else {
             return;
         };
-        let (life, link, until) = (*life, *link, *until);
-        if !self.is_ready(life) || until <= now || !self.links.get(&link).is_some_and(Link::up) {
+        let (incarnation, link, deadline) = (*incarnation, *link, *deadline);
+        if !self.is_ready(incarnation) || deadline <= now || !self.links.get(&link).is_some_and(Link::is_up) {
             return self.attempt_ended(id, Outcome::Unsent, Vec::new());
         }
         let Some(s) = self.sessions.get_mut(&id) else { return };
-        let word = ToNode::SetUp {
+        let message = ToNode::SetUp {
             id,
-            title: s.ask.spec.title.0,
-            class: s.ask.spec.class.0,
-            wait_ms: (until - now).div_ceil(MS),
+            title: s.request.spec.title.0,
+            class: s.request.spec.class.0,
+            wait_ms: (deadline - now).div_ceil(MS),
             rung: s.rung,
-            body: s.ask.body.clone(),
+            body: s.request.body.clone(),
         };
         if let Some(attempt) = self.attempt_mut(id) {
             attempt.stage = Stage::Sent;
         }
         if let Some(l) = self.links.get_mut(&link) {
-            l.carried = true;
+            l.carried_set_up = true;
         }
-        self.write(now, link, word, out);
+        self.send(now, link, message, out);
     }
 
     /// Its connection takes no bytes now, or the node has ended it: nothing was sent over it, nor will be. Another one
     /// serves, within bounds.
-    pub(super) fn blocked(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
-        let Some(Attempt { life, link, stage: Stage::Offered(tried), .. }) = self.attempt(id) else { return };
-        let (life, link, tried) = (*life, *link, *tried);
+    pub(super) fn link_blocked(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
+        let Some(Attempt { incarnation, link, stage: Stage::CheckingViewer(tried), .. }) = self.attempt(id)
+        else {
+            return;
+        };
+        let (incarnation, link, tried) = (*incarnation, *link, *tried);
         if let Some(l) = self.links.get_mut(&link) {
             l.blocked = true;
-            l.open.remove(&id);
+            l.set_ups.remove(&id);
         }
-        let next = if tried < TRIED { self.link_for_set_up(now, life, out) } else { None };
+        let next =
+            if tried < MAX_LINKS_PER_ATTEMPT { self.link_for_set_up(now, incarnation, out) } else { None };
         match next {
             Some(next) => self.move_set_up(now, id, next, tried + 1, out),
             None => self.attempt_ended(id, Outcome::Unsent, Vec::new()),
@@ -147,68 +157,70 @@
     /// Takes the attempt off its request and tells the module how it ended.
     pub(super) fn attempt_ended(&mut self, id: SessionId, outcome: Outcome, report: Vec<f64>) {
         let Some(attempt) = self.take_attempt(id) else { return };
-        let Some(server) = self.lives.get(&attempt.life).map(|l| l.server) else { return };
-        let report = if self.is_current(attempt.life) { report } else { Vec::new() };
-        let outcome = self.fair(attempt.life, outcome);
-        self.pending.push_back(ended(id, server, outcome, false, report));
+        let Some(server) = self.incarnations.get(&attempt.incarnation).map(|node| node.server) else {
+            return;
+        };
+        let report = if self.is_current(attempt.incarnation) { report } else { Vec::new() };
+        let outcome = self.outcome_for_controller(attempt.incarnation, outcome);
+        self.pending.push_back(ended_event(id, server, outcome, false, report));
     }
 
     pub(super) fn take_attempt(&mut self, id: SessionId) -> Option<Attempt> {
         let attempt = match &mut self.sessions.get_mut(&id)?.phase {
             Phase::Open(attempt) => attempt.take()?,
-            Phase::Standing(..) => return None,
+            Phase::Playing(..) => return None,
         };
         if let Some(link) = self.links.get_mut(&attempt.link) {
-            link.open.remove(&id);
+            link.set_ups.remove(&id);
         }
         Some(attempt)
     }
 
     /// Gives up whatever is out for a request, because nobody waits for it any more.
-    pub(super) fn give_up(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
+    pub(super) fn cancel_attempt(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
         let Some(attempt) = self.take_attempt(id) else { return };
         if attempt.stage == Stage::Sent {
-            self.write(now, attempt.link, ToNode::CancelSetUp(id, self.title(id)), out);
+            self.send(now, attempt.link, ToNode::CancelSetUp(id, self.title(id)), out);
         }
     }
 
-    pub(super) fn attempt_time(&mut self, now: Time, id: SessionId, number: u32, out: &mut Vec<Effect>) {
+    pub(super) fn attempt_timed_out(&mut self, now: Time, id: SessionId, number: u32, out: &mut Vec<Effect>) {
         let Some(attempt) = self.attempt(id).filter(|a| a.number == number) else { return };
-        let (link, life, stage) = (attempt.link, attempt.life, attempt.stage);
+        let (link, incarnation, stage) = (attempt.link, attempt.incarnation, attempt.stage);
         match stage {
             Stage::Dialling(_) => self.attempt_ended(id, Outcome::ConnectFailed, Vec::new()),
-            Stage::Offered(_) => self.attempt_ended(id, Outcome::Unsent, Vec::new()),
-            Stage::Torn => self.attempt_ended(id, Outcome::LinkBroken, Vec::new()),
-            Stage::Closing => {}
+            Stage::CheckingViewer(_) => self.attempt_ended(id, Outcome::Unsent, Vec::new()),
+            Stage::LinkLost => self.attempt_ended(id, Outcome::LinkBroken, Vec::new()),
+            Stage::Cancelling => {}
             Stage::Sent => {
                 if let Some(attempt) = self.attempt_mut(id) {
-                    attempt.stage = Stage::Closing;
+                    attempt.stage = Stage::Cancelling;
                 }
-                self.write(now, link, ToNode::CancelSetUp(id, self.title(id)), out);
-                self.at(now + GRACE, Wake::AttemptClosed(id, number));
+                self.send(now, link, ToNode::CancelSetUp(id, self.title(id)), out);
+                self.set_timer(now + CANCEL_GRACE, Wake::CancelGrace(id, number));
                 // A node that does not answer may be gone without a sign.
-                self.doubt_if_quiet(now, life, out);
+                self.suspect_if_quiet(now, incarnation, out);
             }
         }
     }
 
-    pub(super) fn attempt_closed(&mut self, id: SessionId, number: u32) {
-        if self.attempt(id).is_some_and(|a| a.number == number && a.stage == Stage::Closing) {
+    pub(super) fn cancel_grace_over(&mut self, id: SessionId, number: u32) {
+        if self.attempt(id).is_some_and(|a| a.number == number && a.stage == Stage::Cancelling) {
             self.attempt_ended(id, Outcome::TimedOut, Vec::new());
         }
     }
 
     /// The node's final word on an attempt.
-    pub(super) fn node_ended(&mut self, link: LinkId, id: SessionId, outcome: Outcome, report: Vec<f64>) {
+    pub(super) fn set_up_failed(&mut self, link: LinkId, id: SessionId, outcome: Outcome, report: Vec<f64>) {
         let Some(attempt) = self.attempt(id).filter(|a| a.link == link) else { return };
-        if matches!(attempt.stage, Stage::Sent | Stage::Closing) {
+        if matches!(attempt.stage, Stage::Sent | Stage::Cancelling) {
             self.attempt_ended(id, outcome, report);
         }
     }
 }
 
 /// The end of an attempt, or with `settled` of all that was owed.
-pub fn ended(
+pub fn ended_event(
     session: SessionId,
     server: ServerId,
     outcome: Outcome,
--- a/crates/platform/src/core/links.rs
+++ b/crates/platform/src/core/links.rs
@@ -2,93 +2,98 @@
 //! spoils one set-up; standing sessions need none, but one is kept where some stand, so that their end is heard.
 
 use super::attempts::Stage;
-use super::liveness::UNHEARD;
+use super::liveness::SIGN_OF_LIFE_TIME;
 use super::*;
 use pepperhook::Outcome;
 
 /// Words that wait for a connection to come up, at most; later ones are dropped, rungs among them. One a session suffices, and
 /// a dial lasts no longer than the settings' time for it.
-const QUEUED: usize = 256;
+const MAX_QUEUED_MESSAGES: usize = 256;
 /// A dial that failed on its way is made again, so many times in all: once tells chance from a fault on this side, whatever
 /// the settings are.
-const DIALS: u8 = 2;
+const MAX_DIALS: u8 = 2;
 
 /// How far a connection has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    Dialled,
+pub enum LinkState {
+    Dialling,
     Up,
     /// Its sending side was shut then. Nothing more goes over it; the node's own end of it is a sign of life.
-    Shut(Time),
+    HalfClosed(Time),
 }
 
 /// A connection to a node.
 pub struct Link {
-    pub life: IncarnationId,
-    pub way: Way,
+    pub incarnation: IncarnationId,
+    pub state: LinkState,
     /// When it was dialled, then when it came up.
-    pub opened: Time,
+    pub opened_at: Time,
     /// A set-up has gone over it: it is kept before others, since a node's work for a new connection is done with it.
-    pub carried: bool,
+    pub carried_set_up: bool,
     /// It took no bytes, or had ended, when a set-up was about to be written; until something comes on it.
     pub blocked: bool,
     /// When something last went over it, either way.
-    pub used: Time,
+    pub last_used: Time,
     /// Set-ups on it, or waiting for it.
-    pub open: BTreeSet<SessionId>,
+    pub set_ups: BTreeSet<SessionId>,
     probes: BTreeSet<ProbeId>,
     queue: Vec<ToNode>,
 }
 
 impl Link {
-    pub fn up(&self) -> bool {
-        self.way == Way::Up
+    pub fn is_up(&self) -> bool {
+        self.state == LinkState::Up
     }
 
-    pub fn is_shut(&self) -> bool {
-        matches!(self.way, Way::Shut(_))
+    pub fn is_half_closed(&self) -> bool {
+        matches!(self.state, LinkState::HalfClosed(_))
     }
 
     /// Nothing waits for it that a viewer has asked for.
-    pub fn owes_nothing(&self) -> bool {
-        !self.queue.iter().any(|word| matches!(word, ToNode::Release(..)))
+    pub fn has_no_queued_release(&self) -> bool {
+        !self.queue.iter().any(|message| matches!(message, ToNode::Release(..)))
     }
 
-    fn idle(&self) -> bool {
-        self.open.is_empty() && self.probes.is_empty() && self.queue.is_empty()
+    fn is_idle(&self) -> bool {
+        self.set_ups.is_empty() && self.probes.is_empty() && self.queue.is_empty()
     }
 }
 
 /// A question for a node's load.
 pub struct Probe {
     server: ServerId,
-    life: IncarnationId,
+    incarnation: IncarnationId,
     link: LinkId,
     /// It was asked on a second connection already.
-    again: bool,
+    retried: bool,
 }
 
 impl Core {
     /// Dials a node; never one that is listed no more, since its address may be another's.
-    pub(super) fn dial(&mut self, now: Time, life: IncarnationId, out: &mut Vec<Effect>) -> Option<LinkId> {
-        if !self.lives.get(&life).is_some_and(Incarnation::may_dial) {
+    pub(super) fn dial(
+        &mut self,
+        now: Time,
+        incarnation: IncarnationId,
+        out: &mut Vec<Effect>,
+    ) -> Option<LinkId> {
+        if !self.incarnations.get(&incarnation).is_some_and(Incarnation::may_dial) {
             return None;
         }
-        if self.links.len() >= self.bounds.links && !self.evict(out) {
+        if self.links.len() >= self.bounds.links && !self.evict_idle_link(out) {
             return None;
         }
-        let link = LinkId(self.number());
-        let l = self.lives.get_mut(&life)?;
+        let link = LinkId(self.fresh_number());
+        let l = self.incarnations.get_mut(&incarnation)?;
         l.links.insert(link);
         out.push(Effect::Dial(link, l.address.into()));
         let new = Link {
-            life,
-            way: Way::Dialled,
-            opened: now,
-            carried: false,
+            incarnation,
+            state: LinkState::Dialling,
+            opened_at: now,
+            carried_set_up: false,
             blocked: false,
-            used: now,
-            open: BTreeSet::new(),
+            last_used: now,
+            set_ups: BTreeSet::new(),
             probes: BTreeSet::new(),
             queue: Vec::new(),
         };
@@ -97,15 +102,15 @@
     }
 
     /// Closes the connection that has been idle longest, of those that are not a node's last.
-    fn evict(&mut self, out: &mut Vec<Effect>) -> bool {
+    fn evict_idle_link(&mut self, out: &mut Vec<Effect>) -> bool {
         let spare = |l: &Link| {
-            let life = self.lives.get(&l.life);
-            l.way != Way::Dialled
-                && l.idle()
-                && life.is_none_or(|n| n.links.len() > 1 || n.standing.is_empty())
+            let incarnation = self.incarnations.get(&l.incarnation);
+            l.state != LinkState::Dialling
+                && l.is_idle()
+                && incarnation.is_none_or(|n| n.links.len() > 1 || n.playing.is_empty())
         };
         let victim =
-            self.links.iter().filter(|(_, l)| spare(l)).min_by_key(|(_, l)| l.used).map(|(id, _)| *id);
+            self.links.iter().filter(|(_, l)| spare(l)).min_by_key(|(_, l)| l.last_used).map(|(id, _)| *id);
         victim.is_some_and(|link| {
             self.close_link(link, out);
             true
@@ -122,21 +127,21 @@
 
     pub(super) fn drop_link(&mut self, link: LinkId) -> Option<Link> {
         let l = self.links.remove(&link)?;
-        if let Some(life) = self.lives.get_mut(&l.life) {
-            life.links.remove(&link);
+        if let Some(incarnation) = self.incarnations.get_mut(&l.incarnation) {
+            incarnation.links.remove(&link);
         }
         Some(l)
     }
 
     /// Nodes close connections that are idle; one that is near that is not used for what must arrive. The last fifth of
     /// the time is far longer than any word is on its way.
-    fn fresh(&self, now: Time, link: &Link) -> bool {
-        link.used + self.sockets.idle / 5 * 4 > now
+    fn is_fresh(&self, now: Time, link: &Link) -> bool {
+        link.last_used + self.sockets.idle / 5 * 4 > now
     }
 
-    fn ups(&self, life: IncarnationId) -> impl Iterator<Item = (LinkId, &Link)> {
-        let ids = self.lives.get(&life).into_iter().flat_map(|l| &l.links);
-        ids.filter_map(|id| self.links.get(id).map(|l| (*id, l))).filter(|(_, l)| l.up())
+    fn up_links(&self, incarnation: IncarnationId) -> impl Iterator<Item = (LinkId, &Link)> {
+        let ids = self.incarnations.get(&incarnation).into_iter().flat_map(|node| &node.links);
+        ids.filter_map(|id| self.links.get(id).map(|l| (*id, l))).filter(|(_, l)| l.is_up())
     }
 
     /// A connection for a set-up: of those that carry none now one that has carried some, then the one used last; else a
@@ -144,81 +149,104 @@
     pub(super) fn link_for_set_up(
         &mut self,
         now: Time,
-        life: IncarnationId,
+        incarnation: IncarnationId,
         out: &mut Vec<Effect>,
     ) -> Option<LinkId> {
-        let free = self.ups(life).filter(|(_, l)| l.open.is_empty() && !l.blocked && self.fresh(now, l));
-        if let Some((link, _)) = free.max_by_key(|(_, l)| (l.carried, l.used)) {
+        let free = self
+            .up_links(incarnation)
+            .filter(|(_, l)| l.set_ups.is_empty() && !l.blocked && self.is_fresh(now, l));
+        if let Some((link, _)) = free.max_by_key(|(_, l)| (l.carried_set_up, l.last_used)) {
             return Some(link);
         }
-        if let Some(link) = self.dial(now, life, out) {
+        if let Some(link) = self.dial(now, incarnation, out) {
             return Some(link);
         }
-        let ids = self.lives.get(&life).into_iter().flat_map(|l| &l.links);
+        let ids = self.incarnations.get(&incarnation).into_iter().flat_map(|node| &node.links);
         let some = ids.filter_map(|id| self.links.get(id).map(|l| (*id, l)));
-        let room = some.filter(|(_, l)| !l.is_shut() && !l.blocked && l.open.len() < self.sockets.streams);
-        room.min_by_key(|(_, l)| (!l.up(), l.open.len())).map(|(link, _)| link)
+        let room =
+            some.filter(|(_, l)| !l.is_half_closed() && !l.blocked && l.set_ups.len() < self.sockets.streams);
+        room.min_by_key(|(_, l)| (!l.is_up(), l.set_ups.len())).map(|(link, _)| link)
     }
 
-    pub(super) fn write(&mut self, now: Time, link: LinkId, word: ToNode, out: &mut Vec<Effect>) {
-        if let Some(l) = self.links.get_mut(&link).filter(|l| l.up()) {
-            l.used = now;
-            out.push(Effect::SendToNode(link, word));
+    pub(super) fn send(&mut self, now: Time, link: LinkId, message: ToNode, out: &mut Vec<Effect>) {
+        if let Some(l) = self.links.get_mut(&link).filter(|l| l.is_up()) {
+            l.last_used = now;
+            out.push(Effect::SendToNode(link, message));
         }
     }
 
     /// What concerns a standing session goes over any connection to its node.
-    pub(super) fn tell_node(&mut self, now: Time, life: IncarnationId, word: ToNode, out: &mut Vec<Effect>) {
-        let up = self.ups(life).filter(|(_, l)| self.fresh(now, l)).max_by_key(|(_, l)| (l.carried, l.used));
+    pub(super) fn send_to_node(
+        &mut self,
+        now: Time,
+        incarnation: IncarnationId,
+        message: ToNode,
+        out: &mut Vec<Effect>,
+    ) {
+        let up = self
+            .up_links(incarnation)
+            .filter(|(_, l)| self.is_fresh(now, l))
+            .max_by_key(|(_, l)| (l.carried_set_up, l.last_used));
         if let Some((link, _)) = up {
-            return self.write(now, link, word, out);
+            return self.send(now, link, message, out);
         }
-        let link = self.link_to_come(now, life, out);
-        if let Some(l) = link.and_then(|link| self.links.get_mut(&link)).filter(|l| l.queue.len() < QUEUED) {
-            l.queue.push(word);
+        let link = self.dialling_link(now, incarnation, out);
+        if let Some(l) =
+            link.and_then(|link| self.links.get_mut(&link)).filter(|l| l.queue.len() < MAX_QUEUED_MESSAGES)
+        {
+            l.queue.push(message);
         }
     }
 
     /// A connection that is being dialled, else a new one.
-    pub(super) fn link_to_come(
+    pub(super) fn dialling_link(
         &mut self,
         now: Time,
-        life: IncarnationId,
+        incarnation: IncarnationId,
         out: &mut Vec<Effect>,
     ) -> Option<LinkId> {
-        let ids = &self.lives.get(&life)?.links;
+        let ids = &self.incarnations.get(&incarnation)?.links;
         let dialled =
-            ids.iter().copied().find(|id| self.links.get(id).is_some_and(|l| l.way == Way::Dialled));
-        dialled.or_else(|| self.dial(now, life, out))
+            ids.iter().copied().find(|id| self.links.get(id).is_some_and(|l| l.state == LinkState::Dialling));
+        dialled.or_else(|| self.dial(now, incarnation, out))
     }
 
     // ---- questions for load --------------------------------------------------------------------
 
     pub(super) fn probe(&mut self, now: Time, server: ServerId, out: &mut Vec<Effect>) {
-        let life = self.current.get(&server).copied();
-        let Some((life, link)) = life.and_then(|l| self.link_for_probe(now, l, out).map(|link| (l, link)))
+        let incarnation = self.current.get(&server).copied();
+        let Some((incarnation, link)) =
+            incarnation.and_then(|l| self.link_for_probe(now, l, out).map(|link| (l, link)))
         else {
             return self.pending.push_back(Event::Probed(server, None));
         };
-        let id = ProbeId(self.number());
-        self.probes.insert(id, Probe { server, life, link, again: false });
-        self.at(now + self.sockets.dial, Wake::ProbeTime(id));
-        self.ask_load(now, id, link, out);
+        let id = ProbeId(self.fresh_number());
+        self.probes.insert(id, Probe { server, incarnation, link, retried: false });
+        self.set_timer(now + self.sockets.dial, Wake::ProbeTimeout(id));
+        self.query_load(now, id, link, out);
     }
 
-    fn link_for_probe(&mut self, now: Time, life: IncarnationId, out: &mut Vec<Effect>) -> Option<LinkId> {
-        let up = self.ups(life).filter(|(_, l)| self.fresh(now, l)).min_by_key(|(_, l)| l.open.len());
+    fn link_for_probe(
+        &mut self,
+        now: Time,
+        incarnation: IncarnationId,
+        out: &mut Vec<Effect>,
+    ) -> Option<LinkId> {
+        let up = self
+            .up_links(incarnation)
+            .filter(|(_, l)| self.is_fresh(now, l))
+            .min_by_key(|(_, l)| l.set_ups.len());
         if let Some((link, _)) = up {
             return Some(link);
         }
-        self.link_to_come(now, life, out)
+        self.dialling_link(now, incarnation, out)
     }
 
-    fn ask_load(&mut self, now: Time, id: ProbeId, link: LinkId, out: &mut Vec<Effect>) {
+    fn query_load(&mut self, now: Time, id: ProbeId, link: LinkId, out: &mut Vec<Effect>) {
         if let Some(l) = self.links.get_mut(&link) {
             l.probes.insert(id);
         }
-        self.write(now, link, ToNode::QueryLoad(id), out);
+        self.send(now, link, ToNode::QueryLoad(id), out);
     }
 
     fn probe_ended(&mut self, id: ProbeId, report: Option<Vec<f64>>) -> Option<Probe> {
@@ -227,26 +255,26 @@
             link.probes.remove(&id);
         }
         // Of an older life of the same id: no word on the one that is there now.
-        let report = if self.is_current(probe.life) { report } else { Some(Vec::new()) };
+        let report = if self.is_current(probe.incarnation) { report } else { Some(Vec::new()) };
         self.pending.push_back(Event::Probed(probe.server, report));
         Some(probe)
     }
 
-    pub(super) fn probe_time(&mut self, now: Time, id: ProbeId, out: &mut Vec<Effect>) {
+    pub(super) fn probe_timed_out(&mut self, now: Time, id: ProbeId, out: &mut Vec<Effect>) {
         if let Some(probe) = self.probe_ended(id, None) {
-            self.doubt_if_quiet(now, probe.life, out);
+            self.suspect_if_quiet(now, probe.incarnation, out);
         }
     }
 
     /// A question whose connection broke is asked once more: a broken connection is no answer of the node's.
-    fn probe_torn(&mut self, now: Time, id: ProbeId, out: &mut Vec<Effect>) {
+    fn retry_probe(&mut self, now: Time, id: ProbeId, out: &mut Vec<Effect>) {
         let Some(probe) = self.probes.get(&id) else { return };
-        let (life, again) = (probe.life, probe.again);
-        let link = if again { None } else { self.link_for_probe(now, life, out) };
+        let (incarnation, retried) = (probe.incarnation, probe.retried);
+        let link = if retried { None } else { self.link_for_probe(now, incarnation, out) };
         match (link, self.probes.get_mut(&id)) {
             (Some(link), Some(probe)) => {
-                (probe.link, probe.again) = (link, true);
-                self.ask_load(now, id, link, out);
+                (probe.link, probe.retried) = (link, true);
+                self.query_load(now, id, link, out);
             }
             _ => {
                 self.probe_ended(id, None);
@@ -258,42 +286,42 @@
 
     pub(super) fn link_up(&mut self, now: Time, link: LinkId, out: &mut Vec<Effect>) {
         let Some(l) = self.links.get_mut(&link) else { return out.push(Effect::CloseLink(link)) };
-        (l.way, l.used, l.opened) = (Way::Up, now, now);
-        let (life, queue) = (l.life, std::mem::take(&mut l.queue));
-        let (open, probes) = (l.open.clone(), l.probes.clone());
-        self.lives_on(now, life, link, out);
-        queue.into_iter().for_each(|word| self.write(now, link, word, out));
-        open.into_iter().for_each(|id| self.write_set_up(now, id, out));
-        probes.into_iter().for_each(|id| self.write(now, link, ToNode::QueryLoad(id), out));
+        (l.state, l.last_used, l.opened_at) = (LinkState::Up, now, now);
+        let (incarnation, queue) = (l.incarnation, std::mem::take(&mut l.queue));
+        let (set_ups, probes) = (l.set_ups.clone(), l.probes.clone());
+        self.confirm_alive(now, incarnation, link, out);
+        queue.into_iter().for_each(|message| self.send(now, link, message, out));
+        set_ups.into_iter().for_each(|id| self.check_viewer(now, id, out));
+        probes.into_iter().for_each(|id| self.send(now, link, ToNode::QueryLoad(id), out));
     }
 
-    pub(super) fn link_failed(&mut self, now: Time, link: LinkId, how: DialEnd, out: &mut Vec<Effect>) {
+    pub(super) fn dial_failed(&mut self, now: Time, link: LinkId, dial_end: DialEnd, out: &mut Vec<Effect>) {
         let Some(l) = self.drop_link(link) else { return };
-        for id in l.open {
+        for id in l.set_ups {
             let dials = match self.attempt(id).map(|a| a.stage) {
                 Some(Stage::Dialling(dials)) => dials,
                 _ => continue,
             };
-            if how == DialEnd::Failed && dials < DIALS {
-                if let Some(next) = self.link_for_set_up(now, l.life, out) {
+            if dial_end == DialEnd::Failed && dials < MAX_DIALS {
+                if let Some(next) = self.link_for_set_up(now, l.incarnation, out) {
                     self.move_set_up(now, id, next, dials + 1, out);
                     continue;
                 }
             }
             // A dial that broke on its way tells nothing of the node.
-            let outcome = if how == DialEnd::Failed { Outcome::Unsent } else { Outcome::ConnectFailed };
+            let outcome = if dial_end == DialEnd::Failed { Outcome::Unsent } else { Outcome::ConnectFailed };
             self.attempt_ended(id, outcome, Vec::new());
         }
         for id in l.probes {
-            match how {
-                DialEnd::Failed => self.probe_torn(now, id, out),
+            match dial_end {
+                DialEnd::Failed => self.retry_probe(now, id, out),
                 _ => {
                     self.probe_ended(id, None);
                 }
             }
         }
-        self.not_told(l.life, l.queue);
-        self.dial_ended(now, l.life, how, out);
+        self.keep_releases(l.incarnation, l.queue);
+        self.judge_failed_dial(now, l.incarnation, dial_end, out);
     }
 
     pub(super) fn move_set_up(
@@ -307,52 +335,52 @@
         let Some(attempt) = self.attempt_mut(id) else { return };
         (attempt.link, attempt.stage) = (to, Stage::Dialling(dials));
         if let Some(link) = self.links.get_mut(&to) {
-            link.open.insert(id);
+            link.set_ups.insert(id);
         }
-        self.write_set_up(now, id, out);
+        self.check_viewer(now, id, out);
     }
 
     pub(super) fn link_down(&mut self, now: Time, link: LinkId, out: &mut Vec<Effect>) {
         let Some(l) = self.drop_link(link) else { return };
-        let mut torn = false;
-        for id in l.open {
+        let mut lost_attempts = false;
+        for id in l.set_ups {
             match self.attempt(id).map(|a| a.stage) {
                 Some(Stage::Sent) => {
-                    torn = true;
+                    lost_attempts = true;
                     if let Some(attempt) = self.attempt_mut(id) {
-                        attempt.stage = Stage::Torn;
+                        attempt.stage = Stage::LinkLost;
                     }
                 }
-                Some(Stage::Offered(_)) => self.attempt_ended(id, Outcome::Unsent, Vec::new()),
+                Some(Stage::CheckingViewer(_)) => self.attempt_ended(id, Outcome::Unsent, Vec::new()),
                 // The close gives it up at the node.
-                Some(Stage::Closing) => self.attempt_ended(id, Outcome::TimedOut, Vec::new()),
+                Some(Stage::Cancelling) => self.attempt_ended(id, Outcome::TimedOut, Vec::new()),
                 _ => {}
             }
         }
-        let probes = !l.probes.is_empty();
-        l.probes.into_iter().for_each(|id| self.probe_torn(now, id, out));
-        self.broke(now, l.life, torn || probes, out);
+        let lost_probes = !l.probes.is_empty();
+        l.probes.into_iter().for_each(|id| self.retry_probe(now, id, out));
+        self.link_lost(now, l.incarnation, lost_attempts || lost_probes, out);
     }
 
-    pub(super) fn node(&mut self, now: Time, link: LinkId, said: FromNode, out: &mut Vec<Effect>) {
+    pub(super) fn node_message(&mut self, now: Time, link: LinkId, message: FromNode, out: &mut Vec<Effect>) {
         let Some(l) = self.links.get_mut(&link) else { return };
-        (l.used, l.blocked) = (now, false);
-        let life = l.life;
-        if let Some(life) = self.lives.get_mut(&life) {
-            life.heard = now;
+        (l.last_used, l.blocked) = (now, false);
+        let incarnation = l.incarnation;
+        if let Some(incarnation) = self.incarnations.get_mut(&incarnation) {
+            incarnation.last_heard = now;
         }
-        match said {
-            FromNode::Started(id, body) => self.plays(now, link, id, body, out),
-            FromNode::SetUpFailed(id, outcome, report) => self.node_ended(link, id, outcome, report),
+        match message {
+            FromNode::Started(id, body) => self.set_up_succeeded(now, link, id, body, out),
+            FromNode::SetUpFailed(id, outcome, report) => self.set_up_failed(link, id, outcome, report),
             FromNode::SessionEnded(id, outcome, report) => {
-                self.node_over(now, link, id, outcome, report, out)
+                self.node_ended_session(now, link, id, outcome, report, out)
             }
             FromNode::Acknowledged(id) => {
-                if self.attempt(id).is_some_and(|a| a.link == link && a.stage == Stage::Closing) {
+                if self.attempt(id).is_some_and(|a| a.link == link && a.stage == Stage::Cancelling) {
                     self.attempt_ended(id, Outcome::TimedOut, Vec::new());
                 }
             }
-            FromNode::Notification(id, kind, value) => self.note(link, id, kind, value),
+            FromNode::Notification(id, kind, value) => self.notification(link, id, kind, value),
             FromNode::LoadReport(id, report) => {
                 if self.probes.get(&id).is_some_and(|p| p.link == link) {
                     self.probe_ended(id, report);
@@ -364,65 +392,76 @@
 
     /// Shuts the sending side of a connection that carries nothing. A process that runs ends its own side at once, so
     /// that a connection which has served its time tells once more that its node lives.
-    pub(super) fn shut(&mut self, now: Time, link: LinkId, out: &mut Vec<Effect>) {
-        let Some(l) = self.links.get_mut(&link).filter(|l| l.up()) else { return };
-        l.way = Way::Shut(now);
+    pub(super) fn half_close(&mut self, now: Time, link: LinkId, out: &mut Vec<Effect>) {
+        let Some(l) = self.links.get_mut(&link).filter(|l| l.is_up()) else { return };
+        l.state = LinkState::HalfClosed(now);
         out.push(Effect::HalfCloseLink(link));
-        self.at(now + UNHEARD, Wake::Shut(link));
+        self.set_timer(now + SIGN_OF_LIFE_TIME, Wake::HalfCloseTimeout(link));
     }
 
     /// The node ended it: a process that is no more would have reset it, or said nothing.
-    pub(super) fn link_shut(&mut self, now: Time, link: LinkId, out: &mut Vec<Effect>) {
-        if !self.links.get(&link).is_some_and(Link::is_shut) {
+    pub(super) fn link_ended_by_node(&mut self, now: Time, link: LinkId, out: &mut Vec<Effect>) {
+        if !self.links.get(&link).is_some_and(Link::is_half_closed) {
             return self.link_down(now, link, out);
         }
-        let Some(life) = self.drop_link(link).map(|l| l.life) else { return };
-        let Some(l) = self.lives.get_mut(&life) else { return };
-        l.heard = now;
+        let Some(incarnation) = self.drop_link(link).map(|l| l.incarnation) else { return };
+        let Some(l) = self.incarnations.get_mut(&incarnation) else { return };
+        l.last_heard = now;
         if l.links.is_empty() {
-            self.broke(now, life, false, out);
+            self.link_lost(now, incarnation, false, out);
         }
     }
 
     /// A node that does not end it stalls, or is gone without a sign: it is dialled.
-    pub(super) fn shut_unanswered(&mut self, now: Time, link: LinkId, out: &mut Vec<Effect>) {
-        let Some(Link { life, way: Way::Shut(since), .. }) = self.links.get(&link) else { return };
-        let (life, since) = (*life, *since);
+    pub(super) fn half_close_timed_out(&mut self, now: Time, link: LinkId, out: &mut Vec<Effect>) {
+        let Some(Link { incarnation, state: LinkState::HalfClosed(since), .. }) = self.links.get(&link)
+        else {
+            return;
+        };
+        let (incarnation, since) = (*incarnation, *since);
         self.close_link(link, out);
-        if self.lives.get(&life).is_some_and(|l| l.heard <= since && !l.standing.is_empty()) {
-            self.doubt_since(now, since, life, out);
+        if self
+            .incarnations
+            .get(&incarnation)
+            .is_some_and(|node| node.last_heard <= since && !node.playing.is_empty())
+        {
+            self.suspect_since(now, since, incarnation, out);
         }
     }
 
     /// A connection of a node that carries nothing, if there is another that is up: rather one that never carried a
     /// set-up, then the one used longest ago.
-    pub(super) fn spare(&self, life: IncarnationId) -> Option<LinkId> {
-        self.idle(life).filter(|_| self.ups(life).count() > 1)
+    pub(super) fn spare_link(&self, incarnation: IncarnationId) -> Option<LinkId> {
+        self.idle_link(incarnation).filter(|_| self.up_links(incarnation).count() > 1)
     }
 
     /// The same, its only one included.
-    pub(super) fn idle(&self, life: IncarnationId) -> Option<LinkId> {
-        let idle = self.ups(life).filter(|(_, l)| l.idle());
-        idle.min_by_key(|(_, l)| (l.carried, l.used)).map(|(link, _)| link)
+    pub(super) fn idle_link(&self, incarnation: IncarnationId) -> Option<LinkId> {
+        let idle = self.up_links(incarnation).filter(|(_, l)| l.is_idle());
+        idle.min_by_key(|(_, l)| (l.carried_set_up, l.last_used)).map(|(link, _)| link)
     }
 
     /// Idle connections are ended before the nodes close them, and at once to nodes that the list names no more; where sessions stand, another takes the place of the
     /// last one, and brings what could not be told meanwhile.
     pub(super) fn sweep_links(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let unlisted =
-            |l: &Link| self.lives.get(&l.life).is_none_or(|n| !n.may_dial() && n.standing.is_empty());
-        let old = |l: &Link| l.up() && l.idle() && (!self.fresh(now, l) || unlisted(l));
-        let old: Vec<_> = self.links.iter().filter(|(_, l)| old(l)).map(|(id, l)| (*id, l.life)).collect();
-        for (link, life) in old {
-            if self.lives.get(&life).is_none_or(|l| l.standing.is_empty()) {
+        let unlisted = |l: &Link| {
+            self.incarnations
+                .get(&l.incarnation)
+                .is_none_or(|node| !node.may_dial() && node.playing.is_empty())
+        };
+        let old = |l: &Link| l.is_up() && l.is_idle() && (!self.is_fresh(now, l) || unlisted(l));
+        let old: Vec<_> =
+            self.links.iter().filter(|(_, l)| old(l)).map(|(id, l)| (*id, l.incarnation)).collect();
+        for (link, incarnation) in old {
+            if self.incarnations.get(&incarnation).is_none_or(|node| node.playing.is_empty()) {
                 self.close_link(link, out);
                 continue;
             }
             // The last one is ended only once another is up: the node may take no more.
-            if self.ups(life).count() > 1 {
-                self.shut(now, link, out);
+            if self.up_links(incarnation).count() > 1 {
+                self.half_close(now, link, out);
             } else {
-                self.link_to_come(now, life, out);
+                self.dialling_link(now, incarnation, out);
             }
         }
     }
--- a/crates/platform/src/core/playing.rs
+++ b/crates/platform/src/core/playing.rs
@@ -1,122 +1,122 @@
 //! Standing sessions: no connection owns them. Their end is taken from, and told on, any right connection.
 
-use super::attempts::{Stage, ended};
+use super::attempts::{Stage, ended_event};
 use super::*;
 use bytes::Bytes;
 use pepperhook::{NotificationKind, Outcome};
 
 /// The node's word on a moved session is waited for so long: well within the second in which the protocol wants a viewer told.
-const MOVED: Time = 300 * MS;
+const MOVE_CONFIRMATION_TIME: Time = 300 * MS;
 /// Causes of an end as they go to a viewer: played to its end, ended on purpose, cut.
-const ENDED: u16 = 16;
-const CANCELLED: u16 = 31;
-pub const CUT: u16 = 41;
+const CAUSE_PLAYED: u16 = 16;
+const CAUSE_CANCELLED: u16 = 31;
+pub const CAUSE_BROKEN: u16 = 41;
 
 /// An end that waits for a connection of its viewer's side, for as long as anybody waits for it.
-pub struct Untold {
+pub struct UnsentEnd {
     peer: IpAddr,
-    until: Time,
-    word: ToViewer,
+    expires_at: Time,
+    message: ToViewer,
 }
 
 /// The list may be late: a session that was handed over with a node that it does not name waits for it so long.
-const LATE: Time = 2_000 * MS;
+const LIST_DELAY: Time = 2_000 * MS;
 
 /// A session that was handed over with a node that the list does not name yet.
-pub struct Unplaced {
+pub struct AwaitingList {
     conn: ConnId,
     peer: IpAddr,
-    ask: SetUpRequest,
+    request: SetUpRequest,
     server: ServerId,
 }
 
 /// An end that a node told of a session that is not held: it may be handed over yet.
-pub struct Early {
-    pub at: Time,
+pub struct EarlyEnd {
+    pub received_at: Time,
     server: ServerId,
     outcome: Outcome,
 }
 
 impl Core {
     /// A session that was under way at the start; one that is known already is left as it is.
-    pub(super) fn under_way(
+    pub(super) fn adopt_session(
         &mut self,
         now: Time,
         conn: ConnId,
         peer: IpAddr,
-        ask: SetUpRequest,
+        request: SetUpRequest,
         server: ServerId,
         out: &mut Vec<Effect>,
     ) {
-        let (id, spec) = (ask.id, ask.spec);
-        if self.sessions.contains_key(&id) || self.unplaced.contains_key(&id) {
+        let (id, spec) = (request.id, request.spec);
+        if self.sessions.contains_key(&id) || self.awaiting_list.contains_key(&id) {
             return;
         }
         let title = spec.title.0;
         if self.ended.contains_key(&id) {
             // Its viewer has not heard of the end, or it would not hand the session over.
-            return self.tell_end(now, conn, peer, ToViewer::Ended(id, title, CUT), out);
+            return self.notify_viewer(now, conn, peer, ToViewer::Ended(id, title, CAUSE_BROKEN), out);
         }
         if self.sessions.len() >= self.bounds.sessions {
             return out.push(Effect::SendToViewer(conn, ToViewer::Refused(id, None)));
         }
         // Nothing of it is sent on.
-        let ask = SetUpRequest { body: Bytes::new(), ..ask };
-        let Some(life) = self.current.get(&server).copied() else {
-            if self.unplaced.len() >= self.bounds.open_requests {
+        let request = SetUpRequest { body: Bytes::new(), ..request };
+        let Some(incarnation) = self.current.get(&server).copied() else {
+            if self.awaiting_list.len() >= self.bounds.open_requests {
                 return out.push(Effect::SendToViewer(conn, ToViewer::UnknownSession(id)));
             }
-            self.unplaced.insert(id, Unplaced { conn, peer, ask, server });
-            return self.at(now + LATE, Wake::Handed(id));
+            self.awaiting_list.insert(id, AwaitingList { conn, peer, request, server });
+            return self.set_timer(now + LIST_DELAY, Wake::HandoverTimeout(id));
         };
-        let phase = Phase::Standing(life, now);
+        let phase = Phase::Playing(incarnation, now);
         // The description is of no further use, and thousands of long ones would fill the memory.
-        let ask = SetUpRequest { body: Bytes::new(), ..ask };
-        self.sessions.insert(id, Session { ask, conn, peer, rung: 0, attempts: 1, phase });
-        self.stands(life, conn, id);
-        self.became_good(now, conn, out);
+        let request = SetUpRequest { body: Bytes::new(), ..request };
+        self.sessions.insert(id, Session { request, conn, peer, rung: 0, attempts: 1, phase });
+        self.register_playing(incarnation, conn, id);
+        self.mark_validated(now, conn, out);
         self.pending.push_back(Event::Adopted(id, spec, server));
         // Its node may have told its end while the front was away: on the first connection that it was offered.
-        if let Some(early) = self.early.remove(&id).filter(|e| e.server == server) {
-            return self.over(now, id, early.outcome, Vec::new(), out);
+        if let Some(early_ends) = self.early_ends.remove(&id).filter(|e| e.server == server) {
+            return self.session_ended(now, id, early_ends.outcome, Vec::new(), out);
         }
-        self.revive(life);
+        self.clear_dead(incarnation);
         // The node tells its end on any connection, so that there must be one.
-        if self.lives.get(&life).is_some_and(|l| l.links.is_empty()) {
-            self.dial(now, life, out);
+        if self.incarnations.get(&incarnation).is_some_and(|node| node.links.is_empty()) {
+            self.dial(now, incarnation, out);
         }
     }
 
     /// The list has changed: it may name the node of one that waits for that.
-    pub(super) fn place_handed(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let named = self.unplaced.iter().filter(|(_, u)| self.current.contains_key(&u.server));
+    pub(super) fn place_handed_over(&mut self, now: Time, out: &mut Vec<Effect>) {
+        let named = self.awaiting_list.iter().filter(|(_, u)| self.current.contains_key(&u.server));
         let named: Vec<_> = named.map(|(id, _)| *id).collect();
         for id in named {
-            if let Some(Unplaced { conn, peer, ask, server }) = self.unplaced.remove(&id) {
-                self.under_way(now, conn, peer, ask, server, out);
+            if let Some(AwaitingList { conn, peer, request, server }) = self.awaiting_list.remove(&id) {
+                self.adopt_session(now, conn, peer, request, server, out);
             }
         }
     }
 
     /// The list does not name its node: it is over, and whoever made it up hears that there is none.
-    pub(super) fn handed_time(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
-        let Some(Unplaced { conn, peer, ask, .. }) = self.unplaced.remove(&id) else { return };
-        self.remember(now, id, ask.spec.title.0, false);
-        self.tell_end(now, conn, peer, ToViewer::Ended(id, ask.spec.title.0, CUT), out);
+    pub(super) fn handover_timed_out(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
+        let Some(AwaitingList { conn, peer, request, .. }) = self.awaiting_list.remove(&id) else { return };
+        self.remember(now, id, request.spec.title.0, false);
+        self.notify_viewer(now, conn, peer, ToViewer::Ended(id, request.spec.title.0, CAUSE_BROKEN), out);
         out.push(Effect::SendToViewer(conn, ToViewer::UnknownSession(id)));
     }
 
-    fn stands(&mut self, life: IncarnationId, conn: ConnId, id: SessionId) {
-        if let Some(life) = self.lives.get_mut(&life) {
-            life.standing.insert(id);
+    fn register_playing(&mut self, incarnation: IncarnationId, conn: ConnId, id: SessionId) {
+        if let Some(incarnation) = self.incarnations.get_mut(&incarnation) {
+            incarnation.playing.insert(id);
         }
         if let Some(conn) = self.conns.get_mut(&conn) {
-            conn.carries += 1;
+            conn.playing += 1;
         }
     }
 
     /// A node's answer that a session stands.
-    pub(super) fn plays(
+    pub(super) fn set_up_succeeded(
         &mut self,
         now: Time,
         link: LinkId,
@@ -124,41 +124,43 @@
         body: Bytes,
         out: &mut Vec<Effect>,
     ) {
-        let attempt = self.attempt(id).filter(|a| a.link == link).map(|a| (a.stage, a.life));
+        let attempt = self.attempt(id).filter(|a| a.link == link).map(|a| (a.stage, a.incarnation));
         match attempt {
-            Some((Stage::Sent, life)) => {
+            Some((Stage::Sent, incarnation)) => {
                 self.take_attempt(id);
                 let Some(s) = self.sessions.get_mut(&id) else { return };
-                s.phase = Phase::Standing(life, now);
+                s.phase = Phase::Playing(incarnation, now);
                 // No further attempt takes the description.
-                s.ask.body = Bytes::new();
-                self.open -= 1;
+                s.request.body = Bytes::new();
+                self.open_requests -= 1;
                 let conn = s.conn;
                 if let Some(conn) = self.conns.get_mut(&conn) {
-                    conn.open.remove(&id);
+                    conn.open_requests.remove(&id);
                 }
-                self.stands(life, conn, id);
+                self.register_playing(incarnation, conn, id);
                 out.push(Effect::SendToViewer(conn, ToViewer::Started(id, body)));
-                let Some(server) = self.lives.get(&life).map(|l| l.server) else { return };
+                let Some(server) = self.incarnations.get(&incarnation).map(|node| node.server) else {
+                    return;
+                };
                 self.pending.push_back(Event::Started(id, server));
             }
             // It crossed the give-up: it is cut at the node and reaches no viewer.
-            Some((Stage::Closing, _)) => {
-                self.write(now, link, ToNode::Release(id, self.title(id), CANCELLED), out);
+            Some((Stage::Cancelling, _)) => {
+                self.send(now, link, ToNode::Release(id, self.title(id), CAUSE_CANCELLED), out);
                 self.attempt_ended(id, Outcome::TimedOut, Vec::new());
             }
             // A second copy of an answer, or one under an unknown id, is passed over.
             _ => {
-                let cut = self.ended.get(&id).filter(|e| e.cut).map(|e| e.title);
-                if let Some(title) = cut {
-                    self.write(now, link, ToNode::Release(id, title, CANCELLED), out);
+                let title = self.ended.get(&id).filter(|e| e.release_if_started).map(|e| e.title);
+                if let Some(title) = title {
+                    self.send(now, link, ToNode::Release(id, title, CAUSE_CANCELLED), out);
                 }
             }
         }
     }
 
     /// A node's word that a session is over, or that a set-up broke.
-    pub(super) fn node_over(
+    pub(super) fn node_ended_session(
         &mut self,
         now: Time,
         link: LinkId,
@@ -167,17 +169,23 @@
         report: Vec<f64>,
         out: &mut Vec<Effect>,
     ) {
-        self.write(now, link, ToNode::Acknowledge(id), out);
-        let life = self.links.get(&link).map(|l| l.life);
+        self.send(now, link, ToNode::Acknowledge(id), out);
+        let incarnation = self.links.get(&link).map(|l| l.incarnation);
         match self.sessions.get(&id).map(|s| &s.phase) {
-            Some(Phase::Standing(at, _)) if Some(*at) == life => self.over(now, id, outcome, report, out),
-            Some(Phase::Open(Some(a))) if Some(a.life) == life && a.stage != Stage::Torn => {
+            Some(Phase::Playing(at, _)) if Some(*at) == incarnation => {
+                self.session_ended(now, id, outcome, report, out)
+            }
+            Some(Phase::Open(Some(a)))
+                if Some(a.incarnation) == incarnation && a.stage != Stage::LinkLost =>
+            {
                 self.attempt_ended(id, Outcome::LinkBroken, report);
             }
-            None if !self.ended.contains_key(&id) && self.early.len() < self.bounds.ended_sessions => {
-                let server = life.and_then(|life| self.lives.get(&life)).map(|l| l.server);
+            None if !self.ended.contains_key(&id) && self.early_ends.len() < self.bounds.ended_sessions => {
+                let server = incarnation
+                    .and_then(|incarnation| self.incarnations.get(&incarnation))
+                    .map(|node| node.server);
                 if let Some(server) = server {
-                    self.early.insert(id, Early { at: now, server, outcome });
+                    self.early_ends.insert(id, EarlyEnd { received_at: now, server, outcome });
                 }
             }
             _ => {}
@@ -185,7 +193,7 @@
     }
 
     /// A standing session is over: it leaves the accounts, its viewer and the module are told.
-    pub(super) fn over(
+    pub(super) fn session_ended(
         &mut self,
         now: Time,
         id: SessionId,
@@ -193,94 +201,120 @@
         report: Vec<f64>,
         out: &mut Vec<Effect>,
     ) {
-        let Some(life) = self.standing_at(id) else { return };
-        let Some((s, server)) = self.take_standing(now, id) else { return };
+        let Some(incarnation) = self.incarnation_of(id) else { return };
+        let Some((s, server)) = self.take_playing(now, id) else { return };
         let cause = match outcome {
-            Outcome::Served => Some(ENDED),
+            Outcome::Served => Some(CAUSE_PLAYED),
             Outcome::Cancelled => None,
-            _ => Some(CUT),
+            _ => Some(CAUSE_BROKEN),
         };
         if let Some(cause) = cause {
-            let word = ToViewer::Ended(id, s.ask.spec.title.0, cause);
-            self.tell_end(now, s.conn, s.peer, word, out);
+            let message = ToViewer::Ended(id, s.request.spec.title.0, cause);
+            self.notify_viewer(now, s.conn, s.peer, message, out);
         }
-        let report = if self.is_current(life) { report } else { Vec::new() };
-        self.pending.push_back(ended(id, server, self.fair(life, outcome), true, report));
+        let report = if self.is_current(incarnation) { report } else { Vec::new() };
+        self.pending.push_back(ended_event(
+            id,
+            server,
+            self.outcome_for_controller(incarnation, outcome),
+            true,
+            report,
+        ));
     }
 
-    fn standing_at(&self, id: SessionId) -> Option<IncarnationId> {
-        let Phase::Standing(life, _) = self.sessions.get(&id)?.phase else { return None };
-        Some(life)
+    fn incarnation_of(&self, id: SessionId) -> Option<IncarnationId> {
+        let Phase::Playing(incarnation, _) = self.sessions.get(&id)?.phase else { return None };
+        Some(incarnation)
     }
 
     /// Ends a standing session for its viewer's sake, at its node too.
-    pub(super) fn cut(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
-        let Some(Phase::Standing(life, _)) = self.sessions.get(&id).map(|s| &s.phase) else { return };
-        let life = *life;
-        let Some((s, server)) = self.take_standing(now, id) else { return };
-        self.tell_node(now, life, ToNode::Release(id, s.ask.spec.title.0, CANCELLED), out);
-        self.pending.push_back(ended(id, server, Outcome::Cancelled, true, Vec::new()));
+    pub(super) fn release_session(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
+        let Some(Phase::Playing(incarnation, _)) = self.sessions.get(&id).map(|s| &s.phase) else { return };
+        let incarnation = *incarnation;
+        let Some((s, server)) = self.take_playing(now, id) else { return };
+        self.send_to_node(
+            now,
+            incarnation,
+            ToNode::Release(id, s.request.spec.title.0, CAUSE_CANCELLED),
+            out,
+        );
+        self.pending.push_back(ended_event(id, server, Outcome::Cancelled, true, Vec::new()));
     }
 
     /// The module moves a session: the viewer is told to come again. The platform ends it at its node then, whose
     /// word is waited for: a release from here could reach the node before the move reaches the viewer, and the viewer
     /// would be left with a session that is over and of which nobody told it.
-    pub(super) fn shift(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
-        let Some(s) = self.sessions.get(&id).filter(|s| matches!(s.phase, Phase::Standing(..))) else {
+    pub(super) fn move_session(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
+        let Some(s) = self.sessions.get(&id).filter(|s| matches!(s.phase, Phase::Playing(..))) else {
             return;
         };
-        let (conn, peer, word) = (s.conn, s.peer, ToViewer::Move(id, s.ask.spec.title.0));
-        self.tell_end(now, conn, peer, word, out);
-        self.at(now + MOVED, Wake::Moved(id));
+        let (conn, peer, message) = (s.conn, s.peer, ToViewer::Move(id, s.request.spec.title.0));
+        self.notify_viewer(now, conn, peer, message, out);
+        self.set_timer(now + MOVE_CONFIRMATION_TIME, Wake::MoveTimeout(id));
     }
 
     /// A moved session of which its node has said nothing is cut there. The node may have died before the move: then
     /// the move told the viewer nothing that counts, so that the viewer is told of the end as well.
-    pub(super) fn moved_time(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
-        let Some(s) = self.sessions.get(&id).filter(|s| matches!(s.phase, Phase::Standing(..))) else {
+    pub(super) fn move_timed_out(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
+        let Some(s) = self.sessions.get(&id).filter(|s| matches!(s.phase, Phase::Playing(..))) else {
             return;
         };
-        let (conn, peer, word) = (s.conn, s.peer, ToViewer::Ended(id, s.ask.spec.title.0, CANCELLED));
-        self.cut(now, id, out);
-        self.tell_end(now, conn, peer, word, out);
+        let (conn, peer, message) =
+            (s.conn, s.peer, ToViewer::Ended(id, s.request.spec.title.0, CAUSE_CANCELLED));
+        self.release_session(now, id, out);
+        self.notify_viewer(now, conn, peer, message, out);
     }
 
-    fn take_standing(&mut self, now: Time, id: SessionId) -> Option<(Session, ServerId)> {
-        let Phase::Standing(life, _) = self.sessions.get(&id)?.phase else { return None };
+    fn take_playing(&mut self, now: Time, id: SessionId) -> Option<(Session, ServerId)> {
+        let Phase::Playing(incarnation, _) = self.sessions.get(&id)?.phase else { return None };
         let s = self.sessions.remove(&id)?;
         if let Some(conn) = self.conns.get_mut(&s.conn) {
-            conn.carries = conn.carries.saturating_sub(1);
+            conn.playing = conn.playing.saturating_sub(1);
         }
-        self.remember(now, id, s.ask.spec.title.0, false);
-        let life = self.lives.get_mut(&life)?;
-        life.standing.remove(&id);
-        Some((s, life.server))
+        self.remember(now, id, s.request.spec.title.0, false);
+        let incarnation = self.incarnations.get_mut(&incarnation)?;
+        incarnation.playing.remove(&id);
+        Some((s, incarnation.server))
     }
 
     /// Tells a viewer's side on the connection of the set-up, else on another one from the same address, else as soon
     /// as there is one.
-    fn tell_end(&mut self, now: Time, conn: ConnId, peer: IpAddr, word: ToViewer, out: &mut Vec<Effect>) {
-        match self.way_to(conn, peer) {
-            Some(conn) => out.push(Effect::SendToViewer(conn, word)),
-            None if self.untold.len() < self.bounds.ended_sessions => {
-                self.untold.push_back(Untold { peer, until: now + TOLD_WITHIN, word });
+    fn notify_viewer(
+        &mut self,
+        now: Time,
+        conn: ConnId,
+        peer: IpAddr,
+        message: ToViewer,
+        out: &mut Vec<Effect>,
+    ) {
+        match self.conn_to_viewer(conn, peer) {
+            Some(conn) => out.push(Effect::SendToViewer(conn, message)),
+            None if self.unsent_ends.len() < self.bounds.ended_sessions => {
+                self.unsent_ends.push_back(UnsentEnd { peer, expires_at: now + END_NOTICE_LIMIT, message });
             }
             None => {}
         }
     }
 
-    fn way_to(&self, conn: ConnId, peer: IpAddr) -> Option<ConnId> {
-        let other =
-            || self.conns.iter().rev().find(|(_, c)| c.good && !c.left && c.peer == peer).map(|(id, _)| *id);
-        if self.conns.get(&conn).is_some_and(|c| !c.left) { Some(conn) } else { other() }
+    fn conn_to_viewer(&self, conn: ConnId, peer: IpAddr) -> Option<ConnId> {
+        let other = || {
+            self.conns
+                .iter()
+                .rev()
+                .find(|(_, c)| c.sent_valid_message && !c.half_closed && c.peer == peer)
+                .map(|(id, _)| *id)
+        };
+        if self.conns.get(&conn).is_some_and(|c| !c.half_closed) { Some(conn) } else { other() }
     }
 
-    pub(super) fn sweep_untold(&mut self, now: Time, out: &mut Vec<Effect>) {
-        for _ in 0..self.untold.len() {
-            let Some(untold) = self.untold.pop_front().filter(|u| u.until > now) else { continue };
-            match self.way_to(ConnId(u64::MAX), untold.peer) {
-                Some(conn) => out.push(Effect::SendToViewer(conn, untold.word)),
-                None => self.untold.push_back(untold),
+    pub(super) fn send_unsent_ends(&mut self, now: Time, out: &mut Vec<Effect>) {
+        for _ in 0..self.unsent_ends.len() {
+            let Some(unsent_ends) = self.unsent_ends.pop_front().filter(|u| u.expires_at > now) else {
+                continue;
+            };
+            match self.conn_to_viewer(ConnId(u64::MAX), unsent_ends.peer) {
+                Some(conn) => out.push(Effect::SendToViewer(conn, unsent_ends.message)),
+                None => self.unsent_ends.push_back(unsent_ends),
             }
         }
     }
@@ -288,18 +322,19 @@
     pub(super) fn set_rung(&mut self, now: Time, id: SessionId, rung: u8, out: &mut Vec<Effect>) {
         let Some(s) = self.sessions.get_mut(&id) else { return };
         s.rung = rung;
-        if let Phase::Standing(life, _) = s.phase {
-            let title = s.ask.spec.title.0;
-            self.tell_node(now, life, ToNode::SetRung(id, title, rung), out);
+        if let Phase::Playing(incarnation, _) = s.phase {
+            let title = s.request.spec.title.0;
+            self.send_to_node(now, incarnation, ToNode::SetRung(id, title, rung), out);
         }
     }
 
-    pub(super) fn note(&mut self, link: LinkId, id: SessionId, kind: NotificationKind, value: f64) {
-        let Some(life) = self.links.get(&link).map(|l| l.life).filter(|l| self.is_current(*l)) else {
+    pub(super) fn notification(&mut self, link: LinkId, id: SessionId, kind: NotificationKind, value: f64) {
+        let Some(incarnation) = self.links.get(&link).map(|l| l.incarnation).filter(|l| self.is_current(*l))
+        else {
             return;
         };
-        let Some(server) = self.lives.get(&life).map(|l| l.server) else { return };
-        if matches!(self.sessions.get(&id), Some(Session { phase: Phase::Standing(at, _), .. }) if *at == life)
+        let Some(server) = self.incarnations.get(&incarnation).map(|node| node.server) else { return };
+        if matches!(self.sessions.get(&id), Some(Session { phase: Phase::Playing(at, _), .. }) if *at == incarnation)
         {
             self.pending.push_back(Event::Notification(id, server, kind, value));
         }
--- a/crates/platform/src/core/tests.rs
+++ b/crates/platform/src/core/tests.rs
@@ -375,7 +375,7 @@
 fn all_connections_together_stay_within_the_descriptors() {
     for descriptors in [32, 64, 100, 256, 1_024, 65_536] {
         let b = Bounds::for_descriptors(descriptors);
-        let all = OWN + b.viewers * 9 / 8 + b.viewers / 16 + b.links;
+        let all = OWN_DESCRIPTORS + b.viewers * 9 / 8 + b.viewers / 16 + b.links;
         assert!(all <= descriptors, "{all} of {descriptors}");
         assert!(descriptors < 64 || b.viewers >= descriptors / 3, "the protocol's viewers have a third");
     }
@@ -387,7 +387,7 @@
     let mut w = World::three();
     w.standing(1);
     w.tell(Input::SetUp(ConnId(1), SetUpRequest { playing_at: Some(ServerId(2)), ..ask(2, 0) }));
-    assert!(w.core.playing_sessions() == 2 && w.core.sessions.values().all(|s| s.ask.body.is_empty()));
+    assert!(w.core.playing_sessions() == 2 && w.core.sessions.values().all(|s| s.request.body.is_empty()));
 }
 
 #[test]
@@ -396,7 +396,7 @@
         let mut w = World::three();
         let (link, _) = w.standing(1);
         let mut out = Vec::new();
-        w.core.shift(w.now, SessionId(1), &mut out);
+        w.core.move_session(w.now, SessionId(1), &mut out);
         assert_eq!(out, [Effect::SendToViewer(ConnId(1), ToViewer::Move(SessionId(1), 7))]);
         if heard {
             let out = w.tell(Input::NodeMessage(
@@ -580,6 +580,6 @@
     w.tell(Input::NodeList(Vec::new()));
     w.pass(30 * S);
     let c = &w.core;
-    assert!(c.sessions.is_empty() && c.lives.is_empty() && c.links.is_empty() && c.probes.is_empty());
-    assert!(c.ended.is_empty() && c.ended_order.is_empty() && c.untold.is_empty() && c.conns.len() == 1);
+    assert!(c.sessions.is_empty() && c.incarnations.is_empty() && c.links.is_empty() && c.probes.is_empty());
+    assert!(c.ended.is_empty() && c.ended_order.is_empty() && c.unsent_ends.is_empty() && c.conns.len() == 1);
 }
--- a/crates/platform/src/core/tests/churn.rs
+++ b/crates/platform/src/core/tests/churn.rs
@@ -7,23 +7,23 @@
 fn sizes(w: &World) -> BTreeMap<&'static str, usize> {
     let c = &w.core;
     let (servers, _) = c.controller.view(w.now);
-    let lives = || c.lives.values();
+    let lives = || c.incarnations.values();
     BTreeMap::from([
         ("sessions", c.sessions.len()),
-        ("open", c.open),
+        ("open", c.open_requests),
         ("conns", c.conns.len()),
-        ("open on conns", c.conns.values().map(|c| c.open.len()).sum()),
-        ("carried by conns", c.conns.values().map(|c| c.carries).sum()),
-        ("lives", c.lives.len()),
+        ("open on conns", c.conns.values().map(|c| c.open_requests.len()).sum()),
+        ("carried by conns", c.conns.values().map(|c| c.playing).sum()),
+        ("lives", c.incarnations.len()),
         ("current", c.current.len()),
         ("links of lives", lives().map(|l| l.links.len()).sum()),
-        ("standing at lives", lives().map(|l| l.standing.len()).sum()),
+        ("standing at lives", lives().map(|l| l.playing.len()).sum()),
         ("links", c.links.len()),
         ("probes", c.probes.len()),
         ("ended", c.ended.len() + c.ended_order.len()),
-        ("unplaced", c.unplaced.len()),
-        ("early", c.early.len()),
-        ("untold", c.untold.len()),
+        ("unplaced", c.awaiting_list.len()),
+        ("early", c.early_ends.len()),
+        ("untold", c.unsent_ends.len()),
         ("pending", c.pending.len()),
         ("module servers", servers.len()),
         ("module sessions", servers.iter().map(|s| s.sessions).sum()),
@@ -162,7 +162,7 @@
             self.answer(out);
         }
         // Sessions end, and nodes tell of some that are not known.
-        let links: Vec<_> = self.w.core.links.iter().filter(|(_, l)| l.up()).map(|(id, _)| *id).collect();
+        let links: Vec<_> = self.w.core.links.iter().filter(|(_, l)| l.is_up()).map(|(id, _)| *id).collect();
         for link in links.into_iter().filter(|l| self.runs(*l)).collect::<Vec<_>>() {
             let id = 1 + self.draw(self.id);
             let how = [Outcome::Served, Outcome::Cancelled, Outcome::Broken][self.draw(3) as usize];
@@ -190,7 +190,7 @@
             }
             c.round();
             c.w.out.clear();
-            most = most.max(c.w.core.lives.len());
+            most = most.max(c.w.core.incarnations.len());
         }
         assert!(c.next > 400, "{} ids were met", c.next);
         assert!(most <= 60, "{most} lives were held at a time");
@@ -205,7 +205,7 @@
         for _ in 0..400 {
             let out = c.w.pass(100 * MS);
             c.answer(out);
-            for (id, e) in c.w.core.sessions.iter().map(|(id, s)| (*id, s.ask.id)).collect::<Vec<_>>() {
+            for (id, e) in c.w.core.sessions.iter().map(|(id, s)| (*id, s.request.id)).collect::<Vec<_>>() {
                 assert_eq!(id, e);
                 c.w.tell(Input::Release(ConnId(1), id));
             }
@@ -214,7 +214,7 @@
         let timers = std::iter::from_fn(|| c.w.core.timers.pop_due(Time::MAX)).count();
         // The sweep's and the module's.
         assert!(timers <= 4, "{timers} timers are left");
-        let known: BTreeSet<SocketAddr> = c.w.core.lives.values().map(|l| l.address.into()).collect();
+        let known: BTreeSet<SocketAddr> = c.w.core.incarnations.values().map(|l| l.address.into()).collect();
         assert_eq!(known.len(), 10);
     }
 }
--- a/crates/platform/src/core/tests/handed.rs
+++ b/crates/platform/src/core/tests/handed.rs
@@ -53,7 +53,7 @@
     assert!(!told(&w.tell(Input::SetUp(ConnId(1), handed(4, 3))), &over(4, 16)));
     assert_eq!(w.core.playing_sessions(), 2);
     w.pass(11 * S);
-    assert!(w.core.early.is_empty());
+    assert!(w.core.early_ends.is_empty());
 }
 
 #[test]
@@ -73,7 +73,7 @@
     // The other one's node is never named: within the time in which a bad viewer must hear something.
     let out = w.pass(1_500 * MS);
     assert!(told(&out, &over(2, 41)) && told(&out, &ToViewer::UnknownSession(SessionId(2))), "{out:?}");
-    assert!(!told(&out, &over(3, 41)) && w.core.unplaced.is_empty());
+    assert!(!told(&out, &over(3, 41)) && w.core.awaiting_list.is_empty());
 }
 
 #[test]
--- a/crates/platform/src/core/tests/histories.rs
+++ b/crates/platform/src/core/tests/histories.rs
@@ -152,11 +152,11 @@
         let held = [
             ("sessions", c.sessions.len()),
             ("ended", c.ended.len() + c.ended_order.len()),
-            ("untold", c.untold.len()),
-            ("early", c.early.len()),
-            ("unplaced", c.unplaced.len()),
+            ("untold", c.unsent_ends.len()),
+            ("early", c.early_ends.len()),
+            ("unplaced", c.awaiting_list.len()),
             ("connections of viewers", c.conns.len().saturating_sub(2)),
-            ("lives", c.lives.len().saturating_sub(3)),
+            ("lives", c.incarnations.len().saturating_sub(3)),
             ("pending", c.pending.len()),
         ];
         match held.into_iter().find(|(_, n)| *n > 0) {
--- a/crates/platform/src/core/tests/lists.rs
+++ b/crates/platform/src/core/tests/lists.rs
@@ -130,7 +130,9 @@
         assert!(dialled(&out).is_none_or(|(_, at)| at != address), "its address may be another's");
         assert_eq!((w.core.open_requests(), w.core.playing_sessions()), (0, 0));
         w.pass(15 * S);
-        assert!(w.core.lives.values().all(|l| !l.links.contains(&link)) && w.core.lives.len() == 2);
+        assert!(
+            w.core.incarnations.values().all(|l| !l.links.contains(&link)) && w.core.incarnations.len() == 2
+        );
     }
 }
 
@@ -285,8 +287,8 @@
         w.tell(Input::NodeMessage(on.expect("an attempt"), plays(id)));
         id += 1;
     }
-    let there = w.core.lives.values().filter(|l| SocketAddr::from(l.address) == dead);
-    let there: usize = there.map(|l| l.standing.len()).sum();
+    let there = w.core.incarnations.values().filter(|l| SocketAddr::from(l.address) == dead);
+    let there: usize = there.map(|l| l.playing.len()).sum();
     let mut out = w.tell(Input::LinkDown(link));
     let (began, mut told_over) = (w.now, 0);
     while w.now < began + 8 * S {
@@ -303,7 +305,7 @@
         out.extend(w.pass(20 * MS));
         // The others go on telling of themselves.
         let each_second = w.now % S < 20 * MS;
-        let ups = w.core.links.iter().filter(|(_, l)| each_second && l.up()).map(|(id, _)| *id);
+        let ups = w.core.links.iter().filter(|(_, l)| each_second && l.is_up()).map(|(id, _)| *id);
         for l in ups.collect::<Vec<_>>() {
             out.extend(w.tell(Input::NodeMessage(l, FromNode::Other)));
         }
@@ -328,7 +330,7 @@
     let out = w.pass(250 * MS);
     assert!(out.contains(&Effect::CloseLink(link)), "{out:?}");
     w.pass(250 * MS);
-    assert!(w.core.links.is_empty() && w.core.lives.is_empty());
+    assert!(w.core.links.is_empty() && w.core.incarnations.is_empty());
 }
 
 /// A refusal of the process that had an id before tells nothing of the one that has it now.
--- a/crates/platform/src/core/tests/watch.rs
+++ b/crates/platform/src/core/tests/watch.rs
@@ -42,7 +42,7 @@
         let mut w = World::three();
         w.core.probing = true;
         // Another draw of the moments at which it looks.
-        w.core.next = seed << 20;
+        w.core.next_number = seed << 20;
         let (link, _) = w.standing(1);
         let (began, links) = (w.now, vec![link]);
         let (shut, due) = (Vec::new(), Vec::new());
