--- a/crates/platform/src/core/attempts.rs
+++ b/crates/platform/src/core/attempts.rs
@@ -1,42 +1,44 @@
-//! Attempts: one out at a time for each request, from the module's word until the node or the connection has said how it
-//! ended.
+//! Attempts to set a session up at a node. At most one attempt per request is in flight, from the
+//! controller's decision until the node or the connection shows how it ended.
 //!
-//! An attempt whose time is up is given up at the node, and the node is heard out for a short grace; only then does the
-//! module hear of it, so that no further attempt can be out beside it.
+//! An attempt that times out is cancelled at its node, and the node has a short grace period to reply. Only
+//! then is the controller informed, so that the next attempt never overlaps with this one.
 
 use super::*;
 use pepperhook::Outcome;
 
-/// After a give-up the node is heard out so long: the way there and back, and its work in between. No settings name the way;
-/// where a word comes later, the give-up that it crossed ends the session at its node.
+/// Grace period after a cancelled set-up: the round trip to the node plus its processing. The settings do not
+/// give the round trip time. If the node starts the session later, the cancellation that crossed its answer
+/// ends the session there.
 const CANCEL_GRACE: Time = 30 * MS;
 
-/// Connections that are tried for one attempt, at most: one that the node had just ended, one that takes no bytes, a new one.
+/// Connections tried for one attempt, at most: one that the node has just closed, one that accepts no bytes,
+/// and a new one.
 const MAX_LINKS_PER_ATTEMPT: u8 = 3;
 
-/// One attempt.
+/// An attempt to set a session up.
 pub struct Attempt {
     pub incarnation: IncarnationId,
     pub number: u32,
     pub link: LinkId,
-    /// The front end waits for it until then.
+    /// Time until which the front waits for the node's answer.
     pub deadline: Time,
     pub stage: Stage,
 }
 
-/// How far an attempt has come.
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Its connection is not up yet: nothing was sent. So many dials were made for it.
+    /// Its connection is not up yet, and nothing was sent. Carries the number of dials made for it.
     Dialling(u8),
-    /// Its connection is up; whether its viewer still waits is being looked at. Nothing was sent. So many connections were
-    /// tried for it.
+    /// Its connection is up, and the shell checks whether the viewer still waits. Nothing was sent. Carries
+    /// the number of connections tried for it.
     CheckingViewer(u8),
-    /// Sent.
+    /// The set-up was sent.
     Sent,
-    /// Given up; the node is heard out.
+    /// The set-up was cancelled, and the grace period runs.
     Cancelling,
-    /// Its connection broke; whether the node lives is being found out.
+    /// Its connection broke after the set-up was sent; whether the node is alive is not known yet.
     LinkLost,
 }
 
@@ -82,8 +84,8 @@
         self.check_viewer(now, id, out);
     }
 
-    /// Offers a set-up once its connection is up: its viewer may have left since it was decided, and nothing of that may
-    /// have been read yet.
+    /// Asks the shell whether the viewer still waits, once the connection to the node is up. The viewer may
+    /// have left since the attempt began, and its close may not have been read yet.
     pub(super) fn check_viewer(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
         let Some(Attempt { incarnation, link, deadline, stage: Stage::Dialling(tried), .. }) =
             self.attempt(id)
@@ -105,7 +107,8 @@
         out.push(Effect::CheckViewer(conn, link, id));
     }
 
-    /// Writes a set-up whose viewer waits. The node is looked at again, since dialling takes time.
+    /// Sends a set-up whose viewer still waits. Checks the node again, since its state may have changed
+    /// during the dial.
     pub(super) fn send_set_up(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
         let Some(Attempt { incarnation, link, deadline, stage: Stage::CheckingViewer(_), .. }) =
             self.attempt(id)
@@ -134,8 +137,8 @@
         self.send(now, link, message, out);
     }
 
-    /// Its connection takes no bytes now, or the node has ended it: nothing was sent over it, nor will be. Another one
-    /// serves, within bounds.
+    /// The connection accepts no bytes now, or the node has closed it: the set-up was not and will not be
+    /// sent on it. Tries another connection, up to [`MAX_LINKS_PER_ATTEMPT`].
     pub(super) fn link_blocked(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
         let Some(Attempt { incarnation, link, stage: Stage::CheckingViewer(tried), .. }) = self.attempt(id)
         else {
@@ -154,7 +157,7 @@
         }
     }
 
-    /// Takes the attempt off its request and tells the module how it ended.
+    /// Removes the attempt from its request and reports its outcome to the controller.
     pub(super) fn attempt_ended(&mut self, id: SessionId, outcome: Outcome, report: Vec<f64>) {
         let Some(attempt) = self.take_attempt(id) else { return };
         let Some(server) = self.incarnations.get(&attempt.incarnation).map(|node| node.server) else {
@@ -176,7 +179,7 @@
         Some(attempt)
     }
 
-    /// Gives up whatever is out for a request, because nobody waits for it any more.
+    /// Cancels the attempt in flight for a request that nobody waits for any more.
     pub(super) fn cancel_attempt(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
         let Some(attempt) = self.take_attempt(id) else { return };
         if attempt.stage == Stage::Sent {
@@ -198,7 +201,7 @@
                 }
                 self.send(now, link, ToNode::CancelSetUp(id, self.title(id)), out);
                 self.set_timer(now + CANCEL_GRACE, Wake::CancelGrace(id, number));
-                // A node that does not answer may be gone without a sign.
+                // A node that does not answer may have vanished without closing its connections.
                 self.suspect_if_quiet(now, incarnation, out);
             }
         }
@@ -210,7 +213,7 @@
         }
     }
 
-    /// The node's final word on an attempt.
+    /// Handles the node's answer that a set-up failed.
     pub(super) fn set_up_failed(&mut self, link: LinkId, id: SessionId, outcome: Outcome, report: Vec<f64>) {
         let Some(attempt) = self.attempt(id).filter(|a| a.link == link) else { return };
         if matches!(attempt.stage, Stage::Sent | Stage::Cancelling) {
@@ -219,13 +222,13 @@
     }
 }
 
-/// The end of an attempt, or with `settled` of all that was owed.
+/// The event that ends an attempt or, if `is_final`, the whole request or session.
 pub fn ended_event(
     session: SessionId,
     server: ServerId,
     outcome: Outcome,
-    settled: bool,
+    is_final: bool,
     report: Vec<f64>,
 ) -> Event {
-    Event::Ended { session, server, outcome, is_final: settled, report }
+    Event::Ended { session, server, outcome, is_final, report }
 }
--- a/crates/platform/src/core/links.rs
+++ b/crates/platform/src/core/links.rs
@@ -1,24 +1,26 @@
-//! Connections to nodes. A set-up has a connection to itself where there are enough, so that what spoils one connection
-//! spoils one set-up; standing sessions need none, but one is kept where some stand, so that their end is heard.
+//! Connections to nodes. A set-up gets a connection of its own where there are enough, so that a broken
+//! connection affects one set-up only. Playing sessions need no connection of their own, but one is kept to
+//! each node where sessions play, to receive their ends.
 
 use super::attempts::Stage;
 use super::liveness::SIGN_OF_LIFE_TIME;
 use super::*;
 use pepperhook::Outcome;
 
-/// Words that wait for a connection to come up, at most; later ones are dropped, rungs among them. One a session suffices, and
-/// a dial lasts no longer than the settings' time for it.
+/// Messages that wait for a connection to come up, at most; further ones are dropped, rungs included. One
+/// message per session suffices, and a dial takes no longer than the dial timeout of the settings.
 const MAX_QUEUED_MESSAGES: usize = 256;
-/// A dial that failed on its way is made again, so many times in all: once tells chance from a fault on this side, whatever
-/// the settings are.
+/// Dials for one attempt, at most, if they fail for a local reason. A second dial tells a chance failure from
+/// a fault on this side, independent of the settings.
 const MAX_DIALS: u8 = 2;
 
-/// How far a connection has come.
+/// State of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkState {
     Dialling,
     Up,
-    /// Its sending side was shut then. Nothing more goes over it; the node's own end of it is a sign of life.
+    /// This side half-closed it at this time. Nothing more is sent on it; when the node closes it, that is a
+    /// sign of life.
     HalfClosed(Time),
 }
 
@@ -26,15 +28,17 @@
 pub struct Link {
     pub incarnation: IncarnationId,
     pub state: LinkState,
-    /// When it was dialled, then when it came up.
+    /// When it was dialled and, once it is up, when it came up.
     pub opened_at: Time,
-    /// A set-up has gone over it: it is kept before others, since a node's work for a new connection is done with it.
+    /// A set-up was sent on it. It is preferred to others, since the node's work for a new connection is
+    /// done.
     pub carried_set_up: bool,
-    /// It took no bytes, or had ended, when a set-up was about to be written; until something comes on it.
+    /// It accepted no bytes, or the node had closed it, when a set-up was about to be sent. Cleared when a
+    /// message comes on it.
     pub blocked: bool,
-    /// When something last went over it, either way.
+    /// When a message was last sent or received on it.
     pub last_used: Time,
-    /// Set-ups on it, or waiting for it.
+    /// Set-ups in flight on it or waiting for it.
     pub set_ups: BTreeSet<SessionId>,
     probes: BTreeSet<ProbeId>,
     queue: Vec<ToNode>,
@@ -49,7 +53,7 @@
         matches!(self.state, LinkState::HalfClosed(_))
     }
 
-    /// Nothing waits for it that a viewer has asked for.
+    /// Whether no release waits for it to come up.
     pub fn has_no_queued_release(&self) -> bool {
         !self.queue.iter().any(|message| matches!(message, ToNode::Release(..)))
     }
@@ -59,17 +63,18 @@
     }
 }
 
-/// A question for a node's load.
+/// A load query in flight.
 pub struct Probe {
     server: ServerId,
     incarnation: IncarnationId,
     link: LinkId,
-    /// It was asked on a second connection already.
+    /// It was already repeated on a second connection.
     retried: bool,
 }
 
 impl Core {
-    /// Dials a node; never one that is listed no more, since its address may be another's.
+    /// Dials a node. A node that is not in the list any more is never dialled, since its address may belong
+    /// to another one.
     pub(super) fn dial(
         &mut self,
         now: Time,
@@ -101,7 +106,8 @@
         Some(link)
     }
 
-    /// Closes the connection that has been idle longest, of those that are not a node's last.
+    /// Closes the connection that was idle longest. The last connection to a node where sessions play is
+    /// kept.
     fn evict_idle_link(&mut self, out: &mut Vec<Effect>) -> bool {
         let spare = |l: &Link| {
             let incarnation = self.incarnations.get(&l.incarnation);
@@ -133,8 +139,8 @@
         Some(l)
     }
 
-    /// Nodes close connections that are idle; one that is near that is not used for what must arrive. The last fifth of
-    /// the time is far longer than any word is on its way.
+    /// Whether the node is unlikely to close a connection for idleness while a message is on its way. The
+    /// last fifth of the idle time is avoided, which is far longer than any message takes.
     fn is_fresh(&self, now: Time, link: &Link) -> bool {
         link.last_used + self.sockets.idle / 5 * 4 > now
     }
@@ -144,8 +150,8 @@
         ids.filter_map(|id| self.links.get(id).map(|l| (*id, l))).filter(|(_, l)| l.is_up())
     }
 
-    /// A connection for a set-up: of those that carry none now one that has carried some, then the one used last; else a
-    /// new one, else one that carries few.
+    /// A connection for a set-up: a free one, preferably one that has carried a set-up, then the one used
+    /// last; else a new one; else the one with the fewest set-ups.
     pub(super) fn link_for_set_up(
         &mut self,
         now: Time,
@@ -175,7 +181,7 @@
         }
     }
 
-    /// What concerns a standing session goes over any connection to its node.
+    /// Sends a message about a playing session on any connection to its node.
     pub(super) fn send_to_node(
         &mut self,
         now: Time,
@@ -211,7 +217,7 @@
         dialled.or_else(|| self.dial(now, incarnation, out))
     }
 
-    // ---- questions for load --------------------------------------------------------------------
+    // ---- load queries --------------------------------------------------------------------------
 
     pub(super) fn probe(&mut self, now: Time, server: ServerId, out: &mut Vec<Effect>) {
         let incarnation = self.current.get(&server).copied();
@@ -254,7 +260,7 @@
         if let Some(link) = self.links.get_mut(&probe.link) {
             link.probes.remove(&id);
         }
-        // Of an older life of the same id: no word on the one that is there now.
+        // A report of an older incarnation tells nothing about the current one.
         let report = if self.is_current(probe.incarnation) { report } else { Some(Vec::new()) };
         self.pending.push_back(Event::Probed(probe.server, report));
         Some(probe)
@@ -266,7 +272,7 @@
         }
     }
 
-    /// A question whose connection broke is asked once more: a broken connection is no answer of the node's.
+    /// Repeats a load query once whose connection broke, since that is not an answer of the node.
     fn retry_probe(&mut self, now: Time, id: ProbeId, out: &mut Vec<Effect>) {
         let Some(probe) = self.probes.get(&id) else { return };
         let (incarnation, retried) = (probe.incarnation, probe.retried);
@@ -282,7 +288,7 @@
         }
     }
 
-    // ---- what becomes of connections -----------------------------------------------------------
+    // ---- state changes of connections ----------------------------------------------------------
 
     pub(super) fn link_up(&mut self, now: Time, link: LinkId, out: &mut Vec<Effect>) {
         let Some(l) = self.links.get_mut(&link) else { return out.push(Effect::CloseLink(link)) };
@@ -308,7 +314,7 @@
                     continue;
                 }
             }
-            // A dial that broke on its way tells nothing of the node.
+            // A dial that failed for a local reason tells nothing about the node.
             let outcome = if dial_end == DialEnd::Failed { Outcome::Unsent } else { Outcome::ConnectFailed };
             self.attempt_ended(id, outcome, Vec::new());
         }
@@ -352,7 +358,7 @@
                     }
                 }
                 Some(Stage::CheckingViewer(_)) => self.attempt_ended(id, Outcome::Unsent, Vec::new()),
-                // The close gives it up at the node.
+                // Closing the connection cancels the set-up at the node.
                 Some(Stage::Cancelling) => self.attempt_ended(id, Outcome::TimedOut, Vec::new()),
                 _ => {}
             }
@@ -390,8 +396,8 @@
         }
     }
 
-    /// Shuts the sending side of a connection that carries nothing. A process that runs ends its own side at once, so
-    /// that a connection which has served its time tells once more that its node lives.
+    /// Half-closes a connection that carries nothing. A running process closes its side at once, so a
+    /// connection that is no longer needed yields one more sign of life.
     pub(super) fn half_close(&mut self, now: Time, link: LinkId, out: &mut Vec<Effect>) {
         let Some(l) = self.links.get_mut(&link).filter(|l| l.is_up()) else { return };
         l.state = LinkState::HalfClosed(now);
@@ -399,7 +405,8 @@
         self.set_timer(now + SIGN_OF_LIFE_TIME, Wake::HalfCloseTimeout(link));
     }
 
-    /// The node ended it: a process that is no more would have reset it, or said nothing.
+    /// The node closed a half-closed connection, which is a sign of life: a dead process would have reset it
+    /// or stayed silent.
     pub(super) fn link_ended_by_node(&mut self, now: Time, link: LinkId, out: &mut Vec<Effect>) {
         if !self.links.get(&link).is_some_and(Link::is_half_closed) {
             return self.link_down(now, link, out);
@@ -412,7 +419,7 @@
         }
     }
 
-    /// A node that does not end it stalls, or is gone without a sign: it is dialled.
+    /// A node that does not close a half-closed connection stalls or has vanished, so it is dialled.
     pub(super) fn half_close_timed_out(&mut self, now: Time, link: LinkId, out: &mut Vec<Effect>) {
         let Some(Link { incarnation, state: LinkState::HalfClosed(since), .. }) = self.links.get(&link)
         else {
@@ -429,20 +436,21 @@
         }
     }
 
-    /// A connection of a node that carries nothing, if there is another that is up: rather one that never carried a
-    /// set-up, then the one used longest ago.
+    /// A connection that carries nothing, if the node has another one that is up. Prefers one that never
+    /// carried a set-up, then the one unused for longest.
     pub(super) fn spare_link(&self, incarnation: IncarnationId) -> Option<LinkId> {
         self.idle_link(incarnation).filter(|_| self.up_links(incarnation).count() > 1)
     }
 
-    /// The same, its only one included.
+    /// Like [`Self::spare_link`], but also returns the only connection to the node.
     pub(super) fn idle_link(&self, incarnation: IncarnationId) -> Option<LinkId> {
         let idle = self.up_links(incarnation).filter(|(_, l)| l.is_idle());
         idle.min_by_key(|(_, l)| (l.carried_set_up, l.last_used)).map(|(link, _)| link)
     }
 
-    /// Idle connections are ended before the nodes close them, and at once to nodes that the list names no more; where sessions stand, another takes the place of the
-    /// last one, and brings what could not be told meanwhile.
+    /// Closes idle connections before the nodes do, and those to nodes that are not in the list any more at
+    /// once. Where sessions play, a new connection replaces the last one and carries what could not be sent
+    /// before.
     pub(super) fn sweep_links(&mut self, now: Time, out: &mut Vec<Effect>) {
         let unlisted = |l: &Link| {
             self.incarnations
@@ -457,7 +465,7 @@
                 self.close_link(link, out);
                 continue;
             }
-            // The last one is ended only once another is up: the node may take no more.
+            // The last one is closed only once another is up, since the node may accept no more connections.
             if self.up_links(incarnation).count() > 1 {
                 self.half_close(now, link, out);
             } else {
--- a/crates/platform/src/core/liveness.rs
+++ b/crates/platform/src/core/liveness.rs
@@ -1,17 +1,18 @@
-//! What shows that a node lives, and what shows that it does not.
+//! Evidence of which nodes are alive.
 //!
-//! A process that died refuses dials; a machine that vanished lets them run out, and says nothing on open connections. A
-//! broken connection alone shows neither, and a node that stalls still takes connections. So a sign of trouble only
-//! raises a doubt; the node is dialled, and the dial decides: a new connection ends the doubt; two refusals, or silence
-//! for [`DEAD_AFTER_SILENCE`] with dials that run out, end the sessions that stand there. A connection that is still up speaks for
-//! the node only if something came on it since the doubt began.
+//! A dead process refuses dials. A vanished machine lets dials time out and is silent on open connections. A
+//! broken connection alone shows neither, and a stalled node still accepts connections. So a sign of trouble
+//! only raises a suspicion, and dialling the node decides: a new connection clears the suspicion, while
+//! [`DEAD_AFTER_REFUSALS`] refused dials, or timed-out dials and silence for [`DEAD_AFTER_SILENCE`], end the
+//! sessions that play there. A connection that is still up counts as evidence only if something was received
+//! on it since the suspicion began.
 //!
-//! Hundreds of front ends watch the same nodes, and each connection is work for a node. So the watch goes by the time
-//! that the rule on releases leaves, not by a shorter one, and uses each connection twice: its coming up is one sign of
-//! life, and the node's end of it, once this side has shut its own, another.
+//! Hundreds of fronts watch the same nodes, and each connection costs the node work. So a node is checked
+//! only as often as the rule on releases requires, and each connection is used twice: its coming up is one
+//! sign of life, and the node closing it after this side has half-closed it is another.
 //!
-//! A node that the list names no more is not dialled, since its address may be another's: it is asked on the connections
-//! that are still up, and if nothing comes, its sessions are over.
+//! A node that has left the list is not dialled, since its address may belong to another one. It is queried
+//! on the connections that are still up; if it does not answer, its sessions have ended.
 
 use super::attempts::{Attempt, Stage};
 use super::links::LinkState;
@@ -22,55 +23,61 @@
 use std::collections::VecDeque;
 use std::net::SocketAddrV4;
 
-/// Refused dials in a row that show a dead process.
+/// Refused dials within one suspicion that show a dead process.
 const DEAD_AFTER_REFUSALS: u32 = 2;
-/// So many while a connection to it is still up: a node that holds as many connections as it takes refuses too.
+/// The same while a connection to the node is still up: a node at its connection limit refuses dials too.
 const DEAD_AFTER_REFUSALS_WITH_LINK: u32 = 5;
-/// A node that is listed no more has so long to answer.
+/// Time in which a node that has left the list must answer a query.
 const RETIRED_ANSWER_TIME: Time = 800 * MS;
-/// Between two dials of a node in doubt.
+/// Interval between two dials of a suspected node.
 const REDIAL_INTERVAL: Time = 100 * MS;
-/// Dials that run out show a vanished machine after so long.
+/// Time of silence after which timed-out dials show a vanished machine.
 const DEAD_AFTER_SILENCE: Time = 2_000 * MS;
-/// Left over of the time within which an end must be told: the way to the viewer, and a late turn of this process.
+/// Part of [`END_NOTICE_LIMIT`] reserved for the way to the viewer and a delay of this process.
 const END_NOTICE_MARGIN: Time = 250 * MS;
-/// After a time-out a node is in doubt if it has said nothing for so long; one that was asked for a sign has so long.
+/// Time of silence after which a timeout makes a node suspect, and time in which a node must close a
+/// half-closed connection.
 pub const SIGN_OF_LIFE_TIME: Time = 500 * MS;
-/// Sessions that were released without their node's word and may stand there still, at most. It bounds memory; a node runs as
-/// many streams as the settings say, a front holds its part of them.
+/// Releases kept for a node that may still play sessions which were ended without its confirmation, at most.
+/// This bounds memory: the settings limit the streams of a node, and one front has only part of them.
 const MAX_PENDING_RELEASES: usize = 512;
 
-/// One life of a node.
+/// One incarnation of a node.
 pub struct Incarnation {
     pub server: ServerId,
     pub address: SocketAddrV4,
+    /// Start of the process by the list, Unix time in milliseconds.
     started_ms: u64,
     state: State,
-    /// Another life has taken the id or the list names it no more: it is not dialled again, since its address may be
-    /// another's.
+    /// Another incarnation has taken the id, or the list does not name it any more. It is not dialled again,
+    /// since its address may belong to another node.
     retired: bool,
-    /// When it was asked last, listed no more.
+    /// When it was last queried after it left the list.
     asked_at: Option<Time>,
-    /// Shown to be dead; a connection that comes up shows otherwise.
+    /// It was found dead. A connection that comes up clears this.
     dead: bool,
     pub links: BTreeSet<LinkId>,
+    /// Sessions that play there.
     pub playing: BTreeSet<SessionId>,
+    /// When a message or another sign of life was last received.
     pub last_heard: Time,
     suspicion: Option<Suspicion>,
-    /// Words that are due at the node if it comes back.
+    /// Releases to send if it comes back.
     pending_releases: VecDeque<ToNode>,
 }
 
+/// Doubt whether a node is alive, until a dial settles it.
 struct Suspicion {
     since: Time,
     refused_dials: u32,
-    /// It was asked on a connection that is still up.
+    /// It was asked for a sign of life on a connection that is still up.
     asked: bool,
-    /// The next dial has its time already.
+    /// A timer for the next dial is set.
     redial_scheduled: bool,
 }
 
 impl Incarnation {
+    /// Whether its address still belongs to it.
     pub fn may_dial(&self) -> bool {
         !self.retired
     }
@@ -97,7 +104,7 @@
         self.incarnations.get(&incarnation).is_some_and(|node| node.state == State::Ready && !node.retired)
     }
 
-    /// Takes in the list as it is now.
+    /// Applies the current list of nodes.
     pub(super) fn update_nodes(&mut self, now: Time, entries: &[Entry], out: &mut Vec<Effect>) {
         let listed: BTreeSet<u32> = entries.iter().map(|e| e.id).collect();
         let gone: Vec<_> =
@@ -139,7 +146,8 @@
         self.incarnations.insert(incarnation, new);
     }
 
-    /// A node is listed where it was. Where it has started anew since, what is older than that start is over.
+    /// Updates a node that is listed at its known address. If it has restarted, sessions and connections
+    /// older than that start have ended.
     fn update_incarnation(
         &mut self,
         now: Time,
@@ -161,8 +169,9 @@
             self.close_dead_link(link, out);
         }
         for id in playing {
-            // When one that was handed_over over began is not known: the list that told its node was older than this start,
-            // so that most likely it is too. Left standing it might never be told; ended, it is so at its node as well.
+            // The real start of a session that was handed over is not known. The list that named its node is
+            // older than this restart, so the session most likely is too. Kept, its end might never be
+            // reported; ended here, it is also released at its node.
             let Some((since, handed_over)) = self.playing_since(id) else { continue };
             if since >= started && !handed_over {
                 continue;
@@ -175,15 +184,15 @@
         }
     }
 
-    /// Since when a session stands, and whether it was handed_over over then.
+    /// Since when a session plays, and whether it was handed over then.
     fn playing_since(&self, id: SessionId) -> Option<(Time, bool)> {
         let s = self.sessions.get(&id)?;
         let Phase::Playing(_, since) = s.phase else { return None };
         Some((since, s.request.playing_at.is_some()))
     }
 
-    /// A life is past: its id stands for another address, or the list names it no more. Its connections tell when it
-    /// ends.
+    /// Retires an incarnation whose id now has another address or which has left the list. Its open
+    /// connections show when it ends.
     fn retire(&mut self, now: Time, incarnation: IncarnationId, out: &mut Vec<Effect>) {
         let Some(node) = self.incarnations.get_mut(&incarnation) else { return };
         (node.retired, node.state, node.suspicion) = (true, State::Gone, None);
@@ -191,7 +200,8 @@
         if self.current.get(&server) == Some(&incarnation) {
             self.current.remove(&server);
         }
-        // What comes up now may lead to another process at its address, whose word would count for this one.
+        // A dial that succeeds now may reach another process at its address, whose messages would be taken
+        // for this incarnation's.
         for link in links {
             if self.links.get(&link).is_some_and(|l| l.state == LinkState::Dialling) {
                 self.cancel_dial(link, out);
@@ -202,16 +212,17 @@
         }
     }
 
-    /// Takes a dial back; nothing was sent over it.
+    /// Abandons a dial. Nothing was sent on it.
     fn cancel_dial(&mut self, link: LinkId, out: &mut Vec<Effect>) {
         let set_ups = self.links.get(&link).map(|l| l.set_ups.clone()).unwrap_or_default();
         set_ups.into_iter().for_each(|id| self.attempt_ended(id, Outcome::Unsent, Vec::new()));
         self.close_link(link, out);
     }
 
-    /// Where a node of another id has the address of one that is gone, connections that came up since it started lead
-    /// to it, however they were meant: the list may tell late, and a node that died was dialled until then. What came
-    /// on them spoke for the wrong node, and what was set up over them is cut where it really plays.
+    /// Closes connections to retired incarnations that lead to another node. If a node has taken over the
+    /// address of a retired one, connections that came up since it started lead to it: the list may be late,
+    /// and the dead node was dialled until then. What was received on them was credited to the wrong node,
+    /// and sessions set up over them are released where they really play.
     fn close_misdirected_links(&mut self, now: Time, entries: &[Entry], out: &mut Vec<Effect>) {
         let listed: BTreeMap<_, _> = entries.iter().map(|e| (e.address, e.started_ms)).collect();
         let retired = self.incarnations.iter().filter(|(_, node)| node.retired);
@@ -243,14 +254,14 @@
         }
     }
 
-    /// Whether this is the life of its id that the list names, or the last one that it named.
+    /// Whether this is the listed incarnation of its id or, if the id is not listed, its last one.
     pub(super) fn is_current(&self, incarnation: IncarnationId) -> bool {
         let server = self.incarnations.get(&incarnation).map(|node| node.server);
         server.and_then(|s| self.current.get(&s)).is_none_or(|current| *current == incarnation)
     }
 
-    /// How an attempt or a session ended, as the module is to hear of it: what befell an older life of an id is no
-    /// ground to suspect the node that has the id now.
+    /// The outcome of an attempt or session as reported to the controller: a failure of an older incarnation
+    /// is no reason to suspect the current one.
     pub(super) fn outcome_for_controller(&self, incarnation: IncarnationId, outcome: Outcome) -> Outcome {
         match outcome {
             Outcome::Served | Outcome::Cancelled => outcome,
@@ -260,14 +271,14 @@
         }
     }
 
-    /// A session was handed_over over with this node: whether it is dead is found out anew.
+    /// Forgets that a node was found dead, since a session was handed over with it: this is checked again.
     pub(super) fn clear_dead(&mut self, incarnation: IncarnationId) {
         if let Some(node) = self.incarnations.get_mut(&incarnation) {
             node.dead = false;
         }
     }
 
-    /// Closes a connection to a process that is no more.
+    /// Closes a connection to a process that has ended.
     fn close_dead_link(&mut self, link: LinkId, out: &mut Vec<Effect>) {
         let set_ups = self.links.get(&link).map(|l| l.set_ups.clone()).unwrap_or_default();
         for id in set_ups {
@@ -278,7 +289,7 @@
         self.close_link(link, out);
     }
 
-    /// Everything at a life is over.
+    /// Ends all attempts, connections and sessions of an incarnation.
     fn end_incarnation(&mut self, now: Time, incarnation: IncarnationId, out: &mut Vec<Effect>) {
         let Some(node) = self.incarnations.get_mut(&incarnation) else { return };
         (node.dead, node.suspicion) = (true, None);
@@ -304,15 +315,15 @@
         }
     }
 
-    /// Words that no connection took: releases are due later, rungs are not.
-    pub(super) fn keep_releases(&mut self, incarnation: IncarnationId, words: Vec<ToNode>) {
-        words
+    /// Keeps the releases among unsent messages for later; other messages are outdated by then.
+    pub(super) fn keep_releases(&mut self, incarnation: IncarnationId, messages: Vec<ToNode>) {
+        messages
             .into_iter()
-            .filter(|w| matches!(w, ToNode::Release(..)))
-            .for_each(|w| self.queue_release(incarnation, w));
+            .filter(|m| matches!(m, ToNode::Release(..)))
+            .for_each(|m| self.queue_release(incarnation, m));
     }
 
-    /// Requests whose attempt there waits to learn whether the node lives.
+    /// Requests whose attempt waits for evidence whether the node is alive.
     fn lost_attempts(&self, incarnation: IncarnationId) -> impl Iterator<Item = SessionId> {
         let is_lost = move |s: &Session| matches!(&s.phase, Phase::Open(Some(a)) if a.incarnation == incarnation && a.stage == Stage::LinkLost);
         self.sessions.iter().filter(move |(_, s)| is_lost(s)).map(|(id, _)| *id)
@@ -323,7 +334,7 @@
         ids.into_iter().for_each(|id| self.attempt_ended(id, outcome, Vec::new()));
     }
 
-    /// A connection came up: the node lives.
+    /// A connection came up: the node is alive.
     pub(super) fn confirm_alive(
         &mut self,
         now: Time,
@@ -338,7 +349,7 @@
         self.end_lost_attempts(incarnation, Outcome::LinkBroken);
     }
 
-    /// A connection broke or ended.
+    /// A connection broke or was closed.
     pub(super) fn link_lost(
         &mut self,
         now: Time,
@@ -412,7 +423,7 @@
         self.suspect(now, incarnation, out);
     }
 
-    /// A dial brought no connection.
+    /// Judges a suspected node after a failed dial.
     pub(super) fn judge_failed_dial(
         &mut self,
         now: Time,
@@ -443,7 +454,7 @@
             redial_scheduled: false,
         });
         if node.last_heard > suspicion.since {
-            // It talks on another connection, and only takes no new one.
+            // It sends on another connection and only accepts no new one.
             node.suspicion = None;
             return self.end_lost_attempts(incarnation, Outcome::LinkBroken);
         }
@@ -466,10 +477,10 @@
         }
     }
 
-    /// Asks a node that is listed no more whether it is still there, and ends what stands there if it says nothing.
+    /// Queries a retired node and ends its sessions if it does not answer.
     fn query_retired(&mut self, now: Time, incarnation: IncarnationId, out: &mut Vec<Effect>) {
         if !self.probing {
-            // Nothing may be asked; a process that died has reset its connections, a machine that vanished is silent.
+            // Queries are forbidden. A dead process has reset its connections, a vanished machine is silent.
             let quiet = |node: &Incarnation| {
                 node.last_heard.saturating_add(self.quiet_limit(incarnation, node.last_heard)) < now
             };
@@ -487,8 +498,9 @@
         self.request_sign_of_life(now, incarnation, out);
     }
 
-    /// Asks on each connection that is up; whatever comes back is a sign of life. Where nodes may not be asked, one that
-    /// carries nothing is shut: a node that lives ends it, and has a place for the next one.
+    /// Queries the node on every connection that is up; any reply is a sign of life. Where queries are
+    /// forbidden, an idle connection is half-closed instead: a living node closes it and has room for the
+    /// next one.
     fn request_sign_of_life(&mut self, now: Time, incarnation: IncarnationId, out: &mut Vec<Effect>) {
         if !self.probing {
             if let Some(link) = self.idle_link(incarnation) {
@@ -498,24 +510,24 @@
         }
         let Some(node) = self.incarnations.get(&incarnation) else { return };
         for link in node.links.clone() {
-            let question = ProbeId(self.fresh_number());
-            self.send(now, link, ToNode::QueryLoad(question), out);
+            let probe = ProbeId(self.fresh_number());
+            self.send(now, link, ToNode::QueryLoad(probe), out);
         }
     }
 
-    /// A node with standing sessions may say nothing for so long: what is left of the time for telling an end when a
-    /// vanished machine has been found out. Less up to an eighth that each front and node draw anew each time, so that
-    /// fronts which heard a node at one moment do not all ask it at one moment.
+    /// Time for which a node with playing sessions may be silent: [`END_NOTICE_LIMIT`] minus the time needed
+    /// to detect a vanished machine. Each front and node draws up to an eighth less each time, so that fronts
+    /// that received a message of a node at the same moment do not all check it at the same moment.
     fn quiet_limit(&self, incarnation: IncarnationId, last_heard: Time) -> Time {
-        let found =
+        let detection =
             SWEEP_INTERVAL + DEAD_AFTER_SILENCE + self.sockets.dial + REDIAL_INTERVAL + END_NOTICE_MARGIN;
-        let all = END_NOTICE_LIMIT.saturating_sub(found);
+        let limit = END_NOTICE_LIMIT.saturating_sub(detection);
         let draw = (incarnation.0 ^ last_heard).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 56;
-        all - all / 8 * draw / 256
+        limit - limit / 8 * draw / 256
     }
 
-    /// Looks for a sign of life of a node that has said nothing for long: the end of a connection that can be spared,
-    /// else a new one.
+    /// Asks for a sign of life of a node that was silent for long, by half-closing a spare connection, else
+    /// by a new connection.
     fn check_alive(&mut self, now: Time, incarnation: IncarnationId, out: &mut Vec<Effect>) {
         match self.spare_link(incarnation) {
             Some(link) => self.half_close(now, link, out),
--- a/crates/platform/src/core/mod.rs
+++ b/crates/platform/src/core/mod.rs
@@ -1,8 +1,13 @@
-//! The core: one state machine around the decision module, without I/O.
+//! The core: a state machine around the decision module ([`Controller`]), without I/O.
 //!
-//! [`Input`]s go in with the time, [`Effect`]s come out. It decides nothing of placement, rungs, moves, repeats and
-//! refusals: that is the [`Controller`]'s. Its own are the accounts: one answer a request (`requests`), one attempt out
-//! at a time (`attempts`), connections to nodes (`links`), and what shows that a node lives (`lives`).
+//! The shell passes in [`Input`]s with the time and carries out the [`Effect`]s that come out. The controller
+//! decides placement, rungs, moves, retries and refusals. The core keeps the state that these decisions need:
+//!
+//! - `requests`: every request gets exactly one answer.
+//! - `attempts`: at most one attempt per request is in flight.
+//! - `playing`: playing sessions, their end, and sessions that are handed over after a restart.
+//! - `links`: connections to nodes.
+//! - `liveness`: evidence of which nodes are alive.
 
 mod attempts;
 mod links;
@@ -22,42 +27,48 @@
 use std::net::IpAddr;
 pub use types::*;
 
-/// One millisecond.
+/// One millisecond, in nanoseconds, the unit of [`Time`].
 const MS: Time = 1_000_000;
-/// Time between two looks at what grows old.
+/// Interval between two sweeps, which drop or renew state that has expired.
 const SWEEP_INTERVAL: Time = 200 * MS;
-/// The core's own answer comes so long after the deadline at which the module gives its own.
+/// Time after a request's deadline at which the core answers for the controller, which answers at the
+/// deadline.
 const FALLBACK_ANSWER_DELAY: Time = 2 * MS;
-/// Ids of requests and sessions that ended are remembered so long, so that what crosses their end is understood.
+/// Time for which the ids of ended requests and sessions are kept, to recognise messages that cross the end.
 const ENDED_RETENTION: Time = 10_000 * MS;
-/// What is over must be told within so long of its end, where its node cannot say so (the protocol's rule on releases).
+/// Time after the end of a session within which its viewer must be notified if the node cannot do so (the
+/// protocol's rule on releases).
 const END_NOTICE_LIMIT: Time = 8_000 * MS;
 
-/// Descriptors of the process's own: standard streams, the runtime's poll, wake and signal ends, the listener, the change
-/// log with one connection that ends while the next comes up, and the configuration when it is read again.
+/// Descriptors that the process itself needs: standard streams, the runtime's poll, wake and signal
+/// descriptors, the listener, the connection to the change log and its successor, and the configuration file
+/// when it is read again.
 const OWN_DESCRIPTORS: usize = 16;
 
-/// Bounds of what the core holds.
+/// Limits on the state of the core.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Requests without an answer.
+    /// Open requests, that is, requests without an answer.
     pub open_requests: usize,
-    /// Requests without an answer on one connection.
+    /// Open requests on one connection.
     pub open_requests_per_conn: usize,
-    /// Requests and standing sessions together.
+    /// Open requests and playing sessions together.
     pub sessions: usize,
     /// Connections of viewers.
     pub viewers: usize,
     /// Connections to nodes.
     pub links: usize,
-    /// Ended ids that are remembered.
+    /// Ended sessions that are remembered.
     pub ended_sessions: usize,
 }
 
 impl Bounds {
-    /// Bounds that fit a limit on descriptors. After what the process needs for itself, viewers have half, an eighth
-    /// more while one gives way to another and a sixteenth for those being ended in order; nodes have two fifths. In
-    /// sum that is under the whole. The protocol's viewers hold a third.
+    /// Limits that fit into this number of file descriptors.
+    ///
+    /// Of the descriptors that the process does not need for itself, half are for viewers and two fifths for
+    /// nodes. Viewers need an eighth of their share more while one is evicted for another, and a sixteenth
+    /// for connections that are being closed. The sum stays below the total. The viewers that the protocol
+    /// expects take a third.
     #[must_use]
     pub fn for_descriptors(descriptors: usize) -> Self {
         let available = descriptors.saturating_sub(OWN_DESCRIPTORS);
@@ -72,109 +83,117 @@
     }
 }
 
-/// What is due at some time.
+/// A timer of the core. Of two timers of the same time, the one of the earlier variant runs first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Wake {
-    /// A timer of the module.
+    /// A timer of the controller, with its token.
     Controller(u64),
-    /// The time of a session's attempt of this number is up.
+    /// The deadline of an attempt: session and attempt number.
     AttemptTimeout(SessionId, u32),
-    /// The node was heard out long enough on a set-up that was given up.
+    /// The end of the grace period after a set-up was cancelled: session and attempt number.
     CancelGrace(SessionId, u32),
     /// The last moment at which a request can be answered in time.
     FallbackAnswer(SessionId),
-    /// A moved session should have ended at its node.
+    /// The time by which a node should have ended a moved session.
     MoveTimeout(SessionId),
-    /// A question for load has no answer.
+    /// The time by which a load query should have been answered.
     ProbeTimeout(ProbeId),
-    /// A node in doubt is dialled again.
+    /// The next dial of a suspected node.
     Redial(IncarnationId),
-    /// A connection that is being ended in order has waited long enough for its node.
+    /// The time by which a node should have closed a half-closed connection.
     HalfCloseTimeout(LinkId),
-    /// A session that was handed over is still at no node that the list names.
+    /// The time by which the list should have named the node of a session that was handed over.
     HandoverTimeout(SessionId),
-    /// A look at what grows old.
+    /// The next sweep.
     Sweep,
 }
 
-/// A request, and the session that comes of it.
+/// A request and the session that it sets up.
 struct Session {
     request: SetUpRequest,
     conn: ConnId,
+    /// Address of the viewer.
     peer: IpAddr,
     rung: u8,
+    /// Attempts made so far.
     attempts: u32,
     phase: Phase,
 }
 
+/// Phase of a session.
 enum Phase {
-    /// Without an answer; the attempt that is out.
+    /// The request has no answer yet; the attempt in flight, if there is one.
     Open(Option<attempts::Attempt>),
-    /// It stands at a node since then, or since it was handed over.
+    /// The session plays at this node since this time, or since it was handed over.
     Playing(IncarnationId, Time),
 }
 
 /// A viewer's connection.
 struct Conn {
     peer: IpAddr,
-    /// It has carried a message that could be used.
+    /// A valid message has come on it.
     sent_valid_message: bool,
-    /// Its viewer has closed its side: nothing is begun for it any more.
+    /// The viewer has closed its sending side: no new work is started for it.
     half_closed: bool,
+    /// Requests on it without an answer.
     open_requests: BTreeSet<SessionId>,
-    /// Standing sessions that came on it.
+    /// Number of playing sessions that were set up or handed over on it.
     playing: usize,
 }
 
 impl Conn {
-    /// It has no open request, and no session came on it whose end is to be told there.
+    /// Whether it has no open request and carries no session whose end has to be reported on it.
     fn is_evictable(&self) -> bool {
         self.open_requests.is_empty() && self.playing == 0
     }
 }
 
-/// An ended id.
+/// A session or request that has ended.
 struct EndedSession {
     ended_at: Time,
     title: u64,
-    /// Its set-up was given up: a late answer to it is cut.
+    /// Its set-up was cancelled: if a node still reports that it plays, it is released there.
     release_if_started: bool,
 }
 
-/// The state machine of one front end.
+/// The state machine of one front.
 pub struct Core {
     controller: Controller,
     bounds: Bounds,
-    /// Nodes may be asked for their load.
+    /// Whether nodes may be asked for their load.
     probing: bool,
     sockets: Sockets,
     sessions: BTreeMap<SessionId, Session>,
+    /// Number of sessions in [`Phase::Open`].
     open_requests: usize,
     conns: BTreeMap<ConnId, Conn>,
     incarnations: BTreeMap<IncarnationId, Incarnation>,
+    /// The listed incarnation of each node.
     current: BTreeMap<ServerId, IncarnationId>,
     links: BTreeMap<LinkId, Link>,
     probes: BTreeMap<ProbeId, links::Probe>,
     ended: BTreeMap<SessionId, EndedSession>,
+    /// The keys of `ended`, oldest first.
     ended_order: VecDeque<SessionId>,
-    /// Sessions that were handed over with a node that the list does not name yet.
+    /// Sessions that were handed over with a node that is not in the list yet.
     awaiting_list: BTreeMap<SessionId, playing::AwaitingList>,
-    /// Ends that nodes told of sessions that nobody has handed over yet.
+    /// Ends that nodes reported of sessions that have not been handed over yet.
     early_ends: BTreeMap<SessionId, playing::EarlyEnd>,
-    /// Ends that no connection could take yet.
+    /// Ends of sessions that could not be reported to a viewer yet.
     unsent_ends: VecDeque<playing::UnsentEnd>,
     timers: Timers<Wake>,
+    /// Events for the controller.
     pending: VecDeque<Event>,
     next_number: u64,
-    /// The front is about to end.
+    /// The front is about to stop.
     closing: bool,
 }
 
 impl Core {
-    /// A core without nodes.
+    /// Creates a core without nodes.
     ///
     /// # Errors
-    /// When the settings do not agree with one another.
+    /// When the settings contradict each other.
     pub fn new(
         settings: Settings,
         sockets: Sockets,
@@ -203,13 +222,13 @@
             unsent_ends: VecDeque::new(),
             timers,
             pending: VecDeque::new(),
-            // Numbers of two runs differ, so that nothing late of one is taken for the other's.
+            // Two runs draw different numbers, so late messages of one run are not taken for the other's.
             next_number: seed >> 16,
             closing: false,
         })
     }
 
-    /// Takes in one input and appends what is to be done.
+    /// Handles one input and appends the resulting effects.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Effect>) {
         match input {
             Input::ViewerConnected(conn, peer) => {
@@ -228,7 +247,7 @@
             Input::ViewerDisconnected(conn) => self.viewer_disconnected(now, conn, out),
             Input::ViewerWaits(id) => self.send_set_up(now, id, out),
             Input::LinkBlocked(id) => self.link_blocked(now, id, out),
-            Input::EvictViewer(conn) => self.give_way(conn, out),
+            Input::EvictViewer(conn) => self.evict_viewer(conn, out),
             Input::LinkUp(link) => self.link_up(now, link, out),
             Input::DialFailed(link, dial_end) => self.dial_failed(now, link, dial_end, out),
             Input::LinkDown(link) => self.link_down(now, link, out),
@@ -244,13 +263,13 @@
         self.run_controller(now, out);
     }
 
-    /// The moment of the next timer.
+    /// The time of the next timer.
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
         self.timers.next_at()
     }
 
-    /// Runs what is due.
+    /// Runs the timers that are due.
     pub fn wake(&mut self, now: Time, out: &mut Vec<Effect>) {
         while let Some(wake) = self.timers.pop_due(now) {
             match wake {
@@ -269,25 +288,25 @@
         }
     }
 
-    /// Requests without an answer.
+    /// Number of requests without an answer.
     #[must_use]
     pub fn open_requests(&self) -> usize {
         self.open_requests
     }
 
-    /// Whether nobody waits for anything: no request is open, and no release waits for a connection to its node.
+    /// Whether no request is open and no release waits for a connection to its node.
     #[must_use]
     pub fn has_no_pending_work(&self) -> bool {
         self.open_requests == 0 && self.links.values().all(Link::has_no_queued_release)
     }
 
-    /// Sessions that stand.
+    /// Number of playing sessions.
     #[must_use]
     pub fn playing_sessions(&self) -> usize {
         self.sessions.len() - self.open_requests
     }
 
-    /// Hands the module what has happened, until nothing more follows.
+    /// Passes pending events to the controller and performs its actions, until no event is left.
     fn run_controller(&mut self, now: Time, out: &mut Vec<Effect>) {
         let mut actions = Vec::new();
         while let Some(event) = self.pending.pop_front() {
@@ -306,7 +325,7 @@
             Action::Fail(id) => self.answer(now, id, ToViewer::Failed(id), out),
             Action::Move(id) => self.move_session(now, id, out),
             Action::Probe(server) => self.probe(now, server, out),
-            // The platform's change log comes unasked.
+            // The platform sends its change log without being asked.
             Action::WatchList => {}
             Action::SetTimer(after, token) => {
                 self.set_timer(now.saturating_add(after), Wake::Controller(token))
@@ -319,7 +338,7 @@
         self.timers.set(at, wake);
     }
 
-    /// The title of a session that is held.
+    /// The title of a session, or 0 if it is not known.
     fn title(&self, id: SessionId) -> u64 {
         self.sessions.get(&id).map_or(0, |s| s.request.spec.title.0)
     }
@@ -345,8 +364,8 @@
         }
     }
 
-    /// Remembers an ended id.
-    fn remember(&mut self, now: Time, id: SessionId, title: u64, release_if_started: bool) {
+    /// Remembers an ended session or request.
+    fn remember_ended(&mut self, now: Time, id: SessionId, title: u64, release_if_started: bool) {
         if self.ended.insert(id, EndedSession { ended_at: now, title, release_if_started }).is_none() {
             self.ended_order.push_back(id);
         }
--- a/crates/platform/src/core/playing.rs
+++ b/crates/platform/src/core/playing.rs
@@ -1,28 +1,32 @@
-//! Standing sessions: no connection owns them. Their end is taken from, and told on, any right connection.
+//! Playing sessions. No connection owns them: a node may report their end on any of its connections, and the
+//! viewer is notified on any connection from its address.
 
 use super::attempts::{Stage, ended_event};
 use super::*;
 use bytes::Bytes;
 use pepperhook::{NotificationKind, Outcome};
 
-/// The node's word on a moved session is waited for so long: well within the second in which the protocol wants a viewer told.
+/// Time for which the node's confirmation of a move is awaited, well within the second in which the protocol
+/// wants the viewer notified.
 const MOVE_CONFIRMATION_TIME: Time = 300 * MS;
-/// Causes of an end as they go to a viewer: played to its end, ended on purpose, cut.
+/// Causes of an end in releases, as the protocol numbers them: played to the end, ended on purpose, broken
+/// off.
 const CAUSE_PLAYED: u16 = 16;
 const CAUSE_CANCELLED: u16 = 31;
 pub const CAUSE_BROKEN: u16 = 41;
 
-/// An end that waits for a connection of its viewer's side, for as long as anybody waits for it.
+/// An end that waits for a connection from the viewer's address, for as long as the protocol asks for the
+/// notice.
 pub struct UnsentEnd {
     peer: IpAddr,
     expires_at: Time,
     message: ToViewer,
 }
 
-/// The list may be late: a session that was handed over with a node that it does not name waits for it so long.
+/// Time for which a session that was handed over waits for its node to appear in the list, which may be late.
 const LIST_DELAY: Time = 2_000 * MS;
 
-/// A session that was handed over with a node that the list does not name yet.
+/// A session that was handed over with a node that is not in the list yet.
 pub struct AwaitingList {
     conn: ConnId,
     peer: IpAddr,
@@ -30,7 +34,7 @@
     server: ServerId,
 }
 
-/// An end that a node told of a session that is not held: it may be handed over yet.
+/// An end that a node reported of an unknown session, which may still be handed over.
 pub struct EarlyEnd {
     pub received_at: Time,
     server: ServerId,
@@ -38,7 +42,7 @@
 }
 
 impl Core {
-    /// A session that was under way at the start; one that is known already is left as it is.
+    /// Adopts a session that already played when the front started. A known session is left as it is.
     pub(super) fn adopt_session(
         &mut self,
         now: Time,
@@ -54,13 +58,13 @@
         }
         let title = spec.title.0;
         if self.ended.contains_key(&id) {
-            // Its viewer has not heard of the end, or it would not hand the session over.
+            // Its viewer was not notified of the end, or it would not hand the session over.
             return self.notify_viewer(now, conn, peer, ToViewer::Ended(id, title, CAUSE_BROKEN), out);
         }
         if self.sessions.len() >= self.bounds.sessions {
             return out.push(Effect::SendToViewer(conn, ToViewer::Refused(id, None)));
         }
-        // Nothing of it is sent on.
+        // The description of a session that already plays is never sent on.
         let request = SetUpRequest { body: Bytes::new(), ..request };
         let Some(incarnation) = self.current.get(&server).copied() else {
             if self.awaiting_list.len() >= self.bounds.open_requests {
@@ -70,24 +74,24 @@
             return self.set_timer(now + LIST_DELAY, Wake::HandoverTimeout(id));
         };
         let phase = Phase::Playing(incarnation, now);
-        // The description is of no further use, and thousands of long ones would fill the memory.
+        // The description is not needed any more, and thousands of long ones would exhaust the memory.
         let request = SetUpRequest { body: Bytes::new(), ..request };
         self.sessions.insert(id, Session { request, conn, peer, rung: 0, attempts: 1, phase });
         self.register_playing(incarnation, conn, id);
         self.mark_validated(now, conn, out);
         self.pending.push_back(Event::Adopted(id, spec, server));
-        // Its node may have told its end while the front was away: on the first connection that it was offered.
-        if let Some(early_ends) = self.early_ends.remove(&id).filter(|e| e.server == server) {
-            return self.session_ended(now, id, early_ends.outcome, Vec::new(), out);
+        // Its node may have reported its end already, on the first connection that came up after the restart.
+        if let Some(early_end) = self.early_ends.remove(&id).filter(|e| e.server == server) {
+            return self.session_ended(now, id, early_end.outcome, Vec::new(), out);
         }
         self.clear_dead(incarnation);
-        // The node tells its end on any connection, so that there must be one.
+        // The node needs a connection to report the end.
         if self.incarnations.get(&incarnation).is_some_and(|node| node.links.is_empty()) {
             self.dial(now, incarnation, out);
         }
     }
 
-    /// The list has changed: it may name the node of one that waits for that.
+    /// The list has changed: adopts the sessions whose node it names now.
     pub(super) fn place_handed_over(&mut self, now: Time, out: &mut Vec<Effect>) {
         let named = self.awaiting_list.iter().filter(|(_, u)| self.current.contains_key(&u.server));
         let named: Vec<_> = named.map(|(id, _)| *id).collect();
@@ -98,10 +102,11 @@
         }
     }
 
-    /// The list does not name its node: it is over, and whoever made it up hears that there is none.
+    /// The list does not name the node of a session that was handed over: the session has ended, and a viewer
+    /// that invented it learns that it does not exist.
     pub(super) fn handover_timed_out(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
         let Some(AwaitingList { conn, peer, request, .. }) = self.awaiting_list.remove(&id) else { return };
-        self.remember(now, id, request.spec.title.0, false);
+        self.remember_ended(now, id, request.spec.title.0, false);
         self.notify_viewer(now, conn, peer, ToViewer::Ended(id, request.spec.title.0, CAUSE_BROKEN), out);
         out.push(Effect::SendToViewer(conn, ToViewer::UnknownSession(id)));
     }
@@ -115,7 +120,7 @@
         }
     }
 
-    /// A node's answer that a session stands.
+    /// A node answers that a session plays.
     pub(super) fn set_up_succeeded(
         &mut self,
         now: Time,
@@ -130,7 +135,7 @@
                 self.take_attempt(id);
                 let Some(s) = self.sessions.get_mut(&id) else { return };
                 s.phase = Phase::Playing(incarnation, now);
-                // No further attempt takes the description.
+                // No further attempt needs the description.
                 s.request.body = Bytes::new();
                 self.open_requests -= 1;
                 let conn = s.conn;
@@ -144,12 +149,13 @@
                 };
                 self.pending.push_back(Event::Started(id, server));
             }
-            // It crossed the give-up: it is cut at the node and reaches no viewer.
+            // The answer crossed the cancellation: the session is released at the node and not reported to
+            // the viewer.
             Some((Stage::Cancelling, _)) => {
                 self.send(now, link, ToNode::Release(id, self.title(id), CAUSE_CANCELLED), out);
                 self.attempt_ended(id, Outcome::TimedOut, Vec::new());
             }
-            // A second copy of an answer, or one under an unknown id, is passed over.
+            // A repeated answer or one for an unknown session is ignored.
             _ => {
                 let title = self.ended.get(&id).filter(|e| e.release_if_started).map(|e| e.title);
                 if let Some(title) = title {
@@ -159,7 +165,7 @@
         }
     }
 
-    /// A node's word that a session is over, or that a set-up broke.
+    /// A node reports that a session has ended or that a set-up broke.
     pub(super) fn node_ended_session(
         &mut self,
         now: Time,
@@ -192,7 +198,7 @@
         }
     }
 
-    /// A standing session is over: it leaves the accounts, its viewer and the module are told.
+    /// A playing session has ended: removes it and informs its viewer and the controller.
     pub(super) fn session_ended(
         &mut self,
         now: Time,
@@ -227,7 +233,7 @@
         Some(incarnation)
     }
 
-    /// Ends a standing session for its viewer's sake, at its node too.
+    /// Ends a playing session on behalf of its viewer, at its node too.
     pub(super) fn release_session(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
         let Some(Phase::Playing(incarnation, _)) = self.sessions.get(&id).map(|s| &s.phase) else { return };
         let incarnation = *incarnation;
@@ -241,9 +247,9 @@
         self.pending.push_back(ended_event(id, server, Outcome::Cancelled, true, Vec::new()));
     }
 
-    /// The module moves a session: the viewer is told to come again. The platform ends it at its node then, whose
-    /// word is waited for: a release from here could reach the node before the move reaches the viewer, and the viewer
-    /// would be left with a session that is over and of which nobody told it.
+    /// Moves a session: asks the viewer to set it up again. The platform then ends the old session at its
+    /// node, whose report is awaited. A release from here could reach the node before the move reaches the
+    /// viewer, and the viewer would keep an ended session without being notified.
     pub(super) fn move_session(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
         let Some(s) = self.sessions.get(&id).filter(|s| matches!(s.phase, Phase::Playing(..))) else {
             return;
@@ -253,8 +259,8 @@
         self.set_timer(now + MOVE_CONFIRMATION_TIME, Wake::MoveTimeout(id));
     }
 
-    /// A moved session of which its node has said nothing is cut there. The node may have died before the move: then
-    /// the move told the viewer nothing that counts, so that the viewer is told of the end as well.
+    /// Releases a moved session whose node has not reported its end. If the node died before the move, the
+    /// move does not count as a notice of the end, so the viewer is notified as well.
     pub(super) fn move_timed_out(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
         let Some(s) = self.sessions.get(&id).filter(|s| matches!(s.phase, Phase::Playing(..))) else {
             return;
@@ -271,14 +277,14 @@
         if let Some(conn) = self.conns.get_mut(&s.conn) {
             conn.playing = conn.playing.saturating_sub(1);
         }
-        self.remember(now, id, s.request.spec.title.0, false);
+        self.remember_ended(now, id, s.request.spec.title.0, false);
         let incarnation = self.incarnations.get_mut(&incarnation)?;
         incarnation.playing.remove(&id);
         Some((s, incarnation.server))
     }
 
-    /// Tells a viewer's side on the connection of the set-up, else on another one from the same address, else as soon
-    /// as there is one.
+    /// Notifies a viewer on the connection of the set-up, else on another one from the same address, else as
+    /// soon as there is one.
     fn notify_viewer(
         &mut self,
         now: Time,
@@ -309,12 +315,12 @@
 
     pub(super) fn send_unsent_ends(&mut self, now: Time, out: &mut Vec<Effect>) {
         for _ in 0..self.unsent_ends.len() {
-            let Some(unsent_ends) = self.unsent_ends.pop_front().filter(|u| u.expires_at > now) else {
+            let Some(unsent_end) = self.unsent_ends.pop_front().filter(|u| u.expires_at > now) else {
                 continue;
             };
-            match self.conn_to_viewer(ConnId(u64::MAX), unsent_ends.peer) {
-                Some(conn) => out.push(Effect::SendToViewer(conn, unsent_ends.message)),
-                None => self.unsent_ends.push_back(unsent_ends),
+            match self.conn_to_viewer(ConnId(u64::MAX), unsent_end.peer) {
+                Some(conn) => out.push(Effect::SendToViewer(conn, unsent_end.message)),
+                None => self.unsent_ends.push_back(unsent_end),
             }
         }
     }
--- a/crates/platform/src/core/requests.rs
+++ b/crates/platform/src/core/requests.rs
@@ -1,4 +1,4 @@
-//! Viewers' requests: taken, answered exactly once, given up.
+//! Viewers' requests: accepted, answered exactly once, or withdrawn.
 
 use super::attempts::ended_event;
 use super::*;
@@ -14,12 +14,13 @@
     ) {
         let id = request.id;
         let Some(from) = self.conns.get(&conn) else {
-            // It was closed from here while the request was on its way: nothing was sent for it.
+            // The connection was closed from this side while the request was on its way: nothing was sent for
+            // it.
             return out.push(Effect::SendToViewer(conn, ToViewer::Refused(id, None)));
         };
         let peer = from.peer;
         if request.playing_at.is_none() && (self.sessions.contains_key(&id) || self.ended.contains_key(&id)) {
-            return self.conflict(now, conn, id, out);
+            return self.reject_duplicate(now, conn, id, out);
         }
         if let Some(server) = request.playing_at {
             return self.adopt_session(now, conn, peer, request, server, out);
@@ -30,7 +31,7 @@
             || from.open_requests.len() >= self.bounds.open_requests_per_conn
             || self.sessions.len() >= self.bounds.sessions;
         if full {
-            // Nothing was sent for it, so that a refusal is honest for every class.
+            // Nothing was sent for it, so a refusal is correct for every class.
             return out.push(Effect::SendToViewer(conn, ToViewer::Refused(id, None)));
         }
         let (spec, deadline) = (request.spec, now.saturating_add(request.spec.max_wait));
@@ -45,21 +46,21 @@
         self.pending.push_back(Event::Request(id, spec));
     }
 
-    /// A second request under a known id. Where both came on one connection the first is not served either: its
-    /// client could not tell the two answers apart.
-    fn conflict(&mut self, now: Time, conn: ConnId, id: SessionId, out: &mut Vec<Effect>) {
+    /// Rejects a second request with a known id. If both came on the same connection, the first one is
+    /// withdrawn too, since the client could not tell the two answers apart.
+    fn reject_duplicate(&mut self, now: Time, conn: ConnId, id: SessionId, out: &mut Vec<Effect>) {
         let open =
             self.sessions.get(&id).is_some_and(|s| s.conn == conn && matches!(s.phase, Phase::Open(_)));
         if open {
             self.withdraw(now, id, out);
         }
         out.push(Effect::SendToViewer(conn, ToViewer::Conflict(id)));
-        // The others on it are answered before it ends.
+        // The other requests on the connection are answered before it is closed.
         self.viewer_half_closed(now, conn, out);
         out.push(Effect::CloseViewer(conn));
     }
 
-    /// Takes an open request out of the accounts; its attempt is given up, the module forgets it.
+    /// Removes an open request, cancels its attempt and makes the controller forget it.
     fn withdraw(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
         self.cancel_attempt(now, id, out);
         if self.close_request(now, id).is_some() {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Takes an open request out of the accounts.
+    /// Removes an open request.
     pub(super) fn close_request(&mut self, now: Time, id: SessionId) -> Option<Session> {
         if !matches!(self.sessions.get(&id)?.phase, Phase::Open(_)) {
             return None;
@@ -78,21 +79,23 @@
             conn.open_requests.remove(&id);
         }
         let release_if_started = s.attempts > 0;
-        self.remember(now, id, s.request.spec.title.0, release_if_started);
+        self.remember_ended(now, id, s.request.spec.title.0, release_if_started);
         Some(s)
     }
 
-    /// The module's final answer.
+    /// Sends the controller's final answer.
     pub(super) fn answer(&mut self, now: Time, id: SessionId, message: ToViewer, out: &mut Vec<Effect>) {
-        // With an attempt out the module does not answer; should it, nothing may be left running at a node.
+        // The controller does not answer while an attempt is in flight. If it did, nothing may be left
+        // running at a node.
         self.cancel_attempt(now, id, out);
         if let Some(s) = self.close_request(now, id) {
             out.push(Effect::SendToViewer(s.conn, message));
         }
     }
 
-    /// Rule 1: whatever happened, the viewer has an answer before its time is up. Here it is a failure, since an
-    /// attempt may be out or may have run.
+    /// Answers an open request with a failure, at the latest at its deadline: whatever happened, the viewer
+    /// gets an answer in time (rule 1). It is a failure and no refusal, since an attempt may be in flight or
+    /// may have run.
     pub(super) fn fail_request(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
         let Some(Phase::Open(attempt)) = self.sessions.get(&id).map(|s| &s.phase) else { return };
         let incarnation = attempt.as_ref().map(|a| a.incarnation);
@@ -114,7 +117,7 @@
         });
     }
 
-    /// The front ends: nobody is left without an answer, whatever time its request has.
+    /// The front stops: answers every open request, whatever its deadline.
     pub(super) fn answer_all(&mut self, now: Time, out: &mut Vec<Effect>) {
         self.closing = true;
         let open = self.sessions.iter().filter(|(_, s)| matches!(s.phase, Phase::Open(_)));
@@ -122,8 +125,8 @@
         open.into_iter().for_each(|id| self.fail_request(now, id, out));
     }
 
-    /// A viewer gives a set-up up or ends a session; which of the two it meant does not matter, since its word may
-    /// cross the answer.
+    /// A viewer cancels a set-up or ends a session. Which of the two it meant does not matter, since its
+    /// message may cross the answer.
     pub(super) fn release_requested(
         &mut self,
         now: Time,
@@ -151,9 +154,9 @@
         ));
     }
 
-    /// The viewer has closed its side. One that has closed all of it and one that still reads look alike from here; the
-    /// protocol knows no half of a connection, so that both have left and nothing is begun for them any more. Each open
-    /// request gets its answer all the same: whoever reads on hears the end of it, nobody else is harmed.
+    /// The viewer has closed its sending side. Whether it has closed the whole connection or still reads
+    /// cannot be told from here, and the protocol knows no half-closed connections, so no new work is started
+    /// for it. Each open request is still answered, for a viewer that reads on.
     pub(super) fn viewer_half_closed(&mut self, now: Time, conn: ConnId, out: &mut Vec<Effect>) {
         let Some(c) = self.conns.get_mut(&conn) else { return };
         c.half_closed = true;
@@ -165,13 +168,14 @@
         }
     }
 
-    /// A connection owns its open requests, never standing sessions.
+    /// Ends the open requests of a connection with it. Playing sessions go on.
     pub(super) fn viewer_disconnected(&mut self, now: Time, conn: ConnId, out: &mut Vec<Effect>) {
         self.viewer_half_closed(now, conn, out);
         self.conns.remove(&conn);
     }
 
-    /// A connection that carried a usable message may be told what waits for its viewer's side.
+    /// Marks a connection that carried a valid message: it may now receive notices that wait for its viewer's
+    /// address.
     pub(super) fn mark_validated(&mut self, now: Time, conn: ConnId, out: &mut Vec<Effect>) {
         let Some(c) = self.conns.get_mut(&conn) else { return };
         if !std::mem::replace(&mut c.sent_valid_message, true) {
@@ -179,8 +183,8 @@
         }
     }
 
-    /// Connections that may give way to another viewer's: who never said anything, and, if none of them can go, who
-    /// carries nothing. None has an open request.
+    /// Connections that may be closed to make room for another viewer: first those that never sent a valid
+    /// message, then those that carry nothing. None has an open request.
     #[must_use]
     pub fn evictable_viewers(&self) -> [Vec<ConnId>; 2] {
         let idle = self.conns.iter().filter(|(_, c)| c.is_evictable());
@@ -188,8 +192,8 @@
         [silent, good].map(|of| of.into_iter().map(|(id, _)| *id).collect())
     }
 
-    /// Ends a connection of those that may give way.
-    pub(super) fn give_way(&mut self, conn: ConnId, out: &mut Vec<Effect>) {
+    /// Closes a connection that may be evicted.
+    pub(super) fn evict_viewer(&mut self, conn: ConnId, out: &mut Vec<Effect>) {
         if self.conns.get(&conn).is_some_and(Conn::is_evictable) {
             self.conns.remove(&conn);
             out.push(Effect::CloseViewer(conn));
