--- a/crates/platform/src/core/tests.rs
+++ b/crates/platform/src/core/tests.rs
@@ -17,8 +17,8 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
 const S: Time = 1_000 * MS;
-const T0: Time = 1_700_000_000 * S;
-const HERE: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 0, 9));
+const START: Time = 1_700_000_000 * S;
+const VIEWER_ADDRESS: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 0, 9));
 
 fn settings() -> Value {
     let class = |name: &str, repeat: &str| json!({"name": name, "idempotency": repeat, "aim_ns": 800 * MS, "deadline_ns": 3 * S, "value": 1.0});
@@ -41,7 +41,7 @@
     Entry { id, address, state, zone: 0, kind: 0, cell: id % 3, weight: 1.0, started_ms: 0 }
 }
 
-fn ask(id: u64, class: u16) -> SetUpRequest {
+fn request(id: u64, class: u16) -> SetUpRequest {
     let spec = SessionSpec {
         viewer: ViewerKey(id),
         class: ClassId(class),
@@ -58,48 +58,48 @@
 }
 
 /// A core with what it asked for.
-struct World {
+struct Harness {
     core: Core,
     now: Time,
     out: Vec<Effect>,
     /// Viewers that are found to have left when they are looked for.
-    leaves: BTreeSet<SessionId>,
+    departed: BTreeSet<SessionId>,
 }
 
-impl World {
+impl Harness {
     fn new(nodes: &[Entry]) -> Self {
-        Self::of(&settings(), 256, nodes)
+        Self::with_settings(&settings(), 256, nodes)
     }
 
-    fn of(v: &Value, descriptors: usize, nodes: &[Entry]) -> Self {
+    fn with_settings(v: &Value, descriptors: usize, nodes: &[Entry]) -> Self {
         let (own, sockets) = (pepperhook_parameters::decisions(v), pepperhook_parameters::sockets(v));
         let bounds = Bounds::for_descriptors(descriptors);
         let core = Core::new(own.expect("settings"), sockets.expect("settings"), bounds, 7).expect("a core");
-        let mut world = Self { core, now: T0, out: Vec::new(), leaves: BTreeSet::new() };
-        world.tell(Input::NodeList(nodes.to_vec()));
-        world.tell(Input::ViewerConnected(ConnId(1), HERE));
-        world
+        let mut front = Self { core, now: START, out: Vec::new(), departed: BTreeSet::new() };
+        front.handle(Input::NodeList(nodes.to_vec()));
+        front.handle(Input::ViewerConnected(ConnId(1), VIEWER_ADDRESS));
+        front
     }
 
-    fn three() -> Self {
+    fn with_three_nodes() -> Self {
         Self::new(&[node(1, State::Ready), node(2, State::Ready), node(3, State::Ready)])
     }
 
     /// One input, and what comes of it. Viewers wait for what they asked for, unless `leaves` names them.
-    fn tell(&mut self, input: Input) -> Vec<Effect> {
+    fn handle(&mut self, input: Input) -> Vec<Effect> {
         let mut out = Vec::new();
         self.core.handle(self.now, input, &mut out);
-        self.look(&mut out, 0);
+        self.answer_viewer_checks(&mut out, 0);
         self.out.extend(out.iter().cloned());
         out
     }
 
     /// Answers each look that the core asks for, as the shell does.
-    fn look(&mut self, out: &mut Vec<Effect>, from: usize) {
+    fn answer_viewer_checks(&mut self, out: &mut Vec<Effect>, from: usize) {
         let mut at = from;
         while at < out.len() {
             if let Effect::CheckViewer(_, _, id) = out[at] {
-                if !self.leaves.contains(&id) {
+                if !self.departed.contains(&id) {
                     self.core.handle(self.now, Input::ViewerWaits(id), out);
                 }
             }
@@ -107,13 +107,13 @@
         }
     }
 
-    fn pass(&mut self, time: Time) -> Vec<Effect> {
+    fn advance(&mut self, time: Time) -> Vec<Effect> {
         let (end, mut out) = (self.now + time, Vec::new());
         while let Some(at) = self.core.next_wake().filter(|at| *at <= end) {
             self.now = self.now.max(at);
             let from = out.len();
             self.core.wake(self.now, &mut out);
-            self.look(&mut out, from);
+            self.answer_viewer_checks(&mut out, from);
         }
         self.now = end;
         self.out.extend(out.iter().cloned());
@@ -121,23 +121,26 @@
     }
 
     /// A request whose set-up reached a node: the connection and the node's address.
-    fn sent(&mut self, id: u64, class: u16) -> (LinkId, std::net::SocketAddr) {
-        let out = self.tell(Input::SetUp(ConnId(1), ask(id, class)));
-        let (link, address) = dialled(&out).expect("a dial");
-        let out = self.tell(Input::LinkUp(link));
-        assert!(set_up(&out).is_some_and(|(l, i)| l == link && i == SessionId(id)), "{out:?}");
+    fn set_up_sent(&mut self, id: u64, class: u16) -> (LinkId, std::net::SocketAddr) {
+        let out = self.handle(Input::SetUp(ConnId(1), request(id, class)));
+        let (link, address) = first_dial(&out).expect("a dial");
+        let out = self.handle(Input::LinkUp(link));
+        assert!(first_set_up(&out).is_some_and(|(l, i)| l == link && i == SessionId(id)), "{out:?}");
         (link, address)
     }
 
     /// A session set up over this connection.
-    fn standing_on(&mut self, link: LinkId, id: u64) {
-        assert_eq!(set_up(&self.tell(Input::SetUp(ConnId(1), ask(id, 0)))), Some((link, SessionId(id))));
-        self.tell(Input::NodeMessage(link, plays(id)));
+    fn playing_on(&mut self, link: LinkId, id: u64) {
+        assert_eq!(
+            first_set_up(&self.handle(Input::SetUp(ConnId(1), request(id, 0)))),
+            Some((link, SessionId(id)))
+        );
+        self.handle(Input::NodeMessage(link, session_started(id)));
     }
 
-    fn standing(&mut self, id: u64) -> (LinkId, std::net::SocketAddr) {
-        let sent = self.sent(id, 0);
-        let out = self.tell(Input::NodeMessage(sent.0, plays(id)));
+    fn playing(&mut self, id: u64) -> (LinkId, std::net::SocketAddr) {
+        let sent = self.set_up_sent(id, 0);
+        let out = self.handle(Input::NodeMessage(sent.0, session_started(id)));
         assert!(out.contains(&Effect::SendToViewer(
             ConnId(1),
             ToViewer::Started(SessionId(id), Bytes::from_static(b"answer"))
@@ -146,149 +149,152 @@
     }
 }
 
-fn plays(id: u64) -> FromNode {
+fn session_started(id: u64) -> FromNode {
     FromNode::Started(SessionId(id), Bytes::from_static(b"answer"))
 }
 
-fn dialled(out: &[Effect]) -> Option<(LinkId, std::net::SocketAddr)> {
+fn first_dial(out: &[Effect]) -> Option<(LinkId, std::net::SocketAddr)> {
     out.iter().find_map(|e| if let Effect::Dial(link, address) = e { Some((*link, *address)) } else { None })
 }
 
-fn set_up(out: &[Effect]) -> Option<(LinkId, SessionId)> {
+fn first_set_up(out: &[Effect]) -> Option<(LinkId, SessionId)> {
     out.iter().find_map(|e| match e {
         Effect::SendToNode(link, ToNode::SetUp { id, .. }) => Some((*link, *id)),
         _ => None,
     })
 }
 
-fn told(out: &[Effect], word: &ToViewer) -> bool {
-    out.iter().any(|e| matches!(e, Effect::SendToViewer(_, w) if w == word))
+fn sent_to_viewer(out: &[Effect], message: &ToViewer) -> bool {
+    out.iter().any(|e| matches!(e, Effect::SendToViewer(_, sent) if sent == message))
 }
 
-fn wrote(out: &[Effect], word: &ToNode) -> bool {
-    out.iter().any(|e| matches!(e, Effect::SendToNode(_, w) if w == word))
+fn sent_to_node(out: &[Effect], message: &ToNode) -> bool {
+    out.iter().any(|e| matches!(e, Effect::SendToNode(_, sent) if sent == message))
 }
 
 fn failed(id: u64) -> ToViewer {
     ToViewer::Failed(SessionId(id))
 }
 
-fn over(id: u64, cause: u16) -> ToViewer {
+fn ended(id: u64, cause: u16) -> ToViewer {
     ToViewer::Ended(SessionId(id), 7, cause)
 }
 
 #[test]
 fn a_second_copy_of_an_answer_and_one_under_an_unknown_id_harm_nothing() {
-    let mut w = World::three();
-    let (link, _) = w.standing(1);
-    assert!(w.tell(Input::NodeMessage(link, plays(1))).is_empty());
-    assert!(w.tell(Input::NodeMessage(link, plays(999))).is_empty());
-    let out =
-        w.tell(Input::NodeMessage(link, FromNode::SessionEnded(SessionId(1), Outcome::Served, Vec::new())));
-    assert!(told(&out, &over(1, 16)) && wrote(&out, &ToNode::Acknowledge(SessionId(1))), "{out:?}");
-    let again =
-        w.tell(Input::NodeMessage(link, FromNode::SessionEnded(SessionId(1), Outcome::Served, Vec::new())));
-    assert!(!told(&again, &over(1, 16)), "an end that comes twice is told once");
+    let mut front = Harness::with_three_nodes();
+    let (link, _) = front.playing(1);
+    assert!(front.handle(Input::NodeMessage(link, session_started(1))).is_empty());
+    assert!(front.handle(Input::NodeMessage(link, session_started(999))).is_empty());
+    let out = front
+        .handle(Input::NodeMessage(link, FromNode::SessionEnded(SessionId(1), Outcome::Served, Vec::new())));
+    assert!(
+        sent_to_viewer(&out, &ended(1, 16)) && sent_to_node(&out, &ToNode::Acknowledge(SessionId(1))),
+        "{out:?}"
+    );
+    let again = front
+        .handle(Input::NodeMessage(link, FromNode::SessionEnded(SessionId(1), Outcome::Served, Vec::new())));
+    assert!(!sent_to_viewer(&again, &ended(1, 16)), "an end that comes twice is told once");
 }
 
 #[test]
 fn what_never_ran_is_sent_again_and_a_paid_set_up_that_broke_fails() {
-    let mut w = World::three();
-    let out = w.tell(Input::SetUp(ConnId(1), ask(1, 1)));
-    let (link, first) = dialled(&out).expect("a dial");
-    let out = w.tell(Input::DialFailed(link, DialEnd::Refused));
-    let (link, second) = dialled(&out).expect("another node is dialled");
+    let mut front = Harness::with_three_nodes();
+    let out = front.handle(Input::SetUp(ConnId(1), request(1, 1)));
+    let (link, first) = first_dial(&out).expect("a dial");
+    let out = front.handle(Input::DialFailed(link, DialEnd::Refused));
+    let (link, second) = first_dial(&out).expect("another node is dialled");
     assert_ne!(first, second);
-    w.tell(Input::LinkUp(link));
+    front.handle(Input::LinkUp(link));
     // Sent, then broken: it may have run. The node is dialled to learn whether it lives.
-    let out = w.tell(Input::LinkDown(link));
-    assert!(!told(&out, &failed(1)));
-    let (check, at) = dialled(&out).expect("the node is dialled");
+    let out = front.handle(Input::LinkDown(link));
+    assert!(!sent_to_viewer(&out, &failed(1)));
+    let (check, at) = first_dial(&out).expect("the node is dialled");
     assert_eq!(at, second);
-    let out = w.tell(Input::LinkUp(check));
-    assert!(told(&out, &failed(1)) && set_up(&out).is_none(), "{out:?}");
+    let out = front.handle(Input::LinkUp(check));
+    assert!(sent_to_viewer(&out, &failed(1)) && first_set_up(&out).is_none(), "{out:?}");
 }
 
 #[test]
 fn an_answer_that_crosses_the_give_up_is_cut_and_reaches_no_viewer() {
-    let mut w = World::three();
-    let (link, _) = w.sent(1, 0);
-    let out = w.tell(Input::Release(ConnId(1), SessionId(1)));
+    let mut front = Harness::with_three_nodes();
+    let (link, _) = front.set_up_sent(1, 0);
+    let out = front.handle(Input::Release(ConnId(1), SessionId(1)));
     assert!(
-        wrote(&out, &ToNode::CancelSetUp(SessionId(1), 7))
-            && told(&out, &ToViewer::Acknowledge(SessionId(1)))
+        sent_to_node(&out, &ToNode::CancelSetUp(SessionId(1), 7))
+            && sent_to_viewer(&out, &ToViewer::Acknowledge(SessionId(1)))
     );
-    let out = w.tell(Input::NodeMessage(link, plays(1)));
+    let out = front.handle(Input::NodeMessage(link, session_started(1)));
     assert_eq!(out, [Effect::SendToNode(link, ToNode::Release(SessionId(1), 7, 31))]);
-    assert_eq!((w.core.open_requests(), w.core.playing_sessions()), (0, 0));
+    assert_eq!((front.core.open_requests(), front.core.playing_sessions()), (0, 0));
 }
 
 #[test]
 fn a_further_attempt_waits_until_the_node_has_heard_of_the_give_up() {
-    let mut w = World::three();
-    let (link, _) = w.sent(1, 0);
-    let out = w.pass(400 * MS);
-    assert!(wrote(&out, &ToNode::CancelSetUp(SessionId(1), 7)), "half of the aim is over");
-    assert!(dialled(&out).is_none() && set_up(&out).is_none());
-    let out = w.tell(Input::NodeMessage(link, FromNode::Acknowledged(SessionId(1))));
-    assert!(dialled(&out).is_some(), "{out:?}");
+    let mut front = Harness::with_three_nodes();
+    let (link, _) = front.set_up_sent(1, 0);
+    let out = front.advance(400 * MS);
+    assert!(sent_to_node(&out, &ToNode::CancelSetUp(SessionId(1), 7)), "half of the aim is over");
+    assert!(first_dial(&out).is_none() && first_set_up(&out).is_none());
+    let out = front.handle(Input::NodeMessage(link, FromNode::Acknowledged(SessionId(1))));
+    assert!(first_dial(&out).is_some(), "{out:?}");
 }
 
 #[test]
 fn each_request_has_its_answer_at_its_deadline_whatever_nodes_do() {
-    let mut w = World::three();
-    w.sent(1, 1);
-    let out = w.pass(3 * S - MS);
-    assert!(!told(&out, &failed(1)), "the attempt has its whole time");
-    let out = w.pass(5 * MS);
-    assert!(told(&out, &failed(1)), "{out:?}");
-    let out = w.pass(5 * S);
-    assert!(!told(&out, &failed(1)) && w.core.open_requests() == 0);
+    let mut front = Harness::with_three_nodes();
+    front.set_up_sent(1, 1);
+    let out = front.advance(3 * S - MS);
+    assert!(!sent_to_viewer(&out, &failed(1)), "the attempt has its whole time");
+    let out = front.advance(5 * MS);
+    assert!(sent_to_viewer(&out, &failed(1)), "{out:?}");
+    let out = front.advance(5 * S);
+    assert!(!sent_to_viewer(&out, &failed(1)) && front.core.open_requests() == 0);
 }
 
 #[test]
 fn a_node_that_drains_while_it_is_dialled_is_sent_nothing() {
-    let mut w = World::new(&[node(1, State::Ready)]);
-    let out = w.tell(Input::SetUp(ConnId(1), ask(1, 0)));
-    let (link, _) = dialled(&out).expect("a dial");
-    w.tell(Input::NodeList(vec![node(1, State::Draining)]));
-    let out = w.tell(Input::LinkUp(link));
-    assert!(set_up(&out).is_none());
-    assert!(told(&out, &ToViewer::Refused(SessionId(1), None)), "{out:?}");
+    let mut front = Harness::new(&[node(1, State::Ready)]);
+    let out = front.handle(Input::SetUp(ConnId(1), request(1, 0)));
+    let (link, _) = first_dial(&out).expect("a dial");
+    front.handle(Input::NodeList(vec![node(1, State::Draining)]));
+    let out = front.handle(Input::LinkUp(link));
+    assert!(first_set_up(&out).is_none());
+    assert!(sent_to_viewer(&out, &ToViewer::Refused(SessionId(1), None)), "{out:?}");
 }
 
 #[test]
 fn refused_dials_end_the_sessions_of_a_node_and_a_broken_connection_alone_does_not() {
-    let mut w = World::three();
-    let (link, at) = w.standing(1);
-    let out = w.tell(Input::LinkDown(link));
-    let (check, address) = dialled(&out).expect("the node is dialled");
+    let mut front = Harness::with_three_nodes();
+    let (link, at) = front.playing(1);
+    let out = front.handle(Input::LinkDown(link));
+    let (check, address) = first_dial(&out).expect("the node is dialled");
     assert_eq!(address, at);
-    let out = w.tell(Input::LinkUp(check));
-    assert!(!told(&out, &over(1, 41)) && w.core.playing_sessions() == 1);
-    let out = w.tell(Input::LinkDown(check));
-    let (check, _) = dialled(&out).expect("the node is dialled");
-    assert!(!told(&w.tell(Input::DialFailed(check, DialEnd::Refused)), &over(1, 41)));
-    let (check, _) = dialled(&w.pass(200 * MS)).expect("the node is dialled again");
-    assert!(told(&w.tell(Input::DialFailed(check, DialEnd::Refused)), &over(1, 41)));
+    let out = front.handle(Input::LinkUp(check));
+    assert!(!sent_to_viewer(&out, &ended(1, 41)) && front.core.playing_sessions() == 1);
+    let out = front.handle(Input::LinkDown(check));
+    let (check, _) = first_dial(&out).expect("the node is dialled");
+    assert!(!sent_to_viewer(&front.handle(Input::DialFailed(check, DialEnd::Refused)), &ended(1, 41)));
+    let (check, _) = first_dial(&front.advance(200 * MS)).expect("the node is dialled again");
+    assert!(sent_to_viewer(&front.handle(Input::DialFailed(check, DialEnd::Refused)), &ended(1, 41)));
 }
 
 /// On a churn day a connection to a dead node seemed to be up, and its sessions were never told to be over.
 #[test]
 fn a_connection_that_only_seems_to_be_up_does_not_speak_for_a_dead_node() {
-    let mut w = World::three();
-    let (link, _) = w.standing(1);
-    let out = w.pass(6 * S);
-    let (quiet, _) = dialled(&out).expect("a quiet node is dialled");
-    w.tell(Input::LinkUp(quiet));
-    let mut out = w.tell(Input::LinkDown(link));
+    let mut front = Harness::with_three_nodes();
+    let (link, _) = front.playing(1);
+    let out = front.advance(6 * S);
+    let (quiet, _) = first_dial(&out).expect("a quiet node is dialled");
+    front.handle(Input::LinkUp(quiet));
+    let mut out = front.handle(Input::LinkDown(link));
     for _ in 0..6 {
-        let (check, _) = dialled(&out).expect("the node is dialled");
-        out = w.tell(Input::DialFailed(check, DialEnd::Refused));
-        if told(&out, &over(1, 41)) {
+        let (check, _) = first_dial(&out).expect("the node is dialled");
+        out = front.handle(Input::DialFailed(check, DialEnd::Refused));
+        if sent_to_viewer(&out, &ended(1, 41)) {
             return;
         }
-        out = w.pass(150 * MS);
+        out = front.advance(150 * MS);
     }
     panic!("five refused dials show that the node is dead");
 }
@@ -296,48 +302,48 @@
 #[test]
 fn a_machine_that_vanished_is_found_in_time_and_one_that_stalls_keeps_its_sessions() {
     for vanished in [true, false] {
-        let mut w = World::three();
-        w.standing(1);
-        let (began, mut dials) = (w.now, Vec::new());
-        while w.now < began + 8 * S && w.core.playing_sessions() > 0 {
-            for e in w.pass(50 * MS) {
+        let mut front = Harness::with_three_nodes();
+        front.playing(1);
+        let (began, mut dials) = (front.now, Vec::new());
+        while front.now < began + 8 * S && front.core.playing_sessions() > 0 {
+            for e in front.advance(50 * MS) {
                 if let Effect::Dial(link, _) = e {
-                    dials.push((w.now, link));
+                    dials.push((front.now, link));
                 }
             }
-            let now = w.now;
+            let now = front.now;
             let due: Vec<_> = dials.extract_if(.., |(at, _)| *at + 250 * MS <= now).collect();
             for (_, link) in due {
                 let end =
                     if vanished { Input::DialFailed(link, DialEnd::TimedOut) } else { Input::LinkUp(link) };
-                w.tell(end);
+                front.handle(end);
             }
         }
-        assert_eq!(told(&w.out, &over(1, 41)), vanished);
-        assert_eq!(w.core.playing_sessions(), usize::from(!vanished));
-        assert!(!vanished || w.now < began + 8 * S, "found after {} ms", (w.now - began) / MS);
+        assert_eq!(sent_to_viewer(&front.out, &ended(1, 41)), vanished);
+        assert_eq!(front.core.playing_sessions(), usize::from(!vanished));
+        assert!(!vanished || front.now < began + 8 * S, "found after {} ms", (front.now - began) / MS);
     }
 }
 
 #[test]
 fn a_node_that_is_listed_no_more_is_asked_and_its_sessions_end_if_it_says_nothing() {
     for answers in [true, false] {
-        let mut w = World::three();
-        w.core.probing = true;
-        let (link, address) = w.standing(1);
+        let mut front = Harness::with_three_nodes();
+        front.core.probing = true;
+        let (link, address) = front.playing(1);
         let rest = [1, 2, 3].map(|id| node(id, State::Ready));
-        w.pass(100 * MS);
-        w.tell(Input::NodeList(
+        front.advance(100 * MS);
+        front.handle(Input::NodeList(
             rest.into_iter().filter(|n| std::net::SocketAddr::from(n.address) != address).collect(),
         ));
-        let out = w.pass(300 * MS);
-        assert!(dialled(&out).is_none(), "its address may be another's");
+        let out = front.advance(300 * MS);
+        assert!(first_dial(&out).is_none(), "its address may be another's");
         assert!(out.iter().any(|e| matches!(e, Effect::SendToNode(l, ToNode::QueryLoad(_)) if *l == link)));
         if answers {
-            w.tell(Input::NodeMessage(link, FromNode::Other));
+            front.handle(Input::NodeMessage(link, FromNode::Other));
         }
-        let out = w.pass(S);
-        assert_eq!(told(&out, &over(1, 41)), !answers);
+        let out = front.advance(S);
+        assert_eq!(sent_to_viewer(&out, &ended(1, 41)), !answers);
     }
 }
 
@@ -345,29 +351,32 @@
 #[test]
 fn where_probes_are_forbidden_no_node_is_asked_for_a_sign() {
     let asked = |out: &[Effect]| out.iter().any(|e| matches!(e, Effect::SendToNode(_, ToNode::QueryLoad(_))));
-    let mut w = World::three();
-    let (link, address) = w.standing(1);
+    let mut front = Harness::with_three_nodes();
+    let (link, address) = front.playing(1);
     let rest = [1, 2, 3].map(|id| node(id, State::Ready));
-    w.tell(Input::NodeList(rest.into_iter().filter(|n| SocketAddr::from(n.address) != address).collect()));
-    w.pass(3 * S);
-    assert_eq!(w.core.playing_sessions(), 1, "it may still play there");
-    w.tell(Input::NodeMessage(link, FromNode::Other));
-    w.pass(3 * S);
-    assert_eq!(w.core.playing_sessions(), 1);
-    w.pass(4 * S);
-    assert!(told(&w.out, &over(1, 41)) && !asked(&w.out));
+    front.handle(Input::NodeList(
+        rest.into_iter().filter(|n| SocketAddr::from(n.address) != address).collect(),
+    ));
+    front.advance(3 * S);
+    assert_eq!(front.core.playing_sessions(), 1, "it may still play there");
+    front.handle(Input::NodeMessage(link, FromNode::Other));
+    front.advance(3 * S);
+    assert_eq!(front.core.playing_sessions(), 1);
+    front.advance(4 * S);
+    assert!(sent_to_viewer(&front.out, &ended(1, 41)) && !asked(&front.out));
 
     // A node that takes no more connections refuses dials: its only idle one is shut, and its end is a sign.
-    let mut w = World::three();
-    let (link, _) = w.standing(1);
-    let (dial, _) = dialled(&w.pass(6 * S)).expect("a quiet node is dialled");
-    let out = w.tell(Input::DialFailed(dial, DialEnd::Refused));
+    let mut front = Harness::with_three_nodes();
+    let (link, _) = front.playing(1);
+    let (dial, _) = first_dial(&front.advance(6 * S)).expect("a quiet node is dialled");
+    let out = front.handle(Input::DialFailed(dial, DialEnd::Refused));
     assert!(out.contains(&Effect::HalfCloseLink(link)), "{out:?}");
-    let out = w.tell(Input::LinkEndedByNode(link));
-    let (dial, _) = dialled(&out).or(dialled(&w.pass(200 * MS))).expect("its place is free again");
-    w.tell(Input::LinkUp(dial));
-    w.pass(S);
-    assert!(w.core.playing_sessions() == 1 && !asked(&w.out));
+    let out = front.handle(Input::LinkEndedByNode(link));
+    let (dial, _) =
+        first_dial(&out).or(first_dial(&front.advance(200 * MS))).expect("its place is free again");
+    front.handle(Input::LinkUp(dial));
+    front.advance(S);
+    assert!(front.core.playing_sessions() == 1 && !asked(&front.out));
 }
 
 /// Viewers' places at their most, those being ended, and nodes' connections together went past few descriptors.
@@ -384,202 +393,211 @@
 /// 16,384 standing sessions with descriptions of 16 KiB would be over the memory that a front has.
 #[test]
 fn a_session_that_stands_keeps_no_description() {
-    let mut w = World::three();
-    w.standing(1);
-    w.tell(Input::SetUp(ConnId(1), SetUpRequest { playing_at: Some(ServerId(2)), ..ask(2, 0) }));
-    assert!(w.core.playing_sessions() == 2 && w.core.sessions.values().all(|s| s.request.body.is_empty()));
+    let mut front = Harness::with_three_nodes();
+    front.playing(1);
+    front.handle(Input::SetUp(ConnId(1), SetUpRequest { playing_at: Some(ServerId(2)), ..request(2, 0) }));
+    assert!(
+        front.core.playing_sessions() == 2 && front.core.sessions.values().all(|s| s.request.body.is_empty())
+    );
 }
 
 #[test]
 fn a_moved_session_is_left_to_its_node_and_cut_there_if_nothing_comes() {
     for heard in [true, false] {
-        let mut w = World::three();
-        let (link, _) = w.standing(1);
+        let mut front = Harness::with_three_nodes();
+        let (link, _) = front.playing(1);
         let mut out = Vec::new();
-        w.core.move_session(w.now, SessionId(1), &mut out);
+        front.core.move_session(front.now, SessionId(1), &mut out);
         assert_eq!(out, [Effect::SendToViewer(ConnId(1), ToViewer::Move(SessionId(1), 7))]);
         if heard {
-            let out = w.tell(Input::NodeMessage(
+            let out = front.handle(Input::NodeMessage(
                 link,
                 FromNode::SessionEnded(SessionId(1), Outcome::Cancelled, Vec::new()),
             ));
             assert_eq!(out, [Effect::SendToNode(link, ToNode::Acknowledge(SessionId(1)))]);
         }
-        let out = w.pass(500 * MS);
-        assert_eq!(wrote(&out, &ToNode::Release(SessionId(1), 7, 31)), !heard);
+        let out = front.advance(500 * MS);
+        assert_eq!(sent_to_node(&out, &ToNode::Release(SessionId(1), 7, 31)), !heard);
         // On the long day sessions of a node that died were moved before its death was seen; the move is no release of
         // what was over already, and nobody told their viewers.
-        assert_eq!(told(&out, &over(1, 31)), !heard);
-        assert_eq!(w.core.playing_sessions(), 0);
+        assert_eq!(sent_to_viewer(&out, &ended(1, 31)), !heard);
+        assert_eq!(front.core.playing_sessions(), 0);
     }
 }
 
 #[test]
 fn nothing_of_an_old_life_counts_for_a_node_at_its_address() {
-    let mut w = World::new(&[node(1, State::Ready)]);
-    let (link, address) = w.standing(1);
-    w.pass(10 * MS);
-    let new = Entry { id: 4, started_ms: w.now / MS, ..node(1, State::Ready) };
-    w.tell(Input::NodeList(vec![new]));
-    let out = w.tell(Input::SetUp(ConnId(1), ask(2, 0)));
-    let (fresh, at) = dialled(&out).expect("a connection of its own");
+    let mut front = Harness::new(&[node(1, State::Ready)]);
+    let (link, address) = front.playing(1);
+    front.advance(10 * MS);
+    let new = Entry { id: 4, started_ms: front.now / MS, ..node(1, State::Ready) };
+    front.handle(Input::NodeList(vec![new]));
+    let out = front.handle(Input::SetUp(ConnId(1), request(2, 0)));
+    let (fresh, at) = first_dial(&out).expect("a connection of its own");
     assert_eq!(at, address);
-    assert!(set_up(&w.tell(Input::LinkUp(fresh))).is_some_and(|(l, _)| l == fresh));
-    let out = w.tell(Input::NodeMessage(link, plays(2)));
+    assert!(first_set_up(&front.handle(Input::LinkUp(fresh))).is_some_and(|(l, _)| l == fresh));
+    let out = front.handle(Input::NodeMessage(link, session_started(2)));
     assert!(
         !out.iter().any(|e| matches!(e, Effect::SendToViewer(..))),
         "an answer on the old life's connection"
     );
-    let out = w.tell(Input::LinkDown(link));
-    assert!(told(&out, &over(1, 41)), "the old life's last connection went");
+    let out = front.handle(Input::LinkDown(link));
+    assert!(sent_to_viewer(&out, &ended(1, 41)), "the old life's last connection went");
 }
 
 #[test]
 fn a_node_that_started_anew_ends_what_is_older_than_its_start() {
-    let mut w = World::new(&[node(1, State::Ready)]);
-    w.standing(1);
-    w.pass(S);
-    let started_ms = w.now / MS;
-    w.pass(100 * MS);
-    let out = w.tell(Input::NodeList(vec![Entry { started_ms, ..node(1, State::Ready) }]));
-    assert!(told(&out, &over(1, 41)), "{out:?}");
+    let mut front = Harness::new(&[node(1, State::Ready)]);
+    front.playing(1);
+    front.advance(S);
+    let started_ms = front.now / MS;
+    front.advance(100 * MS);
+    let out = front.handle(Input::NodeList(vec![Entry { started_ms, ..node(1, State::Ready) }]));
+    assert!(sent_to_viewer(&out, &ended(1, 41)), "{out:?}");
 }
 
 #[test]
 fn sessions_of_a_start_are_taken_in_unanswered_and_once() {
-    let mut w = World::three();
-    let at = SetUpRequest { playing_at: Some(ServerId(2)), ..ask(1, 0) };
-    let out = w.tell(Input::SetUp(ConnId(1), at.clone()));
-    let (link, address) = dialled(&out).expect("a connection is kept");
+    let mut front = Harness::with_three_nodes();
+    let at = SetUpRequest { playing_at: Some(ServerId(2)), ..request(1, 0) };
+    let out = front.handle(Input::SetUp(ConnId(1), at.clone()));
+    let (link, address) = first_dial(&out).expect("a connection is kept");
     assert_eq!(address, node(2, State::Ready).address.into());
-    assert!(w.tell(Input::SetUp(ConnId(1), at)).is_empty());
-    w.tell(Input::LinkUp(link));
-    let out =
-        w.tell(Input::NodeMessage(link, FromNode::SessionEnded(SessionId(1), Outcome::Served, Vec::new())));
-    assert!(told(&out, &over(1, 16)));
-    let unknown = SetUpRequest { playing_at: Some(ServerId(9)), ..ask(2, 0) };
-    assert!(w.tell(Input::SetUp(ConnId(1), unknown)).is_empty(), "the list may be late");
-    let out = w.pass(2 * S);
-    assert!(told(&out, &over(2, 41)) && told(&out, &ToViewer::UnknownSession(SessionId(2))), "{out:?}");
+    assert!(front.handle(Input::SetUp(ConnId(1), at)).is_empty());
+    front.handle(Input::LinkUp(link));
+    let out = front
+        .handle(Input::NodeMessage(link, FromNode::SessionEnded(SessionId(1), Outcome::Served, Vec::new())));
+    assert!(sent_to_viewer(&out, &ended(1, 16)));
+    let unknown = SetUpRequest { playing_at: Some(ServerId(9)), ..request(2, 0) };
+    assert!(front.handle(Input::SetUp(ConnId(1), unknown)).is_empty(), "the list may be late");
+    let out = front.advance(2 * S);
+    assert!(
+        sent_to_viewer(&out, &ended(2, 41)) && sent_to_viewer(&out, &ToViewer::UnknownSession(SessionId(2))),
+        "{out:?}"
+    );
 }
 
 #[test]
 fn a_second_request_under_one_id_spoils_only_its_own_connection() {
-    let mut w = World::three();
-    w.tell(Input::ViewerConnected(ConnId(2), HERE));
-    w.sent(1, 0);
-    let out = w.tell(Input::SetUp(ConnId(2), ask(1, 0)));
+    let mut front = Harness::with_three_nodes();
+    front.handle(Input::ViewerConnected(ConnId(2), VIEWER_ADDRESS));
+    front.set_up_sent(1, 0);
+    let out = front.handle(Input::SetUp(ConnId(2), request(1, 0)));
     assert_eq!(
         out,
         [Effect::SendToViewer(ConnId(2), ToViewer::Conflict(SessionId(1))), Effect::CloseViewer(ConnId(2))]
     );
-    assert_eq!(w.core.open_requests(), 1);
-    let out = w.tell(Input::SetUp(ConnId(1), ask(1, 0)));
+    assert_eq!(front.core.open_requests(), 1);
+    let out = front.handle(Input::SetUp(ConnId(1), request(1, 0)));
     assert!(
-        wrote(&out, &ToNode::CancelSetUp(SessionId(1), 7)) && out.contains(&Effect::CloseViewer(ConnId(1)))
+        sent_to_node(&out, &ToNode::CancelSetUp(SessionId(1), 7))
+            && out.contains(&Effect::CloseViewer(ConnId(1)))
     );
-    assert_eq!(w.core.open_requests(), 0);
+    assert_eq!(front.core.open_requests(), 0);
 }
 
 #[test]
 fn an_end_is_told_on_another_connection_of_the_viewers_side_or_as_soon_as_one_comes() {
-    let mut w = World::three();
-    let (link, _) = w.standing(1);
-    w.tell(Input::ViewerDisconnected(ConnId(1)));
-    assert_eq!(w.core.playing_sessions(), 1, "no connection owns a standing session");
-    let out =
-        w.tell(Input::NodeMessage(link, FromNode::SessionEnded(SessionId(1), Outcome::Served, Vec::new())));
-    assert!(!told(&out, &over(1, 16)));
-    w.tell(Input::ViewerConnected(ConnId(2), HERE));
-    let out = w.tell(Input::SetUp(ConnId(2), ask(2, 0)));
-    assert!(out.contains(&Effect::SendToViewer(ConnId(2), over(1, 16))), "{out:?}");
+    let mut front = Harness::with_three_nodes();
+    let (link, _) = front.playing(1);
+    front.handle(Input::ViewerDisconnected(ConnId(1)));
+    assert_eq!(front.core.playing_sessions(), 1, "no connection owns a standing session");
+    let out = front
+        .handle(Input::NodeMessage(link, FromNode::SessionEnded(SessionId(1), Outcome::Served, Vec::new())));
+    assert!(!sent_to_viewer(&out, &ended(1, 16)));
+    front.handle(Input::ViewerConnected(ConnId(2), VIEWER_ADDRESS));
+    let out = front.handle(Input::SetUp(ConnId(2), request(2, 0)));
+    assert!(out.contains(&Effect::SendToViewer(ConnId(2), ended(1, 16))), "{out:?}");
 }
 
 #[test]
 fn open_set_ups_end_with_their_connection() {
-    let mut w = World::three();
-    w.sent(1, 0);
-    let out = w.tell(Input::ViewerDisconnected(ConnId(1)));
-    assert!(wrote(&out, &ToNode::CancelSetUp(SessionId(1), 7)));
-    assert_eq!(w.core.open_requests(), 0);
+    let mut front = Harness::with_three_nodes();
+    front.set_up_sent(1, 0);
+    let out = front.handle(Input::ViewerDisconnected(ConnId(1)));
+    assert!(sent_to_node(&out, &ToNode::CancelSetUp(SessionId(1), 7)));
+    assert_eq!(front.core.open_requests(), 0);
 }
 
 #[test]
 fn a_crowd_of_silent_connections_gives_way_and_one_with_work_does_not() {
-    let mut w = World::three();
-    w.standing(1);
-    (2..5).for_each(|c| drop(w.tell(Input::ViewerConnected(ConnId(c), HERE))));
-    w.tell(Input::SetUp(ConnId(2), ask(2, 0)));
-    assert_eq!(w.core.evictable_viewers(), [vec![ConnId(3), ConnId(4)], vec![]]);
-    assert_eq!(w.tell(Input::EvictViewer(ConnId(3))), [Effect::CloseViewer(ConnId(3))]);
-    w.tell(Input::Release(ConnId(4), SessionId(2)));
-    w.tell(Input::ViewerConnected(ConnId(5), HERE));
+    let mut front = Harness::with_three_nodes();
+    front.playing(1);
+    (2..5).for_each(|c| drop(front.handle(Input::ViewerConnected(ConnId(c), VIEWER_ADDRESS))));
+    front.handle(Input::SetUp(ConnId(2), request(2, 0)));
+    assert_eq!(front.core.evictable_viewers(), [vec![ConnId(3), ConnId(4)], vec![]]);
+    assert_eq!(front.handle(Input::EvictViewer(ConnId(3))), [Effect::CloseViewer(ConnId(3))]);
+    front.handle(Input::Release(ConnId(4), SessionId(2)));
+    front.handle(Input::ViewerConnected(ConnId(5), VIEWER_ADDRESS));
     assert_eq!(
-        w.core.evictable_viewers(),
+        front.core.evictable_viewers(),
         [vec![ConnId(5)], vec![ConnId(2), ConnId(4)]],
         "one that said something goes later"
     );
     for c in [5, 2, 4] {
-        assert_eq!(w.tell(Input::EvictViewer(ConnId(c))), [Effect::CloseViewer(ConnId(c))]);
+        assert_eq!(front.handle(Input::EvictViewer(ConnId(c))), [Effect::CloseViewer(ConnId(c))]);
     }
-    assert_eq!(w.core.evictable_viewers(), [vec![], vec![]]);
-    assert!(w.tell(Input::EvictViewer(ConnId(1))).is_empty(), "a session came on it");
-    w.tell(Input::ViewerConnected(ConnId(6), HERE));
-    w.tell(Input::SetUp(ConnId(6), ask(6, 0)));
-    assert_eq!(w.core.evictable_viewers(), [vec![], vec![]]);
-    assert!(w.tell(Input::EvictViewer(ConnId(6))).is_empty(), "a request is open on it");
+    assert_eq!(front.core.evictable_viewers(), [vec![], vec![]]);
+    assert!(front.handle(Input::EvictViewer(ConnId(1))).is_empty(), "a session came on it");
+    front.handle(Input::ViewerConnected(ConnId(6), VIEWER_ADDRESS));
+    front.handle(Input::SetUp(ConnId(6), request(6, 0)));
+    assert_eq!(front.core.evictable_viewers(), [vec![], vec![]]);
+    assert!(front.handle(Input::EvictViewer(ConnId(6))).is_empty(), "a request is open on it");
 }
 
 #[test]
 fn a_question_whose_connection_broke_is_asked_once_more() {
-    let mut w = World::new(&[node(1, State::Ready)]);
+    let mut front = Harness::new(&[node(1, State::Ready)]);
     let mut out = Vec::new();
-    w.core.probe(w.now, ServerId(1), &mut out);
-    let (link, _) = dialled(&out).expect("a dial");
-    assert!(matches!(w.tell(Input::LinkUp(link))[..], [Effect::SendToNode(_, ToNode::QueryLoad(_))]));
-    let out = w.tell(Input::LinkDown(link));
-    let (link, _) = dialled(&out).expect("another connection");
+    front.core.probe(front.now, ServerId(1), &mut out);
+    let (link, _) = first_dial(&out).expect("a dial");
+    assert!(matches!(front.handle(Input::LinkUp(link))[..], [Effect::SendToNode(_, ToNode::QueryLoad(_))]));
+    let out = front.handle(Input::LinkDown(link));
+    let (link, _) = first_dial(&out).expect("another connection");
     assert!(
-        w.tell(Input::LinkUp(link)).iter().any(|e| matches!(e, Effect::SendToNode(_, ToNode::QueryLoad(_))))
+        front
+            .handle(Input::LinkUp(link))
+            .iter()
+            .any(|e| matches!(e, Effect::SendToNode(_, ToNode::QueryLoad(_))))
     );
-    assert_eq!(w.core.probes.len(), 1);
-    w.pass(300 * MS);
-    assert!(w.core.probes.is_empty());
+    assert_eq!(front.core.probes.len(), 1);
+    front.advance(300 * MS);
+    assert!(front.core.probes.is_empty());
 }
 
 /// A question that broke off at a node that had just left the list was asked again at its address, another's by then.
 #[test]
 fn a_node_that_is_listed_no_more_is_dialled_for_nothing() {
-    let mut w = World::new(&[node(1, State::Ready)]);
-    let (link, _) = w.standing(1);
+    let mut front = Harness::new(&[node(1, State::Ready)]);
+    let (link, _) = front.playing(1);
     let mut out = Vec::new();
-    w.core.probe(w.now, ServerId(1), &mut out);
+    front.core.probe(front.now, ServerId(1), &mut out);
     assert!(matches!(out[..], [Effect::SendToNode(l, ToNode::QueryLoad(_))] if l == link), "{out:?}");
-    w.tell(Input::NodeList(Vec::new()));
-    let out = w.tell(Input::LinkDown(link));
-    assert!(dialled(&out).is_none() && told(&out, &over(1, 41)), "{out:?}");
-    assert!(w.core.probes.is_empty());
+    front.handle(Input::NodeList(Vec::new()));
+    let out = front.handle(Input::LinkDown(link));
+    assert!(first_dial(&out).is_none() && sent_to_viewer(&out, &ended(1, 41)), "{out:?}");
+    assert!(front.core.probes.is_empty());
 }
 
 #[test]
 fn maps_are_empty_again_after_many_short_lives() {
-    let mut w = World::new(&[]);
+    let mut front = Harness::new(&[]);
     for round in 0..200u32 {
         let n = Entry { id: 100 + round, ..node(round % 3, State::Ready) };
-        w.tell(Input::NodeList(vec![n]));
+        front.handle(Input::NodeList(vec![n]));
         let conn = ConnId(1_000 + u64::from(round));
-        w.tell(Input::ViewerConnected(conn, HERE));
-        let out = w.tell(Input::SetUp(conn, ask(u64::from(round) + 1, 0)));
-        if let Some((link, _)) = dialled(&out) {
-            w.tell(Input::LinkUp(link));
-            w.tell(Input::NodeMessage(link, plays(u64::from(round) + 1)));
+        front.handle(Input::ViewerConnected(conn, VIEWER_ADDRESS));
+        let out = front.handle(Input::SetUp(conn, request(u64::from(round) + 1, 0)));
+        if let Some((link, _)) = first_dial(&out) {
+            front.handle(Input::LinkUp(link));
+            front.handle(Input::NodeMessage(link, session_started(u64::from(round) + 1)));
         }
-        w.tell(Input::ViewerDisconnected(conn));
-        w.pass(S);
+        front.handle(Input::ViewerDisconnected(conn));
+        front.advance(S);
     }
-    w.tell(Input::NodeList(Vec::new()));
-    w.pass(30 * S);
-    let c = &w.core;
+    front.handle(Input::NodeList(Vec::new()));
+    front.advance(30 * S);
+    let c = &front.core;
     assert!(c.sessions.is_empty() && c.incarnations.is_empty() && c.links.is_empty() && c.probes.is_empty());
     assert!(c.ended.is_empty() && c.ended_order.is_empty() && c.unsent_ends.is_empty() && c.conns.len() == 1);
 }
--- a/crates/platform/src/core/tests/churn.rs
+++ b/crates/platform/src/core/tests/churn.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 
 /// Everything that grows, by name.
-fn sizes(w: &World) -> BTreeMap<&'static str, usize> {
-    let c = &w.core;
-    let (servers, _) = c.controller.view(w.now);
+fn sizes(front: &Harness) -> BTreeMap<&'static str, usize> {
+    let c = &front.core;
+    let (servers, _) = c.controller.view(front.now);
     let lives = || c.incarnations.values();
     BTreeMap::from([
         ("sessions", c.sessions.len()),
@@ -33,10 +33,10 @@
 /// Nodes on a few addresses, a fifth of them replaced at a time: drained or just gone, some at the address of one that
 /// went before, some of the old id with a later start; with viewers, hand-overs and faults throughout.
 struct Churn {
-    w: World,
+    front: Harness,
     listed: Vec<Entry>,
     /// The processes that connections lead to, by id and start.
-    ends: BTreeMap<LinkId, (u32, u64)>,
+    processes: BTreeMap<LinkId, (u32, u64)>,
     next: u32,
     id: u64,
     conn: u64,
@@ -51,7 +51,7 @@
 
     fn replace(&mut self) {
         for at in 0..self.listed.len() {
-            let started_ms = self.w.now / MS;
+            let started_ms = self.front.now / MS;
             let new = self.listed[at];
             self.listed[at] = match self.draw(20) {
                 // Another id at once at its address.
@@ -72,12 +72,12 @@
             self.next += u32::from(self.listed[at].id == self.next);
         }
         let listed = self.listed.clone();
-        self.w.tell(Input::NodeList(listed));
+        self.front.handle(Input::NodeList(listed));
     }
 
     /// Whether the process that a connection leads to still runs.
     fn runs(&self, link: LinkId) -> bool {
-        let end = self.ends.get(&link);
+        let end = self.processes.get(&link);
         end.is_some_and(|(id, started)| self.listed.iter().any(|e| (e.id, e.started_ms) == (*id, *started)))
     }
 
@@ -89,9 +89,9 @@
             if let Effect::Dial(link, address) = &e {
                 let there = self.listed.iter().find(|n| SocketAddr::from(n.address) == *address);
                 match there {
-                    Some(n) => drop(self.ends.insert(*link, (n.id, n.started_ms))),
+                    Some(n) => drop(self.processes.insert(*link, (n.id, n.started_ms))),
                     None => {
-                        todo.extend(self.w.tell(Input::DialFailed(*link, DialEnd::Refused)));
+                        todo.extend(self.front.handle(Input::DialFailed(*link, DialEnd::Refused)));
                         continue;
                     }
                 }
@@ -114,7 +114,7 @@
                     1 => Input::NodeMessage(link, FromNode::SetUpFailed(id, Outcome::Error, vec![0.5, 0.5])),
                     2 => Input::LinkDown(link),
                     3 => continue,
-                    _ => Input::NodeMessage(link, plays(id.0)),
+                    _ => Input::NodeMessage(link, session_started(id.0)),
                 },
                 Effect::SendToNode(link, ToNode::QueryLoad(id)) if what > 1 => {
                     Input::NodeMessage(link, FromNode::LoadReport(id, Some(vec![0.3, 0.3])))
@@ -122,7 +122,7 @@
                 Effect::HalfCloseLink(link) if what > 2 => Input::LinkEndedByNode(link),
                 _ => continue,
             };
-            todo.extend(self.w.tell(input));
+            todo.extend(self.front.handle(input));
         }
     }
 
@@ -132,45 +132,47 @@
             let id = self.id;
             if self.draw(3) == 0 {
                 self.conn += 1;
-                self.w.tell(Input::ViewerConnected(ConnId(self.conn), HERE));
+                self.front.handle(Input::ViewerConnected(ConnId(self.conn), VIEWER_ADDRESS));
             }
             let conn = ConnId(self.conn);
-            let asked = ask(id, (id % 2) as u16);
+            let asked = request(id, (id % 2) as u16);
             let at = self.draw(self.listed.len() as u64) as usize;
             let some = self.listed[at].id;
             let out = match self.draw(10) {
                 0 => self
-                    .w
-                    .tell(Input::SetUp(conn, SetUpRequest { playing_at: Some(ServerId(some)), ..asked })),
-                1 => self.w.tell(Input::SetUp(
+                    .front
+                    .handle(Input::SetUp(conn, SetUpRequest { playing_at: Some(ServerId(some)), ..asked })),
+                1 => self.front.handle(Input::SetUp(
                     conn,
                     SetUpRequest { playing_at: Some(ServerId(9_999_999)), ..asked },
                 )),
                 2 => {
-                    let out = self.w.tell(Input::SetUp(conn, asked));
+                    let out = self.front.handle(Input::SetUp(conn, asked));
                     self.answer(out);
-                    self.w.tell(Input::Release(conn, SessionId(id)))
+                    self.front.handle(Input::Release(conn, SessionId(id)))
                 }
                 3 => {
-                    let gone = self.w.tell(Input::ViewerDisconnected(conn));
+                    let gone = self.front.handle(Input::ViewerDisconnected(conn));
                     self.conn += 1;
-                    self.w.tell(Input::ViewerConnected(ConnId(self.conn), HERE));
+                    self.front.handle(Input::ViewerConnected(ConnId(self.conn), VIEWER_ADDRESS));
                     gone
                 }
-                _ => self.w.tell(Input::SetUp(conn, asked)),
+                _ => self.front.handle(Input::SetUp(conn, asked)),
             };
             self.answer(out);
         }
         // Sessions end, and nodes tell of some that are not known.
-        let links: Vec<_> = self.w.core.links.iter().filter(|(_, l)| l.is_up()).map(|(id, _)| *id).collect();
+        let links: Vec<_> =
+            self.front.core.links.iter().filter(|(_, l)| l.is_up()).map(|(id, _)| *id).collect();
         for link in links.into_iter().filter(|l| self.runs(*l)).collect::<Vec<_>>() {
             let id = 1 + self.draw(self.id);
-            let how = [Outcome::Served, Outcome::Cancelled, Outcome::Broken][self.draw(3) as usize];
-            let out =
-                self.w.tell(Input::NodeMessage(link, FromNode::SessionEnded(SessionId(id), how, Vec::new())));
+            let outcome = [Outcome::Served, Outcome::Cancelled, Outcome::Broken][self.draw(3) as usize];
+            let out = self
+                .front
+                .handle(Input::NodeMessage(link, FromNode::SessionEnded(SessionId(id), outcome, Vec::new())));
             self.answer(out);
         }
-        let out = self.w.pass(200 * MS);
+        let out = self.front.advance(200 * MS);
         self.answer(out);
     }
 }
@@ -179,42 +181,51 @@
 fn no_memory_connection_or_belief_outlives_the_lives_of_hundreds_of_nodes() {
     for seed in [1, 2, 3] {
         let first: Vec<_> = (1..11).map(|id| node(id, State::Ready)).collect();
-        let w = World::new(&first);
-        let before = sizes(&w);
-        let mut c =
-            Churn { w, listed: first.clone(), ends: BTreeMap::new(), next: 100, id: 0, conn: 1, draw: seed };
+        let front = Harness::new(&first);
+        let before = sizes(&front);
+        let mut c = Churn {
+            front,
+            listed: first.clone(),
+            processes: BTreeMap::new(),
+            next: 100,
+            id: 0,
+            conn: 1,
+            draw: seed,
+        };
         let mut most = 0;
         for round in 0..800 {
             if round % 3 == 0 {
                 c.replace();
             }
             c.round();
-            c.w.out.clear();
-            most = most.max(c.w.core.incarnations.len());
+            c.front.out.clear();
+            most = most.max(c.front.core.incarnations.len());
         }
         assert!(c.next > 400, "{} ids were met", c.next);
         assert!(most <= 60, "{most} lives were held at a time");
         // The world goes quiet: the last connections of viewers go, nodes end what they have, and time passes.
-        let conns: Vec<_> = c.w.core.conns.keys().copied().filter(|conn| conn.0 != 1).collect();
-        conns.into_iter().for_each(|conn| drop(c.w.tell(Input::ViewerDisconnected(conn))));
+        let conns: Vec<_> = c.front.core.conns.keys().copied().filter(|conn| conn.0 != 1).collect();
+        conns.into_iter().for_each(|conn| drop(c.front.handle(Input::ViewerDisconnected(conn))));
         // The same ten nodes as at first, started anew.
-        let started_ms = c.w.now / MS;
+        let started_ms = c.front.now / MS;
         c.listed = first.iter().map(|e| Entry { started_ms, ..*e }).collect();
         let listed = c.listed.clone();
-        c.w.tell(Input::NodeList(listed));
+        c.front.handle(Input::NodeList(listed));
         for _ in 0..400 {
-            let out = c.w.pass(100 * MS);
+            let out = c.front.advance(100 * MS);
             c.answer(out);
-            for (id, e) in c.w.core.sessions.iter().map(|(id, s)| (*id, s.request.id)).collect::<Vec<_>>() {
+            for (id, e) in c.front.core.sessions.iter().map(|(id, s)| (*id, s.request.id)).collect::<Vec<_>>()
+            {
                 assert_eq!(id, e);
-                c.w.tell(Input::Release(ConnId(1), id));
+                c.front.handle(Input::Release(ConnId(1), id));
             }
         }
-        assert_eq!(sizes(&c.w), before, "seed {seed}");
-        let timers = std::iter::from_fn(|| c.w.core.timers.pop_due(Time::MAX)).count();
+        assert_eq!(sizes(&c.front), before, "seed {seed}");
+        let timers = std::iter::from_fn(|| c.front.core.timers.pop_due(Time::MAX)).count();
         // The sweep's and the module's.
         assert!(timers <= 4, "{timers} timers are left");
-        let known: BTreeSet<SocketAddr> = c.w.core.incarnations.values().map(|l| l.address.into()).collect();
+        let known: BTreeSet<SocketAddr> =
+            c.front.core.incarnations.values().map(|l| l.address.into()).collect();
         assert_eq!(known.len(), 10);
     }
 }
--- a/crates/platform/src/core/tests/customers.rs
+++ b/crates/platform/src/core/tests/customers.rs
@@ -1,7 +1,7 @@
 //! Settings at random, in the form in which the platform hands them over and within what its pages allow, each with a
 //! random history judged by the checker: no customer's figures break an account, and no good spec is turned away unread.
 
-use super::histories::Judged;
+use super::histories::CheckedHarness;
 use super::*;
 use crate::viewer::{FromViewer, read};
 use pepperhook_rtsp::Message;
@@ -16,7 +16,7 @@
 }
 
 /// One customer's settings.
-fn customer(rng: &mut StdRng) -> Value {
+fn random_settings(rng: &mut StdRng) -> Value {
     let classes = pick(rng, &[1usize, 1, 2, 3, 5]);
     let rungs = rng.random_range(1..8usize);
     let (zones, kinds) = (pick(rng, &[1usize, 2, 7]), rng.random_range(1..4usize));
@@ -73,7 +73,7 @@
 }
 
 /// A set-up as a viewer may write it under these settings.
-fn good_wish(rng: &mut StdRng, v: &Value, id: u64) -> Message {
+fn valid_set_up(rng: &mut StdRng, v: &Value, id: u64) -> Message {
     let class = &v["classes"][rng.random_range(0..v["classes"].as_array().expect("classes").len())];
     let cells = v["specifics"]["positions"].as_u64().expect("cells");
     let longest = class["deadline_ns"].as_u64().expect("a deadline") / MS;
@@ -93,41 +93,42 @@
 }
 
 /// What came of a history: set-ups, answers that play, refusals; departures, restarts, hand-overs.
-type Seen = ([usize; 3], [usize; 3]);
+type Counts = ([usize; 3], [usize; 3]);
 
 /// One customer and one history.
-fn play(seed: u64, steps: &[(u8, usize, u64)]) -> Result<Seen, String> {
+fn run_history(seed: u64, steps: &[(u8, usize, u64)]) -> Result<Counts, String> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let v = customer(&mut rng);
-    let own = pepperhook_parameters::decisions(&v)?;
-    let known = pepperhook_parameters::sockets(&v)?;
-    let (cells, descriptors) = (own.cells, pick(&mut rng, &[24, 64, 1_024]));
-    let paid = own.classes.iter().map(|c| c.idempotency == pepperhook::Idempotency::AtMostOnce).collect();
-    let mut j = Judged::of(&v, descriptors, paid);
+    let v = random_settings(&mut rng);
+    let settings = pepperhook_parameters::decisions(&v)?;
+    let sockets = pepperhook_parameters::sockets(&v)?;
+    let (cells, descriptors) = (settings.cells, pick(&mut rng, &[24, 64, 1_024]));
+    let at_most_once =
+        settings.classes.iter().map(|c| c.idempotency == pepperhook::Idempotency::AtMostOnce).collect();
+    let mut checked = CheckedHarness::with_settings(&v, descriptors, at_most_once);
     for (what, which, ms) in steps {
         if what % 16 <= 3 {
-            match read(&good_wish(&mut rng, &v, j.next), &known, cells) {
-                Ok(FromViewer::Ask(ask)) => j.ask(*ask),
+            match read(&valid_set_up(&mut rng, &v, checked.next), &sockets, cells) {
+                Ok(FromViewer::Ask(ask)) => checked.set_up(*ask),
                 _ => return Err("a good spec was not taken".to_owned()),
             }
         } else if (11..13).contains(&(what % 16)) {
-            j.latest_plays();
+            checked.answer_latest_set_up();
         } else if *what >= 232 && which % 2 == 0 {
             // Rarer than the rest, so that something stands or is open then.
             match which / 2 % 4 {
-                0 => j.departs(),
-                1 => j.notices(which / 8),
-                _ => j.restarts(),
+                0 => checked.viewer_departs(),
+                1 => checked.report_departed(which / 8),
+                _ => checked.restart(),
             }
         } else if what % 16 < 15 || which % 4 == 0 {
             // The list changes more seldom than in other histories, so that more is set up.
-            j.step(*what, *which);
+            checked.step(*what, *which);
         }
-        j.pass(ms * MS);
+        checked.advance(ms * MS);
     }
-    j.pass(120 * S);
-    j.verdict()?;
-    j.ends_whole().map(|()| (j.seen(), j.ends))
+    checked.advance(120 * S);
+    checked.verdict()?;
+    checked.check_all_released().map(|()| (checked.counts(), checked.event_counts))
 }
 
 #[test]
@@ -137,7 +138,8 @@
     let steps = prop::collection::vec((any::<u8>(), 0usize..64, 0u64..300), 1..120);
     let sum = std::cell::Cell::new([0; 6]);
     let all = runner.run(&(any::<u64>(), steps), |(seed, steps)| {
-        let seen = play(seed, &steps).map_err(|e| TestCaseError::fail(format!("{e}; customer {seed}")))?;
+        let seen =
+            run_history(seed, &steps).map_err(|e| TestCaseError::fail(format!("{e}; customer {seed}")))?;
         let seen: Vec<usize> = seen.0.into_iter().chain(seen.1).collect();
         sum.set(std::array::from_fn(|i| sum.get()[i] + seen[i]));
         Ok(())
@@ -154,10 +156,10 @@
 fn a_wish_counts_for_the_tenant_that_its_set_up_names() {
     let mut v = settings();
     let tenant = |v: &Value, name: Option<&str>| {
-        let known = pepperhook_parameters::sockets(v).expect("settings");
-        let m = good_wish(&mut StdRng::seed_from_u64(1), v, 1);
+        let sockets = pepperhook_parameters::sockets(v).expect("settings");
+        let m = valid_set_up(&mut StdRng::seed_from_u64(1), v, 1);
         let m = name.map_or(m.clone(), |name| m.with("P-Customer", name));
-        match read(&m, &known, 3) {
+        match read(&m, &sockets, 3) {
             Ok(FromViewer::Ask(ask)) => Some(ask.spec.tenant.0),
             _ => None,
         }
--- a/crates/platform/src/core/tests/lists.rs
+++ b/crates/platform/src/core/tests/lists.rs
@@ -14,124 +14,132 @@
 }
 
 /// What the module holds of a node.
-fn view(w: &World, id: u32) -> ServerView {
-    let (servers, _) = w.core.controller.view(w.now);
+fn view(front: &Harness, id: u32) -> ServerView {
+    let (servers, _) = front.core.controller.view(front.now);
     servers.into_iter().find(|s| s.entry.server == ServerId(id)).expect("a node")
 }
 
-fn started(w: &World, e: Entry) -> Entry {
-    Entry { started_ms: w.now / MS, ..e }
+fn restarted(front: &Harness, e: Entry) -> Entry {
+    Entry { started_ms: front.now / MS, ..e }
 }
 
 /// A dial to a node that leaves the list while it is made may come up at another's door.
 #[test]
 fn a_dial_under_way_to_a_node_that_leaves_the_list_is_taken_back() {
-    let mut w = World::new(&[node(1, State::Ready)]);
-    let (old, _) = w.standing(1);
-    let (late, _) = dialled(&w.pass(6 * S)).expect("a quiet node is dialled");
-    let new = started(&w, Entry { id: 4, ..node(1, State::Ready) });
-    let out = w.tell(Input::NodeList(vec![new]));
+    let mut front = Harness::new(&[node(1, State::Ready)]);
+    let (old, _) = front.playing(1);
+    let (late, _) = first_dial(&front.advance(6 * S)).expect("a quiet node is dialled");
+    let new = restarted(&front, Entry { id: 4, ..node(1, State::Ready) });
+    let out = front.handle(Input::NodeList(vec![new]));
     assert!(out.contains(&Effect::CloseLink(late)) && !out.contains(&Effect::CloseLink(old)), "{out:?}");
-    let out = w.tell(Input::LinkUp(late));
+    let out = front.handle(Input::LinkUp(late));
     assert_eq!(out, [Effect::CloseLink(late)], "it came up all the same: nothing goes over it");
-    assert_eq!(w.core.playing_sessions(), 1, "the old connection has its chance to speak");
-    assert!(w.tell(Input::NodeMessage(late, FromNode::Other)).is_empty());
-    let out = w.pass(1_100 * MS);
-    assert!(told(&out, &over(1, 41)), "nothing came on it");
+    assert_eq!(front.core.playing_sessions(), 1, "the old connection has its chance to speak");
+    assert!(front.handle(Input::NodeMessage(late, FromNode::Other)).is_empty());
+    let out = front.advance(1_100 * MS);
+    assert!(sent_to_viewer(&out, &ended(1, 41)), "nothing came on it");
 }
 
 /// The set-up that waits for such a dial was not sent: it goes elsewhere at once, the dial is not waited for.
 #[test]
 fn a_set_up_that_waits_for_a_node_that_leaves_the_list_goes_elsewhere_at_once() {
-    let mut w = World::three();
-    let out = w.tell(Input::SetUp(ConnId(1), ask(1, 1)));
-    let (first, address) = dialled(&out).expect("a dial");
+    let mut front = Harness::with_three_nodes();
+    let out = front.handle(Input::SetUp(ConnId(1), request(1, 1)));
+    let (first, address) = first_dial(&out).expect("a dial");
     let all = [1, 2, 3].map(|id| node(id, State::Ready));
     let rest = all.into_iter().filter(|n| SocketAddr::from(n.address) != address).collect();
-    let out = w.tell(Input::NodeList(rest));
+    let out = front.handle(Input::NodeList(rest));
     assert!(out.contains(&Effect::CloseLink(first)), "{out:?}");
-    let (second, other) = dialled(&out).expect("another node is dialled");
+    let (second, other) = first_dial(&out).expect("another node is dialled");
     assert_ne!(address, other);
-    assert_eq!(set_up(&w.tell(Input::LinkUp(second))), Some((second, SessionId(1))));
+    assert_eq!(first_set_up(&front.handle(Input::LinkUp(second))), Some((second, SessionId(1))));
 }
 
 /// The list tells late: a node has died, another has its address, and the front has dialled it as the old one. What the
 /// other says must not keep the old one's sessions standing.
 #[test]
 fn a_connection_that_leads_to_the_newcomer_at_an_address_does_not_speak_for_the_old_node() {
-    let mut w = World::new(&[node(1, State::Ready)]);
-    let (link, _) = w.standing(1);
-    w.pass(S);
-    let new = started(&w, Entry { id: 4, ..node(1, State::Ready) });
-    w.pass(100 * MS);
-    let (check, _) = dialled(&w.tell(Input::LinkDown(link))).expect("the node is dialled");
-    w.tell(Input::LinkUp(check));
-    assert_eq!(w.core.playing_sessions(), 1, "as far as can be told, the connection alone broke");
+    let mut front = Harness::new(&[node(1, State::Ready)]);
+    let (link, _) = front.playing(1);
+    front.advance(S);
+    let new = restarted(&front, Entry { id: 4, ..node(1, State::Ready) });
+    front.advance(100 * MS);
+    let (check, _) = first_dial(&front.handle(Input::LinkDown(link))).expect("the node is dialled");
+    front.handle(Input::LinkUp(check));
+    assert_eq!(front.core.playing_sessions(), 1, "as far as can be told, the connection alone broke");
     // Set up over it meanwhile: it really plays at the newcomer.
-    let out = w.tell(Input::SetUp(ConnId(1), ask(2, 0)));
-    assert_eq!(set_up(&out), Some((check, SessionId(2))));
-    w.tell(Input::NodeMessage(check, plays(2)));
-    w.pass(3 * S);
-    let out = w.tell(Input::NodeList(vec![new]));
-    assert!(told(&out, &over(1, 41)) && told(&out, &over(2, 41)), "{out:?}");
-    assert!(wrote(&out, &ToNode::Release(SessionId(2), 7, 41)), "it does not play on for nobody");
-    assert!(!wrote(&out, &ToNode::Release(SessionId(1), 7, 41)), "the newcomer never had it");
+    let out = front.handle(Input::SetUp(ConnId(1), request(2, 0)));
+    assert_eq!(first_set_up(&out), Some((check, SessionId(2))));
+    front.handle(Input::NodeMessage(check, session_started(2)));
+    front.advance(3 * S);
+    let out = front.handle(Input::NodeList(vec![new]));
+    assert!(sent_to_viewer(&out, &ended(1, 41)) && sent_to_viewer(&out, &ended(2, 41)), "{out:?}");
+    assert!(sent_to_node(&out, &ToNode::Release(SessionId(2), 7, 41)), "it does not play on for nobody");
+    assert!(!sent_to_node(&out, &ToNode::Release(SessionId(1), 7, 41)), "the newcomer never had it");
     assert!(out.contains(&Effect::CloseLink(check)));
-    assert_eq!(w.core.playing_sessions(), 0);
-    assert!(!view(&w, 4).barred, "nothing of the old node is held against the new one");
+    assert_eq!(front.core.playing_sessions(), 0);
+    assert!(!view(&front, 4).barred, "nothing of the old node is held against the new one");
 }
 
 /// The old node's connection is open and quiet: it is asked, and the newcomer's own connection counts for nothing.
 #[test]
 fn an_old_connection_that_stays_open_and_quiet_ends_with_its_sessions_whatever_the_newcomer_says() {
-    let mut w = World::new(&[node(1, State::Ready)]);
-    w.core.probing = true;
-    let (old, _) = w.standing(1);
-    w.pass(S);
-    let new = started(&w, Entry { id: 4, ..node(1, State::Ready) });
-    w.tell(Input::NodeList(vec![new]));
-    let (fresh, _) = dialled(&w.tell(Input::SetUp(ConnId(1), ask(2, 0)))).expect("a connection of its own");
-    let out = w.tell(Input::LinkUp(fresh));
-    assert_eq!(set_up(&out), Some((fresh, SessionId(2))));
-    w.tell(Input::NodeMessage(fresh, plays(2)));
+    let mut front = Harness::new(&[node(1, State::Ready)]);
+    front.core.probing = true;
+    let (old, _) = front.playing(1);
+    front.advance(S);
+    let new = restarted(&front, Entry { id: 4, ..node(1, State::Ready) });
+    front.handle(Input::NodeList(vec![new]));
+    let (fresh, _) =
+        first_dial(&front.handle(Input::SetUp(ConnId(1), request(2, 0)))).expect("a connection of its own");
+    let out = front.handle(Input::LinkUp(fresh));
+    assert_eq!(first_set_up(&out), Some((fresh, SessionId(2))));
+    front.handle(Input::NodeMessage(fresh, session_started(2)));
     let mut out = Vec::new();
     for _ in 0..12 {
-        out.extend(w.pass(100 * MS));
-        w.tell(Input::NodeMessage(fresh, FromNode::Other));
+        out.extend(front.advance(100 * MS));
+        front.handle(Input::NodeMessage(fresh, FromNode::Other));
     }
-    assert!(probes(&out) > 0 && told(&out, &over(1, 41)) && out.contains(&Effect::CloseLink(old)), "{out:?}");
-    assert_eq!(w.core.playing_sessions(), 1);
-    assert!(!told(&out, &over(2, 41)));
+    assert!(
+        probes(&out) > 0 && sent_to_viewer(&out, &ended(1, 41)) && out.contains(&Effect::CloseLink(old)),
+        "{out:?}"
+    );
+    assert_eq!(front.core.playing_sessions(), 1);
+    assert!(!sent_to_viewer(&out, &ended(2, 41)));
 }
 
 #[test]
 fn an_attempt_that_is_out_to_a_removed_node_is_left_to_its_end_and_nothing_more_goes_there() {
     for ending in 0..3 {
-        let mut w = World::three();
-        let (link, address) = w.sent(1, 1);
+        let mut front = Harness::with_three_nodes();
+        let (link, address) = front.set_up_sent(1, 1);
         let all = [1, 2, 3].map(|id| node(id, State::Ready));
         let rest: Vec<_> = all.into_iter().filter(|n| SocketAddr::from(n.address) != address).collect();
-        let out = w.tell(Input::NodeList(rest.clone()));
-        assert!(!told(&out, &failed(1)) && set_ups(&out) == 0, "one attempt at a time: {out:?}");
+        let out = front.handle(Input::NodeList(rest.clone()));
+        assert!(!sent_to_viewer(&out, &failed(1)) && set_ups(&out) == 0, "one attempt at a time: {out:?}");
         let out = match ending {
             // It answers: the session stands there, and is over with the node.
             0 => {
-                let out = w.tell(Input::NodeMessage(link, plays(1)));
-                assert!(told(&out, &ToViewer::Started(SessionId(1), Bytes::from_static(b"answer"))));
-                w.tell(Input::LinkDown(link))
+                let out = front.handle(Input::NodeMessage(link, session_started(1)));
+                assert!(sent_to_viewer(
+                    &out,
+                    &ToViewer::Started(SessionId(1), Bytes::from_static(b"answer"))
+                ));
+                front.handle(Input::LinkDown(link))
             }
             // Its connection ends: it may have run.
-            1 => w.tell(Input::LinkDown(link)),
+            1 => front.handle(Input::LinkDown(link)),
             // It never says anything: the time of the request.
-            _ => w.pass(3 * S + 50 * MS),
+            _ => front.advance(3 * S + 50 * MS),
         };
-        let word = if ending == 0 { over(1, 41) } else { failed(1) };
-        assert!(told(&out, &word), "{ending}: {out:?}");
-        assert!(dialled(&out).is_none_or(|(_, at)| at != address), "its address may be another's");
-        assert_eq!((w.core.open_requests(), w.core.playing_sessions()), (0, 0));
-        w.pass(15 * S);
+        let message = if ending == 0 { ended(1, 41) } else { failed(1) };
+        assert!(sent_to_viewer(&out, &message), "{ending}: {out:?}");
+        assert!(first_dial(&out).is_none_or(|(_, at)| at != address), "its address may be another's");
+        assert_eq!((front.core.open_requests(), front.core.playing_sessions()), (0, 0));
+        front.advance(15 * S);
         assert!(
-            w.core.incarnations.values().all(|l| !l.links.contains(&link)) && w.core.incarnations.len() == 2
+            front.core.incarnations.values().all(|l| !l.links.contains(&link))
+                && front.core.incarnations.len() == 2
         );
     }
 }
@@ -140,130 +148,136 @@
 #[test]
 fn nothing_new_goes_to_a_node_after_it_was_told_to_drain_or_to_be_gone() {
     for gone in [false, true] {
-        let mut w = World::three();
-        let (up, address) = w.sent(1, 0);
-        let waits = w.tell(Input::SetUp(ConnId(1), ask(2, 0)));
-        let waits = dialled(&waits);
+        let mut front = Harness::with_three_nodes();
+        let (up, address) = front.set_up_sent(1, 0);
+        let waits = front.handle(Input::SetUp(ConnId(1), request(2, 0)));
+        let waits = first_dial(&waits);
         let all = [1, 2, 3].map(|id| node(id, State::Ready));
         let list = all.into_iter().filter_map(|n| match SocketAddr::from(n.address) == address {
             true if gone => None,
             true => Some(Entry { state: State::Draining, ..n }),
             false => Some(n),
         });
-        w.tell(Input::NodeList(list.collect()));
+        front.handle(Input::NodeList(list.collect()));
         if let Some((link, _)) = waits {
-            w.tell(Input::LinkUp(link));
+            front.handle(Input::LinkUp(link));
         }
         // What is out there is given up and tried again; others come. All of it goes to the other two.
-        w.out.clear();
+        front.out.clear();
         let mut links = BTreeMap::new();
         for id in 3..30 {
-            let mut out = w.tell(Input::SetUp(ConnId(1), ask(id, 0)));
-            out.extend(w.pass(50 * MS));
-            while let Some((link, at)) = dialled(&out) {
+            let mut out = front.handle(Input::SetUp(ConnId(1), request(id, 0)));
+            out.extend(front.advance(50 * MS));
+            while let Some((link, at)) = first_dial(&out) {
                 assert!(!gone || at != address, "dialled though it is gone");
                 links.insert(link, at);
-                out = w.tell(Input::LinkUp(link));
+                out = front.handle(Input::LinkUp(link));
             }
-            let sent = w.out.iter().rev().find_map(|e| set_up(std::slice::from_ref(e)));
+            let sent = front.out.iter().rev().find_map(|e| first_set_up(std::slice::from_ref(e)));
             if let Some((link, id)) = sent {
-                w.tell(Input::NodeMessage(link, plays(id.0)));
+                front.handle(Input::NodeMessage(link, session_started(id.0)));
             }
         }
         let there: BTreeSet<_> = links.iter().filter(|(_, at)| **at == address).map(|(l, _)| *l).collect();
-        for e in &w.out {
+        for e in &front.out {
             if let Effect::SendToNode(link, ToNode::SetUp { .. }) = e {
                 assert!(*link != up && !there.contains(link), "{e:?}");
             }
         }
-        assert!(set_ups(&w.out) >= 27);
+        assert!(set_ups(&front.out) >= 27);
     }
 }
 
 /// A node id that comes back with a later start: what is older is over, what is newer stands, and it is cold.
 #[test]
 fn an_id_that_comes_back_with_a_later_start_is_cold_and_keeps_only_what_is_newer() {
-    let mut w = World::new(&[node(1, State::Ready)]);
-    let (old, _) = w.standing(1);
-    w.pass(S);
-    let back = started(&w, node(1, State::Ready));
-    w.pass(10 * MS);
+    let mut front = Harness::new(&[node(1, State::Ready)]);
+    let (old, _) = front.playing(1);
+    front.advance(S);
+    let back = restarted(&front, node(1, State::Ready));
+    front.advance(10 * MS);
     // The process starts anew, the list does not tell it yet: the broken connection is dialled, and takes a set-up.
-    let (fresh, _) = dialled(&w.tell(Input::LinkDown(old))).expect("the node is dialled");
-    w.tell(Input::LinkUp(fresh));
-    assert_eq!(set_up(&w.tell(Input::SetUp(ConnId(1), ask(2, 0)))), Some((fresh, SessionId(2))));
-    w.tell(Input::NodeMessage(fresh, plays(2)));
-    assert_eq!(view(&w, 1).warmth, 1.0, "nobody has told");
-    let out = w.tell(Input::NodeList(vec![back]));
-    assert!(told(&out, &over(1, 41)) && !told(&out, &over(2, 41)), "{out:?}");
+    let (fresh, _) = first_dial(&front.handle(Input::LinkDown(old))).expect("the node is dialled");
+    front.handle(Input::LinkUp(fresh));
+    assert_eq!(
+        first_set_up(&front.handle(Input::SetUp(ConnId(1), request(2, 0)))),
+        Some((fresh, SessionId(2)))
+    );
+    front.handle(Input::NodeMessage(fresh, session_started(2)));
+    assert_eq!(view(&front, 1).warmth, 1.0, "nobody has told");
+    let out = front.handle(Input::NodeList(vec![back]));
+    assert!(sent_to_viewer(&out, &ended(1, 41)) && !sent_to_viewer(&out, &ended(2, 41)), "{out:?}");
     assert!(!out.contains(&Effect::CloseLink(fresh)), "it leads to the new process");
-    let now = view(&w, 1);
+    let now = view(&front, 1);
     assert!(now.warmth < 0.5 && !now.barred && now.sessions == 1, "{now:?}");
     // Told again it changes nothing.
-    assert!(w.tell(Input::NodeList(vec![back])).is_empty());
-    assert_eq!(w.core.playing_sessions(), 1);
+    assert!(front.handle(Input::NodeList(vec![back])).is_empty());
+    assert_eq!(front.core.playing_sessions(), 1);
 }
 
 /// It may also be gone from the list in between, and come back at another address: two lives of one id.
 #[test]
 fn what_befalls_an_older_life_of_an_id_is_not_held_against_the_one_that_is_there_now() {
-    let mut w = World::new(&[node(1, State::Ready)]);
-    let (old, _) = w.sent(1, 0);
-    let (out_there, _) = w.sent(2, 1);
-    w.tell(Input::NodeMessage(old, plays(1)));
-    w.pass(S);
-    let moved = Entry { address: node(9, State::Ready).address, ..started(&w, node(1, State::Ready)) };
-    w.tell(Input::NodeList(vec![moved]));
-    w.pass(10 * MS);
-    assert!(!view(&w, 1).barred);
+    let mut front = Harness::new(&[node(1, State::Ready)]);
+    let (old, _) = front.set_up_sent(1, 0);
+    let (out_there, _) = front.set_up_sent(2, 1);
+    front.handle(Input::NodeMessage(old, session_started(1)));
+    front.advance(S);
+    let moved = Entry { address: node(9, State::Ready).address, ..restarted(&front, node(1, State::Ready)) };
+    front.handle(Input::NodeList(vec![moved]));
+    front.advance(10 * MS);
+    assert!(!view(&front, 1).barred);
     // The old process dies, with a session and an attempt; a report comes late.
     let report = vec![9.0, 9.0];
-    let used = view(&w, 1).link_use;
-    w.tell(Input::NodeMessage(old, FromNode::SessionEnded(SessionId(1), Outcome::Broken, report)));
-    w.tell(Input::LinkDown(out_there));
-    let out = w.tell(Input::LinkDown(old));
-    assert!(w.out.contains(&Effect::SendToViewer(ConnId(1), failed(2))), "{out:?}");
-    let now = view(&w, 1);
+    let used = view(&front, 1).link_use;
+    front.handle(Input::NodeMessage(old, FromNode::SessionEnded(SessionId(1), Outcome::Broken, report)));
+    front.handle(Input::LinkDown(out_there));
+    let out = front.handle(Input::LinkDown(old));
+    assert!(front.out.contains(&Effect::SendToViewer(ConnId(1), failed(2))), "{out:?}");
+    let now = view(&front, 1);
     assert!(!now.barred && now.sessions == 0 && now.link_use <= used + 0.1, "{now:?}");
     // It serves.
-    let (link, at) = dialled(&w.tell(Input::SetUp(ConnId(1), ask(3, 0)))).expect("a dial");
+    let (link, at) = first_dial(&front.handle(Input::SetUp(ConnId(1), request(3, 0)))).expect("a dial");
     assert_eq!(at, moved.address.into());
-    assert_eq!(set_up(&w.tell(Input::LinkUp(link))), Some((link, SessionId(3))));
+    assert_eq!(first_set_up(&front.handle(Input::LinkUp(link))), Some((link, SessionId(3))));
 }
 
 /// A node that hangs keeps its connections open and says nothing: set-ups there end at their time, once; sessions stand,
 /// since it may only stall; and it does not gather connections.
 #[test]
 fn a_node_that_hangs_with_its_connections_open_costs_its_own_requests_and_few_connections() {
-    let mut w = World::new(&[node(1, State::Ready)]);
-    let (link, _) = w.standing(1);
+    let mut front = Harness::new(&[node(1, State::Ready)]);
+    let (link, _) = front.playing(1);
     let mut dials = 0;
     for id in 10..30u64 {
-        let asked = w.now;
-        let mut out = w.tell(Input::SetUp(ConnId(1), ask(id, 1)));
+        let asked = front.now;
+        let mut out = front.handle(Input::SetUp(ConnId(1), request(id, 1)));
         let mut answers = 0;
-        while w.now < asked + 3 * S + 100 * MS {
+        while front.now < asked + 3 * S + 100 * MS {
             // The system takes connections for it.
             let links: Vec<_> =
                 out.iter().filter_map(|e| if let Effect::Dial(l, _) = e { Some(*l) } else { None }).collect();
             dials += links.len();
             let own = |e: &&Effect| matches!(e, Effect::SendToViewer(_, ToViewer::Failed(i) | ToViewer::Refused(i, _)) if i.0 == id);
             answers += out.iter().filter(own).count();
-            out = links.into_iter().flat_map(|l| w.tell(Input::LinkUp(l))).collect();
-            out.extend(w.pass(50 * MS));
+            out = links.into_iter().flat_map(|l| front.handle(Input::LinkUp(l))).collect();
+            out.extend(front.advance(50 * MS));
         }
-        answers += usize::from(told(&out, &failed(id)));
+        answers += usize::from(sent_to_viewer(&out, &failed(id)));
         assert_eq!(answers, 1, "request {id}");
     }
-    assert_eq!(w.core.playing_sessions(), 1, "a process that stalls may go on");
+    assert_eq!(front.core.playing_sessions(), 1, "a process that stalls may go on");
     assert!(dials <= 20 + 14, "{dials} connections in a minute");
-    assert!(w.core.links.len() <= 8, "{} connections are held", w.core.links.len());
+    assert!(front.core.links.len() <= 8, "{} connections are held", front.core.links.len());
     // It was there all the time.
-    let open: Vec<_> = w.core.links.keys().copied().collect();
+    let open: Vec<_> = front.core.links.keys().copied().collect();
     let on = if open.contains(&link) { link } else { open[0] };
-    assert!(told(
-        &w.tell(Input::NodeMessage(on, FromNode::SessionEnded(SessionId(1), Outcome::Served, Vec::new()))),
-        &over(1, 16)
+    assert!(sent_to_viewer(
+        &front.handle(Input::NodeMessage(
+            on,
+            FromNode::SessionEnded(SessionId(1), Outcome::Served, Vec::new())
+        )),
+        &ended(1, 16)
     ));
 }
 
@@ -272,26 +286,26 @@
 #[test]
 fn without_a_list_for_eight_seconds_deaths_are_found_by_their_signs_and_the_late_list_ends_nothing_that_lives()
  {
-    let mut w = World::three();
-    let (link, dead) = w.standing(1);
+    let mut front = Harness::with_three_nodes();
+    let (link, dead) = front.playing(1);
     let mut id = 2;
-    while w.core.playing_sessions() < 3 {
-        let out = w.tell(Input::SetUp(ConnId(1), ask(id, 0)));
-        if let Some((l, _)) = dialled(&out) {
-            w.tell(Input::LinkUp(l));
+    while front.core.playing_sessions() < 3 {
+        let out = front.handle(Input::SetUp(ConnId(1), request(id, 0)));
+        if let Some((l, _)) = first_dial(&out) {
+            front.handle(Input::LinkUp(l));
         }
-        let on = w.core.sessions.get(&SessionId(id)).and_then(|s| match &s.phase {
+        let on = front.core.sessions.get(&SessionId(id)).and_then(|s| match &s.phase {
             Phase::Open(Some(a)) => Some(a.link),
             _ => None,
         });
-        w.tell(Input::NodeMessage(on.expect("an attempt"), plays(id)));
+        front.handle(Input::NodeMessage(on.expect("an attempt"), session_started(id)));
         id += 1;
     }
-    let there = w.core.incarnations.values().filter(|l| SocketAddr::from(l.address) == dead);
+    let there = front.core.incarnations.values().filter(|l| SocketAddr::from(l.address) == dead);
     let there: usize = there.map(|l| l.playing.len()).sum();
-    let mut out = w.tell(Input::LinkDown(link));
-    let (began, mut told_over) = (w.now, 0);
-    while w.now < began + 8 * S {
+    let mut out = front.handle(Input::LinkDown(link));
+    let (began, mut told_over) = (front.now, 0);
+    while front.now < began + 8 * S {
         let links: Vec<_> = out
             .iter()
             .filter_map(|e| if let Effect::Dial(l, a) = e { Some((*l, *a)) } else { None })
@@ -300,48 +314,48 @@
         out = Vec::new();
         for (l, a) in links {
             let end = if a == dead { Input::DialFailed(l, DialEnd::Refused) } else { Input::LinkUp(l) };
-            out.extend(w.tell(end));
+            out.extend(front.handle(end));
         }
-        out.extend(w.pass(20 * MS));
+        out.extend(front.advance(20 * MS));
         // The others go on telling of themselves.
-        let each_second = w.now % S < 20 * MS;
-        let ups = w.core.links.iter().filter(|(_, l)| each_second && l.is_up()).map(|(id, _)| *id);
+        let each_second = front.now % S < 20 * MS;
+        let ups = front.core.links.iter().filter(|(_, l)| each_second && l.is_up()).map(|(id, _)| *id);
         for l in ups.collect::<Vec<_>>() {
-            out.extend(w.tell(Input::NodeMessage(l, FromNode::Other)));
+            out.extend(front.handle(Input::NodeMessage(l, FromNode::Other)));
         }
     }
     assert_eq!(told_over, there);
-    assert_eq!(w.core.playing_sessions(), 3 - there);
+    assert_eq!(front.core.playing_sessions(), 3 - there);
     let all = [1, 2, 3].map(|id| node(id, State::Ready));
     let rest = all.into_iter().filter(|n| SocketAddr::from(n.address) != dead).collect();
-    let out = w.tell(Input::NodeList(rest));
+    let out = front.handle(Input::NodeList(rest));
     assert!(!out.iter().any(|e| matches!(e, Effect::SendToViewer(_, ToViewer::Ended(..)))), "{out:?}");
-    assert_eq!(w.core.playing_sessions(), 3 - there);
+    assert_eq!(front.core.playing_sessions(), 3 - there);
 }
 
 /// A connection to a node that has left the list is not kept for its idle time once nothing stands there.
 #[test]
 fn an_idle_connection_to_a_node_that_left_the_list_is_closed_at_once() {
-    let mut w = World::new(&[node(1, State::Ready)]);
-    let (link, _) = w.standing(1);
-    w.tell(Input::NodeList(Vec::new()));
-    assert_eq!(w.core.links.len(), 1, "its session may still be told of");
-    w.tell(Input::NodeMessage(link, FromNode::SessionEnded(SessionId(1), Outcome::Served, Vec::new())));
-    let out = w.pass(250 * MS);
+    let mut front = Harness::new(&[node(1, State::Ready)]);
+    let (link, _) = front.playing(1);
+    front.handle(Input::NodeList(Vec::new()));
+    assert_eq!(front.core.links.len(), 1, "its session may still be told of");
+    front.handle(Input::NodeMessage(link, FromNode::SessionEnded(SessionId(1), Outcome::Served, Vec::new())));
+    let out = front.advance(250 * MS);
     assert!(out.contains(&Effect::CloseLink(link)), "{out:?}");
-    w.pass(250 * MS);
-    assert!(w.core.links.is_empty() && w.core.incarnations.is_empty());
+    front.advance(250 * MS);
+    assert!(front.core.links.is_empty() && front.core.incarnations.is_empty());
 }
 
 /// A refusal of the process that had an id before tells nothing of the one that has it now.
 #[test]
 fn a_report_of_an_older_life_of_an_id_is_passed_over() {
-    let mut w = World::new(&[node(1, State::Ready)]);
-    let (old, _) = w.sent(1, 0);
-    w.pass(100 * MS);
-    let moved = Entry { address: node(9, State::Ready).address, ..started(&w, node(1, State::Ready)) };
-    w.tell(Input::NodeList(vec![moved]));
-    let used = view(&w, 1).link_use;
-    w.tell(Input::NodeMessage(old, FromNode::SetUpFailed(SessionId(1), Outcome::Full, vec![9.0, 9.0])));
-    assert!(view(&w, 1).link_use <= used + 0.1, "{:?}", view(&w, 1));
+    let mut front = Harness::new(&[node(1, State::Ready)]);
+    let (old, _) = front.set_up_sent(1, 0);
+    front.advance(100 * MS);
+    let moved = Entry { address: node(9, State::Ready).address, ..restarted(&front, node(1, State::Ready)) };
+    front.handle(Input::NodeList(vec![moved]));
+    let used = view(&front, 1).link_use;
+    front.handle(Input::NodeMessage(old, FromNode::SetUpFailed(SessionId(1), Outcome::Full, vec![9.0, 9.0])));
+    assert!(view(&front, 1).link_use <= used + 0.1, "{:?}", view(&front, 1));
 }
--- a/crates/platform/src/core/tests/watch.rs
+++ b/crates/platform/src/core/tests/watch.rs
@@ -4,9 +4,9 @@
 use super::*;
 
 /// Way to the node, or back.
-const WAY: Time = 2 * MS;
+const ONE_WAY: Time = 2 * MS;
 /// A dial to a machine that says nothing is given up after this (the settings of these tests).
-const DIAL: Time = 250 * MS;
+const DIAL_TIMEOUT: Time = 250 * MS;
 
 /// What befalls the node.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -25,8 +25,8 @@
 }
 
 /// A node with one session, and the front's core before it.
-struct Scene {
-    w: World,
+struct WatchScenario {
+    front: Harness,
     fault: Fault,
     began: Time,
     links: Vec<LinkId>,
@@ -34,55 +34,55 @@
     shut: Vec<LinkId>,
     due: Vec<(Time, Input)>,
     dials: usize,
-    questions: usize,
+    load_queries: usize,
 }
 
-impl Scene {
+impl WatchScenario {
     fn new(seed: u64) -> Self {
-        let mut w = World::three();
-        w.core.probing = true;
+        let mut front = Harness::with_three_nodes();
+        front.core.probing = true;
         // Another draw of the moments at which it looks.
-        w.core.next_number = seed << 20;
-        let (link, _) = w.standing(1);
-        let (began, links) = (w.now, vec![link]);
+        front.core.next_number = seed << 20;
+        let (link, _) = front.playing(1);
+        let (began, links) = (front.now, vec![link]);
         let (shut, due) = (Vec::new(), Vec::new());
-        Self { w, fault: Fault::Nothing, began, links, shut, due, dials: 0, questions: 0 }
+        Self { front, fault: Fault::Nothing, began, links, shut, due, dials: 0, load_queries: 0 }
     }
 
-    fn acts(&self) -> bool {
+    fn responds(&self) -> bool {
         match self.fault {
             Fault::Nothing | Fault::Deaf => true,
-            Fault::Stall(d) | Fault::CutOff(d) => self.w.now >= self.began + d,
+            Fault::Stall(d) | Fault::CutOff(d) => self.front.now >= self.began + d,
             Fault::Reset | Fault::Silence => false,
         }
     }
 
-    fn reached(&self) -> bool {
-        self.acts() || matches!(self.fault, Fault::Stall(_))
+    fn is_reachable(&self) -> bool {
+        self.responds() || matches!(self.fault, Fault::Stall(_))
     }
 
     fn begin(&mut self, fault: Fault) {
-        (self.fault, self.began) = (fault, self.w.now);
+        (self.fault, self.began) = (fault, self.front.now);
         if fault == Fault::Reset {
             let links = std::mem::take(&mut self.links);
-            self.due.extend(links.into_iter().map(|l| (self.began + WAY, Input::LinkDown(l))));
+            self.due.extend(links.into_iter().map(|l| (self.began + ONE_WAY, Input::LinkDown(l))));
             self.shut.clear();
         }
     }
 
     fn take(&mut self, out: Vec<Effect>) {
-        let now = self.w.now;
+        let now = self.front.now;
         for e in out {
             match e {
                 Effect::Dial(link, _) => {
                     self.dials += 1;
                     let refused = matches!(self.fault, Fault::Reset | Fault::Deaf);
                     self.due.push(if refused {
-                        (now + 2 * WAY, Input::DialFailed(link, DialEnd::Refused))
-                    } else if self.reached() {
-                        (now + 2 * WAY, Input::LinkUp(link))
+                        (now + 2 * ONE_WAY, Input::DialFailed(link, DialEnd::Refused))
+                    } else if self.is_reachable() {
+                        (now + 2 * ONE_WAY, Input::LinkUp(link))
                     } else {
-                        (now + DIAL, Input::DialFailed(link, DialEnd::TimedOut))
+                        (now + DIAL_TIMEOUT, Input::DialFailed(link, DialEnd::TimedOut))
                     });
                 }
                 Effect::HalfCloseLink(link) => self.shut.push(link),
@@ -91,55 +91,57 @@
                     self.shut.retain(|l| *l != link);
                 }
                 Effect::SendToNode(link, ToNode::QueryLoad(id)) => {
-                    self.questions += 1;
-                    if self.acts() {
-                        self.due
-                            .push((now + 2 * WAY, Input::NodeMessage(link, FromNode::LoadReport(id, None))));
+                    self.load_queries += 1;
+                    if self.responds() {
+                        self.due.push((
+                            now + 2 * ONE_WAY,
+                            Input::NodeMessage(link, FromNode::LoadReport(id, None)),
+                        ));
                     }
                 }
                 _ => {}
             }
         }
-        if self.acts() {
+        if self.responds() {
             for link in std::mem::take(&mut self.shut) {
                 self.links.retain(|l| *l != link);
-                self.due.push((now + 2 * WAY, Input::LinkEndedByNode(link)));
+                self.due.push((now + 2 * ONE_WAY, Input::LinkEndedByNode(link)));
             }
         }
     }
 
     /// Lets time pass in small steps; true as long as the session stands.
-    fn pass(&mut self, time: Time) -> bool {
-        let end = self.w.now + time;
-        while self.w.now < end {
-            let out = self.w.pass(MS);
+    fn advance(&mut self, time: Time) -> bool {
+        let end = self.front.now + time;
+        while self.front.now < end {
+            let out = self.front.advance(MS);
             self.take(out);
-            let now = self.w.now;
+            let now = self.front.now;
             let due: Vec<_> = self.due.extract_if(.., |(at, _)| *at <= now).collect();
             for (_, input) in due {
                 if let Input::LinkUp(link) = input {
                     self.links.push(link);
                 }
-                let out = self.w.tell(input);
+                let out = self.front.handle(input);
                 self.take(out);
             }
         }
-        self.w.core.playing_sessions() == 1
+        self.front.core.playing_sessions() == 1
     }
 }
 
 /// Over many moments at which a fault begins: how often the node was held to be dead, and the longest time to it.
-fn errors(fault: Fault) -> (usize, usize, Time) {
+fn detections(fault: Fault) -> (usize, usize, Time) {
     let (mut dead, mut slowest, runs) = (0, 0, 40);
     for seed in 1..=runs {
-        let mut scene = Scene::new(seed as u64);
-        assert!(scene.pass(5 * S + 337 * MS * seed as Time), "a living node keeps its session");
-        scene.begin(fault);
-        let began = scene.w.now;
-        while scene.w.now < began + 12 * S && scene.pass(10 * MS) {}
-        if scene.w.core.playing_sessions() == 0 {
+        let mut scenario = WatchScenario::new(seed as u64);
+        assert!(scenario.advance(5 * S + 337 * MS * seed as Time), "a living node keeps its session");
+        scenario.begin(fault);
+        let began = scenario.front.now;
+        while scenario.front.now < began + 12 * S && scenario.advance(10 * MS) {}
+        if scenario.front.core.playing_sessions() == 0 {
             dead += 1;
-            slowest = slowest.max(scene.w.now - began);
+            slowest = slowest.max(scenario.front.now - began);
         }
     }
     (dead, runs, slowest)
@@ -147,11 +149,11 @@
 
 #[test]
 fn a_quiet_node_that_lives_costs_a_connection_in_about_ten_seconds_and_no_question() {
-    let mut scene = Scene::new(3);
-    assert!(scene.pass(120 * S));
+    let mut scenario = WatchScenario::new(3);
+    assert!(scenario.advance(120 * S));
     // Two signs of life each, so that one connection does for about two times five seconds.
-    assert!((8..=15).contains(&scene.dials), "{} dials in two minutes", scene.dials);
-    assert_eq!(scene.questions, 0);
+    assert!((8..=15).contains(&scenario.dials), "{} dials in two minutes", scenario.dials);
+    assert_eq!(scenario.load_queries, 0);
 }
 
 #[test]
@@ -167,7 +169,7 @@
         Fault::CutOff(6 * S),
     ];
     for fault in faults {
-        let (dead, runs, slowest) = errors(fault);
+        let (dead, runs, slowest) = detections(fault);
         println!(
             "{fault:?}: held to be dead in {dead} of {runs}, at most {} ms after it began",
             slowest / MS
@@ -186,26 +188,27 @@
 
 #[test]
 fn a_set_up_goes_over_a_connection_that_carried_one_rather_than_a_newer_one() {
-    let mut w = World::new(&[node(1, State::Ready)]);
-    let (link, _) = w.standing(1);
-    let (newer, _) = dialled(&w.pass(6 * S)).expect("a quiet node is dialled");
-    w.tell(Input::LinkUp(newer));
-    let out = w.tell(Input::SetUp(ConnId(1), ask(2, 0)));
-    assert_eq!(set_up(&out), Some((link, SessionId(2))));
+    let mut front = Harness::new(&[node(1, State::Ready)]);
+    let (link, _) = front.playing(1);
+    let (newer, _) = first_dial(&front.advance(6 * S)).expect("a quiet node is dialled");
+    front.handle(Input::LinkUp(newer));
+    let out = front.handle(Input::SetUp(ConnId(1), request(2, 0)));
+    assert_eq!(first_set_up(&out), Some((link, SessionId(2))));
 }
 
 #[test]
 fn the_end_of_a_connection_that_was_shut_here_raises_no_doubt_and_a_reset_does() {
     for reset in [false, true] {
-        let mut w = World::new(&[node(1, State::Ready)]);
-        w.standing(1);
-        let (newer, _) = dialled(&w.pass(6 * S)).expect("a quiet node is dialled");
-        w.tell(Input::LinkUp(newer));
+        let mut front = Harness::new(&[node(1, State::Ready)]);
+        front.playing(1);
+        let (newer, _) = first_dial(&front.advance(6 * S)).expect("a quiet node is dialled");
+        front.handle(Input::LinkUp(newer));
         let shut = |e: &Effect| if let Effect::HalfCloseLink(link) = e { Some(*link) } else { None };
-        let link =
-            (0..60).find_map(|_| w.pass(100 * MS).iter().find_map(shut)).expect("the older one is shut");
-        let out = w.tell(if reset { Input::LinkDown(link) } else { Input::LinkEndedByNode(link) });
-        assert_eq!(dialled(&out).is_some(), reset);
-        assert_eq!(w.core.playing_sessions(), 1);
+        let link = (0..60)
+            .find_map(|_| front.advance(100 * MS).iter().find_map(shut))
+            .expect("the older one is shut");
+        let out = front.handle(if reset { Input::LinkDown(link) } else { Input::LinkEndedByNode(link) });
+        assert_eq!(first_dial(&out).is_some(), reset);
+        assert_eq!(front.core.playing_sessions(), 1);
     }
 }
