--- a/crates/platform/src/core/tests.rs
+++ b/crates/platform/src/core/tests.rs
@@ -1,4 +1,5 @@
-//! The core under a test's clock: each account at its boundary, then random histories judged by `checker`.
+//! Tests of the core under a simulated clock: each rule at its boundary, then random histories checked by
+//! `checker`.
 
 mod checker;
 mod churn;
@@ -57,12 +58,12 @@
     SetUpRequest { id: SessionId(id), spec, body: Bytes::from_static(b"offer"), playing_at: None }
 }
 
-/// A core with what it asked for.
+/// A core under a simulated clock, with the effects that it has produced.
 struct Harness {
     core: Core,
     now: Time,
     out: Vec<Effect>,
-    /// Viewers that are found to have left when they are looked for.
+    /// Sessions whose viewer has left when the core checks whether it waits.
     departed: BTreeSet<SessionId>,
 }
 
@@ -85,7 +86,8 @@
         Self::new(&[node(1, State::Ready), node(2, State::Ready), node(3, State::Ready)])
     }
 
-    /// One input, and what comes of it. Viewers wait for what they asked for, unless `leaves` names them.
+    /// Handles one input and returns the effects. Viewers wait for their set-ups, unless `departed` names
+    /// them.
     fn handle(&mut self, input: Input) -> Vec<Effect> {
         let mut out = Vec::new();
         self.core.handle(self.now, input, &mut out);
@@ -94,7 +96,7 @@
         out
     }
 
-    /// Answers each look that the core asks for, as the shell does.
+    /// Answers the viewer checks that the core asks for, as the shell does.
     fn answer_viewer_checks(&mut self, out: &mut Vec<Effect>, from: usize) {
         let mut at = from;
         while at < out.len() {
@@ -120,7 +122,7 @@
         out
     }
 
-    /// A request whose set-up reached a node: the connection and the node's address.
+    /// Sends a request up to its set-up at a node; returns the connection and the node's address.
     fn set_up_sent(&mut self, id: u64, class: u16) -> (LinkId, std::net::SocketAddr) {
         let out = self.handle(Input::SetUp(ConnId(1), request(id, class)));
         let (link, address) = first_dial(&out).expect("a dial");
@@ -129,7 +131,7 @@
         (link, address)
     }
 
-    /// A session set up over this connection.
+    /// Sets a session up on this connection.
     fn playing_on(&mut self, link: LinkId, id: u64) {
         assert_eq!(
             first_set_up(&self.handle(Input::SetUp(ConnId(1), request(id, 0)))),
@@ -194,7 +196,7 @@
     );
     let again = front
         .handle(Input::NodeMessage(link, FromNode::SessionEnded(SessionId(1), Outcome::Served, Vec::new())));
-    assert!(!sent_to_viewer(&again, &ended(1, 16)), "an end that comes twice is told once");
+    assert!(!sent_to_viewer(&again, &ended(1, 16)), "an end that is reported twice is passed on once");
 }
 
 #[test]
@@ -206,7 +208,8 @@
     let (link, second) = first_dial(&out).expect("another node is dialled");
     assert_ne!(first, second);
     front.handle(Input::LinkUp(link));
-    // Sent, then broken: it may have run. The node is dialled to learn whether it lives.
+    // The connection breaks after the set-up was sent, so it may have run. The node is dialled to learn
+    // whether it is alive.
     let out = front.handle(Input::LinkDown(link));
     assert!(!sent_to_viewer(&out, &failed(1)));
     let (check, at) = first_dial(&out).expect("the node is dialled");
@@ -234,7 +237,7 @@
     let mut front = Harness::with_three_nodes();
     let (link, _) = front.set_up_sent(1, 0);
     let out = front.advance(400 * MS);
-    assert!(sent_to_node(&out, &ToNode::CancelSetUp(SessionId(1), 7)), "half of the aim is over");
+    assert!(sent_to_node(&out, &ToNode::CancelSetUp(SessionId(1), 7)), "half of the aim has passed");
     assert!(first_dial(&out).is_none() && first_set_up(&out).is_none());
     let out = front.handle(Input::NodeMessage(link, FromNode::Acknowledged(SessionId(1))));
     assert!(first_dial(&out).is_some(), "{out:?}");
@@ -245,7 +248,7 @@
     let mut front = Harness::with_three_nodes();
     front.set_up_sent(1, 1);
     let out = front.advance(3 * S - MS);
-    assert!(!sent_to_viewer(&out, &failed(1)), "the attempt has its whole time");
+    assert!(!sent_to_viewer(&out, &failed(1)), "the attempt has the whole time");
     let out = front.advance(5 * MS);
     assert!(sent_to_viewer(&out, &failed(1)), "{out:?}");
     let out = front.advance(5 * S);
@@ -279,13 +282,14 @@
     assert!(sent_to_viewer(&front.handle(Input::DialFailed(check, DialEnd::Refused)), &ended(1, 41)));
 }
 
-/// On a churn day a connection to a dead node seemed to be up, and its sessions were never told to be over.
+/// Guards against sessions of a dead node that never end: a connection that seems to be up kept the node
+/// alive while dials were refused.
 #[test]
 fn a_connection_that_only_seems_to_be_up_does_not_speak_for_a_dead_node() {
     let mut front = Harness::with_three_nodes();
     let (link, _) = front.playing(1);
     let out = front.advance(6 * S);
-    let (quiet, _) = first_dial(&out).expect("a quiet node is dialled");
+    let (quiet, _) = first_dial(&out).expect("a silent node is dialled");
     front.handle(Input::LinkUp(quiet));
     let mut out = front.handle(Input::LinkDown(link));
     for _ in 0..6 {
@@ -337,7 +341,7 @@
             rest.into_iter().filter(|n| std::net::SocketAddr::from(n.address) != address).collect(),
         ));
         let out = front.advance(300 * MS);
-        assert!(first_dial(&out).is_none(), "its address may be another's");
+        assert!(first_dial(&out).is_none(), "its address may belong to another node");
         assert!(out.iter().any(|e| matches!(e, Effect::SendToNode(l, ToNode::QueryLoad(_)) if *l == link)));
         if answers {
             front.handle(Input::NodeMessage(link, FromNode::Other));
@@ -347,7 +351,8 @@
     }
 }
 
-/// Where settings forbid probes, a question for load as a sign of life is one too.
+/// A load query that serves as a sign of life is a probe as well, so none may be sent where the settings
+/// forbid probes.
 #[test]
 fn where_probes_are_forbidden_no_node_is_asked_for_a_sign() {
     let asked = |out: &[Effect]| out.iter().any(|e| matches!(e, Effect::SendToNode(_, ToNode::QueryLoad(_))));
@@ -365,32 +370,35 @@
     front.advance(4 * S);
     assert!(sent_to_viewer(&front.out, &ended(1, 41)) && !asked(&front.out));
 
-    // A node that takes no more connections refuses dials: its only idle one is shut, and its end is a sign.
+    // A node at its connection limit refuses dials: its only idle connection is half-closed, and the node
+    // closing it is a sign of life.
     let mut front = Harness::with_three_nodes();
     let (link, _) = front.playing(1);
-    let (dial, _) = first_dial(&front.advance(6 * S)).expect("a quiet node is dialled");
+    let (dial, _) = first_dial(&front.advance(6 * S)).expect("a silent node is dialled");
     let out = front.handle(Input::DialFailed(dial, DialEnd::Refused));
     assert!(out.contains(&Effect::HalfCloseLink(link)), "{out:?}");
     let out = front.handle(Input::LinkEndedByNode(link));
-    let (dial, _) =
-        first_dial(&out).or(first_dial(&front.advance(200 * MS))).expect("its place is free again");
+    let (dial, _) = first_dial(&out)
+        .or(first_dial(&front.advance(200 * MS)))
+        .expect("the node has room for a connection again");
     front.handle(Input::LinkUp(dial));
     front.advance(S);
     assert!(front.core.playing_sessions() == 1 && !asked(&front.out));
 }
 
-/// Viewers' places at their most, those being ended, and nodes' connections together went past few descriptors.
+/// Viewers' connections at their limit, those being closed, and connections to nodes together once exceeded a
+/// small descriptor limit.
 #[test]
 fn all_connections_together_stay_within_the_descriptors() {
     for descriptors in [32, 64, 100, 256, 1_024, 65_536] {
         let b = Bounds::for_descriptors(descriptors);
         let all = OWN_DESCRIPTORS + b.viewers * 9 / 8 + b.viewers / 16 + b.links;
-        assert!(all <= descriptors, "{all} of {descriptors}");
-        assert!(descriptors < 64 || b.viewers >= descriptors / 3, "the protocol's viewers have a third");
+        assert!(all <= descriptors, "{all} descriptors in use of {descriptors}");
+        assert!(descriptors < 64 || b.viewers >= descriptors / 3, "the protocol's viewers take a third");
     }
 }
 
-/// 16,384 standing sessions with descriptions of 16 KiB would be over the memory that a front has.
+/// 16,384 playing sessions with descriptions of 16 KiB each would exceed the memory of a front.
 #[test]
 fn a_session_that_stands_keeps_no_description() {
     let mut front = Harness::with_three_nodes();
@@ -418,8 +426,8 @@
         }
         let out = front.advance(500 * MS);
         assert_eq!(sent_to_node(&out, &ToNode::Release(SessionId(1), 7, 31)), !heard);
-        // On the long day sessions of a node that died were moved before its death was seen; the move is no release of
-        // what was over already, and nobody told their viewers.
+        // The node may have died before the move. The move does not report an end, so without this notice the
+        // viewer would never learn of it.
         assert_eq!(sent_to_viewer(&out, &ended(1, 31)), !heard);
         assert_eq!(front.core.playing_sessions(), 0);
     }
@@ -439,10 +447,10 @@
     let out = front.handle(Input::NodeMessage(link, session_started(2)));
     assert!(
         !out.iter().any(|e| matches!(e, Effect::SendToViewer(..))),
-        "an answer on the old life's connection"
+        "an answer on the old incarnation's connection"
     );
     let out = front.handle(Input::LinkDown(link));
-    assert!(sent_to_viewer(&out, &ended(1, 41)), "the old life's last connection went");
+    assert!(sent_to_viewer(&out, &ended(1, 41)), "the old incarnation's last connection broke");
 }
 
 #[test]
@@ -501,7 +509,7 @@
     let mut front = Harness::with_three_nodes();
     let (link, _) = front.playing(1);
     front.handle(Input::ViewerDisconnected(ConnId(1)));
-    assert_eq!(front.core.playing_sessions(), 1, "no connection owns a standing session");
+    assert_eq!(front.core.playing_sessions(), 1, "no connection owns a playing session");
     let out = front
         .handle(Input::NodeMessage(link, FromNode::SessionEnded(SessionId(1), Outcome::Served, Vec::new())));
     assert!(!sent_to_viewer(&out, &ended(1, 16)));
@@ -532,13 +540,13 @@
     assert_eq!(
         front.core.evictable_viewers(),
         [vec![ConnId(5)], vec![ConnId(2), ConnId(4)]],
-        "one that said something goes later"
+        "a connection that sent a message is evicted later"
     );
     for c in [5, 2, 4] {
         assert_eq!(front.handle(Input::EvictViewer(ConnId(c))), [Effect::CloseViewer(ConnId(c))]);
     }
     assert_eq!(front.core.evictable_viewers(), [vec![], vec![]]);
-    assert!(front.handle(Input::EvictViewer(ConnId(1))).is_empty(), "a session came on it");
+    assert!(front.handle(Input::EvictViewer(ConnId(1))).is_empty(), "a session was set up on it");
     front.handle(Input::ViewerConnected(ConnId(6), VIEWER_ADDRESS));
     front.handle(Input::SetUp(ConnId(6), request(6, 0)));
     assert_eq!(front.core.evictable_viewers(), [vec![], vec![]]);
@@ -565,7 +573,8 @@
     assert!(front.core.probes.is_empty());
 }
 
-/// A question that broke off at a node that had just left the list was asked again at its address, another's by then.
+/// A load query that broke off at a node which had just left the list was repeated at its address, which
+/// belonged to another node by then.
 #[test]
 fn a_node_that_is_listed_no_more_is_dialled_for_nothing() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
--- a/crates/platform/src/core/tests/checker.rs
+++ b/crates/platform/src/core/tests/checker.rs
@@ -1,4 +1,5 @@
-//! Judges what passes between a core and the world, from inputs and effects alone. It shares no account with the core.
+//! Checks the inputs and effects of a core against the rules of the protocol. It shares no code or state with
+//! the core.
 
 use super::super::types::*;
 use pepperhook::{Outcome, SessionId, Time};
@@ -9,18 +10,18 @@
 
 const ANSWER_SLACK: Time = 10 * super::MS;
 
-/// What the settings allow, read from their JSON by this file alone.
+/// What the settings allow, read from their JSON independently of the core.
 struct Limits {
     floors: Vec<u64>,
     tops: Vec<u64>,
     seats: Vec<u64>,
     attempts: u64,
-    /// Share, free ones and window of the ration of further attempts.
+    /// Retry budget: retries per request, retries that are always allowed, and the window in nanoseconds.
     retry_budget: Option<(f64, f64, Time)>,
 }
 
 impl Limits {
-    fn of(v: &Value) -> Self {
+    fn from_settings(v: &Value) -> Self {
         let each = |key: &str| {
             let all = v["specifics"][key].as_array().into_iter().flatten();
             all.map(|x| x.as_u64().expect("whole")).collect()
@@ -54,44 +55,45 @@
     node_answer: Option<bytes::Bytes>,
     answered: bool,
     withdrawn: bool,
-    /// Its viewer has gone away, whether the front has heard of it or not: nothing is begun for it.
+    /// The viewer has left, whether the front knows or not: no attempt may be started for it.
     departed: bool,
-    /// The front has heard that its viewer's connection has ended: it still gets its whole answer, no 200.
+    /// The front knows that the viewer has closed its side: it must still answer, but not with a started
+    /// session.
     half_closed: bool,
 }
 
 #[derive(Default)]
 pub struct Checker {
-    /// Classes that may never be set up twice.
+    /// For each class, whether a request may be set up only once.
     at_most_once: Vec<bool>,
     limits: Option<Limits>,
     request_times: Vec<Time>,
     retry_times: Vec<Time>,
-    /// Sessions that stand, for seats: gone with the first word of their end.
+    /// Sessions that take a seat, up to the first message that reports their end.
     seated: BTreeSet<SessionId>,
-    /// Set-ups, answers that play and refusals that were seen.
+    /// Set-ups, started sessions and refusals so far.
     pub counts: [usize; 3],
     requests: BTreeMap<SessionId, Request>,
     conns: BTreeSet<u64>,
-    /// Connections that their viewers have closed, or that were closed from here.
+    /// Connections that their viewers have closed, or that the front has closed.
     half_closed: BTreeSet<u64>,
     links: BTreeMap<LinkId, SocketAddr>,
     ready: BTreeSet<SocketAddr>,
     playing: BTreeSet<SessionId>,
-    /// Connections that this side has shut.
+    /// Connections to nodes that the front has half-closed.
     half_closed_links: BTreeSet<LinkId>,
 }
 
 impl Checker {
     pub fn new(at_most_once: Vec<bool>, settings: &Value) -> Self {
-        Self { at_most_once, limits: Some(Limits::of(settings)), ..Self::default() }
+        Self { at_most_once, limits: Some(Limits::from_settings(settings)), ..Self::default() }
     }
 
-    /// Attempts for one request, the ration of further ones, rungs and seats.
+    /// Checks the number of attempts, the retry budget, the rung and the seats.
     fn check_limits(&mut self, now: Time, id: SessionId, rung: u8) -> Result<(), String> {
         let (Some(limits), Some(r)) = (&self.limits, self.requests.get(&id)) else { return Ok(()) };
         if r.attempts >= limits.attempts {
-            return Err(format!("{id:?} has more attempts than are allowed"));
+            return Err(format!("{id:?} has more attempts than the {} allowed", limits.attempts));
         }
         let (floor, top) = (limits.floors[r.class], limits.tops[r.class]);
         let most = (r.top as u64).min(top).max(floor);
@@ -106,24 +108,24 @@
         if limits.seats[r.class] > 0
             && self.requests.iter().filter(alike).count() as u64 >= limits.seats[r.class]
         {
-            return Err(format!("{id:?} has no seat"));
+            return Err(format!("{id:?} exceeds the seats of its class"));
         }
         if let Some((share, free, window)) = limits.retry_budget.filter(|_| r.attempts > 0) {
             let late = |all: &[Time]| all.iter().filter(|t| **t + window > now).count() as f64;
-            // The protocol's slack: 15 in 100 and one.
+            // The protocol allows 15 in 100 and one more.
             if late(&self.retry_times) + 1.0 > (free + share * late(&self.request_times)) * 1.15 + 1.0 {
-                return Err(format!("{id:?} is tried again past the ration"));
+                return Err(format!("{id:?} is retried beyond the retry budget"));
             }
             self.retry_times.push(now);
         }
         Ok(())
     }
 
-    /// What goes into the core, before it is handed in.
+    /// Records an input before the core handles it.
     pub fn input(&mut self, now: Time, input: &Input) {
         match input {
             Input::ViewerConnected(conn, _) => drop(self.conns.insert(conn.0)),
-            // Handed over: no answer is owed.
+            // A session that is handed over gets no answer.
             Input::SetUp(_, request) if request.playing_at.is_some() => {}
             Input::SetUp(conn, request)
                 if self.conns.contains(&conn.0) && !self.requests.contains_key(&request.id) =>
@@ -148,7 +150,7 @@
                 self.request_times.push(now);
             }
             Input::SetUp(conn, request) => {
-                // A second request under one id: on the same connection it takes the first one along.
+                // A second request with a known id on the same connection withdraws the first one too.
                 if let Some(r) =
                     self.requests.get_mut(&request.id).filter(|r| r.conn == conn.0 && !r.answered)
                 {
@@ -189,7 +191,7 @@
         }
     }
 
-    /// A connection has ended on its viewer's side.
+    /// The viewer has closed its side of a connection.
     fn viewer_left(&mut self, conn: u64) {
         self.half_closed.insert(conn);
         self.requests
@@ -198,12 +200,12 @@
             .for_each(|r| (r.half_closed, r.departed) = (true, true));
     }
 
-    /// A viewer closes its connection; the front has not heard of it yet.
+    /// A viewer closes its connection, and the front does not know yet.
     pub fn viewer_departs(&mut self, conn: ConnId) {
         self.requests.values_mut().filter(|r| r.conn == conn.0).for_each(|r| r.departed = true);
     }
 
-    /// The process is killed: what was open is over with it. Sessions that stand go on at their nodes.
+    /// The process is killed: open requests end with it, playing sessions go on at their nodes.
     pub fn process_killed(&mut self) -> Vec<SessionId> {
         self.requests
             .values_mut()
@@ -233,7 +235,7 @@
         }
     }
 
-    /// What came out of the core.
+    /// Checks an effect of the core.
     pub fn effect(&mut self, now: Time, effect: &Effect) -> Result<(), String> {
         match effect {
             Effect::Dial(link, address) => drop(self.links.insert(*link, *address)),
@@ -247,7 +249,7 @@
             Effect::SendToNode(link, message) => self.check_to_node(now, *link, message)?,
             Effect::SendToViewer(_, message) => self.check_to_viewer(now, message)?,
             Effect::HalfCloseLink(link) if self.requests.values().any(|r| r.in_flight == Some(*link)) => {
-                return Err(format!("{link:?} is shut under an attempt"));
+                return Err(format!("{link:?} is half-closed while an attempt is in flight"));
             }
             Effect::HalfCloseLink(link) => drop(self.half_closed_links.insert(*link)),
             Effect::CloseViewer(_) | Effect::CheckViewer(..) | Effect::Log(..) => {}
@@ -256,9 +258,9 @@
     }
 
     fn check_to_node(&mut self, now: Time, link: LinkId, message: &ToNode) -> Result<(), String> {
-        let address = *self.links.get(&link).ok_or("a word to a connection that is no more")?;
+        let address = *self.links.get(&link).ok_or("a message on a connection that is closed")?;
         if self.half_closed_links.contains(&link) {
-            return Err(format!("a word to {link:?} after it was shut"));
+            return Err(format!("a message on {link:?} after it was half-closed"));
         }
         match message {
             ToNode::SetUp { id, rung, .. } => {
@@ -269,10 +271,10 @@
                     return Err(format!("{id:?} sent to a node that is not ready"));
                 }
                 if r.in_flight.is_some() {
-                    return Err(format!("{id:?} has two attempts out"));
+                    return Err(format!("{id:?} has two attempts in flight"));
                 }
                 if r.at_most_once && r.may_have_run {
-                    return Err(format!("{id:?} is paid and sent again though it may have run"));
+                    return Err(format!("{id:?} is at-most-once and sent again though it may have run"));
                 }
                 if r.answered || r.withdrawn || r.departed || now > r.deadline {
                     return Err(format!("{id:?} sent though nobody waits for it"));
@@ -305,27 +307,27 @@
                 return if was_playing {
                     Ok(())
                 } else {
-                    Err(format!("{id:?} did not stand and is told to be over"))
+                    Err(format!("{id:?} was not playing and is reported as ended or moved"))
                 };
             }
             ToViewer::Conflict(_) | ToViewer::Acknowledge(_) | ToViewer::UnknownSession(_) => return Ok(()),
         };
         let r = self.requests.get_mut(id).ok_or("an answer that nobody asked for")?;
         if r.answered || r.withdrawn {
-            return Err(format!("{id:?} is answered though nothing is owed"));
+            return Err(format!("{id:?} is answered twice or after its withdrawal"));
         }
         if now > r.deadline {
             return Err(format!("{id:?} is answered too late"));
         }
         if refused && r.at_most_once && r.may_have_run {
-            return Err(format!("{id:?} is paid and refused though it may have run"));
+            return Err(format!("{id:?} is at-most-once and refused though it may have run"));
         }
         if let Some(body) = plays {
             if r.half_closed {
                 return Err(format!("{id:?} is served though its viewer has left"));
             }
             if r.node_answer.as_ref() != Some(body) {
-                return Err(format!("{id:?} is served with what no node made for it"));
+                return Err(format!("{id:?} is served with an answer that no node sent"));
             }
             self.playing.insert(*id);
             self.seated.insert(*id);
@@ -336,7 +338,7 @@
         Ok(())
     }
 
-    /// At the end, when every time is up.
+    /// Checks, after all deadlines have passed, that every request was answered.
     pub fn check_all_answered(&self) -> Result<(), String> {
         match self.requests.iter().find(|(_, r)| !r.answered && !r.withdrawn) {
             Some((id, _)) => Err(format!("{id:?} has no answer")),
--- a/crates/platform/src/core/tests/churn.rs
+++ b/crates/platform/src/core/tests/churn.rs
@@ -1,41 +1,41 @@
-//! Hundreds of nodes' lives with churn: what is held goes back to where it was, in the core and in the module.
+//! Churn of hundreds of nodes: the state of the core and the controller returns to its initial size.
 
 use super::*;
 use std::net::SocketAddr;
 
-/// Everything that grows, by name.
+/// The sizes of all collections that grow, by name.
 fn sizes(front: &Harness) -> BTreeMap<&'static str, usize> {
     let c = &front.core;
     let (servers, _) = c.controller.view(front.now);
-    let lives = || c.incarnations.values();
+    let incarnations = || c.incarnations.values();
     BTreeMap::from([
         ("sessions", c.sessions.len()),
         ("open", c.open_requests),
         ("conns", c.conns.len()),
         ("open on conns", c.conns.values().map(|c| c.open_requests.len()).sum()),
-        ("carried by conns", c.conns.values().map(|c| c.playing).sum()),
-        ("lives", c.incarnations.len()),
+        ("playing on conns", c.conns.values().map(|c| c.playing).sum()),
+        ("incarnations", c.incarnations.len()),
         ("current", c.current.len()),
-        ("links of lives", lives().map(|l| l.links.len()).sum()),
-        ("standing at lives", lives().map(|l| l.playing.len()).sum()),
+        ("links of incarnations", incarnations().map(|l| l.links.len()).sum()),
+        ("playing at incarnations", incarnations().map(|l| l.playing.len()).sum()),
         ("links", c.links.len()),
         ("probes", c.probes.len()),
         ("ended", c.ended.len() + c.ended_order.len()),
-        ("unplaced", c.awaiting_list.len()),
-        ("early", c.early_ends.len()),
-        ("untold", c.unsent_ends.len()),
+        ("awaiting list", c.awaiting_list.len()),
+        ("early ends", c.early_ends.len()),
+        ("unsent ends", c.unsent_ends.len()),
         ("pending", c.pending.len()),
-        ("module servers", servers.len()),
-        ("module sessions", servers.iter().map(|s| s.sessions).sum()),
+        ("controller servers", servers.len()),
+        ("controller sessions", servers.iter().map(|s| s.sessions).sum()),
     ])
 }
 
-/// Nodes on a few addresses, a fifth of them replaced at a time: drained or just gone, some at the address of one that
-/// went before, some of the old id with a later start; with viewers, hand-overs and faults throughout.
+/// A few addresses whose nodes are replaced at random, a fifth at a time: a node drains or vanishes, another
+/// one takes its address, or the same id restarts. Viewers, hand-overs and faults go on meanwhile.
 struct Churn {
     front: Harness,
     listed: Vec<Entry>,
-    /// The processes that connections lead to, by id and start.
+    /// The process that each connection leads to, by id and start.
     processes: BTreeMap<LinkId, (u32, u64)>,
     next: u32,
     id: u64,
@@ -54,11 +54,11 @@
             let started_ms = self.front.now / MS;
             let new = self.listed[at];
             self.listed[at] = match self.draw(20) {
-                // Another id at once at its address.
+                // Another node at the same address.
                 0 | 1 => Entry { id: self.next, started_ms, state: State::Ready, ..new },
-                // The same id, started anew.
+                // The same id, restarted.
                 2 => Entry { started_ms, state: State::Ready, ..new },
-                // Another id at another address; the first is gone without a word.
+                // Another node at another address; the first one vanishes.
                 3 => {
                     let last = 20 + self.draw(40) as u8;
                     let address = SocketAddrV4::new(Ipv4Addr::new(127, 1, 0, last), 2905);
@@ -81,7 +81,7 @@
         end.is_some_and(|(id, started)| self.listed.iter().any(|e| (e.id, e.started_ms) == (*id, *started)))
     }
 
-    /// Some of what nodes and connections do, at random.
+    /// Reactions of nodes and connections to these effects, at random.
     fn answer(&mut self, out: Vec<Effect>) {
         let mut todo: VecDeque<Effect> = out.into();
         while let Some(e) = todo.pop_front() {
@@ -97,7 +97,7 @@
                 }
             }
             let input = match e {
-                // A process that is gone says nothing, or its connection is reset.
+                // A process that has ended is silent, or its connection is reset.
                 Effect::SendToNode(link, _) | Effect::HalfCloseLink(link) if !self.runs(link) => match what {
                     0..10 => Input::LinkDown(link),
                     _ => continue,
@@ -161,7 +161,7 @@
             };
             self.answer(out);
         }
-        // Sessions end, and nodes tell of some that are not known.
+        // Sessions end; nodes also report ends of unknown sessions.
         let links: Vec<_> =
             self.front.core.links.iter().filter(|(_, l)| l.is_up()).map(|(id, _)| *id).collect();
         for link in links.into_iter().filter(|l| self.runs(*l)).collect::<Vec<_>>() {
@@ -201,12 +201,12 @@
             c.front.out.clear();
             most = most.max(c.front.core.incarnations.len());
         }
-        assert!(c.next > 400, "{} ids were met", c.next);
-        assert!(most <= 60, "{most} lives were held at a time");
-        // The world goes quiet: the last connections of viewers go, nodes end what they have, and time passes.
+        assert!(c.next > 400, "{} ids were used", c.next);
+        assert!(most <= 60, "{most} incarnations were held at a time");
+        // Load stops: viewers disconnect, nodes end their sessions, and time passes.
         let conns: Vec<_> = c.front.core.conns.keys().copied().filter(|conn| conn.0 != 1).collect();
         conns.into_iter().for_each(|conn| drop(c.front.handle(Input::ViewerDisconnected(conn))));
-        // The same ten nodes as at first, started anew.
+        // The initial ten nodes, restarted.
         let started_ms = c.front.now / MS;
         c.listed = first.iter().map(|e| Entry { started_ms, ..*e }).collect();
         let listed = c.listed.clone();
@@ -222,7 +222,7 @@
         }
         assert_eq!(sizes(&c.front), before, "seed {seed}");
         let timers = std::iter::from_fn(|| c.front.core.timers.pop_due(Time::MAX)).count();
-        // The sweep's and the module's.
+        // The timers of the sweep and of the controller.
         assert!(timers <= 4, "{timers} timers are left");
         let known: BTreeSet<SocketAddr> =
             c.front.core.incarnations.values().map(|l| l.address.into()).collect();
--- a/crates/platform/src/core/tests/customers.rs
+++ b/crates/platform/src/core/tests/customers.rs
@@ -1,5 +1,6 @@
-//! Settings at random, in the form in which the platform hands them over and within what its pages allow, each with a
-//! random history judged by the checker: no customer's figures break an account, and no good spec is turned away unread.
+//! Random settings in the form that the platform hands over, within the ranges of its documentation, each
+//! with a random history checked by the checker. Guards against settings that break a rule, and against valid
+//! set-ups that are rejected.
 
 use super::histories::CheckedHarness;
 use super::*;
@@ -15,7 +16,7 @@
     of.choose(rng).copied().expect("something to pick from")
 }
 
-/// One customer's settings.
+/// Random settings.
 fn random_settings(rng: &mut StdRng) -> Value {
     let classes = pick(rng, &[1usize, 1, 2, 3, 5]);
     let rungs = rng.random_range(1..8usize);
@@ -72,7 +73,7 @@
     })
 }
 
-/// A set-up as a viewer may write it under these settings.
+/// A valid set-up under these settings.
 fn valid_set_up(rng: &mut StdRng, v: &Value, id: u64) -> Message {
     let class = &v["classes"][rng.random_range(0..v["classes"].as_array().expect("classes").len())];
     let cells = v["specifics"]["positions"].as_u64().expect("cells");
@@ -92,10 +93,10 @@
     if rng.random() { m.with("X-Length", "8200.0") } else { m }
 }
 
-/// What came of a history: set-ups, answers that play, refusals; departures, restarts, hand-overs.
+/// Set-ups, started sessions and refusals; departures, restarts and hand-overs.
 type Counts = ([usize; 3], [usize; 3]);
 
-/// One customer and one history.
+/// Runs one history under random settings.
 fn run_history(seed: u64, steps: &[(u8, usize, u64)]) -> Result<Counts, String> {
     let mut rng = StdRng::seed_from_u64(seed);
     let v = random_settings(&mut rng);
@@ -109,19 +110,19 @@
         if what % 16 <= 3 {
             match read(&valid_set_up(&mut rng, &v, checked.next), &sockets, cells) {
                 Ok(FromViewer::Ask(ask)) => checked.set_up(*ask),
-                _ => return Err("a good spec was not taken".to_owned()),
+                _ => return Err("a valid set-up was rejected".to_owned()),
             }
         } else if (11..13).contains(&(what % 16)) {
             checked.answer_latest_set_up();
         } else if *what >= 232 && which % 2 == 0 {
-            // Rarer than the rest, so that something stands or is open then.
+            // Rarer than the other steps, so that sessions play or requests are open by then.
             match which / 2 % 4 {
                 0 => checked.viewer_departs(),
                 1 => checked.report_departed(which / 8),
                 _ => checked.restart(),
             }
         } else if what % 16 < 15 || which % 4 == 0 {
-            // The list changes more seldom than in other histories, so that more is set up.
+            // The list changes less often than in other histories, so that more set-ups succeed.
             checked.step(*what, *which);
         }
         checked.advance(ms * MS);
@@ -138,20 +139,20 @@
     let steps = prop::collection::vec((any::<u8>(), 0usize..64, 0u64..300), 1..120);
     let sum = std::cell::Cell::new([0; 6]);
     let all = runner.run(&(any::<u64>(), steps), |(seed, steps)| {
-        let seen =
-            run_history(seed, &steps).map_err(|e| TestCaseError::fail(format!("{e}; customer {seed}")))?;
+        let seen = run_history(seed, &steps)
+            .map_err(|e| TestCaseError::fail(format!("{e}; settings of seed {seed}")))?;
         let seen: Vec<usize> = seen.0.into_iter().chain(seen.1).collect();
         sum.set(std::array::from_fn(|i| sum.get()[i] + seen[i]));
         Ok(())
     });
     assert!(all.is_ok(), "{}", all.expect_err("a fault"));
-    // The histories reach nodes and viewers.
+    // The histories must reach nodes and viewers.
     println!("set-ups, plays, refusals, departures, restarts, hand-overs: {:?}", sum.get());
     assert!(sum.get()[..3].iter().all(|n| *n > 200), "{:?}", sum.get());
     assert!(sum.get()[3..].iter().all(|n| *n > 50), "{:?}", sum.get());
 }
 
-/// Every spec counted for the first tenant, whoever asked.
+/// Guards against all requests being counted for the first tenant, whichever tenant they name.
 #[test]
 fn a_wish_counts_for_the_tenant_that_its_set_up_names() {
     let mut v = settings();
@@ -164,10 +165,10 @@
             _ => None,
         }
     };
-    assert_eq!(tenant(&v, Some("anyone")), Some(0), "a site without tenants");
+    assert_eq!(tenant(&v, Some("anyone")), Some(0), "settings without tenants");
     v["tenants"] = json!([{"name": "first", "quota_per_s": 1.0}, {"name": "second", "quota_per_s": 2.0}]);
     assert_eq!(tenant(&v, Some("second")), Some(1));
     assert_eq!(tenant(&v, Some("first")), Some(0));
-    assert_eq!(tenant(&v, Some("third")), None, "no other's");
+    assert_eq!(tenant(&v, Some("third")), None, "an unknown tenant is rejected");
     assert_eq!(tenant(&v, None), Some(0));
 }
--- a/crates/platform/src/core/tests/handed.rs
+++ b/crates/platform/src/core/tests/handed.rs
@@ -1,5 +1,5 @@
-//! A restart: sessions that a new process is handed, with a list that may be older than what nodes and viewers know, and
-//! the end of a process.
+//! Restarts: sessions that are handed over to a new process, with a list that may be older than what nodes
+//! and viewers know; and the end of a process.
 
 use super::*;
 
@@ -16,11 +16,11 @@
     let mut front = Harness::with_three_nodes();
     for id in 1..4 {
         let out = front.handle(Input::SetUp(ConnId(1), handed_over(id, 2)));
-        assert!(!out.iter().any(|e| matches!(e, Effect::SendToViewer(..))), "no answer is wanted: {out:?}");
+        assert!(!out.iter().any(|e| matches!(e, Effect::SendToViewer(..))), "no answer is expected: {out:?}");
     }
     let (link, address) = first_dial(&front.out).expect("a connection is kept");
     assert_eq!(address, node(2, State::Ready).address.into());
-    // Its viewer ends one before the connection is up.
+    // The viewer ends a session before the connection is up.
     assert!(sent_to_viewer(
         &front.handle(Input::Release(ConnId(1), SessionId(1))),
         &ToViewer::Acknowledge(SessionId(1))
@@ -40,8 +40,8 @@
     assert_eq!(front.core.playing_sessions(), 0);
 }
 
-/// A node tells the ends that nobody heard on the next connection that is opened: the new process may open it for one
-/// session before it is handed the other.
+/// A node reports ends that were not received on the next connection that comes up. The new process may open
+/// that connection for one session before it is handed the other one.
 #[test]
 fn an_end_that_a_node_told_before_its_session_was_handed_over_is_told_to_its_viewer() {
     let mut front = Harness::with_three_nodes();
@@ -53,14 +53,14 @@
     front.advance(500 * MS);
     assert!(
         sent_to_viewer(&front.handle(Input::SetUp(ConnId(1), handed_over(2, 2))), &ended(2, 16)),
-        "else it stands for ever"
+        "otherwise it would play forever"
     );
     let out = front.handle(Input::SetUp(ConnId(1), handed_over(3, 2)));
     assert!(
         !out.iter().any(|e| matches!(e, Effect::SendToViewer(..))),
-        "its viewer ended it and is owed nothing"
+        "its viewer ended it and needs no notice"
     );
-    // Another node's word on it is none.
+    // A report of another node does not count.
     front.handle(Input::NodeMessage(link, session_ended(4, Outcome::Served)));
     assert!(!sent_to_viewer(&front.handle(Input::SetUp(ConnId(1), handed_over(4, 3))), &ended(4, 16)));
     assert_eq!(front.core.playing_sessions(), 2);
@@ -88,7 +88,7 @@
         &front.handle(Input::NodeMessage(link, session_ended(1, Outcome::Served))),
         &ended(1, 16)
     ));
-    // The other one's node is never named: within the time in which a bad viewer must hear something.
+    // The node of the other session is never listed; its viewer is notified in time.
     let out = front.advance(1_500 * MS);
     assert!(
         sent_to_viewer(&out, &ended(2, 41)) && sent_to_viewer(&out, &ToViewer::UnknownSession(SessionId(2))),
@@ -106,7 +106,8 @@
     assert!(sent_to_viewer(&out, &ended(1, 41)) && front.core.playing_sessions() == 0, "{out:?}");
 }
 
-/// The list of a restarted front is older than the start of a node: what it was handed there may be older too.
+/// The list of a restarted front may be older than a restart of a node, and so may the sessions handed over
+/// for that node.
 #[test]
 fn a_start_told_after_the_hand_over_ends_what_was_handed_over() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
@@ -122,11 +123,11 @@
     );
     assert!(
         !sent_to_viewer(&out, &ended(2, 41)) && front.core.playing_sessions() == 1,
-        "what was set up since stands"
+        "a session set up since then plays on"
     );
 }
 
-/// A node that was held to be dead is handed a session: whether it is dead is found out again.
+/// A session is handed over with a node that was found dead: this is checked again.
 #[test]
 fn a_session_handed_over_at_a_node_held_to_be_dead_ends_within_its_time() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
@@ -153,7 +154,8 @@
     );
 }
 
-/// Near its end a front takes nothing that it might not answer in time, and leaves nobody without an answer.
+/// Shortly before its end a front accepts no request that it might not answer in time, and answers every open
+/// one.
 #[test]
 fn a_front_that_ends_refuses_what_comes_late_and_answers_what_is_open() {
     let mut front = Harness::with_three_nodes();
@@ -164,14 +166,14 @@
     assert_eq!(out, [Effect::SendToViewer(ConnId(1), ToViewer::Refused(SessionId(3), None))]);
     assert!(
         !front.core.has_no_pending_work() && front.core.open_requests() == 2,
-        "what was taken before goes on"
+        "requests accepted before go on"
     );
     let out = front.handle(Input::AnswerAll);
     assert!(sent_to_viewer(&out, &failed(1)) && sent_to_viewer(&out, &failed(2)), "{out:?}");
     assert!(sent_to_node(&out, &ToNode::CancelSetUp(SessionId(1), 7)), "nothing is left running");
     assert!(front.core.open_requests() == 0 && front.core.has_no_pending_work());
     assert!(front.handle(Input::AnswerAll).is_empty());
-    // What crosses it reaches no viewer.
+    // An answer that crosses the cancellation reaches no viewer.
     let out = front.handle(Input::NodeMessage(link, session_started(1)));
     assert_eq!(out, [Effect::SendToNode(link, ToNode::Release(SessionId(1), 7, 31))]);
 }
--- a/crates/platform/src/core/tests/histories.rs
+++ b/crates/platform/src/core/tests/histories.rs
@@ -1,10 +1,11 @@
-//! Random histories of viewers, nodes and connections, judged by the checker; and the checker, judged by violations.
+//! Random histories of viewers, nodes and connections, checked by the checker; and tests of the checker with
+//! planted violations.
 
 use super::checker::Checker;
 use super::*;
 use proptest::prelude::*;
 
-/// A world whose every word passes the checker.
+/// A harness whose inputs and effects all pass through the checker.
 pub struct CheckedHarness {
     front: Harness,
     checker: Checker,
@@ -14,13 +15,13 @@
     sent: Vec<(LinkId, SessionId)>,
     pub next: u64,
     conn: u64,
-    /// What each asked for.
+    /// The specification of each request.
     specs: BTreeMap<SessionId, SessionSpec>,
-    /// Asked on the connection that is in use.
+    /// Requests on the current connection.
     requested: Vec<SessionId>,
-    /// Connections that their viewers have closed, of which the core has not heard.
+    /// Connections that their viewers have closed without the core knowing.
     departed_conns: Vec<ConnId>,
-    /// Settings and descriptors, for the next process.
+    /// Settings and descriptors, to start the next process.
     settings_and_descriptors: (Value, usize),
     /// Departures, restarts and hand-overs so far.
     pub event_counts: [usize; 3],
@@ -32,11 +33,12 @@
         Self::with_settings(&settings(), 256, vec![false, true])
     }
 
-    /// A front under these settings, with so many descriptors; `paid` classes may never be set up twice.
-    pub fn with_settings(settings: &Value, descriptors: usize, paid: Vec<bool>) -> Self {
+    /// A front under these settings with this number of descriptors; classes in `at_most_once` may be set up
+    /// only once.
+    pub fn with_settings(settings: &Value, descriptors: usize, at_most_once: Vec<bool>) -> Self {
         let nodes = [1, 2, 3].map(|id| node(id, State::Ready));
         let mut front = Harness::with_settings(settings, descriptors, &[]);
-        let mut checker = Checker::new(paid, settings);
+        let mut checker = Checker::new(at_most_once, settings);
         checker.input(START, &Input::ViewerConnected(ConnId(1), VIEWER_ADDRESS));
         front.out.clear();
         let mut checked = Self {
@@ -91,7 +93,8 @@
         self.next += 1;
     }
 
-    /// The viewer closes the connection in use; the core finds that by a look alone, until it is told.
+    /// The viewer closes the current connection. The core learns that only from a viewer check until it is
+    /// reported.
     pub fn viewer_departs(&mut self) {
         self.checker.viewer_departs(ConnId(self.conn));
         self.front.departed.extend(std::mem::take(&mut self.requested));
@@ -101,7 +104,7 @@
         self.handle(Input::ViewerConnected(ConnId(self.conn), VIEWER_ADDRESS));
     }
 
-    /// The core hears of a connection that was closed, in one step or two.
+    /// Reports a closed connection to the core, in one step or two.
     pub fn report_departed(&mut self, which: usize) {
         if self.departed_conns.is_empty() {
             return;
@@ -113,7 +116,7 @@
         self.handle(Input::ViewerDisconnected(conn));
     }
 
-    /// The process is killed and comes up again from nothing; some of what stands is handed over to it.
+    /// Kills the process and starts it without state; playing sessions are handed over to it.
     pub fn restart(&mut self) {
         let playing = self.checker.process_killed();
         let now = self.front.now;
@@ -130,7 +133,8 @@
         self.handle(Input::NodeList([1, 2, 3].map(|id| node(id, State::Ready)).to_vec()));
         self.handle(Input::ViewerConnected(ConnId(self.conn), VIEWER_ADDRESS));
         for id in playing {
-            // Where it plays is not kept here: its node says nothing of it, or its own end.
+            // The node where it plays is not recorded here: this one reports nothing of it, or an end of its
+            // own.
             let at = Some(ServerId(1 + (id.0 % 3) as u32));
             let spec = self.specs.get(&id).copied().unwrap_or(request(id.0, 0).spec);
             self.handle(Input::SetUp(
@@ -141,7 +145,7 @@
         }
     }
 
-    /// The end of a history: every viewer goes, every time passes, and nothing is owed or held.
+    /// Ends the history: every viewer leaves, all timers expire, and no state may be left.
     pub fn check_all_released(&mut self) -> Result<(), String> {
         self.viewer_departs();
         while !self.departed_conns.is_empty() {
@@ -155,11 +159,11 @@
         let held = [
             ("sessions", c.sessions.len()),
             ("ended", c.ended.len() + c.ended_order.len()),
-            ("untold", c.unsent_ends.len()),
-            ("early", c.early_ends.len()),
-            ("unplaced", c.awaiting_list.len()),
+            ("unsent ends", c.unsent_ends.len()),
+            ("early ends", c.early_ends.len()),
+            ("awaiting list", c.awaiting_list.len()),
             ("connections of viewers", c.conns.len().saturating_sub(2)),
-            ("lives", c.incarnations.len().saturating_sub(3)),
+            ("incarnations", c.incarnations.len().saturating_sub(3)),
             ("pending", c.pending.len()),
         ];
         match held.into_iter().find(|(_, n)| *n > 0) {
@@ -168,31 +172,31 @@
         }
     }
 
-    /// The node of the latest set-up says that it plays.
+    /// The node of the latest set-up answers that the session plays.
     pub fn answer_latest_set_up(&mut self) {
         if let Some((link, id)) = self.sent.last().copied() {
             self.handle(Input::NodeMessage(link, session_started(id.0)));
         }
     }
 
-    /// Set-ups, answers that play and refusals.
+    /// Set-ups, started sessions and refusals so far.
     pub fn counts(&self) -> [usize; 3] {
         self.checker.counts
     }
 
-    /// What the checker has against the history, once every time is up.
+    /// The verdict on the history, after all deadlines have passed.
     pub fn verdict(&self) -> Result<(), String> {
         self.fault.clone().map_or(Ok(()), Err)?;
         self.checker.check_all_answered()?;
         if self.front.core.open_requests() == 0 {
             Ok(())
         } else {
-            Err("a request is open for ever".to_owned())
+            Err("a request was never answered".to_owned())
         }
     }
 
     pub fn advance(&mut self, time: Time) {
-        // Timers run one by one, so that the checker sees each word at its time.
+        // Runs the timers one by one, so that the checker sees each message at its time.
         let end = self.front.now + time;
         while let Some(at) = self.front.core.next_wake().filter(|at| *at <= end) {
             let out = self.front.advance(at.saturating_sub(self.front.now));
@@ -284,7 +288,7 @@
     }
 }
 
-/// A request that was sent to a node, and the checker that saw it.
+/// A request whose set-up was sent to a node, and the checker that recorded it.
 fn sent(class: u16) -> (CheckedHarness, LinkId) {
     let mut checked = CheckedHarness::new();
     checked.handle(Input::SetUp(ConnId(1), request(1, class)));
@@ -314,11 +318,11 @@
 
     let (mut checked, link) = sent(0);
     assert!(fault(&mut checked, &repeated_set_up(link)).contains("two attempts"));
-    assert!(fault(&mut checked, &served).contains("no node made"));
-    assert!(checked.checker.check_all_answered().is_err(), "an answer is owed");
-    assert!(fault(&mut checked, &Effect::HalfCloseLink(link)).contains("under an attempt"));
+    assert!(fault(&mut checked, &served).contains("no node sent"));
+    assert!(checked.checker.check_all_answered().is_err(), "an answer is missing");
+    assert!(fault(&mut checked, &Effect::HalfCloseLink(link)).contains("while an attempt is in flight"));
     assert_eq!(checked.checker.effect(checked.front.now, &failed), Ok(()));
-    assert!(fault(&mut checked, &failed).contains("nothing is owed"));
+    assert!(fault(&mut checked, &failed).contains("answered twice or after"));
 
     let (mut checked, link) = sent(1);
     assert!(fault(&mut checked, &refused).contains("refused"));
@@ -326,7 +330,7 @@
         checked.front.now,
         &Input::NodeMessage(link, FromNode::SetUpFailed(SessionId(1), Outcome::Error, Vec::new())),
     );
-    assert!(fault(&mut checked, &repeated_set_up(link)).contains("paid"));
+    assert!(fault(&mut checked, &repeated_set_up(link)).contains("at-most-once"));
 
     let (mut checked, link) = sent(0);
     checked.checker.input(
@@ -339,7 +343,7 @@
         checked.checker.effect(checked.front.now + 4 * S, &failed).expect_err("late").contains("too late")
     );
     let over = Effect::SendToViewer(ConnId(1), ToViewer::Ended(SessionId(1), 7, 16));
-    assert!(fault(&mut checked, &over).contains("did not stand"));
+    assert!(fault(&mut checked, &over).contains("was not playing"));
 
     let full = Input::NodeMessage(link, FromNode::SetUpFailed(SessionId(1), Outcome::Full, Vec::new()));
     let (mut checked, _) = sent(0);
@@ -347,13 +351,13 @@
     checked.checker.viewer_departs(ConnId(1));
     assert!(
         fault(&mut checked, &repeated_set_up(link)).contains("nobody waits"),
-        "it has closed, though nobody was told"
+        "it has closed, though the front does not know"
     );
     checked.checker.input(checked.front.now, &Input::NodeMessage(link, session_started(1)));
     checked.checker.input(checked.front.now, &Input::ViewerHalfClosed(ConnId(1)));
     assert!(
         checked.checker.check_all_answered().is_err_and(|e| e.contains("no answer")),
-        "whoever reads on is owed the end"
+        "a viewer that reads on must get an answer"
     );
     let mut served = Checker::new(vec![false, true], &settings());
     served.input(START, &Input::ViewerConnected(ConnId(1), VIEWER_ADDRESS));
@@ -367,7 +371,7 @@
     checked.checker.input(checked.front.now, &Input::NodeMessage(link, session_started(1)));
     assert_eq!(checked.checker.effect(checked.front.now, &Effect::HalfCloseLink(link)), Ok(()));
     let message = Effect::SendToNode(link, ToNode::Acknowledge(SessionId(1)));
-    assert!(fault(&mut checked, &message).contains("after it was shut"));
+    assert!(fault(&mut checked, &message).contains("after it was half-closed"));
 }
 
 #[test]
@@ -402,5 +406,5 @@
     assert!(check_limits(&v, 1, 1).is_err_and(|e| e.contains("seat")));
     v = settings();
     (v["rules"]["extra_per_request"], v["rules"]["min_extra"]) = (json!(0.0), json!(0.0));
-    assert!(check_limits(&v, 1, 3).is_err_and(|e| e.contains("ration")));
+    assert!(check_limits(&v, 1, 3).is_err_and(|e| e.contains("retry budget")));
 }
--- a/crates/platform/src/core/tests/leaving.rs
+++ b/crates/platform/src/core/tests/leaving.rs
@@ -1,9 +1,10 @@
-//! The client has left: by the end of its connection, found at whatever moment, or by a give-up. Nothing is begun for it
-//! any more, its node hears of it, and its request has one answer.
+//! Viewers that leave, by closing their connection at any moment or by cancelling. No new attempt is started
+//! for them, the node is informed, and each request is answered once.
 
 use super::*;
 
-/// A world in which the first attempt of request 1 has just ended without having run, and the next would be sent.
+/// A harness in which the first attempt of request 1 has just failed without running, and the next one would
+/// be sent.
 fn between_attempts(departed: bool) -> (Harness, Vec<Effect>) {
     let mut front = Harness::with_three_nodes();
     let (link, _) = front.set_up_sent(1, 0);
@@ -12,7 +13,7 @@
     }
     let mut out = front
         .handle(Input::NodeMessage(link, FromNode::SetUpFailed(SessionId(1), Outcome::Full, Vec::new())));
-    // Whatever is dialled for it comes up, and its time passes.
+    // Every dial for the request succeeds, and its time passes.
     for _ in 0..8 {
         let Some((link, _)) = first_dial(&out) else { break };
         out.extend(front.handle(Input::LinkUp(link)));
@@ -31,7 +32,7 @@
 #[test]
 fn a_further_attempt_is_sent_to_who_waits_and_none_to_who_is_found_to_have_left() {
     let (front, out) = between_attempts(false);
-    assert!(first_set_up(&out).is_some(), "who waits is tried again: {out:?}");
+    assert!(first_set_up(&out).is_some(), "a waiting viewer gets another attempt: {out:?}");
     assert_eq!(set_ups(&front), 2);
     let (mut front, _) = between_attempts(true);
     front.advance(10 * S);
@@ -71,7 +72,7 @@
     assert!(sent_to_node(&out, &ToNode::CancelSetUp(SessionId(1), 7)), "{out:?}");
     assert!(
         sent_to_viewer(&out, &ToViewer::Failed(SessionId(1))),
-        "what may have run isn't refused: {out:?}"
+        "a set-up that may have run is not refused: {out:?}"
     );
     if waits.is_some() {
         assert!(!sent_to_viewer(&out, &ToViewer::Started(SessionId(2), Bytes::new())));
@@ -93,11 +94,11 @@
     assert_eq!(out, [Effect::SendToViewer(ConnId(1), ToViewer::Refused(SessionId(2), None))]);
     let handed = SetUpRequest { playing_at: Some(ServerId(2)), ..request(3, 0) };
     front.handle(Input::SetUp(ConnId(1), handed));
-    assert_eq!(front.core.playing_sessions(), 2, "no connection owns a standing session");
+    assert_eq!(front.core.playing_sessions(), 2, "no connection owns a playing session");
     let out = front.handle(Input::Release(ConnId(1), SessionId(1)));
     assert!(sent_to_node(&out, &ToNode::Release(SessionId(1), 7, 31)), "{out:?}");
     front.handle(Input::ViewerDisconnected(ConnId(1)));
-    // A request that crossed the close from here: nothing was sent for it.
+    // A request that crossed the close by the front: nothing was sent for it.
     let out = front.handle(Input::SetUp(ConnId(1), request(4, 1)));
     assert_eq!(out, [Effect::SendToViewer(ConnId(1), ToViewer::Refused(SessionId(4), None))]);
     assert_eq!((front.core.open_requests(), set_ups(&front)), (0, 1));
@@ -124,7 +125,7 @@
     assert!(out.contains(&Effect::SendToViewer(ConnId(3), ended(1, 16))), "{out:?}");
 }
 
-/// A set-up whose viewer is being looked for, before the answer: nothing was sent.
+/// A set-up whose viewer check is not answered yet: nothing was sent.
 fn offered() -> (Harness, LinkId) {
     let mut front = Harness::with_three_nodes();
     front.departed.insert(SessionId(1));
@@ -163,7 +164,7 @@
     }
     let (mut front, _) = offered();
     front.advance(10 * S);
-    assert!(front.handle(Input::ViewerWaits(SessionId(1))).is_empty(), "its time was up");
+    assert!(front.handle(Input::ViewerWaits(SessionId(1))).is_empty(), "its deadline has passed");
     assert_eq!((set_ups(&front), front.core.open_requests()), (0, 0));
 }
 
@@ -173,9 +174,9 @@
     let out = front.handle(Input::LinkBlocked(SessionId(1)));
     let (next, _) = first_dial(&out).expect("another connection to the node");
     assert!(next != link && out.iter().all(|e| !matches!(e, Effect::SendToNode(..))), "{out:?}");
-    assert!(front.handle(Input::ViewerWaits(SessionId(1))).is_empty(), "that look is over");
+    assert!(front.handle(Input::ViewerWaits(SessionId(1))).is_empty(), "that check is outdated");
     assert_eq!(first_set_up(&front.handle(Input::LinkUp(next))), Some((next, SessionId(1))));
-    // Once the node says something on the first one it serves again.
+    // A message from the node makes the first connection usable again.
     let blocked = |front: &Harness| front.core.links.get(&link).map(|l| l.blocked);
     assert_eq!(blocked(&front), Some(true));
     front.handle(Input::NodeMessage(link, FromNode::Other));
--- a/crates/platform/src/core/tests/lists.rs
+++ b/crates/platform/src/core/tests/lists.rs
@@ -1,5 +1,5 @@
-//! Changes of the list: what becomes of attempts that are out, of standing sessions and of connections, and what is
-//! believed of the node that comes.
+//! Changes of the list: attempts in flight, playing sessions, connections, and the controller's view of the
+//! new node.
 
 use super::*;
 use pepperhook::ServerView;
@@ -13,7 +13,7 @@
     out.iter().filter(|e| matches!(e, Effect::SendToNode(_, ToNode::SetUp { .. }))).count()
 }
 
-/// What the module holds of a node.
+/// The controller's view of a node.
 fn view(front: &Harness, id: u32) -> ServerView {
     let (servers, _) = front.core.controller.view(front.now);
     servers.into_iter().find(|s| s.entry.server == ServerId(id)).expect("a node")
@@ -23,24 +23,25 @@
     Entry { started_ms: front.now / MS, ..e }
 }
 
-/// A dial to a node that leaves the list while it is made may come up at another's door.
+/// A dial to a node that leaves the list meanwhile may reach another node at its address.
 #[test]
 fn a_dial_under_way_to_a_node_that_leaves_the_list_is_taken_back() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
     let (old, _) = front.playing(1);
-    let (late, _) = first_dial(&front.advance(6 * S)).expect("a quiet node is dialled");
+    let (late, _) = first_dial(&front.advance(6 * S)).expect("a silent node is dialled");
     let new = restarted(&front, Entry { id: 4, ..node(1, State::Ready) });
     let out = front.handle(Input::NodeList(vec![new]));
     assert!(out.contains(&Effect::CloseLink(late)) && !out.contains(&Effect::CloseLink(old)), "{out:?}");
     let out = front.handle(Input::LinkUp(late));
-    assert_eq!(out, [Effect::CloseLink(late)], "it came up all the same: nothing goes over it");
-    assert_eq!(front.core.playing_sessions(), 1, "the old connection has its chance to speak");
+    assert_eq!(out, [Effect::CloseLink(late)], "it came up nevertheless: nothing is sent on it");
+    assert_eq!(front.core.playing_sessions(), 1, "the old connection may still yield a sign of life");
     assert!(front.handle(Input::NodeMessage(late, FromNode::Other)).is_empty());
     let out = front.advance(1_100 * MS);
-    assert!(sent_to_viewer(&out, &ended(1, 41)), "nothing came on it");
+    assert!(sent_to_viewer(&out, &ended(1, 41)), "nothing was received on it");
 }
 
-/// The set-up that waits for such a dial was not sent: it goes elsewhere at once, the dial is not waited for.
+/// A set-up that waits for such a dial was not sent: it goes to another node at once instead of waiting for
+/// the dial.
 #[test]
 fn a_set_up_that_waits_for_a_node_that_leaves_the_list_goes_elsewhere_at_once() {
     let mut front = Harness::with_three_nodes();
@@ -55,8 +56,8 @@
     assert_eq!(first_set_up(&front.handle(Input::LinkUp(second))), Some((second, SessionId(1))));
 }
 
-/// The list tells late: a node has died, another has its address, and the front has dialled it as the old one. What the
-/// other says must not keep the old one's sessions standing.
+/// The list is late: a node has died, another one has taken its address, and the front has dialled it as the
+/// old one. Messages of the new node must not keep the sessions of the old one alive.
 #[test]
 fn a_connection_that_leads_to_the_newcomer_at_an_address_does_not_speak_for_the_old_node() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
@@ -66,22 +67,26 @@
     front.advance(100 * MS);
     let (check, _) = first_dial(&front.handle(Input::LinkDown(link))).expect("the node is dialled");
     front.handle(Input::LinkUp(check));
-    assert_eq!(front.core.playing_sessions(), 1, "as far as can be told, the connection alone broke");
-    // Set up over it meanwhile: it really plays at the newcomer.
+    assert_eq!(front.core.playing_sessions(), 1, "only the connection seems to have broken");
+    // A session set up on it meanwhile really plays at the new node.
     let out = front.handle(Input::SetUp(ConnId(1), request(2, 0)));
     assert_eq!(first_set_up(&out), Some((check, SessionId(2))));
     front.handle(Input::NodeMessage(check, session_started(2)));
     front.advance(3 * S);
     let out = front.handle(Input::NodeList(vec![new]));
     assert!(sent_to_viewer(&out, &ended(1, 41)) && sent_to_viewer(&out, &ended(2, 41)), "{out:?}");
-    assert!(sent_to_node(&out, &ToNode::Release(SessionId(2), 7, 41)), "it does not play on for nobody");
-    assert!(!sent_to_node(&out, &ToNode::Release(SessionId(1), 7, 41)), "the newcomer never had it");
+    assert!(
+        sent_to_node(&out, &ToNode::Release(SessionId(2), 7, 41)),
+        "it does not play on without a viewer"
+    );
+    assert!(!sent_to_node(&out, &ToNode::Release(SessionId(1), 7, 41)), "the new node never had it");
     assert!(out.contains(&Effect::CloseLink(check)));
     assert_eq!(front.core.playing_sessions(), 0);
-    assert!(!view(&front, 4).barred, "nothing of the old node is held against the new one");
+    assert!(!view(&front, 4).barred, "failures of the old node do not count for the new one");
 }
 
-/// The old node's connection is open and quiet: it is asked, and the newcomer's own connection counts for nothing.
+/// The old node's connection stays open and silent: it is queried, and the new node's own connection does not
+/// count for it.
 #[test]
 fn an_old_connection_that_stays_open_and_quiet_ends_with_its_sessions_whatever_the_newcomer_says() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
@@ -118,7 +123,7 @@
         let out = front.handle(Input::NodeList(rest.clone()));
         assert!(!sent_to_viewer(&out, &failed(1)) && set_ups(&out) == 0, "one attempt at a time: {out:?}");
         let out = match ending {
-            // It answers: the session stands there, and is over with the node.
+            // The node answers: the session plays there and ends with the node.
             0 => {
                 let out = front.handle(Input::NodeMessage(link, session_started(1)));
                 assert!(sent_to_viewer(
@@ -127,14 +132,17 @@
                 ));
                 front.handle(Input::LinkDown(link))
             }
-            // Its connection ends: it may have run.
+            // Its connection breaks: the set-up may have run.
             1 => front.handle(Input::LinkDown(link)),
-            // It never says anything: the time of the request.
+            // The node never answers: the request runs into its deadline.
             _ => front.advance(3 * S + 50 * MS),
         };
         let message = if ending == 0 { ended(1, 41) } else { failed(1) };
         assert!(sent_to_viewer(&out, &message), "{ending}: {out:?}");
-        assert!(first_dial(&out).is_none_or(|(_, at)| at != address), "its address may be another's");
+        assert!(
+            first_dial(&out).is_none_or(|(_, at)| at != address),
+            "its address may belong to another node"
+        );
         assert_eq!((front.core.open_requests(), front.core.playing_sessions()), (0, 0));
         front.advance(15 * S);
         assert!(
@@ -144,7 +152,8 @@
     }
 }
 
-/// Told means told: the grace that the rule leaves is not used for anything new.
+/// Once the list says that a node drains or is gone, nothing new is sent there, although the protocol would
+/// allow a grace period.
 #[test]
 fn nothing_new_goes_to_a_node_after_it_was_told_to_drain_or_to_be_gone() {
     for gone in [false, true] {
@@ -162,14 +171,15 @@
         if let Some((link, _)) = waits {
             front.handle(Input::LinkUp(link));
         }
-        // What is out there is given up and tried again; others come. All of it goes to the other two.
+        // The attempt in flight times out and is retried, and other requests come. All of them go to the
+        // other two nodes.
         front.out.clear();
         let mut links = BTreeMap::new();
         for id in 3..30 {
             let mut out = front.handle(Input::SetUp(ConnId(1), request(id, 0)));
             out.extend(front.advance(50 * MS));
             while let Some((link, at)) = first_dial(&out) {
-                assert!(!gone || at != address, "dialled though it is gone");
+                assert!(!gone || at != address, "dialled although it is gone");
                 links.insert(link, at);
                 out = front.handle(Input::LinkUp(link));
             }
@@ -188,7 +198,7 @@
     }
 }
 
-/// A node id that comes back with a later start: what is older is over, what is newer stands, and it is cold.
+/// A node id returns with a later start: older sessions have ended, newer ones play on, and the node is cold.
 #[test]
 fn an_id_that_comes_back_with_a_later_start_is_cold_and_keeps_only_what_is_newer() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
@@ -196,7 +206,8 @@
     front.advance(S);
     let back = restarted(&front, node(1, State::Ready));
     front.advance(10 * MS);
-    // The process starts anew, the list does not tell it yet: the broken connection is dialled, and takes a set-up.
+    // The process restarts before the list says so: the node is dialled after its connection broke, and gets
+    // a set-up.
     let (fresh, _) = first_dial(&front.handle(Input::LinkDown(old))).expect("the node is dialled");
     front.handle(Input::LinkUp(fresh));
     assert_eq!(
@@ -204,18 +215,18 @@
         Some((fresh, SessionId(2)))
     );
     front.handle(Input::NodeMessage(fresh, session_started(2)));
-    assert_eq!(view(&front, 1).warmth, 1.0, "nobody has told");
+    assert_eq!(view(&front, 1).warmth, 1.0, "the list does not say yet that it restarted");
     let out = front.handle(Input::NodeList(vec![back]));
     assert!(sent_to_viewer(&out, &ended(1, 41)) && !sent_to_viewer(&out, &ended(2, 41)), "{out:?}");
     assert!(!out.contains(&Effect::CloseLink(fresh)), "it leads to the new process");
     let now = view(&front, 1);
     assert!(now.warmth < 0.5 && !now.barred && now.sessions == 1, "{now:?}");
-    // Told again it changes nothing.
+    // The same list again changes nothing.
     assert!(front.handle(Input::NodeList(vec![back])).is_empty());
     assert_eq!(front.core.playing_sessions(), 1);
 }
 
-/// It may also be gone from the list in between, and come back at another address: two lives of one id.
+/// The id may also leave the list and return at another address: two incarnations of one id.
 #[test]
 fn what_befalls_an_older_life_of_an_id_is_not_held_against_the_one_that_is_there_now() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
@@ -227,7 +238,7 @@
     front.handle(Input::NodeList(vec![moved]));
     front.advance(10 * MS);
     assert!(!view(&front, 1).barred);
-    // The old process dies, with a session and an attempt; a report comes late.
+    // The old process dies with a session and an attempt, and a report of it comes late.
     let report = vec![9.0, 9.0];
     let used = view(&front, 1).link_use;
     front.handle(Input::NodeMessage(old, FromNode::SessionEnded(SessionId(1), Outcome::Broken, report)));
@@ -236,14 +247,14 @@
     assert!(front.out.contains(&Effect::SendToViewer(ConnId(1), failed(2))), "{out:?}");
     let now = view(&front, 1);
     assert!(!now.barred && now.sessions == 0 && now.link_use <= used + 0.1, "{now:?}");
-    // It serves.
+    // The new incarnation serves requests.
     let (link, at) = first_dial(&front.handle(Input::SetUp(ConnId(1), request(3, 0)))).expect("a dial");
     assert_eq!(at, moved.address.into());
     assert_eq!(first_set_up(&front.handle(Input::LinkUp(link))), Some((link, SessionId(3))));
 }
 
-/// A node that hangs keeps its connections open and says nothing: set-ups there end at their time, once; sessions stand,
-/// since it may only stall; and it does not gather connections.
+/// A hanging node keeps its connections open and is silent. Set-ups there fail at their deadline, once;
+/// sessions stay, since the node may only stall; and connections to it do not pile up.
 #[test]
 fn a_node_that_hangs_with_its_connections_open_costs_its_own_requests_and_few_connections() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
@@ -254,7 +265,7 @@
         let mut out = front.handle(Input::SetUp(ConnId(1), request(id, 1)));
         let mut answers = 0;
         while front.now < asked + 3 * S + 100 * MS {
-            // The system takes connections for it.
+            // The operating system of the node accepts connections.
             let links: Vec<_> =
                 out.iter().filter_map(|e| if let Effect::Dial(l, _) = e { Some(*l) } else { None }).collect();
             dials += links.len();
@@ -266,10 +277,10 @@
         answers += usize::from(sent_to_viewer(&out, &failed(id)));
         assert_eq!(answers, 1, "request {id}");
     }
-    assert_eq!(front.core.playing_sessions(), 1, "a process that stalls may go on");
+    assert_eq!(front.core.playing_sessions(), 1, "a stalled process may go on");
     assert!(dials <= 20 + 14, "{dials} connections in a minute");
     assert!(front.core.links.len() <= 8, "{} connections are held", front.core.links.len());
-    // It was there all the time.
+    // The node was alive all the time.
     let open: Vec<_> = front.core.links.keys().copied().collect();
     let on = if open.contains(&link) { link } else { open[0] };
     assert!(sent_to_viewer(
@@ -281,8 +292,8 @@
     ));
 }
 
-/// The change log is down or silent: no input comes. What dies meanwhile is found by its own signs, and the list that
-/// comes late changes only what it tells.
+/// The change log is down or silent. Nodes that die meanwhile are detected without it, and the late list ends
+/// no session of a living node.
 #[test]
 fn without_a_list_for_eight_seconds_deaths_are_found_by_their_signs_and_the_late_list_ends_nothing_that_lives()
  {
@@ -317,7 +328,7 @@
             out.extend(front.handle(end));
         }
         out.extend(front.advance(20 * MS));
-        // The others go on telling of themselves.
+        // The other nodes keep sending messages.
         let each_second = front.now % S < 20 * MS;
         let ups = front.core.links.iter().filter(|(_, l)| each_second && l.is_up()).map(|(id, _)| *id);
         for l in ups.collect::<Vec<_>>() {
@@ -333,13 +344,14 @@
     assert_eq!(front.core.playing_sessions(), 3 - there);
 }
 
-/// A connection to a node that has left the list is not kept for its idle time once nothing stands there.
+/// A connection to a node that has left the list is closed as soon as no session plays there, instead of
+/// after its idle time.
 #[test]
 fn an_idle_connection_to_a_node_that_left_the_list_is_closed_at_once() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
     let (link, _) = front.playing(1);
     front.handle(Input::NodeList(Vec::new()));
-    assert_eq!(front.core.links.len(), 1, "its session may still be told of");
+    assert_eq!(front.core.links.len(), 1, "the end of its session may still be reported");
     front.handle(Input::NodeMessage(link, FromNode::SessionEnded(SessionId(1), Outcome::Served, Vec::new())));
     let out = front.advance(250 * MS);
     assert!(out.contains(&Effect::CloseLink(link)), "{out:?}");
@@ -347,7 +359,7 @@
     assert!(front.core.links.is_empty() && front.core.incarnations.is_empty());
 }
 
-/// A refusal of the process that had an id before tells nothing of the one that has it now.
+/// A report of an older process of an id tells nothing about the current one.
 #[test]
 fn a_report_of_an_older_life_of_an_id_is_passed_over() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
--- a/crates/platform/src/core/tests/watch.rs
+++ b/crates/platform/src/core/tests/watch.rs
@@ -1,37 +1,39 @@
-//! The watch over nodes with standing sessions, against a scripted node: what it costs, and both of its errors by kind
-//! of fault. `cargo test -p pepperhook-platform watch -- --nocapture` prints the table of `docs/platform.md`.
+//! The liveness checks of nodes with playing sessions, against a scripted node: their cost, and false
+//! positives and detection times by kind of fault. `cargo test -p pepperhook-platform watch -- --nocapture`
+//! prints the table of `docs/platform.md`.
 
 use super::*;
 
-/// Way to the node, or back.
+/// Time of a message to the node, or back.
 const ONE_WAY: Time = 2 * MS;
-/// A dial to a machine that says nothing is given up after this (the settings of these tests).
+/// Timeout of a dial to a silent machine, as in the settings of these tests.
 const DIAL_TIMEOUT: Time = 250 * MS;
 
-/// What befalls the node.
+/// The fault of the node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     Nothing,
     /// The process dies: connections are reset, dials refused.
     Reset,
-    /// The machine vanishes: open connections stay quiet, dials run out.
+    /// The machine vanishes: open connections are silent, dials time out.
     Silence,
-    /// The process stands still: the system goes on taking connections, nothing is read or ended.
+    /// The process stalls for this time: the operating system still accepts connections, nothing is read or
+    /// closed.
     Stall(Time),
-    /// It takes no new connection; those that are open go on.
+    /// The process accepts no new connection; open ones go on.
     Deaf,
-    /// Nothing passes for so long, then all goes on.
+    /// The network drops everything for this time, then all goes on.
     CutOff(Time),
 }
 
-/// A node with one session, and the front's core before it.
+/// A node with one session, and the core of the front.
 struct WatchScenario {
     front: Harness,
     fault: Fault,
     began: Time,
     links: Vec<LinkId>,
-    /// Shut by the front, not yet ended by the node.
-    shut: Vec<LinkId>,
+    /// Half-closed by the front, not yet closed by the node.
+    half_closed: Vec<LinkId>,
     due: Vec<(Time, Input)>,
     dials: usize,
     load_queries: usize,
@@ -41,12 +43,12 @@
     fn new(seed: u64) -> Self {
         let mut front = Harness::with_three_nodes();
         front.core.probing = true;
-        // Another draw of the moments at which it looks.
+        // Varies the draw of the times at which the node is checked.
         front.core.next_number = seed << 20;
         let (link, _) = front.playing(1);
         let (began, links) = (front.now, vec![link]);
-        let (shut, due) = (Vec::new(), Vec::new());
-        Self { front, fault: Fault::Nothing, began, links, shut, due, dials: 0, load_queries: 0 }
+        let (half_closed, due) = (Vec::new(), Vec::new());
+        Self { front, fault: Fault::Nothing, began, links, half_closed, due, dials: 0, load_queries: 0 }
     }
 
     fn responds(&self) -> bool {
@@ -66,7 +68,7 @@
         if fault == Fault::Reset {
             let links = std::mem::take(&mut self.links);
             self.due.extend(links.into_iter().map(|l| (self.began + ONE_WAY, Input::LinkDown(l))));
-            self.shut.clear();
+            self.half_closed.clear();
         }
     }
 
@@ -85,10 +87,10 @@
                         (now + DIAL_TIMEOUT, Input::DialFailed(link, DialEnd::TimedOut))
                     });
                 }
-                Effect::HalfCloseLink(link) => self.shut.push(link),
+                Effect::HalfCloseLink(link) => self.half_closed.push(link),
                 Effect::CloseLink(link) => {
                     self.links.retain(|l| *l != link);
-                    self.shut.retain(|l| *l != link);
+                    self.half_closed.retain(|l| *l != link);
                 }
                 Effect::SendToNode(link, ToNode::QueryLoad(id)) => {
                     self.load_queries += 1;
@@ -103,14 +105,14 @@
             }
         }
         if self.responds() {
-            for link in std::mem::take(&mut self.shut) {
+            for link in std::mem::take(&mut self.half_closed) {
                 self.links.retain(|l| *l != link);
                 self.due.push((now + 2 * ONE_WAY, Input::LinkEndedByNode(link)));
             }
         }
     }
 
-    /// Lets time pass in small steps; true as long as the session stands.
+    /// Lets time pass in small steps; returns whether the session still plays.
     fn advance(&mut self, time: Time) -> bool {
         let end = self.front.now + time;
         while self.front.now < end {
@@ -130,7 +132,8 @@
     }
 }
 
-/// Over many moments at which a fault begins: how often the node was held to be dead, and the longest time to it.
+/// For many moments at which the fault begins: how often the node was found dead, the number of runs, and the
+/// longest time to detection.
 fn detections(fault: Fault) -> (usize, usize, Time) {
     let (mut dead, mut slowest, runs) = (0, 0, 40);
     for seed in 1..=runs {
@@ -151,7 +154,7 @@
 fn a_quiet_node_that_lives_costs_a_connection_in_about_ten_seconds_and_no_question() {
     let mut scenario = WatchScenario::new(3);
     assert!(scenario.advance(120 * S));
-    // Two signs of life each, so that one connection does for about two times five seconds.
+    // Each connection gives two signs of life, so one lasts for about two intervals of five seconds.
     assert!((8..=15).contains(&scenario.dials), "{} dials in two minutes", scenario.dials);
     assert_eq!(scenario.load_queries, 0);
 }
@@ -170,18 +173,15 @@
     ];
     for fault in faults {
         let (dead, runs, slowest) = detections(fault);
-        println!(
-            "{fault:?}: held to be dead in {dead} of {runs}, at most {} ms after it began",
-            slowest / MS
-        );
+        println!("{fault:?}: found dead in {dead} of {runs}, at most {} ms after it began", slowest / MS);
         match fault {
             Fault::Reset => assert!(dead == runs && slowest < S),
-            // The rule: told within 8 s of the end.
+            // The protocol's rule: the viewer is notified within 8 s of the end.
             Fault::Silence => assert!(dead == runs && slowest < 8 * S),
             Fault::CutOff(d) if d < 2 * S => assert_eq!(dead, 0),
-            // Whoever is out of reach for that long cannot be told from one that vanished.
+            // A node out of reach for that long cannot be told from one that has vanished.
             Fault::CutOff(_) => assert!(dead < runs),
-            _ => assert_eq!(dead, 0, "a living node was held to be dead"),
+            _ => assert_eq!(dead, 0, "a living node was found dead"),
         }
     }
 }
@@ -190,7 +190,7 @@
 fn a_set_up_goes_over_a_connection_that_carried_one_rather_than_a_newer_one() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
     let (link, _) = front.playing(1);
-    let (newer, _) = first_dial(&front.advance(6 * S)).expect("a quiet node is dialled");
+    let (newer, _) = first_dial(&front.advance(6 * S)).expect("a silent node is dialled");
     front.handle(Input::LinkUp(newer));
     let out = front.handle(Input::SetUp(ConnId(1), request(2, 0)));
     assert_eq!(first_set_up(&out), Some((link, SessionId(2))));
@@ -201,12 +201,12 @@
     for reset in [false, true] {
         let mut front = Harness::new(&[node(1, State::Ready)]);
         front.playing(1);
-        let (newer, _) = first_dial(&front.advance(6 * S)).expect("a quiet node is dialled");
+        let (newer, _) = first_dial(&front.advance(6 * S)).expect("a silent node is dialled");
         front.handle(Input::LinkUp(newer));
         let shut = |e: &Effect| if let Effect::HalfCloseLink(link) = e { Some(*link) } else { None };
         let link = (0..60)
             .find_map(|_| front.advance(100 * MS).iter().find_map(shut))
-            .expect("the older one is shut");
+            .expect("the older one is half-closed");
         let out = front.handle(if reset { Input::LinkDown(link) } else { Input::LinkEndedByNode(link) });
         assert_eq!(first_dial(&out).is_some(), reset);
         assert_eq!(front.core.playing_sessions(), 1);
