--- a/crates/platform/src/core/tests.rs
+++ b/crates/platform/src/core/tests.rs
@@ -3,11 +3,11 @@
 
 mod checker;
 mod churn;
-mod customers;
-mod handed;
+mod handover;
 mod histories;
 mod leaving;
 mod lists;
+mod random_settings;
 mod watch;
 
 use super::*;
