--- a/crates/platform/src/core/tests.rs
+++ b/crates/platform/src/core/tests.rs
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_second_copy_of_an_answer_and_one_under_an_unknown_id_harm_nothing() {
+fn a_repeated_answer_and_one_for_an_unknown_session_are_ignored() {
     let mut front = Harness::with_three_nodes();
     let (link, _) = front.playing(1);
     assert!(front.handle(Input::NodeMessage(link, session_started(1))).is_empty());
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn what_never_ran_is_sent_again_and_a_paid_set_up_that_broke_fails() {
+fn a_set_up_that_never_ran_is_retried_and_an_at_most_once_set_up_that_broke_fails() {
     let mut front = Harness::with_three_nodes();
     let out = front.handle(Input::SetUp(ConnId(1), request(1, 1)));
     let (link, first) = first_dial(&out).expect("a dial");
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn an_answer_that_crosses_the_give_up_is_cut_and_reaches_no_viewer() {
+fn an_answer_that_crosses_the_cancellation_is_released_and_reaches_no_viewer() {
     let mut front = Harness::with_three_nodes();
     let (link, _) = front.set_up_sent(1, 0);
     let out = front.handle(Input::Release(ConnId(1), SessionId(1)));
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_further_attempt_waits_until_the_node_has_heard_of_the_give_up() {
+fn a_retry_waits_until_the_node_acknowledges_the_cancellation() {
     let mut front = Harness::with_three_nodes();
     let (link, _) = front.set_up_sent(1, 0);
     let out = front.advance(400 * MS);
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn each_request_has_its_answer_at_its_deadline_whatever_nodes_do() {
+fn each_request_is_answered_at_its_deadline_whatever_nodes_do() {
     let mut front = Harness::with_three_nodes();
     front.set_up_sent(1, 1);
     let out = front.advance(3 * S - MS);
@@ -285,7 +285,7 @@
 /// Guards against sessions of a dead node that never end: a connection that seems to be up kept the node
 /// alive while dials were refused.
 #[test]
-fn a_connection_that_only_seems_to_be_up_does_not_speak_for_a_dead_node() {
+fn a_connection_that_only_seems_to_be_up_does_not_keep_a_dead_node_alive() {
     let mut front = Harness::with_three_nodes();
     let (link, _) = front.playing(1);
     let out = front.advance(6 * S);
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn a_machine_that_vanished_is_found_in_time_and_one_that_stalls_keeps_its_sessions() {
+fn a_vanished_machine_is_detected_in_time_and_a_stalled_one_keeps_its_sessions() {
     for vanished in [true, false] {
         let mut front = Harness::with_three_nodes();
         front.playing(1);
@@ -330,7 +330,7 @@
 }
 
 #[test]
-fn a_node_that_is_listed_no_more_is_asked_and_its_sessions_end_if_it_says_nothing() {
+fn an_unlisted_node_is_queried_and_its_sessions_end_if_it_does_not_answer() {
     for answers in [true, false] {
         let mut front = Harness::with_three_nodes();
         front.core.probing = true;
@@ -354,7 +354,7 @@
 /// A load query that serves as a sign of life is a probe as well, so none may be sent where the settings
 /// forbid probes.
 #[test]
-fn where_probes_are_forbidden_no_node_is_asked_for_a_sign() {
+fn where_probes_are_forbidden_no_node_is_queried() {
     let asked = |out: &[Effect]| out.iter().any(|e| matches!(e, Effect::SendToNode(_, ToNode::QueryLoad(_))));
     let mut front = Harness::with_three_nodes();
     let (link, address) = front.playing(1);
@@ -400,7 +400,7 @@
 
 /// 16,384 playing sessions with descriptions of 16 KiB each would exceed the memory of a front.
 #[test]
-fn a_session_that_stands_keeps_no_description() {
+fn a_playing_session_keeps_no_description() {
     let mut front = Harness::with_three_nodes();
     front.playing(1);
     front.handle(Input::SetUp(ConnId(1), SetUpRequest { playing_at: Some(ServerId(2)), ..request(2, 0) }));
@@ -410,7 +410,7 @@
 }
 
 #[test]
-fn a_moved_session_is_left_to_its_node_and_cut_there_if_nothing_comes() {
+fn a_moved_session_is_released_if_its_node_does_not_report_the_end() {
     for heard in [true, false] {
         let mut front = Harness::with_three_nodes();
         let (link, _) = front.playing(1);
@@ -434,7 +434,7 @@
 }
 
 #[test]
-fn nothing_of_an_old_life_counts_for_a_node_at_its_address() {
+fn messages_of_an_old_incarnation_do_not_count_for_a_node_at_its_address() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
     let (link, address) = front.playing(1);
     front.advance(10 * MS);
@@ -454,7 +454,7 @@
 }
 
 #[test]
-fn a_node_that_started_anew_ends_what_is_older_than_its_start() {
+fn a_restarted_node_ends_sessions_older_than_its_start() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
     front.playing(1);
     front.advance(S);
@@ -465,7 +465,7 @@
 }
 
 #[test]
-fn sessions_of_a_start_are_taken_in_unanswered_and_once() {
+fn sessions_handed_over_at_the_start_are_adopted_once_without_an_answer() {
     let mut front = Harness::with_three_nodes();
     let at = SetUpRequest { playing_at: Some(ServerId(2)), ..request(1, 0) };
     let out = front.handle(Input::SetUp(ConnId(1), at.clone()));
@@ -486,7 +486,7 @@
 }
 
 #[test]
-fn a_second_request_under_one_id_spoils_only_its_own_connection() {
+fn a_duplicate_request_affects_only_its_own_connection() {
     let mut front = Harness::with_three_nodes();
     front.handle(Input::ViewerConnected(ConnId(2), VIEWER_ADDRESS));
     front.set_up_sent(1, 0);
@@ -505,7 +505,7 @@
 }
 
 #[test]
-fn an_end_is_told_on_another_connection_of_the_viewers_side_or_as_soon_as_one_comes() {
+fn an_end_is_reported_on_another_connection_from_the_viewers_address_or_as_soon_as_one_comes() {
     let mut front = Harness::with_three_nodes();
     let (link, _) = front.playing(1);
     front.handle(Input::ViewerDisconnected(ConnId(1)));
@@ -528,7 +528,7 @@
 }
 
 #[test]
-fn a_crowd_of_silent_connections_gives_way_and_one_with_work_does_not() {
+fn silent_connections_can_be_evicted_and_those_with_work_cannot() {
     let mut front = Harness::with_three_nodes();
     front.playing(1);
     (2..5).for_each(|c| drop(front.handle(Input::ViewerConnected(ConnId(c), VIEWER_ADDRESS))));
@@ -554,7 +554,7 @@
 }
 
 #[test]
-fn a_question_whose_connection_broke_is_asked_once_more() {
+fn a_load_query_whose_connection_broke_is_repeated_once() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
     let mut out = Vec::new();
     front.core.probe(front.now, ServerId(1), &mut out);
@@ -576,7 +576,7 @@
 /// A load query that broke off at a node which had just left the list was repeated at its address, which
 /// belonged to another node by then.
 #[test]
-fn a_node_that_is_listed_no_more_is_dialled_for_nothing() {
+fn an_unlisted_node_is_never_dialled() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
     let (link, _) = front.playing(1);
     let mut out = Vec::new();
@@ -589,7 +589,7 @@
 }
 
 #[test]
-fn maps_are_empty_again_after_many_short_lives() {
+fn maps_are_empty_again_after_many_short_incarnations() {
     let mut front = Harness::new(&[]);
     for round in 0..200u32 {
         let n = Entry { id: 100 + round, ..node(round % 3, State::Ready) };
--- a/crates/platform/src/core/tests/churn.rs
+++ b/crates/platform/src/core/tests/churn.rs
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn no_memory_connection_or_belief_outlives_the_lives_of_hundreds_of_nodes() {
+fn state_returns_to_its_initial_size_after_churn_of_hundreds_of_nodes() {
     for seed in [1, 2, 3] {
         let first: Vec<_> = (1..11).map(|id| node(id, State::Ready)).collect();
         let front = Harness::new(&first);
--- a/crates/platform/src/core/tests/handover.rs
+++ b/crates/platform/src/core/tests/handover.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_handed_session_gets_no_answer_its_releases_pass_and_its_viewers_release_reaches_the_node() {
+fn a_handed_over_session_gets_no_answer_and_releases_pass_both_ways() {
     let mut front = Harness::with_three_nodes();
     for id in 1..4 {
         let out = front.handle(Input::SetUp(ConnId(1), handed_over(id, 2)));
@@ -43,7 +43,7 @@
 /// A node reports ends that were not received on the next connection that comes up. The new process may open
 /// that connection for one session before it is handed the other one.
 #[test]
-fn an_end_that_a_node_told_before_its_session_was_handed_over_is_told_to_its_viewer() {
+fn an_end_reported_before_the_hand_over_of_its_session_reaches_its_viewer() {
     let mut front = Harness::with_three_nodes();
     let (link, _) = first_dial(&front.handle(Input::SetUp(ConnId(1), handed_over(1, 2)))).expect("a dial");
     front.handle(Input::LinkUp(link));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_session_handed_over_with_a_node_that_is_not_listed_yet_waits_for_the_list() {
+fn a_session_handed_over_with_an_unlisted_node_waits_for_the_list() {
     let mut front = Harness::with_three_nodes();
     assert!(front.handle(Input::SetUp(ConnId(1), handed_over(1, 9))).is_empty());
     assert!(front.handle(Input::SetUp(ConnId(1), handed_over(1, 9))).is_empty(), "handed over twice");
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn an_end_that_was_told_is_told_again_to_who_hands_the_session_over_all_the_same() {
+fn an_end_is_reported_again_if_the_session_is_handed_over_nevertheless() {
     let mut front = Harness::with_three_nodes();
     let (link, _) = front.playing(1);
     front.handle(Input::NodeMessage(link, session_ended(1, Outcome::Served)));
@@ -109,7 +109,7 @@
 /// The list of a restarted front may be older than a restart of a node, and so may the sessions handed over
 /// for that node.
 #[test]
-fn a_start_told_after_the_hand_over_ends_what_was_handed_over() {
+fn a_restart_listed_after_the_hand_over_ends_the_sessions_handed_over() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
     let began = front.now / MS - 500;
     let (link, _) = first_dial(&front.handle(Input::SetUp(ConnId(1), handed_over(1, 1)))).expect("a dial");
@@ -129,7 +129,7 @@
 
 /// A session is handed over with a node that was found dead: this is checked again.
 #[test]
-fn a_session_handed_over_at_a_node_held_to_be_dead_ends_within_its_time() {
+fn a_session_handed_over_with_a_dead_node_ends_in_time() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
     let (link, _) = front.playing(1);
     let mut out = front.handle(Input::LinkDown(link));
@@ -157,7 +157,7 @@
 /// Shortly before its end a front accepts no request that it might not answer in time, and answers every open
 /// one.
 #[test]
-fn a_front_that_ends_refuses_what_comes_late_and_answers_what_is_open() {
+fn a_stopping_front_refuses_late_requests_and_answers_open_ones() {
     let mut front = Harness::with_three_nodes();
     let (link, _) = front.set_up_sent(1, 1);
     front.handle(Input::SetUp(ConnId(1), request(2, 0)));
--- a/crates/platform/src/core/tests/histories.rs
+++ b/crates/platform/src/core/tests/histories.rs
@@ -273,7 +273,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
     #[test]
-    fn no_history_breaks_an_account(
+    fn no_history_breaks_a_rule(
         steps in prop::collection::vec((any::<u8>(), 0usize..64, 0u64..400), 1..120)
     ) {
         let mut checked = CheckedHarness::new();
@@ -307,7 +307,7 @@
 }
 
 #[test]
-fn the_checker_sees_violations_that_are_planted() {
+fn the_checker_finds_planted_violations() {
     let failed = Effect::SendToViewer(ConnId(1), ToViewer::Failed(SessionId(1)));
     let served =
         Effect::SendToViewer(ConnId(1), ToViewer::Started(SessionId(1), Bytes::from_static(b"made up")));
@@ -375,7 +375,7 @@
 }
 
 #[test]
-fn the_checker_sees_terms_that_are_broken() {
+fn the_checker_finds_exceeded_limits() {
     let set_up = |rung| {
         let body = Bytes::new();
         Effect::SendToNode(
--- a/crates/platform/src/core/tests/leaving.rs
+++ b/crates/platform/src/core/tests/leaving.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_further_attempt_is_sent_to_who_waits_and_none_to_who_is_found_to_have_left() {
+fn a_retry_is_sent_for_a_waiting_viewer_and_not_for_one_that_has_left() {
     let (front, out) = between_attempts(false);
     assert!(first_set_up(&out).is_some(), "a waiting viewer gets another attempt: {out:?}");
     assert_eq!(set_ups(&front), 2);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn whoever_closes_its_side_has_left_and_hears_the_end_of_each_request_once() {
+fn a_viewer_that_closes_its_side_has_left_and_each_of_its_requests_is_answered_once() {
     let mut front = Harness::with_three_nodes();
     let (link, _) = front.set_up_sent(1, 1);
     let second = front.handle(Input::SetUp(ConnId(1), request(2, 0)));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn what_comes_behind_the_end_of_a_connection_is_refused_and_what_ends_or_hands_over_is_heard() {
+fn after_a_half_close_requests_are_refused_and_releases_and_hand_overs_are_handled() {
     let mut front = Harness::with_three_nodes();
     let (link, _) = front.playing(1);
     front.handle(Input::ViewerHalfClosed(ConnId(1)));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn the_end_of_a_session_is_not_told_on_a_connection_that_its_viewer_has_closed() {
+fn the_end_of_a_session_is_not_reported_on_a_connection_that_its_viewer_has_closed() {
     let mut front = Harness::with_three_nodes();
     let (link, _) = front.playing(1);
     front.handle(Input::ViewerConnected(ConnId(2), VIEWER_ADDRESS));
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn an_offered_set_up_crosses_the_end_of_its_connection_its_node_and_its_time_unsent() {
+fn a_set_up_under_check_is_not_sent_after_its_connection_node_or_deadline_has_gone() {
     type Cross = fn(LinkId) -> Input;
     let crossings: [Cross; 4] = [
         Input::LinkDown,
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_set_up_whose_connection_takes_no_bytes_goes_over_another_one_though_paid() {
+fn an_at_most_once_set_up_on_a_blocked_connection_goes_over_another_one() {
     let (mut front, link) = offered();
     let out = front.handle(Input::LinkBlocked(SessionId(1)));
     let (next, _) = first_dial(&out).expect("another connection to the node");
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_node_whose_connections_all_take_no_bytes_costs_a_few_of_them_and_what_never_ran_is_refused() {
+fn a_node_with_blocked_connections_costs_few_dials_and_the_set_up_is_refused() {
     let (mut front, _) = offered();
     front.departed.insert(SessionId(1));
     let mut dials = 0;
--- a/crates/platform/src/core/tests/lists.rs
+++ b/crates/platform/src/core/tests/lists.rs
@@ -25,7 +25,7 @@
 
 /// A dial to a node that leaves the list meanwhile may reach another node at its address.
 #[test]
-fn a_dial_under_way_to_a_node_that_leaves_the_list_is_taken_back() {
+fn a_dial_in_progress_to_a_node_that_leaves_the_list_is_abandoned() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
     let (old, _) = front.playing(1);
     let (late, _) = first_dial(&front.advance(6 * S)).expect("a silent node is dialled");
@@ -59,7 +59,7 @@
 /// The list is late: a node has died, another one has taken its address, and the front has dialled it as the
 /// old one. Messages of the new node must not keep the sessions of the old one alive.
 #[test]
-fn a_connection_that_leads_to_the_newcomer_at_an_address_does_not_speak_for_the_old_node() {
+fn a_connection_that_reaches_the_new_node_at_an_address_does_not_count_for_the_old_one() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
     let (link, _) = front.playing(1);
     front.advance(S);
@@ -88,7 +88,7 @@
 /// The old node's connection stays open and silent: it is queried, and the new node's own connection does not
 /// count for it.
 #[test]
-fn an_old_connection_that_stays_open_and_quiet_ends_with_its_sessions_whatever_the_newcomer_says() {
+fn an_old_connection_that_stays_silent_ends_with_its_sessions_whatever_the_new_node_sends() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
     front.core.probing = true;
     let (old, _) = front.playing(1);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn an_attempt_that_is_out_to_a_removed_node_is_left_to_its_end_and_nothing_more_goes_there() {
+fn an_attempt_in_flight_to_a_removed_node_runs_to_its_end_and_nothing_more_goes_there() {
     for ending in 0..3 {
         let mut front = Harness::with_three_nodes();
         let (link, address) = front.set_up_sent(1, 1);
@@ -155,7 +155,7 @@
 /// Once the list says that a node drains or is gone, nothing new is sent there, although the protocol would
 /// allow a grace period.
 #[test]
-fn nothing_new_goes_to_a_node_after_it_was_told_to_drain_or_to_be_gone() {
+fn nothing_new_goes_to_a_node_listed_as_draining_or_gone() {
     for gone in [false, true] {
         let mut front = Harness::with_three_nodes();
         let (up, address) = front.set_up_sent(1, 0);
@@ -200,7 +200,7 @@
 
 /// A node id returns with a later start: older sessions have ended, newer ones play on, and the node is cold.
 #[test]
-fn an_id_that_comes_back_with_a_later_start_is_cold_and_keeps_only_what_is_newer() {
+fn a_restarted_id_is_cold_and_keeps_only_newer_sessions() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
     let (old, _) = front.playing(1);
     front.advance(S);
@@ -228,7 +228,7 @@
 
 /// The id may also leave the list and return at another address: two incarnations of one id.
 #[test]
-fn what_befalls_an_older_life_of_an_id_is_not_held_against_the_one_that_is_there_now() {
+fn failures_of_an_older_incarnation_do_not_count_for_the_current_one() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
     let (old, _) = front.set_up_sent(1, 0);
     let (out_there, _) = front.set_up_sent(2, 1);
@@ -256,7 +256,7 @@
 /// A hanging node keeps its connections open and is silent. Set-ups there fail at their deadline, once;
 /// sessions stay, since the node may only stall; and connections to it do not pile up.
 #[test]
-fn a_node_that_hangs_with_its_connections_open_costs_its_own_requests_and_few_connections() {
+fn a_hanging_node_costs_its_own_requests_and_few_connections() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
     let (link, _) = front.playing(1);
     let mut dials = 0;
@@ -295,8 +295,7 @@
 /// The change log is down or silent. Nodes that die meanwhile are detected without it, and the late list ends
 /// no session of a living node.
 #[test]
-fn without_a_list_for_eight_seconds_deaths_are_found_by_their_signs_and_the_late_list_ends_nothing_that_lives()
- {
+fn without_a_list_for_eight_seconds_deaths_are_detected_and_the_late_list_ends_no_living_session() {
     let mut front = Harness::with_three_nodes();
     let (link, dead) = front.playing(1);
     let mut id = 2;
@@ -361,7 +360,7 @@
 
 /// A report of an older process of an id tells nothing about the current one.
 #[test]
-fn a_report_of_an_older_life_of_an_id_is_passed_over() {
+fn a_report_of_an_older_incarnation_is_ignored() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
     let (old, _) = front.set_up_sent(1, 0);
     front.advance(100 * MS);
--- a/crates/platform/src/core/tests/random_settings.rs
+++ b/crates/platform/src/core/tests/random_settings.rs
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn no_customers_settings_break_an_account() {
+fn no_settings_break_a_rule() {
     let config = Config { failure_persistence: None, ..Config::with_cases(700) };
     let mut runner = TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
     let steps = prop::collection::vec((any::<u8>(), 0usize..64, 0u64..300), 1..120);
@@ -154,7 +154,7 @@
 
 /// Guards against all requests being counted for the first tenant, whichever tenant they name.
 #[test]
-fn a_wish_counts_for_the_tenant_that_its_set_up_names() {
+fn a_request_counts_for_the_tenant_that_its_set_up_names() {
     let mut v = settings();
     let tenant = |v: &Value, name: Option<&str>| {
         let sockets = pepperhook_parameters::sockets(v).expect("settings");
--- a/crates/platform/src/core/tests/watch.rs
+++ b/crates/platform/src/core/tests/watch.rs
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_quiet_node_that_lives_costs_a_connection_in_about_ten_seconds_and_no_question() {
+fn a_silent_living_node_costs_a_connection_in_about_ten_seconds_and_no_load_query() {
     let mut scenario = WatchScenario::new(3);
     assert!(scenario.advance(120 * S));
     // Each connection gives two signs of life, so one lasts for about two intervals of five seconds.
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn both_errors_of_the_watch_by_kind_of_fault() {
+fn false_positives_and_detection_times_by_kind_of_fault() {
     let faults = [
         Fault::Reset,
         Fault::Silence,
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn a_set_up_goes_over_a_connection_that_carried_one_rather_than_a_newer_one() {
+fn a_set_up_prefers_a_connection_that_carried_one_to_a_newer_one() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
     let (link, _) = front.playing(1);
     let (newer, _) = first_dial(&front.advance(6 * S)).expect("a silent node is dialled");
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn the_end_of_a_connection_that_was_shut_here_raises_no_doubt_and_a_reset_does() {
+fn closing_a_half_closed_connection_raises_no_suspicion_and_a_reset_does() {
     for reset in [false, true] {
         let mut front = Harness::new(&[node(1, State::Ready)]);
         front.playing(1);
