--- a/crates/platform/src/core/links.rs
+++ b/crates/platform/src/core/links.rs
@@ -260,7 +260,7 @@
         if let Some(link) = self.links.get_mut(&probe.link) {
             link.probes.remove(&id);
         }
-        // A report of an older incarnation tells nothing about the current one.
+        // A report of an older incarnation is no evidence about the current one.
         let report = if self.is_current(probe.incarnation) { report } else { Some(Vec::new()) };
         self.pending.push_back(Event::Probed(probe.server, report));
         Some(probe)
@@ -314,7 +314,7 @@
                     continue;
                 }
             }
-            // A dial that failed for a local reason tells nothing about the node.
+            // A dial that failed for a local reason is no evidence about the node.
             let outcome = if dial_end == DialEnd::Failed { Outcome::Unsent } else { Outcome::ConnectFailed };
             self.attempt_ended(id, outcome, Vec::new());
         }
--- a/crates/platform/src/core/liveness.rs
+++ b/crates/platform/src/core/liveness.rs
@@ -536,13 +536,13 @@
     }
 
     pub(super) fn sweep_incarnations(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let shut = |node: &Incarnation| {
+        let has_half_closed_link = |node: &Incarnation| {
             node.links.iter().any(|id| self.links.get(id).is_some_and(Link::is_half_closed))
         };
         let quiet = |id: &IncarnationId, node: &Incarnation| {
-            let asked = node.suspicion.is_some() || shut(node);
+            let is_checked = node.suspicion.is_some() || has_half_closed_link(node);
             node.links.is_empty()
-                || (!asked && node.last_heard + self.quiet_limit(*id, node.last_heard) < now)
+                || (!is_checked && node.last_heard + self.quiet_limit(*id, node.last_heard) < now)
         };
         let watched = |node: &Incarnation| !node.retired && !node.dead && !node.playing.is_empty();
         let all = self.incarnations.iter().filter(|(id, node)| watched(node) && quiet(id, node));
--- a/crates/platform/src/core/requests.rs
+++ b/crates/platform/src/core/requests.rs
@@ -188,8 +188,8 @@
     #[must_use]
     pub fn evictable_viewers(&self) -> [Vec<ConnId>; 2] {
         let idle = self.conns.iter().filter(|(_, c)| c.is_evictable());
-        let (good, silent): (Vec<_>, Vec<_>) = idle.partition(|(_, c)| c.sent_valid_message);
-        [silent, good].map(|of| of.into_iter().map(|(id, _)| *id).collect())
+        let (active, silent): (Vec<_>, Vec<_>) = idle.partition(|(_, c)| c.sent_valid_message);
+        [silent, active].map(|of| of.into_iter().map(|(id, _)| *id).collect())
     }
 
     /// Closes a connection that may be evicted.
--- a/crates/platform/src/core/tests.rs
+++ b/crates/platform/src/core/tests.rs
@@ -355,7 +355,8 @@
 /// forbid probes.
 #[test]
 fn where_probes_are_forbidden_no_node_is_queried() {
-    let asked = |out: &[Effect]| out.iter().any(|e| matches!(e, Effect::SendToNode(_, ToNode::QueryLoad(_))));
+    let sent_queries =
+        |out: &[Effect]| out.iter().any(|e| matches!(e, Effect::SendToNode(_, ToNode::QueryLoad(_))));
     let mut front = Harness::with_three_nodes();
     let (link, address) = front.playing(1);
     let rest = [1, 2, 3].map(|id| node(id, State::Ready));
@@ -368,7 +369,7 @@
     front.advance(3 * S);
     assert_eq!(front.core.playing_sessions(), 1);
     front.advance(4 * S);
-    assert!(sent_to_viewer(&front.out, &ended(1, 41)) && !asked(&front.out));
+    assert!(sent_to_viewer(&front.out, &ended(1, 41)) && !sent_queries(&front.out));
 
     // A node at its connection limit refuses dials: its only idle connection is half-closed, and the node
     // closing it is a sign of life.
@@ -383,7 +384,7 @@
         .expect("the node has room for a connection again");
     front.handle(Input::LinkUp(dial));
     front.advance(S);
-    assert!(front.core.playing_sessions() == 1 && !asked(&front.out));
+    assert!(front.core.playing_sessions() == 1 && !sent_queries(&front.out));
 }
 
 /// Viewers' connections at their limit, those being closed, and connections to nodes together once exceeded a
@@ -411,13 +412,13 @@
 
 #[test]
 fn a_moved_session_is_released_if_its_node_does_not_report_the_end() {
-    for heard in [true, false] {
+    for reported in [true, false] {
         let mut front = Harness::with_three_nodes();
         let (link, _) = front.playing(1);
         let mut out = Vec::new();
         front.core.move_session(front.now, SessionId(1), &mut out);
         assert_eq!(out, [Effect::SendToViewer(ConnId(1), ToViewer::Move(SessionId(1), 7))]);
-        if heard {
+        if reported {
             let out = front.handle(Input::NodeMessage(
                 link,
                 FromNode::SessionEnded(SessionId(1), Outcome::Cancelled, Vec::new()),
@@ -425,10 +426,10 @@
             assert_eq!(out, [Effect::SendToNode(link, ToNode::Acknowledge(SessionId(1)))]);
         }
         let out = front.advance(500 * MS);
-        assert_eq!(sent_to_node(&out, &ToNode::Release(SessionId(1), 7, 31)), !heard);
+        assert_eq!(sent_to_node(&out, &ToNode::Release(SessionId(1), 7, 31)), !reported);
         // The node may have died before the move. The move does not report an end, so without this notice the
         // viewer would never learn of it.
-        assert_eq!(sent_to_viewer(&out, &ended(1, 31)), !heard);
+        assert_eq!(sent_to_viewer(&out, &ended(1, 31)), !reported);
         assert_eq!(front.core.playing_sessions(), 0);
     }
 }
--- a/crates/platform/src/core/tests/histories.rs
+++ b/crates/platform/src/core/tests/histories.rs
@@ -151,8 +151,8 @@
         while !self.departed_conns.is_empty() {
             self.report_departed(0);
         }
-        let standing: Vec<_> = self.front.core.sessions.keys().copied().collect();
-        standing.into_iter().for_each(|id| self.handle(Input::Release(ConnId(self.conn), id)));
+        let playing: Vec<_> = self.front.core.sessions.keys().copied().collect();
+        playing.into_iter().for_each(|id| self.handle(Input::Release(ConnId(self.conn), id)));
         self.advance(120 * S);
         self.verdict()?;
         let c = &self.front.core;
--- a/crates/platform/src/core/tests/lists.rs
+++ b/crates/platform/src/core/tests/lists.rs
@@ -261,10 +261,10 @@
     let (link, _) = front.playing(1);
     let mut dials = 0;
     for id in 10..30u64 {
-        let asked = front.now;
+        let requested_at = front.now;
         let mut out = front.handle(Input::SetUp(ConnId(1), request(id, 1)));
         let mut answers = 0;
-        while front.now < asked + 3 * S + 100 * MS {
+        while front.now < requested_at + 3 * S + 100 * MS {
             // The operating system of the node accepts connections.
             let links: Vec<_> =
                 out.iter().filter_map(|e| if let Effect::Dial(l, _) = e { Some(*l) } else { None }).collect();
@@ -358,7 +358,7 @@
     assert!(front.core.links.is_empty() && front.core.incarnations.is_empty());
 }
 
-/// A report of an older process of an id tells nothing about the current one.
+/// A report of an older process of an id is no evidence about the current one.
 #[test]
 fn a_report_of_an_older_incarnation_is_ignored() {
     let mut front = Harness::new(&[node(1, State::Ready)]);
