--- a/crates/platform/src/core/mod.rs
+++ b/crates/platform/src/core/mod.rs
@@ -1,20 +1,25 @@
-//! The core: one state machine around the decision module, without I/O.
+//! The core: a state machine around the decision module ([`Controller`]), without I/O.
 //!
-//! [`Input`]s go in with the time, [`Effect`]s come out. It decides nothing of placement, rungs, moves, repeats and
-//! refusals: that is the [`Controller`]'s. Its own are the accounts: one answer a request (`requests`), one attempt out
-//! at a time (`attempts`), connections to nodes (`links`), and what shows that a node lives (`lives`).
+//! The shell passes in [`Input`]s with the time and carries out the [`Effect`]s that come out. The controller
+//! decides placement, rungs, moves, retries and refusals. The core keeps the state that these decisions need:
+//!
+//! - `requests`: every request gets exactly one answer.
+//! - `attempts`: at most one attempt per request is in flight.
+//! - `playing`: playing sessions, their end, and sessions that are handed over after a restart.
+//! - `links`: connections to nodes.
+//! - `liveness`: evidence of which nodes are alive.
 
 mod attempts;
 mod links;
-mod lives;
+mod liveness;
+mod playing;
 mod requests;
-mod standing;
 #[cfg(test)]
 mod tests;
 mod types;
 
 use links::Link;
-use lives::Life;
+use liveness::Incarnation;
 use pepperhook::{Action, Controller, Event, ServerId, SessionId, Settings, SettingsError, Time};
 use pepperhook_net::Timers;
 use pepperhook_parameters::Sockets;
@@ -22,159 +27,173 @@
 use std::net::IpAddr;
 pub use types::*;
 
-/// One millisecond.
+/// One millisecond, in nanoseconds, the unit of [`Time`].
 const MS: Time = 1_000_000;
-/// Time between two looks at what grows old.
-const SWEEP: Time = 200 * MS;
-/// The core's own answer comes so long after the deadline at which the module gives its own.
-const BACKSTOP: Time = 2 * MS;
-/// Ids of requests and sessions that ended are remembered so long, so that what crosses their end is understood.
-const REMEMBERED: Time = 10_000 * MS;
-/// What is over must be told within so long of its end, where its node cannot say so (the protocol's rule on releases).
-const TOLD_WITHIN: Time = 8_000 * MS;
+/// Interval between two sweeps, which drop or renew state that has expired.
+const SWEEP_INTERVAL: Time = 200 * MS;
+/// Time after a request's deadline at which the core answers for the controller, which answers at the
+/// deadline.
+const FALLBACK_ANSWER_DELAY: Time = 2 * MS;
+/// Time for which the ids of ended requests and sessions are kept, to recognise messages that cross the end.
+const ENDED_RETENTION: Time = 10_000 * MS;
+/// Time after the end of a session within which its viewer must be notified if the node cannot do so (the
+/// protocol's rule on releases).
+const END_NOTICE_LIMIT: Time = 8_000 * MS;
 
-/// Descriptors of the process's own: standard streams, the runtime's poll, wake and signal ends, the listener, the change
-/// log with one connection that ends while the next comes up, and the configuration when it is read again.
-const OWN: usize = 16;
+/// Descriptors that the process itself needs: standard streams, the runtime's poll, wake and signal
+/// descriptors, the listener, the connection to the change log and its successor, and the configuration file
+/// when it is read again.
+const OWN_DESCRIPTORS: usize = 16;
 
-/// Bounds of what the core holds.
+/// Limits on the state of the core.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Requests without an answer.
-    pub open: usize,
-    /// Requests without an answer on one connection.
-    pub open_each: usize,
-    /// Requests and standing sessions together.
+    /// Open requests, that is, requests without an answer.
+    pub open_requests: usize,
+    /// Open requests on one connection.
+    pub open_requests_per_conn: usize,
+    /// Open requests and playing sessions together.
     pub sessions: usize,
     /// Connections of viewers.
     pub viewers: usize,
     /// Connections to nodes.
     pub links: usize,
-    /// Ended ids that are remembered.
-    pub remembered: usize,
+    /// Ended sessions that are remembered.
+    pub ended_sessions: usize,
 }
 
 impl Bounds {
-    /// Bounds that fit a limit on descriptors. After what the process needs for itself, viewers have half, an eighth
-    /// more while one gives way to another and a sixteenth for those being ended in order; nodes have two fifths. In
-    /// sum that is under the whole. The protocol's viewers hold a third.
+    /// Limits that fit into this number of file descriptors.
+    ///
+    /// Of the descriptors that the process does not need for itself, half are for viewers and two fifths for
+    /// nodes. Viewers need an eighth of their share more while one is evicted for another, and a sixteenth
+    /// for connections that are being closed. The sum stays below the total. The viewers that the protocol
+    /// expects take a third.
     #[must_use]
     pub fn for_descriptors(descriptors: usize) -> Self {
-        let left = descriptors.saturating_sub(OWN);
+        let available = descriptors.saturating_sub(OWN_DESCRIPTORS);
         Self {
-            open: 1_024,
-            open_each: 256,
+            open_requests: 1_024,
+            open_requests_per_conn: 256,
             sessions: 16_384,
-            viewers: (left / 2).max(1),
-            links: (left * 2 / 5).max(1),
-            remembered: 4_096,
+            viewers: (available / 2).max(1),
+            links: (available * 2 / 5).max(1),
+            ended_sessions: 4_096,
         }
     }
 }
 
-/// What is due at some time.
+/// A timer of the core. Of two timers of the same time, the one of the earlier variant runs first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Wake {
-    /// A timer of the module.
-    Module(u64),
-    /// The time of a session's attempt of this number is up.
-    AttemptTime(SessionId, u32),
-    /// The node was heard out long enough on a set-up that was given up.
-    AttemptClosed(SessionId, u32),
+    /// A timer of the controller, with its token.
+    Controller(u64),
+    /// The deadline of an attempt: session and attempt number.
+    AttemptTimeout(SessionId, u32),
+    /// The end of the grace period after a set-up was cancelled: session and attempt number.
+    CancelGrace(SessionId, u32),
     /// The last moment at which a request can be answered in time.
-    Backstop(SessionId),
-    /// A moved session should have ended at its node.
-    Moved(SessionId),
-    /// A question for load has no answer.
-    ProbeTime(ProbeId),
-    /// A node in doubt is dialled again.
-    Doubt(LifeId),
-    /// A connection that is being ended in order has waited long enough for its node.
-    Shut(LinkId),
-    /// A session that was handed over is still at no node that the list names.
-    Handed(SessionId),
-    /// A look at what grows old.
+    FallbackAnswer(SessionId),
+    /// The time by which a node should have ended a moved session.
+    MoveTimeout(SessionId),
+    /// The time by which a load query should have been answered.
+    ProbeTimeout(ProbeId),
+    /// The next dial of a suspected node.
+    Redial(IncarnationId),
+    /// The time by which a node should have closed a half-closed connection.
+    HalfCloseTimeout(LinkId),
+    /// The time by which the list should have named the node of a session that was handed over.
+    HandoverTimeout(SessionId),
+    /// The next sweep.
     Sweep,
 }
 
-/// A request, and the session that comes of it.
+/// A request and the session that it sets up.
 struct Session {
-    ask: Ask,
+    request: SetUpRequest,
     conn: ConnId,
+    /// Address of the viewer.
     peer: IpAddr,
     rung: u8,
+    /// Attempts made so far.
     attempts: u32,
     phase: Phase,
 }
 
+/// Phase of a session.
 enum Phase {
-    /// Without an answer; the attempt that is out.
+    /// The request has no answer yet; the attempt in flight, if there is one.
     Open(Option<attempts::Attempt>),
-    /// It stands at a node since then, or since it was handed over.
-    Standing(LifeId, Time),
+    /// The session plays at this node since this time, or since it was handed over.
+    Playing(IncarnationId, Time),
 }
 
 /// A viewer's connection.
 struct Conn {
     peer: IpAddr,
-    /// It has carried a message that could be used.
-    good: bool,
-    /// Its viewer has closed its side: nothing is begun for it any more.
-    left: bool,
-    open: BTreeSet<SessionId>,
-    /// Standing sessions that came on it.
-    carries: usize,
+    /// A valid message has come on it.
+    sent_valid_message: bool,
+    /// The viewer has closed its sending side: no new work is started for it.
+    half_closed: bool,
+    /// Requests on it without an answer.
+    open_requests: BTreeSet<SessionId>,
+    /// Number of playing sessions that were set up or handed over on it.
+    playing: usize,
 }
 
 impl Conn {
-    /// It has no open request, and no session came on it whose end is to be told there.
-    fn is_spare(&self) -> bool {
-        self.open.is_empty() && self.carries == 0
+    /// Whether it has no open request and carries no session whose end has to be reported on it.
+    fn is_evictable(&self) -> bool {
+        self.open_requests.is_empty() && self.playing == 0
     }
 }
 
-/// An ended id.
-struct Ended {
-    at: Time,
+/// A session or request that has ended.
+struct EndedSession {
+    ended_at: Time,
     title: u64,
-    /// Its set-up was given up: a late answer to it is cut.
-    cut: bool,
+    /// Its set-up was cancelled: if a node still reports that it plays, it is released there.
+    release_if_started: bool,
 }
 
-/// The state machine of one front end.
+/// The state machine of one front.
 pub struct Core {
     controller: Controller,
     bounds: Bounds,
-    /// Nodes may be asked for their load.
+    /// Whether nodes may be asked for their load.
     probing: bool,
     sockets: Sockets,
     sessions: BTreeMap<SessionId, Session>,
-    open: usize,
+    /// Number of sessions in [`Phase::Open`].
+    open_requests: usize,
     conns: BTreeMap<ConnId, Conn>,
-    lives: BTreeMap<LifeId, Life>,
-    current: BTreeMap<ServerId, LifeId>,
+    incarnations: BTreeMap<IncarnationId, Incarnation>,
+    /// The listed incarnation of each node.
+    current: BTreeMap<ServerId, IncarnationId>,
     links: BTreeMap<LinkId, Link>,
     probes: BTreeMap<ProbeId, links::Probe>,
-    ended: BTreeMap<SessionId, Ended>,
+    ended: BTreeMap<SessionId, EndedSession>,
+    /// The keys of `ended`, oldest first.
     ended_order: VecDeque<SessionId>,
-    /// Sessions that were handed over with a node that the list does not name yet.
-    unplaced: BTreeMap<SessionId, standing::Unplaced>,
-    /// Ends that nodes told of sessions that nobody has handed over yet.
-    early: BTreeMap<SessionId, standing::Early>,
-    /// Ends that no connection could take yet.
-    untold: VecDeque<standing::Untold>,
+    /// Sessions that were handed over with a node that is not in the list yet.
+    awaiting_list: BTreeMap<SessionId, playing::AwaitingList>,
+    /// Ends that nodes reported of sessions that have not been handed over yet.
+    early_ends: BTreeMap<SessionId, playing::EarlyEnd>,
+    /// Ends of sessions that could not be reported to a viewer yet.
+    unsent_ends: VecDeque<playing::UnsentEnd>,
     timers: Timers<Wake>,
+    /// Events for the controller.
     pending: VecDeque<Event>,
-    next: u64,
-    /// The front is about to end.
+    next_number: u64,
+    /// The front is about to stop.
     closing: bool,
 }
 
 impl Core {
-    /// A core without nodes.
+    /// Creates a core without nodes.
     ///
     /// # Errors
-    /// When the settings do not agree with one another.
+    /// When the settings contradict each other.
     pub fn new(
         settings: Settings,
         sockets: Sockets,
@@ -190,146 +209,154 @@
             probing,
             sockets,
             sessions: BTreeMap::new(),
-            open: 0,
+            open_requests: 0,
             conns: BTreeMap::new(),
-            lives: BTreeMap::new(),
+            incarnations: BTreeMap::new(),
             current: BTreeMap::new(),
             links: BTreeMap::new(),
             probes: BTreeMap::new(),
             ended: BTreeMap::new(),
             ended_order: VecDeque::new(),
-            unplaced: BTreeMap::new(),
-            early: BTreeMap::new(),
-            untold: VecDeque::new(),
+            awaiting_list: BTreeMap::new(),
+            early_ends: BTreeMap::new(),
+            unsent_ends: VecDeque::new(),
             timers,
             pending: VecDeque::new(),
-            // Numbers of two runs differ, so that nothing late of one is taken for the other's.
-            next: seed >> 16,
+            // Two runs draw different numbers, so late messages of one run are not taken for the other's.
+            next_number: seed >> 16,
             closing: false,
         })
     }
 
-    /// Takes in one input and appends what is to be done.
+    /// Handles one input and appends the resulting effects.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Effect>) {
         match input {
-            Input::Opened(conn, peer) => {
-                let new = Conn { peer, good: false, left: false, open: BTreeSet::new(), carries: 0 };
+            Input::ViewerConnected(conn, peer) => {
+                let new = Conn {
+                    peer,
+                    sent_valid_message: false,
+                    half_closed: false,
+                    open_requests: BTreeSet::new(),
+                    playing: 0,
+                };
                 self.conns.insert(conn, new);
             }
-            Input::Ask(conn, ask) => self.ask(now, conn, ask, out),
-            Input::End(conn, id) => self.end(now, conn, id, out),
-            Input::Left(conn) => self.left(now, conn, out),
-            Input::Gone(conn) => self.gone(now, conn, out),
-            Input::Waits(id) => self.send_set_up(now, id, out),
-            Input::Blocked(id) => self.blocked(now, id, out),
-            Input::GiveWay(conn) => self.give_way(conn, out),
+            Input::SetUp(conn, request) => self.set_up_requested(now, conn, request, out),
+            Input::Release(conn, id) => self.release_requested(now, conn, id, out),
+            Input::ViewerHalfClosed(conn) => self.viewer_half_closed(now, conn, out),
+            Input::ViewerDisconnected(conn) => self.viewer_disconnected(now, conn, out),
+            Input::ViewerWaits(id) => self.send_set_up(now, id, out),
+            Input::LinkBlocked(id) => self.link_blocked(now, id, out),
+            Input::EvictViewer(conn) => self.evict_viewer(conn, out),
             Input::LinkUp(link) => self.link_up(now, link, out),
-            Input::LinkFailed(link, how) => self.link_failed(now, link, how, out),
+            Input::DialFailed(link, dial_end) => self.dial_failed(now, link, dial_end, out),
             Input::LinkDown(link) => self.link_down(now, link, out),
-            Input::LinkShut(link) => self.link_shut(now, link, out),
-            Input::Node(link, said) => self.node(now, link, said, out),
-            Input::Nodes(entries) => {
-                self.nodes(now, &entries, out);
-                self.place_handed(now, out);
+            Input::LinkEndedByNode(link) => self.link_ended_by_node(now, link, out),
+            Input::NodeMessage(link, message) => self.node_message(now, link, message, out),
+            Input::NodeList(entries) => {
+                self.update_nodes(now, &entries, out);
+                self.place_handed_over(now, out);
             }
-            Input::Closing => self.closing = true,
-            Input::Last => self.answer_all(now, out),
+            Input::StopAccepting => self.closing = true,
+            Input::AnswerAll => self.answer_all(now, out),
         }
-        self.run(now, out);
+        self.run_controller(now, out);
     }
 
-    /// The moment of the next timer.
+    /// The time of the next timer.
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
         self.timers.next_at()
     }
 
-    /// Runs what is due.
+    /// Runs the timers that are due.
     pub fn wake(&mut self, now: Time, out: &mut Vec<Effect>) {
         while let Some(wake) = self.timers.pop_due(now) {
             match wake {
-                Wake::Module(token) => self.pending.push_back(Event::Timer(token)),
-                Wake::AttemptTime(id, number) => self.attempt_time(now, id, number, out),
-                Wake::AttemptClosed(id, number) => self.attempt_closed(id, number),
-                Wake::Backstop(id) => self.backstop(now, id, out),
-                Wake::Moved(id) => self.moved_time(now, id, out),
-                Wake::ProbeTime(id) => self.probe_time(now, id, out),
-                Wake::Doubt(life) => self.doubt_again(now, life, out),
-                Wake::Shut(link) => self.shut_unanswered(now, link, out),
-                Wake::Handed(id) => self.handed_time(now, id, out),
+                Wake::Controller(token) => self.pending.push_back(Event::Timer(token)),
+                Wake::AttemptTimeout(id, number) => self.attempt_timed_out(now, id, number, out),
+                Wake::CancelGrace(id, number) => self.cancel_grace_over(id, number),
+                Wake::FallbackAnswer(id) => self.fail_request(now, id, out),
+                Wake::MoveTimeout(id) => self.move_timed_out(now, id, out),
+                Wake::ProbeTimeout(id) => self.probe_timed_out(now, id, out),
+                Wake::Redial(incarnation) => self.redial(now, incarnation, out),
+                Wake::HalfCloseTimeout(link) => self.half_close_timed_out(now, link, out),
+                Wake::HandoverTimeout(id) => self.handover_timed_out(now, id, out),
                 Wake::Sweep => self.sweep(now, out),
             }
-            self.run(now, out);
+            self.run_controller(now, out);
         }
     }
 
-    /// Requests without an answer.
+    /// Number of requests without an answer.
     #[must_use]
-    pub fn open(&self) -> usize {
-        self.open
+    pub fn open_requests(&self) -> usize {
+        self.open_requests
     }
 
-    /// Whether nobody waits for anything: no request is open, and no release waits for a connection to its node.
+    /// Whether no request is open and no release waits for a connection to its node.
     #[must_use]
-    pub fn is_quiet(&self) -> bool {
-        self.open == 0 && self.links.values().all(Link::owes_nothing)
+    pub fn has_no_pending_work(&self) -> bool {
+        self.open_requests == 0 && self.links.values().all(Link::has_no_queued_release)
     }
 
-    /// Sessions that stand.
+    /// Number of playing sessions.
     #[must_use]
-    pub fn standing(&self) -> usize {
-        self.sessions.len() - self.open
+    pub fn playing_sessions(&self) -> usize {
+        self.sessions.len() - self.open_requests
     }
 
-    /// Hands the module what has happened, until nothing more follows.
-    fn run(&mut self, now: Time, out: &mut Vec<Effect>) {
+    /// Passes pending events to the controller and performs its actions, until no event is left.
+    fn run_controller(&mut self, now: Time, out: &mut Vec<Effect>) {
         let mut actions = Vec::new();
         while let Some(event) = self.pending.pop_front() {
             self.controller.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(now, action, out);
+                self.perform(now, action, out);
             }
         }
     }
 
-    fn act(&mut self, now: Time, action: Action, out: &mut Vec<Effect>) {
+    fn perform(&mut self, now: Time, action: Action, out: &mut Vec<Effect>) {
         match action {
-            Action::SetUp(id, server, wait) => self.set_up(now, id, server, wait, out),
+            Action::SetUp(id, server, wait) => self.start_attempt(now, id, server, wait, out),
             Action::SetRung(id, rung) => self.set_rung(now, id, rung, out),
             Action::Refuse(id, advice) => self.answer(now, id, ToViewer::Refused(id, advice), out),
             Action::Fail(id) => self.answer(now, id, ToViewer::Failed(id), out),
-            Action::Move(id) => self.shift(now, id, out),
+            Action::Move(id) => self.move_session(now, id, out),
             Action::Probe(server) => self.probe(now, server, out),
-            // The platform's change log comes unasked.
+            // The platform sends its change log without being asked.
             Action::WatchList => {}
-            Action::SetTimer(after, token) => self.at(now.saturating_add(after), Wake::Module(token)),
+            Action::SetTimer(after, token) => {
+                self.set_timer(now.saturating_add(after), Wake::Controller(token))
+            }
             Action::Log(line) => out.push(Effect::Log("decision", line)),
         }
     }
 
-    fn at(&mut self, at: Time, wake: Wake) {
+    fn set_timer(&mut self, at: Time, wake: Wake) {
         self.timers.set(at, wake);
     }
 
-    /// The title of a session that is held.
+    /// The title of a session, or 0 if it is not known.
     fn title(&self, id: SessionId) -> u64 {
-        self.sessions.get(&id).map_or(0, |s| s.ask.wish.title.0)
+        self.sessions.get(&id).map_or(0, |s| s.request.spec.title.0)
     }
 
-    fn number(&mut self) -> u64 {
-        self.next = self.next.wrapping_add(1);
-        self.next
+    fn fresh_number(&mut self) -> u64 {
+        self.next_number = self.next_number.wrapping_add(1);
+        self.next_number
     }
 
     fn sweep(&mut self, now: Time, out: &mut Vec<Effect>) {
-        self.at(now + SWEEP, Wake::Sweep);
+        self.set_timer(now + SWEEP_INTERVAL, Wake::Sweep);
         self.sweep_links(now, out);
-        self.sweep_lives(now, out);
-        self.sweep_untold(now, out);
-        self.early.retain(|_, e| e.at + REMEMBERED > now);
+        self.sweep_incarnations(now, out);
+        self.send_unsent_ends(now, out);
+        self.early_ends.retain(|_, e| e.received_at + ENDED_RETENTION > now);
         while self.ended_order.front().is_some_and(|id| {
-            self.ended_order.len() > self.bounds.remembered
-                || self.ended.get(id).is_none_or(|e| e.at + REMEMBERED < now)
+            self.ended_order.len() > self.bounds.ended_sessions
+                || self.ended.get(id).is_none_or(|e| e.ended_at + ENDED_RETENTION < now)
         }) {
             if let Some(id) = self.ended_order.pop_front() {
                 self.ended.remove(&id);
@@ -337,9 +364,9 @@
         }
     }
 
-    /// Remembers an ended id.
-    fn remember(&mut self, now: Time, id: SessionId, title: u64, cut: bool) {
-        if self.ended.insert(id, Ended { at: now, title, cut }).is_none() {
+    /// Remembers an ended session or request.
+    fn remember_ended(&mut self, now: Time, id: SessionId, title: u64, release_if_started: bool) {
+        if self.ended.insert(id, EndedSession { ended_at: now, title, release_if_started }).is_none() {
             self.ended_order.push_back(id);
         }
     }
--- a/crates/platform/src/core/tests/churn.rs
+++ b/crates/platform/src/core/tests/churn.rs
@@ -1,42 +1,42 @@
-//! Hundreds of nodes' lives with churn: what is held goes back to where it was, in the core and in the module.
+//! Churn of hundreds of nodes: the state of the core and the controller returns to its initial size.
 
 use super::*;
 use std::net::SocketAddr;
 
-/// Everything that grows, by name.
-fn sizes(w: &World) -> BTreeMap<&'static str, usize> {
-    let c = &w.core;
-    let (servers, _) = c.controller.view(w.now);
-    let lives = || c.lives.values();
+/// The sizes of all collections that grow, by name.
+fn sizes(front: &Harness) -> BTreeMap<&'static str, usize> {
+    let c = &front.core;
+    let (servers, _) = c.controller.view(front.now);
+    let incarnations = || c.incarnations.values();
     BTreeMap::from([
         ("sessions", c.sessions.len()),
-        ("open", c.open),
+        ("open", c.open_requests),
         ("conns", c.conns.len()),
-        ("open on conns", c.conns.values().map(|c| c.open.len()).sum()),
-        ("carried by conns", c.conns.values().map(|c| c.carries).sum()),
-        ("lives", c.lives.len()),
+        ("open on conns", c.conns.values().map(|c| c.open_requests.len()).sum()),
+        ("playing on conns", c.conns.values().map(|c| c.playing).sum()),
+        ("incarnations", c.incarnations.len()),
         ("current", c.current.len()),
-        ("links of lives", lives().map(|l| l.links.len()).sum()),
-        ("standing at lives", lives().map(|l| l.standing.len()).sum()),
+        ("links of incarnations", incarnations().map(|l| l.links.len()).sum()),
+        ("playing at incarnations", incarnations().map(|l| l.playing.len()).sum()),
         ("links", c.links.len()),
         ("probes", c.probes.len()),
         ("ended", c.ended.len() + c.ended_order.len()),
-        ("unplaced", c.unplaced.len()),
-        ("early", c.early.len()),
-        ("untold", c.untold.len()),
+        ("awaiting list", c.awaiting_list.len()),
+        ("early ends", c.early_ends.len()),
+        ("unsent ends", c.unsent_ends.len()),
         ("pending", c.pending.len()),
-        ("module servers", servers.len()),
-        ("module sessions", servers.iter().map(|s| s.sessions).sum()),
+        ("controller servers", servers.len()),
+        ("controller sessions", servers.iter().map(|s| s.sessions).sum()),
     ])
 }
 
-/// Nodes on a few addresses, a fifth of them replaced at a time: drained or just gone, some at the address of one that
-/// went before, some of the old id with a later start; with viewers, hand-overs and faults throughout.
+/// A few addresses whose nodes are replaced at random, a fifth at a time: a node drains or vanishes, another
+/// one takes its address, or the same id restarts. Viewers, hand-overs and faults go on meanwhile.
 struct Churn {
-    w: World,
+    front: Harness,
     listed: Vec<Entry>,
-    /// The processes that connections lead to, by id and start.
-    ends: BTreeMap<LinkId, (u32, u64)>,
+    /// The process that each connection leads to, by id and start.
+    processes: BTreeMap<LinkId, (u32, u64)>,
     next: u32,
     id: u64,
     conn: u64,
@@ -51,14 +51,14 @@
 
     fn replace(&mut self) {
         for at in 0..self.listed.len() {
-            let started_ms = self.w.now / MS;
+            let started_ms = self.front.now / MS;
             let new = self.listed[at];
             self.listed[at] = match self.draw(20) {
-                // Another id at once at its address.
+                // Another node at the same address.
                 0 | 1 => Entry { id: self.next, started_ms, state: State::Ready, ..new },
-                // The same id, started anew.
+                // The same id, restarted.
                 2 => Entry { started_ms, state: State::Ready, ..new },
-                // Another id at another address; the first is gone without a word.
+                // Another node at another address; the first one vanishes.
                 3 => {
                     let last = 20 + self.draw(40) as u8;
                     let address = SocketAddrV4::new(Ipv4Addr::new(127, 1, 0, last), 2905);
@@ -72,16 +72,16 @@
             self.next += u32::from(self.listed[at].id == self.next);
         }
         let listed = self.listed.clone();
-        self.w.tell(Input::Nodes(listed));
+        self.front.handle(Input::NodeList(listed));
     }
 
     /// Whether the process that a connection leads to still runs.
     fn runs(&self, link: LinkId) -> bool {
-        let end = self.ends.get(&link);
+        let end = self.processes.get(&link);
         end.is_some_and(|(id, started)| self.listed.iter().any(|e| (e.id, e.started_ms) == (*id, *started)))
     }
 
-    /// Some of what nodes and connections do, at random.
+    /// Reactions of nodes and connections to these effects, at random.
     fn answer(&mut self, out: Vec<Effect>) {
         let mut todo: VecDeque<Effect> = out.into();
         while let Some(e) = todo.pop_front() {
@@ -89,40 +89,40 @@
             if let Effect::Dial(link, address) = &e {
                 let there = self.listed.iter().find(|n| SocketAddr::from(n.address) == *address);
                 match there {
-                    Some(n) => drop(self.ends.insert(*link, (n.id, n.started_ms))),
+                    Some(n) => drop(self.processes.insert(*link, (n.id, n.started_ms))),
                     None => {
-                        todo.extend(self.w.tell(Input::LinkFailed(*link, DialEnd::Refused)));
+                        todo.extend(self.front.handle(Input::DialFailed(*link, DialEnd::Refused)));
                         continue;
                     }
                 }
             }
             let input = match e {
-                // A process that is gone says nothing, or its connection is reset.
-                Effect::Write(link, _) | Effect::Shut(link) if !self.runs(link) => match what {
+                // A process that has ended is silent, or its connection is reset.
+                Effect::SendToNode(link, _) | Effect::HalfCloseLink(link) if !self.runs(link) => match what {
                     0..10 => Input::LinkDown(link),
                     _ => continue,
                 },
                 Effect::Dial(link, _) => match what {
-                    0 => Input::LinkFailed(link, DialEnd::Refused),
-                    1 => Input::LinkFailed(link, DialEnd::TimedOut),
-                    2 => Input::LinkFailed(link, DialEnd::Failed),
+                    0 => Input::DialFailed(link, DialEnd::Refused),
+                    1 => Input::DialFailed(link, DialEnd::TimedOut),
+                    2 => Input::DialFailed(link, DialEnd::Failed),
                     3 => continue,
                     _ => Input::LinkUp(link),
                 },
-                Effect::Write(link, ToNode::SetUp { id, .. }) => match what {
-                    0 => Input::Node(link, FromNode::Ended(id, Outcome::Full, Vec::new())),
-                    1 => Input::Node(link, FromNode::Ended(id, Outcome::Error, vec![0.5, 0.5])),
+                Effect::SendToNode(link, ToNode::SetUp { id, .. }) => match what {
+                    0 => Input::NodeMessage(link, FromNode::SetUpFailed(id, Outcome::Full, Vec::new())),
+                    1 => Input::NodeMessage(link, FromNode::SetUpFailed(id, Outcome::Error, vec![0.5, 0.5])),
                     2 => Input::LinkDown(link),
                     3 => continue,
-                    _ => Input::Node(link, plays(id.0)),
+                    _ => Input::NodeMessage(link, session_started(id.0)),
                 },
-                Effect::Write(link, ToNode::AskLoad(id)) if what > 1 => {
-                    Input::Node(link, FromNode::Load(id, Some(vec![0.3, 0.3])))
+                Effect::SendToNode(link, ToNode::QueryLoad(id)) if what > 1 => {
+                    Input::NodeMessage(link, FromNode::LoadReport(id, Some(vec![0.3, 0.3])))
                 }
-                Effect::Shut(link) if what > 2 => Input::LinkShut(link),
+                Effect::HalfCloseLink(link) if what > 2 => Input::LinkEndedByNode(link),
                 _ => continue,
             };
-            todo.extend(self.w.tell(input));
+            todo.extend(self.front.handle(input));
         }
     }
 
@@ -132,83 +132,100 @@
             let id = self.id;
             if self.draw(3) == 0 {
                 self.conn += 1;
-                self.w.tell(Input::Opened(ConnId(self.conn), HERE));
+                self.front.handle(Input::ViewerConnected(ConnId(self.conn), VIEWER_ADDRESS));
             }
             let conn = ConnId(self.conn);
-            let asked = ask(id, (id % 2) as u16);
+            let asked = request(id, (id % 2) as u16);
             let at = self.draw(self.listed.len() as u64) as usize;
             let some = self.listed[at].id;
             let out = match self.draw(10) {
-                0 => self.w.tell(Input::Ask(conn, Ask { at: Some(ServerId(some)), ..asked })),
-                1 => self.w.tell(Input::Ask(conn, Ask { at: Some(ServerId(9_999_999)), ..asked })),
+                0 => self
+                    .front
+                    .handle(Input::SetUp(conn, SetUpRequest { playing_at: Some(ServerId(some)), ..asked })),
+                1 => self.front.handle(Input::SetUp(
+                    conn,
+                    SetUpRequest { playing_at: Some(ServerId(9_999_999)), ..asked },
+                )),
                 2 => {
-                    let out = self.w.tell(Input::Ask(conn, asked));
+                    let out = self.front.handle(Input::SetUp(conn, asked));
                     self.answer(out);
-                    self.w.tell(Input::End(conn, SessionId(id)))
+                    self.front.handle(Input::Release(conn, SessionId(id)))
                 }
                 3 => {
-                    let gone = self.w.tell(Input::Gone(conn));
+                    let gone = self.front.handle(Input::ViewerDisconnected(conn));
                     self.conn += 1;
-                    self.w.tell(Input::Opened(ConnId(self.conn), HERE));
+                    self.front.handle(Input::ViewerConnected(ConnId(self.conn), VIEWER_ADDRESS));
                     gone
                 }
-                _ => self.w.tell(Input::Ask(conn, asked)),
+                _ => self.front.handle(Input::SetUp(conn, asked)),
             };
             self.answer(out);
         }
-        // Sessions end, and nodes tell of some that are not known.
-        let links: Vec<_> = self.w.core.links.iter().filter(|(_, l)| l.up()).map(|(id, _)| *id).collect();
+        // Sessions end; nodes also report ends of unknown sessions.
+        let links: Vec<_> =
+            self.front.core.links.iter().filter(|(_, l)| l.is_up()).map(|(id, _)| *id).collect();
         for link in links.into_iter().filter(|l| self.runs(*l)).collect::<Vec<_>>() {
             let id = 1 + self.draw(self.id);
-            let how = [Outcome::Served, Outcome::Cancelled, Outcome::Broken][self.draw(3) as usize];
-            let out = self.w.tell(Input::Node(link, FromNode::Over(SessionId(id), how, Vec::new())));
+            let outcome = [Outcome::Served, Outcome::Cancelled, Outcome::Broken][self.draw(3) as usize];
+            let out = self
+                .front
+                .handle(Input::NodeMessage(link, FromNode::SessionEnded(SessionId(id), outcome, Vec::new())));
             self.answer(out);
         }
-        let out = self.w.pass(200 * MS);
+        let out = self.front.advance(200 * MS);
         self.answer(out);
     }
 }
 
 #[test]
-fn no_memory_connection_or_belief_outlives_the_lives_of_hundreds_of_nodes() {
+fn state_returns_to_its_initial_size_after_churn_of_hundreds_of_nodes() {
     for seed in [1, 2, 3] {
         let first: Vec<_> = (1..11).map(|id| node(id, State::Ready)).collect();
-        let w = World::new(&first);
-        let before = sizes(&w);
-        let mut c =
-            Churn { w, listed: first.clone(), ends: BTreeMap::new(), next: 100, id: 0, conn: 1, draw: seed };
+        let front = Harness::new(&first);
+        let before = sizes(&front);
+        let mut c = Churn {
+            front,
+            listed: first.clone(),
+            processes: BTreeMap::new(),
+            next: 100,
+            id: 0,
+            conn: 1,
+            draw: seed,
+        };
         let mut most = 0;
         for round in 0..800 {
             if round % 3 == 0 {
                 c.replace();
             }
             c.round();
-            c.w.out.clear();
-            most = most.max(c.w.core.lives.len());
+            c.front.out.clear();
+            most = most.max(c.front.core.incarnations.len());
         }
-        assert!(c.next > 400, "{} ids were met", c.next);
-        assert!(most <= 60, "{most} lives were held at a time");
-        // The world goes quiet: the last connections of viewers go, nodes end what they have, and time passes.
-        let conns: Vec<_> = c.w.core.conns.keys().copied().filter(|conn| conn.0 != 1).collect();
-        conns.into_iter().for_each(|conn| drop(c.w.tell(Input::Gone(conn))));
-        // The same ten nodes as at first, started anew.
-        let started_ms = c.w.now / MS;
+        assert!(c.next > 400, "{} ids were used", c.next);
+        assert!(most <= 60, "{most} incarnations were held at a time");
+        // Load stops: viewers disconnect, nodes end their sessions, and time passes.
+        let conns: Vec<_> = c.front.core.conns.keys().copied().filter(|conn| conn.0 != 1).collect();
+        conns.into_iter().for_each(|conn| drop(c.front.handle(Input::ViewerDisconnected(conn))));
+        // The initial ten nodes, restarted.
+        let started_ms = c.front.now / MS;
         c.listed = first.iter().map(|e| Entry { started_ms, ..*e }).collect();
         let listed = c.listed.clone();
-        c.w.tell(Input::Nodes(listed));
+        c.front.handle(Input::NodeList(listed));
         for _ in 0..400 {
-            let out = c.w.pass(100 * MS);
+            let out = c.front.advance(100 * MS);
             c.answer(out);
-            for (id, e) in c.w.core.sessions.iter().map(|(id, s)| (*id, s.ask.id)).collect::<Vec<_>>() {
+            for (id, e) in c.front.core.sessions.iter().map(|(id, s)| (*id, s.request.id)).collect::<Vec<_>>()
+            {
                 assert_eq!(id, e);
-                c.w.tell(Input::End(ConnId(1), id));
+                c.front.handle(Input::Release(ConnId(1), id));
             }
         }
-        assert_eq!(sizes(&c.w), before, "seed {seed}");
-        let timers = std::iter::from_fn(|| c.w.core.timers.pop_due(Time::MAX)).count();
-        // The sweep's and the module's.
+        assert_eq!(sizes(&c.front), before, "seed {seed}");
+        let timers = std::iter::from_fn(|| c.front.core.timers.pop_due(Time::MAX)).count();
+        // The timers of the sweep and of the controller.
         assert!(timers <= 4, "{timers} timers are left");
-        let known: BTreeSet<SocketAddr> = c.w.core.lives.values().map(|l| l.address.into()).collect();
+        let known: BTreeSet<SocketAddr> =
+            c.front.core.incarnations.values().map(|l| l.address.into()).collect();
         assert_eq!(known.len(), 10);
     }
 }
