--- a/crates/platform/src/node.rs
+++ b/crates/platform/src/node.rs
@@ -1,7 +1,7 @@
 //! The face to nodes.
 
 use crate::core::{FromNode, ProbeId, ToNode};
-use crate::words::{ROOT, answer, id, id_text, release, request};
+use crate::wire::{ROOT, answer, id, id_text, release, request};
 use pepperhook::{NotificationKind, Outcome, SessionId};
 use pepperhook_parameters::Sockets;
 use pepperhook_rtsp::{Message, StartLine};
--- a/crates/platform/src/shell.rs
+++ b/crates/platform/src/shell.rs
@@ -1,14 +1,14 @@
 //! Carries out what the core says: sockets, timers, the change log, signals. It decides nothing.
 
-mod arrivals;
-mod leave;
+mod accept;
+mod shutdown;
 
 use crate::config::{Config, Start};
 use crate::core::{Bounds, ConnId, Core, DialEnd, Effect, Input, LinkId};
+use crate::node_filter::Roster;
 use crate::peer::{End, Patience, Peer, Word};
-use crate::roster::Roster;
 use crate::viewer::{self, FromViewer};
-use crate::{follow, node};
+use crate::{changelog_client, node};
 use pepperhook::SessionId;
 use pepperhook_changelog::{Applied, Event, NodeList};
 use pepperhook_net::Clock;
@@ -385,7 +385,7 @@
     info!(event = "listening", %address, nodes = shell.list.borrow().nodes().len(), "ready");
     let accepting = spawn_local(shell.clone().accept(listener.clone()));
     let timers = spawn_local(shell.clone().timers());
-    let following = spawn_local(follow::follow(shell.clone(), config.seed));
+    let following = spawn_local(changelog_client::follow(shell.clone(), config.seed));
     loop {
         tokio::select! {
             _ = term.recv() => break,
--- a/crates/platform/src/shell/leave.rs
+++ b/crates/platform/src/shell/shutdown.rs
@@ -1,6 +1,6 @@
 //! From SIGTERM to the end: nobody is left with something owed, and no connection is reset over what was said on it.
 
-use super::arrivals::QUIET;
+use super::accept::QUIET;
 use super::{LOOK, Shell, WHOLE};
 use crate::core::Input;
 use crate::peer::Peer;
--- a/crates/platform/src/viewer.rs
+++ b/crates/platform/src/viewer.rs
@@ -1,7 +1,7 @@
 //! The face to viewers: what they may send, checked, and what they are told.
 
 use crate::core::{Ask, ToViewer};
-use crate::words::{self, ROOT, answer, release, request};
+use crate::wire::{self, ROOT, answer, release, request};
 use pepperhook::{ClassId, ServerId, SessionId, SessionSpec, TenantId, Time, TitleId, ViewerKey};
 use pepperhook_parameters::Sockets;
 use pepperhook_rtsp::{Message, StartLine};
@@ -45,7 +45,7 @@
     if !uri.starts_with(ROOT) || m.is_repeated("Session") || m.is_repeated("CSeq") {
         return bad(400);
     }
-    let session = m.field("Session").and_then(words::id).map(SessionId);
+    let session = m.field("Session").and_then(wire::id).map(SessionId);
     match (method.as_str(), session) {
         ("OPTIONS", _) => Ok(FromViewer::Test(reply(200, m))),
         ("SETUP", Some(session)) => match ask(m, uri, session, known, cells) {
@@ -61,12 +61,12 @@
 
 /// Whether a message gives this set-up up.
 pub fn ends(m: &Message, id: SessionId) -> bool {
-    let named = || m.field("Session").and_then(words::id) == Some(id.0);
+    let named = || m.field("Session").and_then(wire::id) == Some(id.0);
     matches!(&m.start, StartLine::Request(method, _) if method == "TEARDOWN") && named()
 }
 
 fn ask(m: &Message, uri: &str, id: SessionId, known: &Sockets, cells: u32) -> Option<Ask> {
-    let title = words::id(&uri[ROOT.len()..])?;
+    let title = wire::id(&uri[ROOT.len()..])?;
     let class = m.field("Priority-Class")?;
     let class = known.classes.iter().position(|c| c == class)?;
     let wait: u64 = m.field("Expires-Ms").filter(|v| v.bytes().all(|b| b.is_ascii_digit()))?.parse().ok()?;
@@ -84,7 +84,7 @@
             "home" => home = Some(figure().filter(|h| *h < f64::from(cells))?),
             "copies" => copies = Some(figure().filter(|c| *c <= f64::from(cells))?),
             "top" => top = Some(figure().filter(|t| *t < 256.0)?),
-            "viewer" => viewer = Some(words::id(value)?),
+            "viewer" => viewer = Some(wire::id(value)?),
             "again" => again = value == "1",
             "at" => at = Some(ServerId(pepperhook_changelog::parse_node_id(value)?)),
             _ => {}
