--- a/crates/parameters/src/json.rs
+++ b/crates/parameters/src/json.rs
@@ -1,4 +1,4 @@
-//! JSON in which no key comes twice: the usual reader takes the last one and says nothing.
+//! Parses JSON and rejects objects with a duplicate key; `serde_json::Value` would silently keep the last value.
 
 use crate::Parsed;
 use serde::Deserializer;
@@ -6,19 +6,20 @@
 use serde_json::{Map, Value};
 use std::fmt;
 
-/// Reads a JSON text.
+/// Parses a JSON text of any type.
 ///
 /// # Errors
-/// Where it is no JSON, and names a key that is given twice.
-pub fn object(raw: &[u8]) -> Parsed<Value> {
+/// Returns the parser's message and position if the text is not JSON, or the name of a duplicate key.
+pub fn parse_json(raw: &[u8]) -> Parsed<Value> {
     let mut reader = serde_json::Deserializer::from_slice(raw);
-    let read = Once.deserialize(&mut reader).and_then(|v| reader.end().map(|()| v));
-    read.map_err(|e| if e.is_data() { e.to_string() } else { format!("not JSON: {e}") })
+    let parsed = UniqueKeys.deserialize(&mut reader).and_then(|v| reader.end().map(|()| v));
+    parsed.map_err(|e| if e.is_data() { e.to_string() } else { format!("not JSON: {e}") })
 }
 
-struct Once;
+/// Deserializes a [`Value`] whose objects, at every depth, have no duplicate keys.
+struct UniqueKeys;
 
-impl<'de> DeserializeSeed<'de> for Once {
+impl<'de> DeserializeSeed<'de> for UniqueKeys {
     type Value = Value;
 
     fn deserialize<D: Deserializer<'de>>(self, reader: D) -> Result<Value, D::Error> {
@@ -26,7 +27,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for Once {
+impl<'de> Visitor<'de> for UniqueKeys {
     type Value = Value;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -57,23 +58,23 @@
         Ok(v.into())
     }
 
-    fn visit_seq<A: SeqAccess<'de>>(self, mut of: A) -> Result<Value, A::Error> {
-        let mut all = Vec::new();
-        while let Some(v) = of.next_element_seed(Once)? {
-            all.push(v);
+    fn visit_seq<A: SeqAccess<'de>>(self, mut elements: A) -> Result<Value, A::Error> {
+        let mut list = Vec::new();
+        while let Some(v) = elements.next_element_seed(UniqueKeys)? {
+            list.push(v);
         }
-        Ok(all.into())
+        Ok(list.into())
     }
 
-    fn visit_map<A: MapAccess<'de>>(self, mut of: A) -> Result<Value, A::Error> {
-        let mut all = Map::new();
-        while let Some(key) = of.next_key::<String>()? {
-            if all.contains_key(&key) {
+    fn visit_map<A: MapAccess<'de>>(self, mut entries: A) -> Result<Value, A::Error> {
+        let mut object = Map::new();
+        while let Some(key) = entries.next_key::<String>()? {
+            if object.contains_key(&key) {
                 return Err(A::Error::custom(format_args!("'{}' is given twice", key.escape_debug())));
             }
-            let value = of.next_value_seed(Once)?;
-            all.insert(key, value);
+            let value = entries.next_value_seed(UniqueKeys)?;
+            object.insert(key, value);
         }
-        Ok(all.into())
+        Ok(object.into())
     }
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -3,7 +3,7 @@
 use nix::sys::resource::{Resource, getrlimit};
 use pepperhook::{Idempotency, Settings};
 use pepperhook_changelog::{Event, NodeList};
-use pepperhook_parameters::{Sockets, decisions, object, sockets, within_bounds};
+use pepperhook_parameters::{SocketSettings, check_bounds, decision_settings, parse_json, socket_settings};
 use serde_json::Value;
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
@@ -41,7 +41,7 @@
     /// What the module needs.
     pub settings: Settings,
     /// What the sockets need besides.
-    pub sockets: Sockets,
+    pub sockets: SocketSettings,
     /// The file as it was read, the events of the start as one number.
     raw: Value,
 }
@@ -65,11 +65,11 @@
 fn parse(mut v: Value) -> Result<Config, String> {
     let given = v.get("settings").ok_or("'settings' is missing")?;
     let known = v.get("known").ok_or("'known' is missing")?;
-    let (settings, sockets) = (decisions(given)?, sockets(given)?);
-    within_bounds(given, &settings, &sockets)?;
+    let (settings, sockets) = (decision_settings(given)?, socket_settings(given)?);
+    check_bounds(given, &settings, &sockets)?;
     settings.validate().map_err(|e| e.to_string())?;
     let events: Vec<Event> =
-        pepperhook_changelog::parse_initial_events(known, &sockets.zones, &sockets.kinds)?;
+        pepperhook_changelog::parse_initial_events(known, &sockets.zone_names, &sockets.kind_names)?;
     let mut list = NodeList::default();
     for event in &events {
         list.apply_initial(event);
@@ -128,7 +128,7 @@
     }
 
     fn of(path: &Path, waits: bool) -> Result<Self, ConfigError> {
-        read(path, waits).and_then(|raw| object(&raw)).and_then(parse).map_err(|what| fault(path, &what))
+        read(path, waits).and_then(|raw| parse_json(&raw)).and_then(parse).map_err(|what| fault(path, &what))
     }
 
     /// The descriptors that the process may hold by the file and by the system's own limit on it, whichever is less.
@@ -178,7 +178,7 @@
 pub struct Start {
     name: String,
     listen: SocketAddr,
-    sockets: Sockets,
+    sockets: SocketSettings,
     repeats: Vec<Idempotency>,
     places: (u32, u32),
     raw: Value,
@@ -217,13 +217,13 @@
         let tests = [
             (self.name == next.name, "name"),
             (self.listen == next.listen, "listen"),
-            (own.classes == new.classes, "settings.classes"),
+            (own.class_names == new.class_names, "settings.classes"),
             (own.deadlines == new.deadlines, "settings.classes.deadline_ns"),
             (repeats.eq(self.repeats.iter().copied()), "settings.classes.idempotency"),
-            (own.zones == new.zones, "settings.zones"),
-            (own.kinds == new.kinds, "settings.flavors"),
-            (own.fields == new.fields, "settings.load_report.fields"),
-            (own.tenants == new.tenants, "settings.tenants"),
+            (own.zone_names == new.zone_names, "settings.zones"),
+            (own.kind_names == new.kind_names, "settings.flavors"),
+            (own.report_fields == new.report_fields, "settings.load_report.fields"),
+            (own.tenant_names == new.tenant_names, "settings.tenants"),
             (self.places.0 == next.settings.racks, "settings.specifics.groups"),
             (self.places.1 == next.settings.cells, "settings.specifics.positions"),
         ];
--- a/crates/platform/src/core/links.rs
+++ b/crates/platform/src/core/links.rs
@@ -131,7 +131,7 @@
     /// Nodes close connections that are idle; one that is near that is not used for what must arrive. The last fifth of
     /// the time is far longer than any word is on its way.
     fn fresh(&self, now: Time, link: &Link) -> bool {
-        link.used + self.sockets.idle / 5 * 4 > now
+        link.used + self.sockets.idle_timeout / 5 * 4 > now
     }
 
     fn ups(&self, life: LifeId) -> impl Iterator<Item = (LinkId, &Link)> {
@@ -156,7 +156,8 @@
         }
         let ids = self.lives.get(&life).into_iter().flat_map(|l| &l.links);
         let some = ids.filter_map(|id| self.links.get(id).map(|l| (*id, l)));
-        let room = some.filter(|(_, l)| !l.is_shut() && !l.blocked && l.open.len() < self.sockets.streams);
+        let room = some
+            .filter(|(_, l)| !l.is_shut() && !l.blocked && l.open.len() < self.sockets.max_set_ups_per_link);
         room.min_by_key(|(_, l)| (!l.up(), l.open.len())).map(|(link, _)| link)
     }
 
@@ -197,7 +198,7 @@
         };
         let id = ProbeId(self.number());
         self.probes.insert(id, Probe { server, life, link, again: false });
-        self.at(now + self.sockets.dial, Wake::ProbeTime(id));
+        self.at(now + self.sockets.dial_timeout, Wake::ProbeTime(id));
         self.ask_load(now, id, link, out);
     }
 
--- a/crates/platform/src/core/lives.rs
+++ b/crates/platform/src/core/lives.rs
@@ -360,7 +360,7 @@
 
     /// A dial brought no connection.
     pub(super) fn dial_ended(&mut self, now: Time, life: LifeId, how: DialEnd, out: &mut Vec<Effect>) {
-        let dial = self.sockets.dial;
+        let dial = self.sockets.dial_timeout;
         let Some(l) = self.lives.get_mut(&life) else { return };
         if l.past {
             if l.links.is_empty() {
@@ -438,7 +438,7 @@
     /// vanished machine has been found out. Less up to an eighth that each front and node draw anew each time, so that
     /// fronts which heard a node at one moment do not all ask it at one moment.
     fn patience(&self, life: LifeId, heard: Time) -> Time {
-        let found = SWEEP + SILENT + self.sockets.dial + AGAIN + MARGIN;
+        let found = SWEEP + SILENT + self.sockets.dial_timeout + AGAIN + MARGIN;
         let all = TOLD_WITHIN.saturating_sub(found);
         let draw = (life.0 ^ heard).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 56;
         all - all / 8 * draw / 256
--- a/crates/platform/src/core/mod.rs
+++ b/crates/platform/src/core/mod.rs
@@ -17,7 +17,7 @@
 use lives::Life;
 use pepperhook::{Action, Controller, Event, ServerId, SessionId, Settings, SettingsError, Time};
 use pepperhook_net::Timers;
-use pepperhook_parameters::Sockets;
+use pepperhook_parameters::SocketSettings;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::IpAddr;
 pub use types::*;
@@ -147,7 +147,7 @@
     bounds: Bounds,
     /// Nodes may be asked for their load.
     probing: bool,
-    sockets: Sockets,
+    sockets: SocketSettings,
     sessions: BTreeMap<SessionId, Session>,
     open: usize,
     conns: BTreeMap<ConnId, Conn>,
@@ -177,7 +177,7 @@
     /// When the settings do not agree with one another.
     pub fn new(
         settings: Settings,
-        sockets: Sockets,
+        sockets: SocketSettings,
         bounds: Bounds,
         seed: u64,
     ) -> Result<Self, SettingsError> {
--- a/crates/platform/src/core/tests.rs
+++ b/crates/platform/src/core/tests.rs
@@ -72,7 +72,8 @@
     }
 
     fn of(v: &Value, descriptors: usize, nodes: &[Entry]) -> Self {
-        let (own, sockets) = (pepperhook_parameters::decisions(v), pepperhook_parameters::sockets(v));
+        let (own, sockets) =
+            (pepperhook_parameters::decision_settings(v), pepperhook_parameters::socket_settings(v));
         let bounds = Bounds::for_descriptors(descriptors);
         let core = Core::new(own.expect("settings"), sockets.expect("settings"), bounds, 7).expect("a core");
         let mut world = Self { core, now: T0, out: Vec::new(), leaves: BTreeSet::new() };
--- a/crates/platform/src/core/tests/customers.rs
+++ b/crates/platform/src/core/tests/customers.rs
@@ -3,7 +3,7 @@
 
 use super::histories::Judged;
 use super::*;
-use crate::viewer::{FromViewer, read};
+use crate::viewer::{FromViewer, decode};
 use pepperhook_rtsp::Message;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -99,14 +99,14 @@
 fn play(seed: u64, steps: &[(u8, usize, u64)]) -> Result<Seen, String> {
     let mut rng = StdRng::seed_from_u64(seed);
     let v = customer(&mut rng);
-    let own = pepperhook_parameters::decisions(&v)?;
-    let known = pepperhook_parameters::sockets(&v)?;
+    let own = pepperhook_parameters::decision_settings(&v)?;
+    let known = pepperhook_parameters::socket_settings(&v)?;
     let (cells, descriptors) = (own.cells, pick(&mut rng, &[24, 64, 1_024]));
     let paid = own.classes.iter().map(|c| c.idempotency == pepperhook::Idempotency::AtMostOnce).collect();
     let mut j = Judged::of(&v, descriptors, paid);
     for (what, which, ms) in steps {
         if what % 16 <= 3 {
-            match read(&good_wish(&mut rng, &v, j.next), &known, cells) {
+            match decode(&good_wish(&mut rng, &v, j.next), &known, cells) {
                 Ok(FromViewer::Ask(ask)) => j.ask(*ask),
                 _ => return Err("a good wish was not taken".to_owned()),
             }
@@ -154,10 +154,10 @@
 fn a_wish_counts_for_the_tenant_that_its_set_up_names() {
     let mut v = settings();
     let tenant = |v: &Value, name: Option<&str>| {
-        let known = pepperhook_parameters::sockets(v).expect("settings");
+        let known = pepperhook_parameters::socket_settings(v).expect("settings");
         let m = good_wish(&mut StdRng::seed_from_u64(1), v, 1);
         let m = name.map_or(m.clone(), |name| m.with("P-Customer", name));
-        match read(&m, &known, 3) {
+        match decode(&m, &known, 3) {
             Ok(FromViewer::Ask(ask)) => Some(ask.wish.tenant.0),
             _ => None,
         }
--- a/crates/platform/src/node.rs
+++ b/crates/platform/src/node.rs
@@ -1,38 +1,40 @@
-//! The face to nodes.
+//! Converts RTSP messages from nodes into [`FromNode`] values and [`ToNode`] values into messages.
 
 use crate::core::{FromNode, ProbeId, ToNode};
-use crate::wire::{ROOT, answer, id, id_text, release, request};
+use crate::wire::{ROOT, format_id, parse_id, release, request, response};
 use pepperhook::{NotificationKind, Outcome, SessionId};
-use pepperhook_parameters::Sockets;
+use pepperhook_parameters::SocketSettings;
 use pepperhook_rtsp::{Message, StartLine};
 
-/// A message that a node may not send; its connection is of no further use.
+/// A message that a node must not send. The caller closes the connection.
 #[derive(Debug)]
-pub struct Bad;
+pub struct Unexpected;
 
-/// Reads a message of a node.
-pub fn read(m: &Message, known: &Sockets) -> Result<FromNode, Bad> {
-    let session = m.field("Session").and_then(id);
-    let number = m.field("CSeq").unwrap_or("");
-    let report = || report(m.field("P-Load"), known);
+/// Decodes a message from a node.
+pub fn decode(m: &Message, settings: &SocketSettings) -> Result<FromNode, Unexpected> {
+    let session = m.field("Session").and_then(parse_id);
+    let cseq = m.field("CSeq").unwrap_or("");
+    let report = || load_report(m.field("P-Load"), settings);
     match (&m.start, session) {
         (StartLine::Response(100..=199), _) => Ok(FromNode::Other),
-        (StartLine::Response(status), Some(session)) => Ok(match (number, *status) {
+        (StartLine::Response(status), Some(session)) => Ok(match (cseq, *status) {
             ("1", 200) => FromNode::Plays(SessionId(session), m.body.clone()),
             ("1", status) => {
-                FromNode::Ended(SessionId(session), outcome(status), report().unwrap_or_default())
+                FromNode::Ended(SessionId(session), set_up_outcome(status), report().unwrap_or_default())
             }
             ("2", _) => FromNode::Heard(SessionId(session)),
-            // A node that has no report yet passes its test without one.
+            // A node that has no load report yet answers the probe without one.
             ("3", 200) => FromNode::Load(ProbeId(session), Some(report().unwrap_or_default())),
             ("3", _) => FromNode::Load(ProbeId(session), None),
             _ => FromNode::Other,
         }),
-        (StartLine::Response(_), None) => Err(Bad),
+        (StartLine::Response(_), None) => Err(Unexpected),
         (StartLine::Request(method, _), session) => match (method.as_str(), session) {
-            ("TEARDOWN", Some(session)) => {
-                Ok(FromNode::Over(SessionId(session), end(m.field("Reason")), report().unwrap_or_default()))
-            }
+            ("TEARDOWN", Some(session)) => Ok(FromNode::Over(
+                SessionId(session),
+                release_outcome(m.field("Reason")),
+                report().unwrap_or_default(),
+            )),
             ("ANNOUNCE", Some(session)) => {
                 let kind = match m.field("Warning-Word") {
                     Some("delivered") => NotificationKind::Delivered,
@@ -49,8 +51,9 @@
     }
 }
 
-/// How a set-up ended by the status of its answer. What proves that it never ran: 453, full, and 454, never left.
-fn outcome(status: u16) -> Outcome {
+/// The outcome of a set-up, from the status of its response. Two of them prove that the set-up never ran: 453 (the node
+/// is full) and 454 (the request was never sent).
+fn set_up_outcome(status: u16) -> Outcome {
     match status {
         453 => Outcome::Full,
         454 => Outcome::Unsent,
@@ -59,8 +62,8 @@
     }
 }
 
-/// How a session ended by the cause of its release.
-fn end(reason: Option<&str>) -> Outcome {
+/// The outcome of an established session, from the cause code of its release.
+fn release_outcome(reason: Option<&str>) -> Outcome {
     let cause = reason.and_then(|r| r.split(';').find_map(|p| p.trim().strip_prefix("cause=")));
     match cause.map(str::trim) {
         Some("16") => Outcome::Served,
@@ -69,21 +72,21 @@
     }
 }
 
-/// The values of a load report, in the order of the settings; one that is missing is no number.
-fn report(field: Option<&str>, known: &Sockets) -> Option<Vec<f64>> {
-    let given: Vec<(&str, &str)> = field?.split(';').filter_map(|p| p.split_once(':')).collect();
+/// Parses the values of a load report, in the order of the settings. A missing or unreadable value becomes NaN.
+fn load_report(field: Option<&str>, settings: &SocketSettings) -> Option<Vec<f64>> {
+    let pairs: Vec<(&str, &str)> = field?.split(';').filter_map(|p| p.split_once(':')).collect();
     let value = |name: &String| {
-        let found = given.iter().find(|(n, _)| n.trim() == name);
+        let found = pairs.iter().find(|(n, _)| n.trim() == name);
         found.and_then(|(_, v)| v.trim().parse::<f64>().ok()).unwrap_or(f64::NAN)
     };
-    Some(known.fields.iter().map(value).collect())
+    Some(settings.report_fields.iter().map(value).collect())
 }
 
-/// What a node is told, as a message.
-pub fn write(word: &ToNode, known: &Sockets) -> Message {
-    match word {
+/// Encodes a message to a node.
+pub fn encode(output: &ToNode, settings: &SocketSettings) -> Message {
+    match output {
         ToNode::SetUp { id, title, class, wait_ms, rung, body } => {
-            let class = known.classes.get(usize::from(*class)).map_or("", String::as_str);
+            let class = settings.class_names.get(usize::from(*class)).map_or("", String::as_str);
             let m = request("SETUP", title, 1, id).with("Priority-Class", class);
             m.with("Expires-Ms", wait_ms).with("X-Rung", rung).body(body.clone())
         }
@@ -92,8 +95,8 @@
         ToNode::Rung(id, title, rung) => request("SET_PARAMETER", title, 4, id).with("X-Rung", rung),
         ToNode::AskLoad(probe) => {
             let m = Message::request("OPTIONS", format!("{ROOT}load"));
-            m.with("CSeq", 3).with("Session", id_text(probe.0))
+            m.with("CSeq", 3).with("Session", format_id(probe.0))
         }
-        ToNode::Heard(id) => answer(200, 2, id),
+        ToNode::Heard(id) => response(200, 2, id),
     }
 }
--- a/crates/platform/src/shell.rs
+++ b/crates/platform/src/shell.rs
@@ -12,7 +12,7 @@
 use pepperhook::SessionId;
 use pepperhook_changelog::{Applied, Event, NodeList};
 use pepperhook_net::Clock;
-use pepperhook_parameters::Sockets;
+use pepperhook_parameters::SocketSettings;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::io;
@@ -46,7 +46,7 @@
 /// One running front.
 pub struct Shell {
     clock: Clock,
-    sockets: Sockets,
+    sockets: SocketSettings,
     cells: u32,
     core: RefCell<Core>,
     list: RefCell<NodeList>,
@@ -95,7 +95,7 @@
                 Effect::Tell(conn, word) => {
                     trace!(event = "to-viewer", conn = conn.0, ?word);
                     if let Some(peer) = self.viewers.borrow().get(&conn) {
-                        peer.send(&viewer::write(&word));
+                        peer.send(&viewer::encode(&word));
                     }
                 }
                 Effect::Hang(conn) => {
@@ -113,7 +113,7 @@
                 Effect::Write(link, word) => {
                     trace!(event = "to-node", link = link.0, ?word);
                     if let Some(peer) = self.nodes.borrow().get(&link) {
-                        peer.send(&node::write(&word, &self.sockets));
+                        peer.send(&node::encode(&word, &self.sockets));
                     }
                 }
                 Effect::Close(link) => {
@@ -139,7 +139,7 @@
     /// the connection, in this same turn.
     fn look(self: &Rc<Self>, conn: ConnId, link: LinkId, id: SessionId) {
         let viewer = self.viewers.borrow().get(&conn).cloned();
-        let left = viewer.is_none_or(|peer| peer.has_left(|m| viewer::ends(m, id)));
+        let left = viewer.is_none_or(|peer| peer.has_left(|m| viewer::is_teardown_of(m, id)));
         let node = self.nodes.borrow().get(&link).cloned();
         // A connection that the node ends for idleness crosses the set-up; written there it might have run.
         let blocked = node.is_none_or(|peer| peer.is_blocked() || peer.has_left(|_| false));
@@ -205,12 +205,12 @@
                     self.drive(Input::Left(id));
                     return ControlFlow::Continue(());
                 };
-                match viewer::read(&m, &self.sockets, self.cells) {
+                match viewer::decode(&m, &self.sockets, self.cells) {
                     Ok(FromViewer::Ask(ask)) => self.drive(Input::Ask(id, *ask)),
                     Ok(FromViewer::End(session)) => self.drive(Input::End(id, session)),
-                    Ok(FromViewer::Test(answer)) => peer.send(&answer),
-                    Ok(FromViewer::Nothing) => {}
-                    Err(viewer::Bad(answer)) => {
+                    Ok(FromViewer::Options(answer)) => peer.send(&answer),
+                    Ok(FromViewer::Ignored) => {}
+                    Err(viewer::Rejected(answer)) => {
                         peer.send(&answer);
                         bad += 1;
                         if bad >= BAD_WORDS {
@@ -239,7 +239,7 @@
 
     /// A connection to a node from its dial to its end.
     async fn link(self: Rc<Self>, id: LinkId, address: SocketAddr) {
-        let dial = Duration::from_nanos(self.sockets.dial);
+        let dial = Duration::from_nanos(self.sockets.dial_timeout);
         let stream = match tokio::time::timeout(dial, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => {
@@ -261,12 +261,12 @@
         let end = peer
             .pump(patience, |word| {
                 let Word::Message(m) = word else { return ControlFlow::Continue(()) };
-                match node::read(&m, &self.sockets) {
+                match node::decode(&m, &self.sockets) {
                     Ok(said) => {
                         self.drive(Input::Node(id, said));
                         ControlFlow::Continue(())
                     }
-                    Err(node::Bad) => {
+                    Err(node::Unexpected) => {
                         if self.may_warn("noise-message") {
                             warn!(event = "node-message", %address, start = ?m.start, fields = ?m.fields, "a message makes no sense here");
                         }
--- a/crates/platform/src/viewer.rs
+++ b/crates/platform/src/viewer.rs
@@ -1,132 +1,139 @@
-//! The face to viewers: what they may send, checked, and what they are told.
+//! Validates RTSP messages from viewers and converts them into values for the core; encodes the core's messages to viewers.
 
 use crate::core::{Ask, ToViewer};
-use crate::wire::{self, ROOT, answer, release, request};
+use crate::wire::{ROOT, parse_id, release, request, response};
 use pepperhook::{ClassId, ServerId, SessionId, SessionSpec, TenantId, Time, TitleId, ViewerKey};
-use pepperhook_parameters::Sockets;
+use pepperhook_parameters::SocketSettings;
 use pepperhook_rtsp::{Message, StartLine};
 
-/// A viewer waits at most so many times its class's deadline; more is a figure out of range.
-const PATIENCE: u64 = 4;
-/// A session's hint is at most a week, milliseconds.
-const LENGTH: f64 = 604_800_000.0;
+/// A viewer's longest waiting time, as a multiple of the deadline of its class. A set-up with more is rejected.
+const MAX_WAIT_PER_DEADLINE: u64 = 4;
+/// The longest expected length of a session, in milliseconds: a week.
+const MAX_LENGTH_MS: f64 = 604_800_000.0;
 
-/// What a viewer sends.
+/// A decoded message from a viewer.
 pub enum FromViewer {
     /// A set-up.
     Ask(Box<Ask>),
-    /// A set-up is given up or a session ended.
+    /// Cancels a set-up or ends a session.
     End(SessionId),
-    /// A test, answered at once; the message to answer with.
-    Test(Message),
-    /// A response, or another message that needs no answer.
-    Nothing,
+    /// An `OPTIONS` request; contains the response, which is sent at once.
+    Options(Message),
+    /// A response, or a request that needs no response.
+    Ignored,
 }
 
-/// A message that cannot be used, and the answer to it.
-pub struct Bad(pub Message);
+/// The response to a message that was rejected.
+pub struct Rejected(pub Message);
 
-/// A response that carries on the number and the id of a request, as far as they can be repeated.
+/// A response that repeats the `CSeq` and `Session` fields of a request, unless they are longer than 32 bytes or have
+/// characters other than letters and digits.
 fn reply(status: u16, to: &Message) -> Message {
-    let plain = |v: &&str| v.len() <= 32 && v.bytes().all(|b| b.is_ascii_alphanumeric());
+    let is_plain = |v: &&str| v.len() <= 32 && v.bytes().all(|b| b.is_ascii_alphanumeric());
     let mut reply = Message::response(status);
     for name in ["CSeq", "Session"] {
-        if let Some(value) = to.field(name).filter(plain) {
+        if let Some(value) = to.field(name).filter(is_plain) {
             reply = reply.with(name, value);
         }
     }
     reply
 }
 
-/// Reads a message of a viewer.
-pub fn read(m: &Message, known: &Sockets, cells: u32) -> Result<FromViewer, Bad> {
-    let StartLine::Request(method, uri) = &m.start else { return Ok(FromViewer::Nothing) };
-    let bad = |status| Err(Bad(reply(status, m)));
+/// Decodes a message from a viewer. `cells` is the number of cells of the site.
+pub fn decode(m: &Message, settings: &SocketSettings, cells: u32) -> Result<FromViewer, Rejected> {
+    let StartLine::Request(method, uri) = &m.start else { return Ok(FromViewer::Ignored) };
+    let reject = |status| Err(Rejected(reply(status, m)));
     if !uri.starts_with(ROOT) || m.is_repeated("Session") || m.is_repeated("CSeq") {
-        return bad(400);
+        return reject(400);
     }
-    let session = m.field("Session").and_then(wire::id).map(SessionId);
+    let session = m.field("Session").and_then(parse_id).map(SessionId);
     match (method.as_str(), session) {
-        ("OPTIONS", _) => Ok(FromViewer::Test(reply(200, m))),
-        ("SETUP", Some(session)) => match ask(m, uri, session, known, cells) {
+        ("OPTIONS", _) => Ok(FromViewer::Options(reply(200, m))),
+        ("SETUP", Some(session)) => match set_up(m, uri, session, settings, cells) {
             Some(ask) => Ok(FromViewer::Ask(Box::new(ask))),
-            None => bad(400),
+            None => reject(400),
         },
         ("TEARDOWN", Some(session)) => Ok(FromViewer::End(session)),
-        ("SETUP" | "TEARDOWN", None) => bad(400),
-        ("ANNOUNCE" | "SET_PARAMETER" | "GET_PARAMETER", _) => Ok(FromViewer::Nothing),
-        _ => bad(501),
+        ("SETUP" | "TEARDOWN", None) => reject(400),
+        ("ANNOUNCE" | "SET_PARAMETER" | "GET_PARAMETER", _) => Ok(FromViewer::Ignored),
+        _ => reject(501),
     }
 }
 
-/// Whether a message gives this set-up up.
-pub fn ends(m: &Message, id: SessionId) -> bool {
-    let named = || m.field("Session").and_then(wire::id) == Some(id.0);
-    matches!(&m.start, StartLine::Request(method, _) if method == "TEARDOWN") && named()
+/// Returns whether a message cancels this set-up or ends its session.
+pub fn is_teardown_of(m: &Message, id: SessionId) -> bool {
+    let has_id = || m.field("Session").and_then(parse_id) == Some(id.0);
+    matches!(&m.start, StartLine::Request(method, _) if method == "TEARDOWN") && has_id()
 }
 
-fn ask(m: &Message, uri: &str, id: SessionId, known: &Sockets, cells: u32) -> Option<Ask> {
-    let title = wire::id(&uri[ROOT.len()..])?;
+/// Parses a set-up; `None` if a field is missing or invalid.
+fn set_up(m: &Message, uri: &str, id: SessionId, settings: &SocketSettings, cells: u32) -> Option<Ask> {
+    let title = parse_id(&uri[ROOT.len()..])?;
     let class = m.field("Priority-Class")?;
-    let class = known.classes.iter().position(|c| c == class)?;
-    let wait: u64 = m.field("Expires-Ms").filter(|v| v.bytes().all(|b| b.is_ascii_digit()))?.parse().ok()?;
-    let patience = wait.checked_mul(1_000_000).filter(|p| *p > 0)?;
-    let length = match m.field("X-Length") {
-        Some(v) => Some(v.parse::<f64>().ok().filter(|l| l.is_finite() && (0.0..=LENGTH).contains(l))?),
+    let class = settings.class_names.iter().position(|c| c == class)?;
+    let wait_ms: u64 =
+        m.field("Expires-Ms").filter(|v| v.bytes().all(|b| b.is_ascii_digit()))?.parse().ok()?;
+    let max_wait = wait_ms.checked_mul(1_000_000).filter(|t| *t > 0)?;
+    let length_ms = match m.field("X-Length") {
+        Some(v) => {
+            Some(v.parse::<f64>().ok().filter(|l| l.is_finite() && (0.0..=MAX_LENGTH_MS).contains(l))?)
+        }
         None => None,
     };
-    let (mut home, mut copies, mut top, mut viewer, mut again, mut at) =
+    let (mut first_cell, mut cell_count, mut highest_rung, mut viewer, mut reconnect, mut node) =
         (None, None, None, None, false, None);
     for part in m.field("P-Trunk-Info")?.split(';') {
         let (name, value) = part.split_once(':')?;
-        let figure = || value.parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0);
+        let number = || value.parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0);
         match name.trim() {
-            "home" => home = Some(figure().filter(|h| *h < f64::from(cells))?),
-            "copies" => copies = Some(figure().filter(|c| *c <= f64::from(cells))?),
-            "top" => top = Some(figure().filter(|t| *t < 256.0)?),
-            "viewer" => viewer = Some(wire::id(value)?),
-            "again" => again = value == "1",
-            "at" => at = Some(ServerId(pepperhook_changelog::parse_node_id(value)?)),
+            "home" => first_cell = Some(number().filter(|h| *h < f64::from(cells))?),
+            "copies" => cell_count = Some(number().filter(|c| *c <= f64::from(cells))?),
+            "top" => highest_rung = Some(number().filter(|t| *t < 256.0)?),
+            "viewer" => viewer = Some(parse_id(value)?),
+            "again" => reconnect = value == "1",
+            "at" => node = Some(ServerId(pepperhook_changelog::parse_node_id(value)?)),
             _ => {}
         }
     }
-    let deadline = known.deadlines.get(class).copied().unwrap_or(Time::MAX);
-    if at.is_none() && patience > deadline.saturating_mul(PATIENCE) {
+    let deadline = settings.deadlines.get(class).copied().unwrap_or(Time::MAX);
+    if node.is_none() && max_wait > deadline.saturating_mul(MAX_WAIT_PER_DEADLINE) {
         return None;
     }
     let tenant = match m.field("P-Customer") {
-        // One that the settings don't name is no other's: it is not counted for the first.
-        Some(name) if known.tenants.iter().any(Option::is_some) => {
-            known.tenants.iter().position(|t| t.as_deref() == Some(name))?
+        // An unknown name is rejected: it must not count against the quota of the first tenant.
+        Some(name) if settings.tenant_names.iter().any(Option::is_some) => {
+            settings.tenant_names.iter().position(|t| t.as_deref() == Some(name))?
         }
         _ => 0,
     };
-    let wish = SessionSpec {
+    let spec = SessionSpec {
         viewer: ViewerKey(viewer?),
         class: ClassId(u16::try_from(class).ok()?),
         tenant: TenantId(u16::try_from(tenant).ok()?),
         title: TitleId(title),
-        first_cell: home?,
-        cell_count: copies?,
-        highest_rung: top?,
-        max_wait: patience,
-        expected_length: length.map(|ms| (ms * 1e6) as Time),
-        reconnect: again,
+        first_cell: first_cell?,
+        cell_count: cell_count?,
+        highest_rung: highest_rung?,
+        max_wait,
+        expected_length: length_ms.map(|ms| (ms * 1e6) as Time),
+        reconnect,
     };
-    Some(Ask { id, wish, body: m.body.clone(), at })
+    Some(Ask { id, wish: spec, body: m.body.clone(), at: node })
 }
 
-/// What a viewer is told, as a message.
-pub fn write(word: &ToViewer) -> Message {
-    match word {
-        ToViewer::Plays(id, body) => answer(200, 1, id).body(body.clone()),
-        ToViewer::Refused(id, Some(after)) => answer(503, 1, id).with("P-Back-Off", after / 1_000_000),
-        ToViewer::Refused(id, None) => answer(503, 1, id),
-        ToViewer::Failed(id) => answer(500, 1, id),
-        ToViewer::Conflict(id) => answer(455, 1, id),
+/// Encodes a message to a viewer.
+pub fn encode(output: &ToViewer) -> Message {
+    match output {
+        ToViewer::Plays(id, body) => response(200, 1, id).body(body.clone()),
+        ToViewer::Refused(id, Some(retry_after)) => {
+            response(503, 1, id).with("P-Back-Off", retry_after / 1_000_000)
+        }
+        ToViewer::Refused(id, None) => response(503, 1, id),
+        ToViewer::Failed(id) => response(500, 1, id),
+        ToViewer::Conflict(id) => response(455, 1, id),
         ToViewer::Over(id, title, cause) => release(title, id, cause),
         ToViewer::Move(id, title) => request("REDIRECT", title, 2, id),
-        ToViewer::Heard(id) => answer(200, 2, id),
-        ToViewer::Unknown(id) => answer(454, 2, id),
+        ToViewer::Heard(id) => response(200, 2, id),
+        ToViewer::Unknown(id) => response(454, 2, id),
     }
 }
--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -62,7 +62,7 @@
     fn start(&mut self, r: &mut Reader) -> Result<(), Fault> {
         let (instance, seed, length) = (r.u16()?, r.u64()?, r.u32()?);
         let raw = r.take(length as usize)?;
-        let settings = pepperhook_parameters::parse(raw).map_err(|what| r.fault(what))?;
+        let settings = pepperhook_parameters::parse_decision_settings(raw).map_err(|what| r.fault(what))?;
         let controller = Controller::new(settings, seed).map_err(|e| r.fault(e.to_string()))?;
         self.controllers.insert(instance, controller);
         Ok(())
