--- a/crates/platform/src/backoff.rs
+++ b/crates/platform/src/backoff.rs
@@ -1,88 +1,89 @@
-//! When a connection that broke off is tried again, and until when one that stands must have told something. No I/O and
-//! no clock of its own.
+//! Times for the change log's client: the pauses between connections, and the deadline after which a connection counts as
+//! silent. No I/O and no clock of its own.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
-/// Longest first pause, doubled with each further one
-const FIRST: Duration = Duration::from_millis(200);
-/// up to this.
-const LONGEST: Duration = Duration::from_millis(1_000);
-/// Who stood for so long starts again from the first pause. Any news would not do: a log that tells one event and
-/// then rubbish, each time, would be asked without a bound.
-const STOOD: Duration = Duration::from_millis(1_000);
+/// Upper bound of the first pause; it doubles with each further pause.
+const INITIAL_MAX_PAUSE: Duration = Duration::from_millis(200);
+/// Upper bound of every pause.
+const MAX_PAUSE: Duration = Duration::from_millis(1_000);
+/// A connection that lasted this long resets the back-off. Receiving an event is not enough: a log that sends one event
+/// and then invalid bytes on each connection would be dialled without a limit on the rate.
+const RESET_AFTER: Duration = Duration::from_millis(1_000);
 
-/// Exponential backoff with jitter: each pause is drawn from the upper half of what it may be, so that fronts which
-/// lost their log in one moment do not come back in one moment, and none comes back at once.
+/// Exponential back-off with jitter. Each pause is drawn from the upper half of its range: fronts that lose their log at
+/// the same moment do not reconnect at the same moment, and none reconnects at once.
 #[derive(Debug)]
 pub struct Backoff {
     random: StdRng,
-    most: Duration,
+    max_pause: Duration,
 }
 
 impl Backoff {
     /// Starts from the first pause; the seed is the front's own.
     pub fn new(seed: u64) -> Self {
-        Self { random: StdRng::seed_from_u64(seed), most: FIRST }
+        Self { random: StdRng::seed_from_u64(seed), max_pause: INITIAL_MAX_PAUSE }
     }
 
-    /// The pause after a try that came to its end this long after it began.
-    pub fn pause(&mut self, stood: Duration) -> Duration {
-        if stood >= STOOD {
+    /// The pause after an attempt that lasted this long from the dial to the end of its connection.
+    pub fn pause(&mut self, lasted: Duration) -> Duration {
+        if lasted >= RESET_AFTER {
             self.reset();
         }
-        let pause = self.random.random_range(self.most / 2..=self.most);
-        self.most = (self.most * 2).min(LONGEST);
+        let pause = self.random.random_range(self.max_pause / 2..=self.max_pause);
+        self.max_pause = (self.max_pause * 2).min(MAX_PAUSE);
         pause
     }
 
-    /// Starts again from the first pause, where what is tried is another.
+    /// Starts again from the first pause, for another address.
     pub fn reset(&mut self) {
-        self.most = FIRST;
+        self.max_pause = INITIAL_MAX_PAUSE;
     }
 }
 
-/// A log says something whole each second; after this it has fallen silent.
-const SILENCE: Duration = Duration::from_millis(2_300);
-/// A frame that is under way may take longer by what its bytes need at this pace, bytes a second. The longest one,
-/// 540 kB, then has 19 s from the one before.
-const PACE: u32 = 32 * 1024;
+/// A connection counts as silent after this time; the log sends a complete frame every second.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_300);
+/// Slowest acceptable transfer of a frame, in bytes per second; a frame in progress has that much longer. The longest
+/// one, 540 kB, may take 19 s from the frame before it.
+const MIN_BYTES_PER_SECOND: u32 = 32 * 1024;
 
-/// Until when a log must have told something: whole frames count. Bytes alone would let one that trickles hold the
-/// watch for ever, and frames alone would never let a long list through a slow link. Times are counted from the
-/// connection's start.
+/// Deadline by which a change log must send the next complete frame. Counting any byte would let a log that trickles bytes
+/// keep the connection for ever; counting complete frames alone would never let a long list through a slow link. All
+/// times are relative to the start of the connection.
 #[derive(Debug, Default)]
-pub struct Patience {
-    /// The last whole frame.
-    whole: Duration,
-    /// The last byte.
-    heard: Duration,
-    /// Bytes of the frame that is under way, as it announces itself.
-    announced: usize,
+pub struct SilenceDeadline {
+    /// When the last frame was complete.
+    last_frame: Duration,
+    /// When the last byte came.
+    last_byte: Duration,
+    /// Length in bytes of the frame in progress, from its length field.
+    frame_length: usize,
 }
 
-impl Patience {
-    /// Bytes came.
-    pub fn heard(&mut self, at: Duration) {
-        self.heard = at;
+impl SilenceDeadline {
+    /// Records that bytes were received.
+    pub fn bytes_received(&mut self, at: Duration) {
+        self.last_byte = at;
     }
 
-    /// A frame was whole.
-    pub fn whole(&mut self, at: Duration) {
-        self.whole = at;
+    /// Records that a frame is complete.
+    pub fn frame_completed(&mut self, at: Duration) {
+        self.last_frame = at;
     }
 
-    /// The frame that is under way has this length in bytes; 0 if none is, or if that is not told yet.
-    pub fn announced(&mut self, bytes: usize) {
-        self.announced = bytes;
+    /// Sets the length in bytes of the frame in progress; 0 if there is none or its length is not known yet.
+    pub fn set_frame_length(&mut self, bytes: usize) {
+        self.frame_length = bytes;
     }
 
-    /// The moment at which it counts as silent, unless something comes before.
-    pub fn due(&self) -> Duration {
-        let more =
-            Duration::from_secs(1).saturating_mul(u32::try_from(self.announced).unwrap_or(u32::MAX)) / PACE;
-        (self.heard + SILENCE).min(self.whole + SILENCE + more)
+    /// The time at which the connection counts as silent, unless more is received before.
+    pub fn deadline(&self) -> Duration {
+        let transfer_time = Duration::from_secs(1)
+            .saturating_mul(u32::try_from(self.frame_length).unwrap_or(u32::MAX))
+            / MIN_BYTES_PER_SECOND;
+        (self.last_byte + SILENCE_TIMEOUT).min(self.last_frame + SILENCE_TIMEOUT + transfer_time)
     }
 }
 
--- a/crates/platform/src/changelog_client.rs
+++ b/crates/platform/src/changelog_client.rs
@@ -1,7 +1,7 @@
-//! The client of the change log: catches up from the last whole event it has, and asks again when it breaks off, falls
-//! silent, tells what is no event, or moves.
+//! Client of the platform's change log. It subscribes after the last complete event that the front has, and reconnects
+//! when the connection breaks, stays silent too long, sends invalid or missing events, or when the log's address changes.
 
-use crate::backoff::{Backoff, Patience};
+use crate::backoff::{Backoff, SilenceDeadline};
 use crate::shell::Shell;
 use pepperhook_changelog::{Applied, Decoder, Frame};
 use std::convert::Infallible;
@@ -13,55 +13,65 @@
 use tokio::time::{Instant, timeout, timeout_at};
 use tracing::{info, warn};
 
-/// A connection to it is up within this time.
-const DIAL: Duration = Duration::from_millis(1_000);
+/// Time limit for establishing a connection, and for writing the request on it.
+const DIAL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Follows the change log for as long as the front runs; the seed spreads what fronts do at one moment.
+/// Follows the change log for as long as the front runs. The seed of each front differs, which spreads reconnections.
 pub async fn follow(shell: Rc<Shell>, seed: u64) {
     let mut backoff = Backoff::new(seed);
     loop {
-        // Whatever is waited for at the old address, an end, a dial or a pause, the new one is asked at once; and once:
-        // a move that is told before the address is read leaves nothing behind.
+        // A change of address interrupts whatever is in progress with the old address: a connection, a dial or a pause.
+        // The new address is dialled at once, and only once: a notification that comes before the address is read
+        // leaves no further one pending.
         tokio::select! {
             biased;
             () = shell.log_moved.notified() => {
-                info!(event = "changelog-moved", "the change log is asked at its new address");
+                info!(event = "changelog-moved", "connecting to the change log at its new address");
                 backoff.reset();
             }
-            never = watch(&shell, &mut backoff) => match never {},
+            never = reconnect_forever(&shell, &mut backoff) => match never {},
         }
     }
 }
 
-/// Asks at the address that holds, again and again.
-async fn watch(shell: &Rc<Shell>, backoff: &mut Backoff) -> Infallible {
+/// Connects to the current address again and again, with back-off.
+async fn reconnect_forever(shell: &Rc<Shell>, backoff: &mut Backoff) -> Infallible {
     loop {
         let began = Instant::now();
-        let why = once(shell).await;
+        let reason = read_events(shell).await;
         if shell.may_warn("changelog") {
-            warn!(event = "changelog-broke", why, last = shell.last_event(), "the change log is asked again");
+            warn!(
+                event = "changelog-broke",
+                why = reason,
+                last = shell.last_event(),
+                "reconnecting to the change log after its last complete event"
+            );
         }
         tokio::time::sleep(backoff.pause(began.elapsed())).await;
     }
 }
 
-/// One connection to the change log; says why it ended. What was not told as a whole event changes nothing.
-async fn once(shell: &Rc<Shell>) -> &'static str {
+/// Opens one connection to the change log and applies its events until it ends; returns the reason of the end. An
+/// incomplete event changes nothing.
+async fn read_events(shell: &Rc<Shell>) -> &'static str {
     let address = shell.log_address();
-    let Ok(Ok(mut stream)) = timeout(DIAL, TcpStream::connect(address)).await else { return "no connection" };
-    if !matches!(timeout(DIAL, stream.write_all(&shell.last_event().to_be_bytes())).await, Ok(Ok(()))) {
+    let Ok(Ok(mut stream)) = timeout(DIAL_TIMEOUT, TcpStream::connect(address)).await else {
+        return "no connection";
+    };
+    if !matches!(timeout(DIAL_TIMEOUT, stream.write_all(&shell.last_event().to_be_bytes())).await, Ok(Ok(())))
+    {
         return "no connection";
     }
-    let (mut decoder, mut piece) = (Decoder::default(), vec![0u8; 8 * 1024]);
-    let (began, mut patience) = (Instant::now(), Patience::default());
+    let (mut decoder, mut buffer) = (Decoder::default(), vec![0u8; 8 * 1024]);
+    let (began, mut silence) = (Instant::now(), SilenceDeadline::default());
     loop {
-        let n = match timeout_at(began + patience.due(), stream.read(&mut piece)).await {
+        let n = match timeout_at(began + silence.deadline(), stream.read(&mut buffer)).await {
             Err(_) => return "silent",
             Ok(Ok(n)) if n > 0 => n,
             Ok(_) => return "ended",
         };
-        patience.heard(began.elapsed());
-        decoder.feed(&piece[..n]);
+        silence.bytes_received(began.elapsed());
+        decoder.feed(&buffer[..n]);
         loop {
             match decoder.decode() {
                 Ok(None) => break,
@@ -71,18 +81,18 @@
                     }
                 }
                 Ok(Some(Frame::Event(event))) => {
-                    match shell.told(&event) {
+                    match shell.apply_event(&event) {
                         Applied::New | Applied::Duplicate => {}
                         Applied::Gap => return "events are missing",
                         Applied::TooMany => return "too many nodes",
                     }
-                    // A log that tells much at once holds nobody else up.
+                    // Many events in a row must not starve the other tasks.
                     yield_now().await;
                 }
                 Err(_) => return "noise",
             }
-            patience.whole(began.elapsed());
+            silence.frame_completed(began.elapsed());
         }
-        patience.announced(decoder.announced_bytes());
+        silence.set_frame_length(decoder.announced_bytes());
     }
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,13 +1,14 @@
-//! The front end on the platform's protocol.
+//! The front on the platform's protocol, RTSP over TCP.
 //!
-//! - [`core`]: requests, attempts, standing sessions and evidence on nodes' lives, without I/O; what it does is decided
-//!   by `pepperhook`.
-//! - `viewer`, `node`: the faces, which turn RTSP into the core's values and back.
-//! - `shell`: sockets, the change log, signals, on tokio's current-thread runtime.
-//! - [`config`]: what the platform tells a front end at its start, and when it is read again.
-//! - `changelog_client`: the watch of the change log; `backoff` has its times, `node_filter` what of the list the core is told.
+//! - [`core`]: requests, attempts, established sessions and the evidence that nodes are alive, without I/O; decisions are
+//!   made by `pepperhook`.
+//! - `viewer`, `node`: codecs between RTSP messages and the core's values; `wire` has what they share.
+//! - `shell`: sockets, timers, the change log and signals, on tokio's current-thread runtime; `peer` is one connection.
+//! - [`config`]: the configuration that the platform writes, at the start and on reload.
+//! - `changelog_client`: follows the change log; `backoff` has its pauses and deadlines, `node_filter` selects the nodes
+//!   that the core gets.
 //!
-//! Arrows go one way: faces and shell know the core, the core knows neither.
+//! Dependencies go one way: codecs and shell depend on the core, the core on neither.
 
 mod backoff;
 mod changelog_client;
--- a/crates/platform/src/node_filter.rs
+++ b/crates/platform/src/node_filter.rs
@@ -1,40 +1,44 @@
-//! What of the list the core is told: nodes that can be dialled, with starts that can have been.
+//! Filters the node list for the core: only nodes with an address that can be dialled, and no start times in the future.
 
 use pepperhook_changelog::{Entry, NodeList};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// Starts told for a time to come, by node: what was told, and what is gone by.
+/// Remembers, by node id, start times that were in the future when they were first listed: the listed start and the
+/// start that replaced it, both Unix time in milliseconds.
 #[derive(Debug, Default)]
-pub struct Roster(BTreeMap<u32, (u64, u64)>);
+pub struct NodeFilter(BTreeMap<u32, (u64, u64)>);
 
-impl Roster {
-    /// The nodes of the list that can be used. `now` is Unix time, milliseconds.
+impl NodeFilter {
+    /// Returns the nodes of the list that can be used. `now` is Unix time in milliseconds.
     ///
-    /// A node at an address that leads nowhere is left out, since nothing can run there; the unspecified address would
-    /// lead to this machine. One that is to start in time to come has started by the time that it is told: else it
-    /// would count as just started, and be sent next to nothing, until then. Told again it keeps that start, which
-    /// would otherwise end what has been set up there since.
+    /// A node is left out if its address is unspecified, multicast or broadcast, or has port 0: no node can run there,
+    /// and the unspecified address would connect to this machine.
+    ///
+    /// A start time in the future is replaced by `now`. Otherwise the node would count as just started, and get almost
+    /// no sessions, until that time. While the listed start stays the same, the replacement stays too: a later one would
+    /// end the sessions that were set up since.
     pub fn usable(&mut self, list: &NodeList, now: u64) -> Vec<Entry> {
-        let mut ahead = BTreeMap::new();
-        let mut entry = |e: &Entry| {
-            let told = e.started_ms;
+        let mut future_starts = BTreeMap::new();
+        let mut with_past_start = |e: &Entry| {
+            let listed = e.started_ms;
             let started_ms = match self.0.get(&e.id) {
-                Some((same, held)) if *same == told => *held,
-                _ => told.min(now),
+                Some((same, replacement)) if *same == listed => *replacement,
+                _ => listed.min(now),
             };
-            if started_ms != told {
-                ahead.insert(e.id, (told, started_ms));
+            if started_ms != listed {
+                future_starts.insert(e.id, (listed, started_ms));
             }
             Entry { started_ms, ..*e }
         };
-        let entries = list.nodes().values().filter(|e| leads_somewhere(e.address)).map(&mut entry).collect();
-        self.0 = ahead;
+        let entries =
+            list.nodes().values().filter(|e| is_dialable(e.address)).map(&mut with_past_start).collect();
+        self.0 = future_starts;
         entries
     }
 }
 
-fn leads_somewhere(address: SocketAddrV4) -> bool {
+fn is_dialable(address: SocketAddrV4) -> bool {
     let ip = address.ip();
     address.port() != 0 && !ip.is_unspecified() && !ip.is_multicast() && !ip.is_broadcast()
 }
--- a/crates/platform/src/shell.rs
+++ b/crates/platform/src/shell.rs
@@ -5,7 +5,7 @@
 
 use crate::config::{Config, Start};
 use crate::core::{Bounds, ConnId, Core, DialEnd, Effect, Input, LinkId};
-use crate::node_filter::Roster;
+use crate::node_filter::NodeFilter;
 use crate::peer::{End, Patience, Peer, Word};
 use crate::viewer::{self, FromViewer};
 use crate::{changelog_client, node};
@@ -50,7 +50,7 @@
     cells: u32,
     core: RefCell<Core>,
     list: RefCell<NodeList>,
-    roster: RefCell<Roster>,
+    node_filter: RefCell<NodeFilter>,
     start: Start,
     log: Cell<SocketAddr>,
     /// The change log has another address.
@@ -179,7 +179,7 @@
     }
 
     /// Takes an event of the change log.
-    pub fn told(self: &Rc<Self>, event: &Event) -> Applied {
+    pub fn apply_event(self: &Rc<Self>, event: &Event) -> Applied {
         let applied = self.list.borrow_mut().apply(event);
         if applied == Applied::New {
             self.take_list();
@@ -189,7 +189,7 @@
 
     fn take_list(self: &Rc<Self>) {
         let now = self.clock.now() / 1_000_000;
-        let entries = self.roster.borrow_mut().usable(&self.list.borrow(), now);
+        let entries = self.node_filter.borrow_mut().usable(&self.list.borrow(), now);
         self.drive(Input::Nodes(entries));
     }
 
@@ -360,7 +360,7 @@
         sockets: config.sockets,
         core: RefCell::new(core),
         list: RefCell::new(config.list),
-        roster: RefCell::default(),
+        node_filter: RefCell::default(),
         start,
         log: Cell::new(config.changelog),
         log_moved: Notify::new(),
