--- a/crates/platform/src/peer.rs
+++ b/crates/platform/src/peer.rs
@@ -1,4 +1,4 @@
-//! One connection, a viewer's or a node's: bytes in through a decoder, bytes out through a bounded queue.
+//! One connection to a viewer or a node: received bytes go through a decoder, sent bytes through a bounded queue.
 
 use bytes::{Buf, BytesMut};
 use pepperhook_rtsp::{DecodeError, Decoder, Message};
@@ -13,84 +13,84 @@
 use tokio::sync::Notify;
 use tokio::time::{Duration, Instant};
 
-/// Bytes that wait to be written, at most; who does not read them loses the connection.
-const QUEUE: usize = 256 * 1024;
-/// Bytes read at a time.
-const PIECE: usize = 8 * 1024;
-/// Bytes read ahead of what was taken, at most.
-const AHEAD: usize = 64 * 1024;
-/// Messages taken before others have their turn.
-const TURN: usize = 16;
+/// Largest number of bytes in the send queue. A connection whose peer does not read is closed when it is exceeded.
+const MAX_QUEUED_BYTES: usize = 256 * 1024;
+/// Size in bytes of the read buffer.
+const READ_BUFFER_BYTES: usize = 8 * 1024;
+/// Number of received bytes, not yet taken from the inbox, at which reading pauses.
+const MAX_INBOX_BYTES: usize = 64 * 1024;
+/// Number of messages handled before the task yields to others.
+const MESSAGES_PER_TURN: usize = 16;
 
-/// How a connection ended.
+/// Why a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// The other side ended or reset it.
+pub enum EndReason {
+    /// The peer closed or reset it.
     Gone,
-    /// The other side ended it after this side had shut its own half.
+    /// The peer closed it after this side had shut down its sending half.
     Shut,
-    /// It was closed from here.
+    /// This side closed it.
     Closed,
-    /// What came was no message.
+    /// The received bytes are not a message.
     Unreadable(DecodeError),
-    /// What came was a message that may not come here.
+    /// A message was received that the peer must not send.
     Noise,
-    /// A message that had begun did not become whole in time, or none came.
+    /// The first message, or the rest of a message in progress, did not arrive in time.
     Slow,
 }
 
-/// The sending side of a connection.
+/// State of the sending half of a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Half {
+enum SendHalf {
     Open,
-    /// To be shut once what was said is written.
+    /// To be shut down once the send queue is written.
     Ending,
     Shut,
 }
 
-/// What a connection brings.
-pub enum Word {
-    /// The other side has ended its half, or what came can't be read. Known before the messages that came before it are
-    /// taken, so that nothing is begun for who has left.
-    Ends,
+/// What the reader of a connection receives.
+pub enum Received {
+    /// The peer has closed its sending half, or its bytes cannot be decoded. This comes before the messages that were
+    /// received ahead of it: no work should begin for a peer that has left.
+    EndOfInput,
     /// A message.
     Message(Message),
 }
 
-/// What was read and is not taken yet.
+/// Received data that the reader has not taken yet.
 #[derive(Default)]
 struct Inbox {
     decoder: Decoder,
     messages: VecDeque<Message>,
-    /// Bytes read since it was last empty.
+    /// Bytes received since the inbox was last empty.
     bytes: usize,
-    /// Nothing more comes after the messages.
-    end: Option<End>,
-    /// Whoever takes the messages has heard of it.
-    told: bool,
+    /// Set when nothing more follows the messages.
+    end: Option<EndReason>,
+    /// The reader has taken [`Received::EndOfInput`].
+    end_reported: bool,
 }
 
-/// One connection, shared by its reader with whoever has something to say on it or wants to know whether it still is.
+/// One connection, shared by the task that reads it and by those that send on it or check its state.
 pub struct Peer {
     stream: TcpStream,
     inbox: RefCell<Inbox>,
     queue: RefCell<BytesMut>,
     wake: Notify,
     closing: Cell<bool>,
-    half: Cell<Half>,
-    /// The queue ran over.
-    over: Cell<bool>,
-    /// When something last came, or the connection did.
-    heard: Cell<Instant>,
-    /// When the machine last took of what waits, or something began to wait.
-    moved: Cell<Instant>,
+    send_half: Cell<SendHalf>,
+    /// The send queue exceeded its bound.
+    overflowed: Cell<bool>,
+    /// When bytes were last received, or when the connection was made.
+    last_received: Cell<Instant>,
+    /// When the socket last accepted bytes of the queue, or when the queue last became non-empty.
+    last_progress: Cell<Instant>,
 }
 
-/// How long a connection may say nothing.
+/// Time limits for receiving messages on a connection.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
-    /// Until its first whole message.
-    pub first: Option<Duration>,
+pub struct ReceiveTimeouts {
+    /// From the start of the connection to the end of its first message; no limit if `None`.
+    pub first_message: Option<Duration>,
     /// From the first byte of a message to its last.
     pub message: Duration,
 }
@@ -103,16 +103,16 @@
             queue: RefCell::default(),
             wake: Notify::new(),
             closing: Cell::new(false),
-            half: Cell::new(Half::Open),
-            over: Cell::new(false),
-            heard: Cell::new(Instant::now()),
-            moved: Cell::new(Instant::now()),
+            send_half: Cell::new(SendHalf::Open),
+            overflowed: Cell::new(false),
+            last_received: Cell::new(Instant::now()),
+            last_progress: Cell::new(Instant::now()),
         }
     }
 
-    /// Writes at once what the socket takes, and keeps the rest.
+    /// Writes at once what the socket accepts, and queues the rest.
     pub fn send(&self, message: &Message) {
-        if self.half.get() != Half::Open {
+        if self.send_half.get() != SendHalf::Open {
             return;
         }
         let mut bytes = message.encode();
@@ -124,44 +124,44 @@
         }
         if !bytes.is_empty() {
             if queue.is_empty() {
-                self.moved.set(Instant::now());
+                self.last_progress.set(Instant::now());
             }
             queue.extend_from_slice(&bytes);
-            if queue.len() > QUEUE {
-                self.over.set(true);
+            if queue.len() > MAX_QUEUED_BYTES {
+                self.overflowed.set(true);
             }
             self.wake.notify_one();
         }
     }
 
-    /// Something that was said is not written yet.
+    /// Returns whether messages are queued and can still be written.
     pub fn is_writing(&self) -> bool {
-        !self.queue.borrow().is_empty() && !self.over.get()
+        !self.queue.borrow().is_empty() && !self.overflowed.get()
     }
 
-    /// Something said now would not leave now.
+    /// Returns whether a message sent now would have to wait in the queue.
     pub fn is_blocked(&self) -> bool {
         !self.queue.borrow().is_empty()
     }
 
-    /// Ends the connection once what was said is written.
+    /// Closes the connection once the send queue is written.
     pub fn close(&self) {
         self.closing.set(true);
         self.wake.notify_one();
     }
 
-    /// Shuts the sending side once what was said is written; the other side is read to its end.
+    /// Shuts down the sending half once the send queue is written; receiving goes on until the peer closes.
     pub fn shut(&self) {
-        self.half.set(Half::Ending);
+        self.send_half.set(SendHalf::Ending);
         self.wake.notify_one();
     }
 
-    /// Takes the stream back, to end it in order.
+    /// Returns the stream, for an orderly close.
     pub fn into_stream(self) -> TcpStream {
         self.stream
     }
 
-    /// Writes what waits, as far as the socket takes it.
+    /// Writes as much of the queue as the socket accepts; false if the connection is broken.
     fn flush(&self) -> bool {
         let mut queue = self.queue.borrow_mut();
         while !queue.is_empty() {
@@ -169,7 +169,7 @@
                 Ok(0) => return false,
                 Ok(n) => {
                     queue.advance(n);
-                    self.moved.set(Instant::now());
+                    self.last_progress.set(Instant::now());
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(_) => return false,
@@ -178,150 +178,155 @@
         true
     }
 
-    /// Waits until what was said is written, or cannot be.
-    pub async fn written(&self) {
+    /// Waits until the send queue is written or the connection is broken.
+    pub async fn finish_writing(&self) {
         while self.is_writing() && self.stream.writable().await.is_ok() && self.flush() {}
     }
 
-    /// Reads by `read` until it would block, up to the bound on what is read ahead.
-    fn pull(&self, mut read: impl FnMut(&mut [u8]) -> io::Result<usize>) {
+    /// Reads into the inbox with `read` until it would block or the inbox is full.
+    fn fill_inbox(&self, mut read: impl FnMut(&mut [u8]) -> io::Result<usize>) {
         let mut inbox = self.inbox.borrow_mut();
-        let mut piece = [0u8; PIECE];
-        while inbox.end.is_none() && inbox.bytes < AHEAD {
-            let n = match read(&mut piece) {
-                Ok(0) if self.half.get() == Half::Shut => return inbox.end = Some(End::Shut),
-                Ok(0) => return inbox.end = Some(End::Gone),
+        let mut buffer = [0u8; READ_BUFFER_BYTES];
+        while inbox.end.is_none() && inbox.bytes < MAX_INBOX_BYTES {
+            let n = match read(&mut buffer) {
+                Ok(0) if self.send_half.get() == SendHalf::Shut => return inbox.end = Some(EndReason::Shut),
+                Ok(0) => return inbox.end = Some(EndReason::Gone),
                 Ok(n) => n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-                Err(_) => return inbox.end = Some(End::Gone),
+                Err(_) => return inbox.end = Some(EndReason::Gone),
             };
             inbox.bytes += n;
-            self.heard.set(Instant::now());
-            inbox.decoder.feed(&piece[..n]);
+            self.last_received.set(Instant::now());
+            inbox.decoder.feed(&buffer[..n]);
             loop {
                 match inbox.decoder.decode() {
                     Ok(Some(message)) => inbox.messages.push_back(message),
                     Ok(None) => break,
-                    Err(fault) => return inbox.end = Some(End::Unreadable(fault)),
+                    Err(error) => return inbox.end = Some(EndReason::Unreadable(error)),
                 }
             }
         }
     }
 
-    /// Looks at the socket itself, now: whether the other side has ended its half, or has sent a message that `ends`
-    /// what is asked about. What is found is taken in its order by whoever reads this connection.
+    /// Reads from the socket now and returns whether the peer has closed its sending half, or has sent a message for
+    /// which `is_end` is true. What was read stays in the inbox for the connection's reader.
     ///
-    /// The readiness that the runtime knows is as old as its last wait: a timer, or a node's word, may come up before
-    /// the end of a connection that was there earlier.
-    pub fn has_left(&self, ends: impl Fn(&Message) -> bool) -> bool {
-        self.pull(|piece| (&*SockRef::from(&self.stream)).read(piece));
+    /// The runtime's readiness is as old as its last poll: a timer or a node's message may be handled before a viewer's
+    /// close that came earlier.
+    pub fn has_left(&self, is_end: impl Fn(&Message) -> bool) -> bool {
+        self.fill_inbox(|buffer| (&*SockRef::from(&self.stream)).read(buffer));
         self.wake.notify_one();
         let inbox = self.inbox.borrow();
-        inbox.end.is_some() || inbox.messages.iter().any(ends)
+        inbox.end.is_some() || inbox.messages.iter().any(is_end)
     }
 
-    /// The next word that is to be taken.
-    fn next(&self) -> Option<Word> {
+    /// Takes the next item for the reader.
+    fn next(&self) -> Option<Received> {
         let mut inbox = self.inbox.borrow_mut();
-        if inbox.end.is_some() && !std::mem::replace(&mut inbox.told, true) {
-            return Some(Word::Ends);
+        if inbox.end.is_some() && !std::mem::replace(&mut inbox.end_reported, true) {
+            return Some(Received::EndOfInput);
         }
         let message = inbox.messages.pop_front();
         if message.is_none() {
             inbox.bytes = 0;
         }
-        message.map(Word::Message)
+        message.map(Received::Message)
     }
 
-    /// Reads messages and writes what is said, until one side ends it. `each` breaks to end it from here.
-    pub async fn pump(&self, patience: Patience, mut each: impl FnMut(Word) -> ControlFlow<End>) -> End {
-        let mut due = patience.first.map(|t| Instant::now() + t);
-        let (mut heard, mut closing) = (false, false);
+    /// Passes received messages to `handle` and writes the send queue until either side ends the connection; `handle`
+    /// ends it by returning `Break`.
+    pub async fn run(
+        &self,
+        timeouts: ReceiveTimeouts,
+        mut handle: impl FnMut(Received) -> ControlFlow<EndReason>,
+    ) -> EndReason {
+        let mut deadline = timeouts.first_message.map(|t| Instant::now() + t);
+        let (mut any_message, mut closing) = (false, false);
         loop {
             let mut taken = 0;
-            while let Some(word) = self.next() {
-                heard |= matches!(word, Word::Message(_));
-                if let ControlFlow::Break(end) = each(word) {
+            while let Some(received) = self.next() {
+                any_message |= matches!(received, Received::Message(_));
+                if let ControlFlow::Break(end) = handle(received) {
                     return end;
                 }
                 taken += 1;
-                if taken % TURN == 0 {
+                if taken % MESSAGES_PER_TURN == 0 {
                     tokio::task::yield_now().await;
                 }
             }
             if let Some(end) = self.inbox.borrow().end {
                 return end;
             }
-            let within = self.inbox.borrow().decoder.has_partial_message();
-            due = match (within, due) {
-                _ if closing => due,
-                // Another message than the one that was waited for: it has its own time.
-                (true, _) if taken > 0 => Some(Instant::now() + patience.message),
-                (true, Some(at)) if !heard => Some(at),
-                (true, at) => at.or_else(|| Some(Instant::now() + patience.message)),
-                (false, _) if heard => None,
+            let is_partial = self.inbox.borrow().decoder.has_partial_message();
+            deadline = match (is_partial, deadline) {
+                _ if closing => deadline,
+                // Messages were handled meanwhile: the one in progress is another, with its own deadline.
+                (true, _) if taken > 0 => Some(Instant::now() + timeouts.message),
+                (true, Some(at)) if !any_message => Some(at),
+                (true, at) => at.or_else(|| Some(Instant::now() + timeouts.message)),
+                (false, _) if any_message => None,
                 (false, at) => at,
             };
-            let waits = !self.queue.borrow().is_empty();
-            if self.over.get() || (closing && !waits) {
-                return End::Closed;
+            let has_queued = !self.queue.borrow().is_empty();
+            if self.overflowed.get() || (closing && !has_queued) {
+                return EndReason::Closed;
             }
-            if self.half.get() == Half::Ending && !waits {
-                self.half.set(Half::Shut);
+            if self.send_half.get() == SendHalf::Ending && !has_queued {
+                self.send_half.set(SendHalf::Shut);
                 let _ = SockRef::from(&self.stream).shutdown(Shutdown::Write);
             }
-            let time_up = async {
-                match due {
+            let timeout = async {
+                match deadline {
                     Some(at) => tokio::time::sleep_until(at).await,
                     None => std::future::pending().await,
                 }
             };
             tokio::select! {
                 biased;
-                ready = self.stream.writable(), if waits => {
+                ready = self.stream.writable(), if has_queued => {
                     if ready.is_err() || !self.flush() {
-                        return End::Gone;
+                        return EndReason::Gone;
                     }
                 }
                 () = self.wake.notified() => {
                     if self.closing.get() && !closing {
                         closing = true;
-                        // A peer that does not read cannot hold the end up.
-                        due = Some(Instant::now() + patience.message);
-                        // What had come by now is heard and answered.
-                        self.pull(|piece| self.stream.try_read(piece));
+                        // A peer that does not read must not delay the close.
+                        deadline = Some(Instant::now() + timeouts.message);
+                        // Messages that have arrived by now are still handled and answered.
+                        self.fill_inbox(|buffer| self.stream.try_read(buffer));
                     }
                 }
                 ready = self.stream.readable() => {
                     if ready.is_err() {
-                        return End::Gone;
+                        return EndReason::Gone;
                     }
-                    self.pull(|piece| self.stream.try_read(piece));
+                    self.fill_inbox(|buffer| self.stream.try_read(buffer));
                 }
-                () = time_up => return End::Slow,
+                () = timeout => return EndReason::Slow,
             }
         }
     }
 
-    /// Nothing is under way on it: all that was said is written, and nothing came that was not taken, be it half a
-    /// message or bytes that nobody has read.
+    /// Returns whether nothing is in progress: the send queue is empty, the inbox has no message or part of one, and the
+    /// socket has no unread bytes.
     pub fn is_idle(&self) -> bool {
         let inbox = self.inbox.borrow();
         if inbox.decoder.has_partial_message() || !inbox.messages.is_empty() || self.is_writing() {
             return false;
         }
-        // The machine is asked: the runtime may not have heard of the latest bytes yet. An end, or an error, is no byte.
+        // Peeks at the socket, since the runtime may not know of the latest bytes yet. A close or an error is not a byte.
         !matches!(SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]), Ok(1..))
     }
 
-    /// The machine has taken nothing of what waits for so long: the other side does not read.
-    pub fn is_stuck(&self, long: Duration) -> bool {
-        self.is_writing() && self.moved.get().elapsed() >= long
+    /// Returns whether the socket has accepted no queued bytes for this long: the peer does not read.
+    pub fn is_stuck(&self, duration: Duration) -> bool {
+        self.is_writing() && self.last_progress.get().elapsed() >= duration
     }
 
-    /// When something last came, or the connection did.
-    pub fn heard(&self) -> Instant {
-        self.heard.get()
+    /// When bytes were last received, or when the connection was made.
+    pub fn last_received(&self) -> Instant {
+        self.last_received.get()
     }
 }
--- a/crates/platform/src/shell.rs
+++ b/crates/platform/src/shell.rs
@@ -6,7 +6,7 @@
 use crate::config::{Config, Start};
 use crate::core::{Bounds, ConnId, Core, DialEnd, Effect, Input, LinkId};
 use crate::node_filter::NodeFilter;
-use crate::peer::{End, Patience, Peer, Word};
+use crate::peer::{EndReason, Peer, ReceiveTimeouts, Received};
 use crate::viewer::{self, FromViewer};
 use crate::{changelog_client, node};
 use pepperhook::SessionId;
@@ -198,10 +198,10 @@
     /// A viewer's connection to its end.
     async fn viewer(self: Rc<Self>, id: ConnId, peer: Rc<Peer>) {
         let mut bad = 0;
-        let patience = Patience { first: Some(FIRST_WORD), message: WHOLE };
+        let timeouts = ReceiveTimeouts { first_message: Some(FIRST_WORD), message: WHOLE };
         let end = peer
-            .pump(patience, |word| {
-                let Word::Message(m) = word else {
+            .run(timeouts, |received| {
+                let Received::Message(m) = received else {
                     self.drive(Input::Left(id));
                     return ControlFlow::Continue(());
                 };
@@ -214,7 +214,7 @@
                         peer.send(&answer);
                         bad += 1;
                         if bad >= BAD_WORDS {
-                            return ControlFlow::Break(End::Noise);
+                            return ControlFlow::Break(EndReason::Noise);
                         }
                     }
                 }
@@ -224,14 +224,14 @@
         // While it can still be told: what is open on it gets its answer.
         self.drive(Input::Gone(id));
         self.viewers.borrow_mut().remove(&id);
-        if matches!(end, End::Noise | End::Unreadable(_)) {
+        if matches!(end, EndReason::Noise | EndReason::Unreadable(_)) {
             peer.send(&pepperhook_rtsp::Message::response(400));
         }
         // An orderly end holds a descriptor; a flood of bad connections may not hold them all.
         let may_linger = self.parting.get() || self.lingering.get() < self.most_viewers / LINGERING;
         if let (Ok(peer), true) = (Rc::try_unwrap(peer), may_linger) {
             self.lingering.set(self.lingering.get() + 1);
-            let _ = tokio::time::timeout(pepperhook_net::LINGER_TIME, peer.written()).await;
+            let _ = tokio::time::timeout(pepperhook_net::LINGER_TIME, peer.finish_writing()).await;
             pepperhook_net::linger(&mut peer.into_stream(), 0).await;
             self.lingering.set(self.lingering.get() - 1);
         }
@@ -257,10 +257,10 @@
         let peer = Rc::new(Peer::new(stream));
         self.nodes.borrow_mut().insert(id, peer.clone());
         self.drive(Input::LinkUp(id));
-        let patience = Patience { first: None, message: WHOLE };
+        let timeouts = ReceiveTimeouts { first_message: None, message: WHOLE };
         let end = peer
-            .pump(patience, |word| {
-                let Word::Message(m) = word else { return ControlFlow::Continue(()) };
+            .run(timeouts, |received| {
+                let Received::Message(m) = received else { return ControlFlow::Continue(()) };
                 match node::decode(&m, &self.sockets) {
                     Ok(said) => {
                         self.drive(Input::Node(id, said));
@@ -270,18 +270,18 @@
                         if self.may_warn("noise-message") {
                             warn!(event = "node-message", %address, start = ?m.start, fields = ?m.fields, "a message makes no sense here");
                         }
-                        ControlFlow::Break(End::Noise)
+                        ControlFlow::Break(EndReason::Noise)
                     }
                 }
             })
             .await;
-        if !matches!(end, End::Gone | End::Closed | End::Shut) && self.may_warn("noise") {
+        if !matches!(end, EndReason::Gone | EndReason::Closed | EndReason::Shut) && self.may_warn("noise") {
             warn!(event = "node-noise", %address, ?end, "a node's connection was closed");
         }
         self.nodes.borrow_mut().remove(&id);
         // The socket is closed before the core hears of it: what was open on it is given up by that.
         drop(peer);
-        self.drive(if end == End::Shut { Input::LinkShut(id) } else { Input::LinkDown(id) });
+        self.drive(if end == EndReason::Shut { Input::LinkShut(id) } else { Input::LinkDown(id) });
     }
 
     /// Runs the core's timers.
--- a/crates/platform/src/shell/accept.rs
+++ b/crates/platform/src/shell/accept.rs
@@ -68,9 +68,10 @@
         let ranks = self.core.borrow().may_give_way();
         let victim = ranks.iter().find_map(|rank| {
             let viewers = self.viewers.borrow();
-            let peers = rank.iter().filter_map(|id| viewers.get(id).map(|p| (p.heard(), *id, p)));
-            let mut quiet: Vec<_> = peers.filter(|(heard, ..)| heard.elapsed() >= QUIET).collect();
-            quiet.sort_unstable_by_key(|(heard, id, _)| (*heard, *id));
+            let peers = rank.iter().filter_map(|id| viewers.get(id).map(|p| (p.last_received(), *id, p)));
+            let mut quiet: Vec<_> =
+                peers.filter(|(last_received, ..)| last_received.elapsed() >= QUIET).collect();
+            quiet.sort_unstable_by_key(|(last_received, id, _)| (*last_received, *id));
             quiet.into_iter().find(|(.., peer)| peer.is_idle()).map(|(_, id, _)| id)
         });
         let Some(id) = victim else {
