--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -36,7 +36,7 @@
         }
     };
     let (name, listen) = (variable("BALANCER_NAME"), variable("BALANCER_LISTEN"));
-    if let Err(e) = config.agrees(name.as_deref(), listen.as_deref()) {
+    if let Err(e) = config.check_environment(name.as_deref(), listen.as_deref()) {
         eprintln!("pepperhook: {}: {e}", path.display());
         return Exit::Usage;
     }
--- a/crates/platform/src/config/tests.rs
+++ b/crates/platform/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! What a configuration may say, at a start and when it is read again.
+//! Which configurations are accepted at the start and on reload, and which field an error names.
 
 use super::*;
 use crate::core::{Bounds, Core};
@@ -6,12 +6,13 @@
 use serde_json::json;
 use std::io::Write;
 
+/// One second in nanoseconds.
 const S: u64 = 1_000_000_000;
 
-/// Two classes, two zones, two kinds, two tenants and a list: every key that is read is there.
-fn good() -> Value {
-    let class = |name: &str, repeat: &str| {
-        json!({"name": name, "idempotency": repeat, "group": "zone", "window_ns": 5 * S, "aim_ns": S,
+/// A valid configuration with every key that is read: two classes, zones, kinds, tenants and nodes.
+fn valid() -> Value {
+    let class = |name: &str, idempotency: &str| {
+        json!({"name": name, "idempotency": idempotency, "group": "zone", "window_ns": 5 * S, "aim_ns": S,
                "deadline_ns": 3 * S, "value": 1.0})
     };
     let server = |id: &str, zone: &str| {
@@ -43,23 +44,23 @@
     })
 }
 
-fn file(text: &[u8]) -> tempfile::NamedTempFile {
+fn temporary_file(text: &[u8]) -> tempfile::NamedTempFile {
     let mut file = tempfile::NamedTempFile::new().expect("a file");
     file.write_all(text).expect("writes");
     file
 }
 
-fn loaded(text: &str) -> Result<Config, String> {
-    let file = file(text.as_bytes());
+fn load(text: &str) -> Result<Config, String> {
+    let file = temporary_file(text.as_bytes());
     let name = format!("{}: ", file.path().display());
     Config::load(file.path()).map_err(|e| {
         let line = e.to_string();
-        assert!(!line.contains('\n') && line.len() < 400, "one line: {line:?}");
+        assert!(!line.contains('\n') && line.len() < 400, "an error is one short line: {line:?}");
         line.strip_prefix(&name).unwrap_or_else(|| panic!("{line:?} names no file")).to_owned()
     })
 }
 
-/// The value at this path, keys and places divided by dots; one that is not there yet is made.
+/// The value at this path of keys and indices, separated by dots; created if it is missing.
 fn at<'a>(mut v: &'a mut Value, path: &str) -> &'a mut Value {
     for key in path.split('.') {
         v = match key.parse::<usize>() {
@@ -71,13 +72,13 @@
 }
 
 fn with(path: &str, value: Value) -> String {
-    let mut v = good();
+    let mut v = valid();
     *at(&mut v, path) = value;
     v.to_string()
 }
 
 fn without(path: &str) -> String {
-    let mut v = good();
+    let mut v = valid();
     let (above, key) = path.rsplit_once('.').unwrap_or(("", path));
     let above = if above.is_empty() { &mut v } else { at(&mut v, above) };
     above.as_object_mut().expect("an object").remove(key).expect("it was there");
@@ -85,10 +86,10 @@
 }
 
 #[test]
-fn the_good_one_is_taken_and_starts() {
-    let config = loaded(&good().to_string()).expect("is taken");
+fn the_valid_configuration_is_accepted_and_starts() {
+    let config = load(&valid().to_string()).expect("a valid configuration");
     assert_eq!(
-        (config.seed, config.descriptors, config.list.last_number()),
+        (config.seed, config.descriptor_limit, config.list.last_number()),
         (0x8c1f_30d2_7a5b_e964, 1024, 3)
     );
     assert_eq!(config.list.nodes().len(), 2);
@@ -96,14 +97,14 @@
 }
 
 fn starts(config: &Config) -> bool {
-    let bounds = Bounds::for_descriptors(config.descriptors);
+    let bounds = Bounds::for_descriptors(config.descriptor_limit);
     Core::new(config.settings.clone(), config.sockets.clone(), bounds, config.seed).is_ok()
 }
 
-/// What has to be there, all of it; each is named when it is not.
+/// Each required field is named if it is missing, and each optional one may be absent.
 #[test]
 fn a_field_that_is_missing_is_named() {
-    let needed = "name listen seed changelog limits.sockets known known.results known.results.0.seq \
+    let required = "name listen seed changelog limits.sockets known known.results known.results.0.seq \
         known.results.0.fleet known.results.0.fleet.servers known.results.0.fleet.servers.0.id \
         known.results.0.fleet.servers.0.addr known.results.0.fleet.servers.0.zone \
         known.results.0.fleet.servers.0.kind known.results.0.fleet.servers.0.cell \
@@ -116,11 +117,11 @@
         settings.specifics.groups settings.specifics.positions settings.specifics.highest_rung \
         settings.specifics.lowest_rung settings.specifics.scale_by_class settings.specifics.rung_kb \
         settings.specifics.ladder_worth settings.specifics.kind_slots settings.specifics.uplink_kb";
-    for path in needed.split_whitespace() {
-        let fault = loaded(&without(path)).expect_err(path);
+    for path in required.split_whitespace() {
+        let error = load(&without(path)).expect_err(path);
         let key = path.rsplit('.').next().expect("a key");
         let named = if path == "limits.sockets" { path } else { key };
-        assert!(fault.contains(&format!("'{named}'")), "{path}: {fault}");
+        assert!(error.contains(&format!("'{named}'")), "{path}: {error}");
     }
     let optional = "limits.cores limits.memory_mb known.seq known.results.0.fleet.full \
         known.results.0.fleet.servers.0.weight known.results.0.fleet.servers.0.started_ms settings.tenants \
@@ -132,12 +133,12 @@
         settings.specifics.seen_after_ns settings.specifics.switch_cost_s settings.step_ns settings.me \
         settings.classes.0.window_ns settings.classes.1.group";
     for path in optional.split_whitespace() {
-        assert!(loaded(&without(path)).is_ok_and(|c| starts(&c)), "{path} may be absent");
+        assert!(load(&without(path)).is_ok_and(|c| starts(&c)), "{path} may be absent");
     }
 }
 
 #[test]
-fn a_field_of_another_form_out_of_range_or_at_odds_with_another_is_named() {
+fn a_field_of_the_wrong_type_out_of_range_or_contradicting_another_is_named() {
     let long = "9".repeat(400);
     let s = |path: &str| format!("settings.{path}");
     let p = |path: &str| format!("settings.specifics.{path}");
@@ -262,11 +263,11 @@
         (p("switch_cost_s"), json!(-1), "'switch_cost_s'"),
     ];
     for (path, value, named) in &cases {
-        let fault = loaded(&with(path, value.clone())).expect_err(path);
-        assert!(fault.contains(named), "{path} {value}: {fault}");
+        let error = load(&with(path, value.clone())).expect_err(path);
+        assert!(error.contains(named), "{path} {value}: {error}");
     }
-    // Texts that no reader of JSON takes, and one that it takes the last of.
-    let text = good().to_string();
+    // Texts that are not JSON, duplicate keys, and a file that is too long.
+    let text = valid().to_string();
     let raw = [
         (text[..text.len() / 2].to_owned(), "not JSON"),
         (String::new(), "not JSON"),
@@ -281,19 +282,19 @@
         (text.replace("\"sockets\":1024", "\"sockets\":1024,\"sockets\":64"), "'sockets' is given twice"),
         (text.replace("\"name\":\"n3\"", "\"name\":\"n3\",\"name\":\"n4\""), "'name' is given twice"),
         (text.replace("\"fall_ns\"", "\"cold_ns\":1,\"fall_ns\""), "'cold_ns' is given twice"),
-        (" ".repeat(LARGEST as usize) + &text, "longer than"),
+        (" ".repeat(MAX_FILE_BYTES as usize) + &text, "longer than"),
     ];
     for (raw, named) in raw {
-        let fault = loaded(&raw).expect_err(named);
-        assert!(fault.contains(named), "{}: {fault}", &raw[..raw.len().min(60)]);
+        let error = load(&raw).expect_err(named);
+        assert!(error.contains(named), "{}: {error}", &raw[..raw.len().min(60)]);
     }
     assert!(Config::load(Path::new("/")).is_err_and(|e| e.to_string().contains("is no file")));
     assert!(Config::load(Path::new("/no/such/file")).is_err());
 }
 
-/// What the pages allow, or leave open, is taken.
+/// Values that the platform's protocol allows or leaves open are accepted.
 #[test]
-fn what_the_pages_allow_is_taken() {
+fn values_that_the_protocol_allows_are_accepted() {
     let s = |path: &str| format!("settings.{path}");
     let p = |path: &str| format!("settings.specifics.{path}");
     let server = |key: &str| format!("known.results.0.fleet.servers.0.{key}");
@@ -330,47 +331,49 @@
         (p("seats"), json!([])),
     ];
     for (path, value) in cases {
-        let config = loaded(&with(&path, value.clone()));
+        let config = load(&with(&path, value.clone()));
         assert!(config.as_ref().is_ok_and(starts), "{path} {value}: {config:?}");
     }
-    let mut v = good();
+    let mut v = valid();
     *at(&mut v, "settings.zones") = json!([]);
     *at(&mut v, "settings.az") = json!(0);
     *at(&mut v, "known.results") = json!([]);
-    assert!(loaded(&v.to_string()).is_ok_and(|c| starts(&c)), "a site without zones");
+    assert!(load(&v.to_string()).is_ok_and(|c| starts(&c)), "a site without zones is accepted");
 }
 
 #[test]
-fn descriptors_are_bound_by_the_smaller_limit_and_the_fewest_suffice() {
-    let mut config = loaded(&good().to_string()).expect("is taken");
+fn descriptors_are_bound_by_the_smaller_limit_and_the_minimum_suffices() {
+    let mut config = load(&valid().to_string()).expect("a valid configuration");
     let soft = getrlimit(Resource::RLIMIT_NOFILE).map_or(u64::MAX, |(soft, _)| soft);
-    config.descriptors = FEWEST;
-    assert_eq!(config.descriptors(), Ok(FEWEST));
-    config.descriptors = usize::MAX;
-    assert_eq!(config.descriptors(), Ok(usize::try_from(soft).unwrap_or(usize::MAX)));
-    // The sum of what the core lets be opened, as its own test has it.
-    let b = Bounds::for_descriptors(FEWEST);
-    assert!(16 + b.viewers * 9 / 8 + b.viewers / 16 + b.links <= FEWEST && b.viewers > 0 && b.links > 0);
+    config.descriptor_limit = MIN_DESCRIPTORS;
+    assert_eq!(config.effective_descriptor_limit(), Ok(MIN_DESCRIPTORS));
+    config.descriptor_limit = usize::MAX;
+    assert_eq!(config.effective_descriptor_limit(), Ok(usize::try_from(soft).unwrap_or(usize::MAX)));
+    // The largest sum of connections that the core's bounds allow, as in the core's own test.
+    let b = Bounds::for_descriptors(MIN_DESCRIPTORS);
+    assert!(
+        16 + b.viewers * 9 / 8 + b.viewers / 16 + b.links <= MIN_DESCRIPTORS && b.viewers > 0 && b.links > 0
+    );
 }
 
-/// Read again: what shows that the file is another's is named and nothing is taken, whatever else it says.
+/// On reload, a file of another front or an invalid one is rejected as a whole, and the error names the field.
 #[test]
-fn a_file_that_is_anothers_or_cannot_be_used_is_not_taken_when_it_is_read_again() {
-    let start = loaded(&good().to_string()).expect("is taken").start();
+fn a_reload_of_another_fronts_file_or_of_an_invalid_one_is_rejected() {
+    let start = load(&valid().to_string()).expect("a valid configuration").start_config();
     let s = |path: &str| format!("settings.{path}");
     let reversed = |path: &str| {
-        let mut v = good();
+        let mut v = valid();
         at(&mut v, path).as_array_mut().expect("a list").reverse();
         v
     };
     let changed = |path: &str, value: Value| {
-        let mut v = good();
+        let mut v = valid();
         *at(&mut v, path) = value;
         v
     };
-    let mut fewer = good();
+    let mut fewer = valid();
     at(&mut fewer, "settings.classes").as_array_mut().expect("a list").pop();
-    let mut more = good();
+    let mut more = valid();
     let mut new = more["settings"]["classes"][0].clone();
     new["name"] = json!("third");
     at(&mut more, "settings.classes").as_array_mut().expect("a list").push(new);
@@ -380,7 +383,7 @@
     }
     let mut zones = reversed("settings.zones");
     zones["changelog"] = json!("10.2.0.9:4222");
-    let others = [
+    let rejected = [
         (changed("name", json!("n4")), "name"),
         (changed("listen", json!("10.0.0.4:2906")), "listen"),
         (fewer, "settings.classes"),
@@ -396,14 +399,14 @@
         (reversed("settings.tenants"), "settings.tenants"),
         (changed(&s("specifics.groups"), json!(3)), "settings.specifics.groups"),
         (changed(&s("specifics.positions"), json!(5)), "settings.specifics.positions"),
-        // Not whole, or no settings at all: nothing of them either.
+        // Invalid or incomplete files.
         (changed(&s("limits"), json!(null)), "max_attempts"),
         (changed(&s("n_instances"), json!(0)), "n_instances"),
         (changed("changelog", json!("10.2.0.9")), "changelog"),
         (json!({}), "settings"),
     ];
-    for (v, field) in others {
-        let file = file(v.to_string().as_bytes());
+    for (v, field) in rejected {
+        let file = temporary_file(v.to_string().as_bytes());
         let line = start.reload(file.path()).expect_err(field).to_string();
         let named = line.contains(&format!("'{field}")) || line.contains(&format!("'{field}'"));
         assert!(named && line.starts_with(&file.path().display().to_string()), "{field}: {line}");
@@ -411,16 +414,16 @@
 }
 
 #[test]
-fn the_change_logs_address_is_taken_and_other_figures_wait_and_are_named() {
-    let start = loaded(&good().to_string()).expect("is taken").start();
+fn a_reload_takes_the_change_logs_address_and_names_the_fields_that_need_a_restart() {
+    let start = load(&valid().to_string()).expect("a valid configuration").start_config();
     let reload = |v: &Value| {
-        let file = file(v.to_string().as_bytes());
-        start.reload(file.path()).expect("is taken")
+        let file = temporary_file(v.to_string().as_bytes());
+        start.reload(file.path()).expect("a valid configuration")
     };
-    let mut v = good();
+    let mut v = valid();
     v["changelog"] = json!("10.2.0.9:4222");
     let changelog = "10.2.0.9:4222".parse().expect("an address");
-    assert_eq!(reload(&v), Reload { changelog, waiting: Vec::new() });
+    assert_eq!(reload(&v), Reload { changelog, needs_restart: Vec::new() });
     let other = [
         ("limits.sockets", json!(64), "limits.sockets"),
         ("seed", json!("00c0ffee00c0ffee"), "seed"),
@@ -437,29 +440,29 @@
     other.iter().for_each(|(path, value, _)| *at(&mut v, path) = value.clone());
     let mut names: Vec<_> = other.iter().map(|(.., name)| (*name).to_owned()).collect();
     names.sort_unstable();
-    let mut told = reload(&v);
-    told.waiting.sort_unstable();
-    assert_eq!(told, Reload { changelog, waiting: names });
-    // However much differs, one line holds it.
+    let mut reloaded = reload(&v);
+    reloaded.needs_restart.sort_unstable();
+    assert_eq!(reloaded, Reload { changelog, needs_restart: names });
+    // The number of named fields is bounded, however many differ.
     (0..1_000).for_each(|n| v[format!("new_{n}")] = json!(n));
-    assert_eq!(reload(&v).waiting.len(), NAMED + 1);
+    assert_eq!(reload(&v).needs_restart.len(), MAX_NAMED_FIELDS + 1);
 }
 
-/// The paths of all values.
+/// Collects the paths of all values.
 fn paths(v: &Value, path: &str, out: &mut Vec<String>) {
-    let below: Vec<(String, &Value)> = match v {
+    let children: Vec<(String, &Value)> = match v {
         Value::Object(o) => o.iter().map(|(k, v)| (k.clone(), v)).collect(),
         Value::Array(a) => a.iter().enumerate().map(|(i, v)| (i.to_string(), v)).collect(),
         _ => Vec::new(),
     };
-    for (key, v) in below {
+    for (key, v) in children {
         let path = if path.is_empty() { key } else { format!("{path}.{key}") };
         out.push(path.clone());
         paths(v, &path, out);
     }
 }
 
-fn junk() -> impl Strategy<Value = Value> {
+fn arbitrary_value() -> impl Strategy<Value = Value> {
     let text = prop_oneof![Just(String::new()), Just("NaN".to_owned()), "[a-z0-9:.\r\n -]{0,40}"];
     let leaf = prop_oneof![
         Just(Value::Null),
@@ -479,12 +482,13 @@
 }
 
 proptest! {
-    /// Whatever stands anywhere, either the file is named with one line or the front starts by it; nothing panics.
+    /// With arbitrary values in arbitrary places, the file is rejected with a one-line error or the front starts with it;
+    /// nothing panics.
     #[test]
-    fn any_value_in_any_place_is_named_or_starts(
-        picks in prop::collection::vec((any::<prop::sample::Index>(), junk(), any::<bool>()), 1..4),
+    fn any_value_in_any_place_is_rejected_or_starts(
+        picks in prop::collection::vec((any::<prop::sample::Index>(), arbitrary_value(), any::<bool>()), 1..4),
     ) {
-        let mut v = good();
+        let mut v = valid();
         for (pick, value, removes) in picks {
             let mut all = Vec::new();
             paths(&v, "", &mut all);
@@ -504,16 +508,16 @@
                 *at(&mut v, &path) = value;
             }
         }
-        if let Ok(config) = loaded(&v.to_string()) {
+        if let Ok(config) = load(&v.to_string()) {
             prop_assert!(starts(&config), "{v}");
         }
     }
 
-    /// A text that is torn anywhere is no configuration.
+    /// A truncated text is never accepted.
     #[test]
-    fn a_torn_text_is_never_taken(cut in any::<prop::sample::Index>()) {
-        let text = good().to_string();
+    fn a_truncated_text_is_never_accepted(cut in any::<prop::sample::Index>()) {
+        let text = valid().to_string();
         let cut = cut.index(text.len());
-        prop_assert!(loaded(&text[..cut]).is_err());
+        prop_assert!(load(&text[..cut]).is_err());
     }
 }
--- a/crates/platform/src/shell.rs
+++ b/crates/platform/src/shell.rs
@@ -3,7 +3,7 @@
 mod accept;
 mod shutdown;
 
-use crate::config::{Config, Start};
+use crate::config::{Config, StartConfig};
 use crate::core::{Bounds, ConnId, Core, DialEnd, Effect, Input, LinkId};
 use crate::node_filter::NodeFilter;
 use crate::peer::{EndReason, Peer, ReceiveTimeouts, Received};
@@ -51,7 +51,7 @@
     core: RefCell<Core>,
     list: RefCell<NodeList>,
     node_filter: RefCell<NodeFilter>,
-    start: Start,
+    start: StartConfig,
     log: Cell<SocketAddr>,
     /// The change log has another address.
     pub log_moved: Notify,
@@ -307,8 +307,8 @@
         match self.start.reload(path) {
             Ok(new) => {
                 info!(event = "config-taken", changelog = %new.changelog, "the configuration was read again");
-                if !new.waiting.is_empty() {
-                    let fields = new.waiting.join(", ");
+                if !new.needs_restart.is_empty() {
+                    let fields = new.needs_restart.join(", ");
                     info!(event = "config-waits", fields, "these fields wait for the next start");
                 }
                 if self.log.replace(new.changelog) != new.changelog {
@@ -349,11 +349,11 @@
 pub async fn run(config: Config, path: PathBuf, signals: Signals) -> io::Result<()> {
     let Signals { mut term, mut int, mut hup } = signals;
     let invalid = |e| io::Error::new(io::ErrorKind::InvalidInput, e);
-    let bounds = Bounds::for_descriptors(config.descriptors().map_err(io::Error::other)?);
+    let bounds = Bounds::for_descriptors(config.effective_descriptor_limit().map_err(io::Error::other)?);
     let core =
         Core::new(config.settings.clone(), config.sockets.clone(), bounds, config.seed).map_err(invalid)?;
     let longest = Duration::from_nanos(config.sockets.deadlines.iter().copied().max().unwrap_or(0));
-    let start = config.start();
+    let start = config.start_config();
     let shell = Rc::new(Shell {
         clock: Clock::new(),
         cells: config.settings.cells,
