--- a/crates/platform/src/shell.rs
+++ b/crates/platform/src/shell.rs
@@ -1,4 +1,5 @@
-//! Carries out what the core says: sockets, timers, the change log, signals. It decides nothing.
+//! Runs the core on real I/O: passes it inputs from sockets, timers, the change log and signals, and carries out its
+//! effects. It makes no decisions about sessions.
 
 mod accept;
 mod shutdown;
@@ -28,20 +29,20 @@
 use tokio::time::Instant;
 use tracing::{info, trace, warn};
 
-/// A viewer's connection says something whole within this time, and ends a message that it has begun.
-const FIRST_WORD: Duration = Duration::from_millis(2_000);
-/// A message that has begun is whole within this time.
-const WHOLE: Duration = Duration::from_millis(1_500);
-/// Of the viewers' places, one in so many may be held by connections that are being ended in order.
-const LINGERING: usize = 16;
-/// Messages that cannot be used, on one connection, before it is closed.
-const BAD_WORDS: u32 = 4;
-/// An answer later than so long after its time is lost anyway (the protocol's figures).
-const LATE: Duration = Duration::from_millis(500);
-/// Between two looks at what nobody tells of.
-const LOOK: Duration = Duration::from_millis(5);
-/// Warnings of one kind come once in so long.
-const WARN_EACH: Duration = Duration::from_secs(5);
+/// A viewer's first message must be complete within this time of its connection.
+const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// A message must be complete within this time of its first byte.
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Divisor: this fraction of the viewers' limit may be connections in an orderly close.
+const LINGERING_DIVISOR: usize = 16;
+/// Number of rejected messages at which a viewer's connection is closed.
+const MAX_REJECTED_MESSAGES: u32 = 4;
+/// A response that is later than its deadline by this much is useless to the viewer (from the protocol).
+const LATE_RESPONSE_LIMIT: Duration = Duration::from_millis(500);
+/// Poll interval for conditions without a notification.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Shortest time between two warnings of the same kind.
+const WARN_INTERVAL: Duration = Duration::from_secs(5);
 
 /// One running front.
 pub struct Shell {
@@ -52,37 +53,41 @@
     list: RefCell<NodeList>,
     node_filter: RefCell<NodeFilter>,
     start: StartConfig,
-    log: Cell<SocketAddr>,
-    /// The change log has another address.
+    /// Address of the change log.
+    log_address: Cell<SocketAddr>,
+    /// Notified when the change log's address changes.
     pub log_moved: Notify,
     viewers: RefCell<HashMap<ConnId, Rc<Peer>>>,
-    /// A viewer's connection that waits for a place.
-    newcomer: RefCell<Option<(TcpStream, SocketAddr)>>,
+    /// An accepted viewer's connection that waits until the number of viewers allows it.
+    waiting_viewer: RefCell<Option<(TcpStream, SocketAddr)>>,
     nodes: RefCell<HashMap<LinkId, Rc<Peer>>>,
-    most_viewers: usize,
-    /// An answer is past its time so long after it could be written first, whatever its request was.
-    past: Duration,
-    /// Connections that are being ended in order.
+    max_viewers: usize,
+    /// Time after which any queued response is useless to its viewer, whatever the request was.
+    useless_after: Duration,
+    /// Number of viewers' connections in an orderly close.
     lingering: Cell<usize>,
-    /// The front is ending its connections, the last thing that it does.
-    parting: Cell<bool>,
-    next: Cell<u64>,
+    /// The front is closing its connections, as the last step of its shutdown.
+    closing_connections: Cell<bool>,
+    next_viewer: Cell<u64>,
+    /// When a warning of each kind was last logged.
     warned: RefCell<HashMap<&'static str, Instant>>,
-    wake: Notify,
-    idle: Notify,
+    /// Notified when the core's next timer may have changed.
+    timer_changed: Notify,
+    /// Notified when the state of the core or of a connection may have changed.
+    state_changed: Notify,
 }
 
 impl Shell {
-    /// Hands the core an input and carries out what it answers.
+    /// Passes an input to the core and carries out its effects.
     fn drive(self: &Rc<Self>, input: Input) {
         trace!(event = "input", ?input);
-        let of_link = matches!(
+        let is_link_event = matches!(
             input,
             Input::LinkUp(_) | Input::LinkFailed(..) | Input::LinkDown(_) | Input::LinkShut(_)
         );
-        if self.parting.get() && of_link {
-            // What ends because the front does tells nothing of a node, and no other connection is to take its place.
-            return self.idle.notify_one();
+        if self.closing_connections.get() && is_link_event {
+            // These connections end because the front does: that is no evidence about a node, and none is replaced.
+            return self.state_changed.notify_one();
         }
         let mut out = Vec::new();
         self.core.borrow_mut().handle(self.clock.now(), input, &mut out);
@@ -103,12 +108,12 @@
                         peer.close();
                     }
                 }
-                Effect::Look(conn, link, id) => self.look(conn, link, id),
-                // A node would tell what it has to tell to a process that ends.
-                Effect::Dial(..) if self.parting.get() => {}
+                Effect::Look(conn, link, id) => self.check_before_set_up(conn, link, id),
+                // A new connection would be of no use: the process is about to end.
+                Effect::Dial(..) if self.closing_connections.get() => {}
                 Effect::Dial(link, address) => {
                     trace!(event = "dial", link = link.0, %address);
-                    spawn_local(self.clone().link(link, address));
+                    spawn_local(self.clone().serve_link(link, address));
                 }
                 Effect::Write(link, word) => {
                     trace!(event = "to-node", link = link.0, ?word);
@@ -126,22 +131,22 @@
                         peer.shut();
                     }
                 }
-                // The module and the core bound their own lines.
+                // The decision module and the core limit the rate of their own lines.
                 Effect::Log(kind, line) => info!(event = kind, "{line}"),
             }
         }
-        self.wake.notify_one();
-        self.idle.notify_one();
+        self.timer_changed.notify_one();
+        self.state_changed.notify_one();
     }
 
-    /// The last look before the first byte of a set-up is written: timers, dials and nodes' words come up beside the end
-    /// of a viewer's connection in any order. Who has left is not answered for: what was found is taken by the reader of
-    /// the connection, in this same turn.
-    fn look(self: &Rc<Self>, conn: ConnId, link: LinkId, id: SessionId) {
+    /// Checks, before the first byte of a set-up is written, that its viewer is still there and that the node's connection
+    /// can take it. Timers, dials and messages from nodes may be handled before a viewer's close that came earlier. If
+    /// the viewer has left, the core gets no answer here: the reader of the connection reports it.
+    fn check_before_set_up(self: &Rc<Self>, conn: ConnId, link: LinkId, id: SessionId) {
         let viewer = self.viewers.borrow().get(&conn).cloned();
         let left = viewer.is_none_or(|peer| peer.has_left(|m| viewer::is_teardown_of(m, id)));
         let node = self.nodes.borrow().get(&link).cloned();
-        // A connection that the node ends for idleness crosses the set-up; written there it might have run.
+        // If the node closes an idle connection while the set-up is written, it is unknown whether the set-up ran.
         let blocked = node.is_none_or(|peer| peer.is_blocked() || peer.has_left(|_| false));
         trace!(event = "look", conn = conn.0, id = id.0, left, blocked);
         match (left, blocked) {
@@ -151,10 +156,11 @@
         }
     }
 
-    /// Lines that one cause could repeat come once in a while.
+    /// Returns whether a warning of this kind may be logged now, and records that it is. Limits the rate of warnings that
+    /// one cause can repeat.
     pub fn may_warn(&self, kind: &'static str) -> bool {
         let mut warned = self.warned.borrow_mut();
-        let due = warned.get(kind).is_none_or(|at| at.elapsed() >= WARN_EACH);
+        let due = warned.get(kind).is_none_or(|at| at.elapsed() >= WARN_INTERVAL);
         if due {
             warned.insert(kind, Instant::now());
         }
@@ -163,42 +169,44 @@
 
     // ---- the change log ------------------------------------------------------------------------
 
-    /// The number of the last event taken.
+    /// The number of the last event applied.
     pub fn last_event(&self) -> u64 {
         self.list.borrow().last_number()
     }
 
-    /// Where the change log listens.
+    /// The current address of the change log.
     pub fn log_address(&self) -> SocketAddr {
-        self.log.get()
+        self.log_address.get()
     }
 
-    /// Whether the change log has told more than was taken.
+    /// Returns whether the change log has an event of this number that was not applied here.
     pub fn is_behind(&self, number: u64) -> bool {
         self.list.borrow().is_behind(number)
     }
 
-    /// Takes an event of the change log.
+    /// Applies an event of the change log.
     pub fn apply_event(self: &Rc<Self>, event: &Event) -> Applied {
         let applied = self.list.borrow_mut().apply(event);
         if applied == Applied::New {
-            self.take_list();
+            self.update_nodes();
         }
         applied
     }
 
-    fn take_list(self: &Rc<Self>) {
-        let now = self.clock.now() / 1_000_000;
-        let entries = self.node_filter.borrow_mut().usable(&self.list.borrow(), now);
+    /// Passes the usable nodes of the list to the core.
+    fn update_nodes(self: &Rc<Self>) {
+        let now_ms = self.clock.now() / 1_000_000;
+        let entries = self.node_filter.borrow_mut().usable(&self.list.borrow(), now_ms);
         self.drive(Input::Nodes(entries));
     }
 
     // ---- connections ---------------------------------------------------------------------------
 
-    /// A viewer's connection to its end.
-    async fn viewer(self: Rc<Self>, id: ConnId, peer: Rc<Peer>) {
-        let mut bad = 0;
-        let timeouts = ReceiveTimeouts { first_message: Some(FIRST_WORD), message: WHOLE };
+    /// Serves a viewer's connection until it ends.
+    async fn serve_viewer(self: Rc<Self>, id: ConnId, peer: Rc<Peer>) {
+        let mut rejected = 0;
+        let timeouts =
+            ReceiveTimeouts { first_message: Some(FIRST_MESSAGE_TIMEOUT), message: MESSAGE_TIMEOUT };
         let end = peer
             .run(timeouts, |received| {
                 let Received::Message(m) = received else {
@@ -212,8 +220,8 @@
                     Ok(FromViewer::Ignored) => {}
                     Err(viewer::Rejected(answer)) => {
                         peer.send(&answer);
-                        bad += 1;
-                        if bad >= BAD_WORDS {
+                        rejected += 1;
+                        if rejected >= MAX_REJECTED_MESSAGES {
                             return ControlFlow::Break(EndReason::Noise);
                         }
                     }
@@ -221,14 +229,15 @@
                 ControlFlow::Continue(())
             })
             .await;
-        // While it can still be told: what is open on it gets its answer.
+        // Before the connection is removed: the core still answers the open requests on it.
         self.drive(Input::Gone(id));
         self.viewers.borrow_mut().remove(&id);
         if matches!(end, EndReason::Noise | EndReason::Unreadable(_)) {
             peer.send(&pepperhook_rtsp::Message::response(400));
         }
-        // An orderly end holds a descriptor; a flood of bad connections may not hold them all.
-        let may_linger = self.parting.get() || self.lingering.get() < self.most_viewers / LINGERING;
+        // An orderly close keeps a file descriptor for a while; a flood of bad connections must not use up all of them.
+        let may_linger =
+            self.closing_connections.get() || self.lingering.get() < self.max_viewers / LINGERING_DIVISOR;
         if let (Ok(peer), true) = (Rc::try_unwrap(peer), may_linger) {
             self.lingering.set(self.lingering.get() + 1);
             let _ = tokio::time::timeout(pepperhook_net::LINGER_TIME, peer.finish_writing()).await;
@@ -237,10 +246,10 @@
         }
     }
 
-    /// A connection to a node from its dial to its end.
-    async fn link(self: Rc<Self>, id: LinkId, address: SocketAddr) {
-        let dial = Duration::from_nanos(self.sockets.dial_timeout);
-        let stream = match tokio::time::timeout(dial, TcpStream::connect(address)).await {
+    /// Dials a node and serves the connection until it ends.
+    async fn serve_link(self: Rc<Self>, id: LinkId, address: SocketAddr) {
+        let dial_timeout = Duration::from_nanos(self.sockets.dial_timeout);
+        let stream = match tokio::time::timeout(dial_timeout, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => {
                 return self.drive(Input::LinkFailed(id, DialEnd::Refused));
@@ -257,18 +266,18 @@
         let peer = Rc::new(Peer::new(stream));
         self.nodes.borrow_mut().insert(id, peer.clone());
         self.drive(Input::LinkUp(id));
-        let timeouts = ReceiveTimeouts { first_message: None, message: WHOLE };
+        let timeouts = ReceiveTimeouts { first_message: None, message: MESSAGE_TIMEOUT };
         let end = peer
             .run(timeouts, |received| {
                 let Received::Message(m) = received else { return ControlFlow::Continue(()) };
                 match node::decode(&m, &self.sockets) {
-                    Ok(said) => {
-                        self.drive(Input::Node(id, said));
+                    Ok(message) => {
+                        self.drive(Input::Node(id, message));
                         ControlFlow::Continue(())
                     }
                     Err(node::Unexpected) => {
                         if self.may_warn("noise-message") {
-                            warn!(event = "node-message", %address, start = ?m.start, fields = ?m.fields, "a message makes no sense here");
+                            warn!(event = "node-message", %address, start = ?m.start, fields = ?m.fields, "a node sent a message that nodes must not send");
                         }
                         ControlFlow::Break(EndReason::Noise)
                     }
@@ -276,42 +285,42 @@
             })
             .await;
         if !matches!(end, EndReason::Gone | EndReason::Closed | EndReason::Shut) && self.may_warn("noise") {
-            warn!(event = "node-noise", %address, ?end, "a node's connection was closed");
+            warn!(event = "node-noise", %address, ?end, "the connection to a node was closed");
         }
         self.nodes.borrow_mut().remove(&id);
-        // The socket is closed before the core hears of it: what was open on it is given up by that.
+        // The socket is closed before the core is notified: closing it cancels the set-ups in progress on it.
         drop(peer);
         self.drive(if end == EndReason::Shut { Input::LinkShut(id) } else { Input::LinkDown(id) });
     }
 
     /// Runs the core's timers.
-    async fn timers(self: Rc<Self>) {
+    async fn run_timers(self: Rc<Self>) {
         loop {
             let next = self.core.borrow().next_wake();
             tokio::select! {
                 () = self.clock.sleep_until(next) => {
-                    // What came in the same wake was there first: an answer is not too late for being read after the
-                    // timer that waits for it.
+                    // Bytes that arrived in the same poll are handled first: a response must not count as late because its
+                    // timer is polled before its socket.
                     tokio::task::yield_now().await;
                     let mut out = Vec::new();
                     self.core.borrow_mut().wake(self.clock.now(), &mut out);
                     self.carry_out(out);
                 }
-                () = self.wake.notified() => {}
+                () = self.timer_changed.notified() => {}
             }
         }
     }
 
-    /// Takes what may change of the configuration while the front runs, where the change log is, or nothing of it.
+    /// Reloads the configuration. Only the change log's address takes effect; an invalid file changes nothing.
     fn reload(&self, path: &Path) {
         match self.start.reload(path) {
             Ok(new) => {
-                info!(event = "config-taken", changelog = %new.changelog, "the configuration was read again");
+                info!(event = "config-taken", changelog = %new.changelog, "configuration reloaded");
                 if !new.needs_restart.is_empty() {
                     let fields = new.needs_restart.join(", ");
-                    info!(event = "config-waits", fields, "these fields wait for the next start");
+                    info!(event = "config-waits", fields, "these fields take effect at the next start");
                 }
-                if self.log.replace(new.changelog) != new.changelog {
+                if self.log_address.replace(new.changelog) != new.changelog {
                     self.log_moved.notify_one();
                 }
             }
@@ -320,8 +329,8 @@
     }
 }
 
-/// The signals that a front heeds. From here on none of them ends the process by itself: what comes before [`run`] asks
-/// for them is kept.
+/// Handlers of SIGTERM, SIGINT and SIGHUP. Once they are installed none of these signals ends the process by default; one
+/// that comes before [`run`] waits for it is kept.
 pub struct Signals {
     term: Signal,
     int: Signal,
@@ -329,10 +338,10 @@
 }
 
 impl Signals {
-    /// Heeds them, within a runtime.
+    /// Installs the handlers, within a runtime.
     ///
     /// # Errors
-    /// When the system does not give them.
+    /// If the system refuses a handler.
     pub fn new() -> io::Result<Self> {
         Ok(Self {
             term: signal(SignalKind::terminate())?,
@@ -345,14 +354,14 @@
 /// Runs a front until SIGTERM or SIGINT, within a `LocalSet`.
 ///
 /// # Errors
-/// When its address cannot be listened on, or its module does not take the settings.
+/// If its address cannot be bound, the limit on file descriptors is too low, or the decision module rejects the settings.
 pub async fn run(config: Config, path: PathBuf, signals: Signals) -> io::Result<()> {
     let Signals { mut term, mut int, mut hup } = signals;
     let invalid = |e| io::Error::new(io::ErrorKind::InvalidInput, e);
     let bounds = Bounds::for_descriptors(config.effective_descriptor_limit().map_err(io::Error::other)?);
     let core =
         Core::new(config.settings.clone(), config.sockets.clone(), bounds, config.seed).map_err(invalid)?;
-    let longest = Duration::from_nanos(config.sockets.deadlines.iter().copied().max().unwrap_or(0));
+    let longest_deadline = Duration::from_nanos(config.sockets.deadlines.iter().copied().max().unwrap_or(0));
     let start = config.start_config();
     let shell = Rc::new(Shell {
         clock: Clock::new(),
@@ -362,29 +371,29 @@
         list: RefCell::new(config.list),
         node_filter: RefCell::default(),
         start,
-        log: Cell::new(config.changelog),
+        log_address: Cell::new(config.changelog),
         log_moved: Notify::new(),
         viewers: RefCell::default(),
-        newcomer: RefCell::default(),
+        waiting_viewer: RefCell::default(),
         nodes: RefCell::default(),
-        most_viewers: bounds.viewers,
-        past: longest + LATE,
+        max_viewers: bounds.viewers,
+        useless_after: longest_deadline + LATE_RESPONSE_LIMIT,
         lingering: Cell::new(0),
-        parting: Cell::new(false),
-        next: Cell::new(1),
+        closing_connections: Cell::new(false),
+        next_viewer: Cell::new(1),
         warned: RefCell::default(),
-        wake: Notify::new(),
-        idle: Notify::new(),
+        timer_changed: Notify::new(),
+        state_changed: Notify::new(),
     });
-    shell.take_list();
+    shell.update_nodes();
     let listener = TcpListener::bind(config.listen)
         .await
-        .map_err(|e| io::Error::new(e.kind(), format!("'listen' {}: {e}", config.listen)))?;
+        .map_err(|e| io::Error::new(e.kind(), format!("cannot listen on 'listen' {}: {e}", config.listen)))?;
     let listener = Rc::new(listener);
     let address = listener.local_addr()?;
     info!(event = "listening", %address, nodes = shell.list.borrow().nodes().len(), "ready");
-    let accepting = spawn_local(shell.clone().accept(listener.clone()));
-    let timers = spawn_local(shell.clone().timers());
+    let accepting = spawn_local(shell.clone().accept_viewers(listener.clone()));
+    let timers = spawn_local(shell.clone().run_timers());
     let following = spawn_local(changelog_client::follow(shell.clone(), config.seed));
     loop {
         tokio::select! {
@@ -394,12 +403,12 @@
         }
     }
     info!(event = "stopping", open = shell.core.borrow().open(), standing = shell.core.borrow().standing());
-    let end = shell.clone().stop(longest, accepting, timers, listener);
-    tokio::pin!(end);
+    let shutdown = shell.clone().shut_down(longest_deadline, accepting, timers, listener);
+    tokio::pin!(shutdown);
     loop {
         tokio::select! {
-            () = &mut end => break,
-            // The change log may move shortly before the end or during it.
+            () = &mut shutdown => break,
+            // The change log may move shortly before the shutdown or during it.
             _ = hup.recv() => shell.reload(&path),
         }
     }
--- a/crates/platform/src/shell/shutdown.rs
+++ b/crates/platform/src/shell/shutdown.rs
@@ -1,7 +1,8 @@
-//! From SIGTERM to the end: nobody is left with something owed, and no connection is reset over what was said on it.
+//! Graceful shutdown after SIGTERM: every request gets its response, and no connection is reset while data that was sent
+//! on it may still be unread.
 
-use super::accept::QUIET;
-use super::{LOOK, Shell, WHOLE};
+use super::accept::QUIET_TIME;
+use super::{MESSAGE_TIMEOUT, POLL_INTERVAL, Shell};
 use crate::core::Input;
 use crate::peer::Peer;
 use std::rc::Rc;
@@ -10,144 +11,149 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// After SIGTERM requests come for 0.6 s at most. One that comes later than this might be open when SIGKILL comes, and
-/// is refused at once (the protocol's figures on planned restarts).
-const STILL_COMING: Duration = Duration::from_millis(700);
-/// The front does not end earlier, since it may have read late what came in time.
-const EARLIEST: Duration = Duration::from_millis(900);
-/// SIGKILL comes no earlier after SIGTERM than the longest deadline, counted as so much where it is longer,
-const LONGEST: Duration = Duration::from_millis(3_000);
-/// and so much more.
-const KILLED: Duration = Duration::from_millis(700);
-/// So long before it everyone has an answer. A request of the last moment in which some come (0.6 s after SIGTERM) still
-/// has its whole time.
-const BEFORE: Duration = Duration::from_millis(95);
-/// The last words are waited for so long.
-const LAST_WORDS: Duration = Duration::from_millis(20);
-/// Nobody waits in the listen queue if for so long nobody is accepted.
-const NOBODY: Duration = Duration::from_millis(1);
-/// Connections have so long for their end: those to nodes,
-const NODES_PART: Duration = Duration::from_millis(30);
-/// and all of them.
-const PART: Duration = Duration::from_millis(100);
-/// All is over so long before SIGKILL may come.
-const OVER: Duration = Duration::from_millis(25);
+/// Requests are accepted for this long after SIGTERM. By the protocol's rules on planned restarts they come for 0.6 s at
+/// most; a later one might still be open at SIGKILL and is refused at once.
+const ACCEPT_TIME: Duration = Duration::from_millis(700);
+/// Shortest time from SIGTERM to the end: requests that came in time may be read late.
+const MIN_SHUTDOWN_TIME: Duration = Duration::from_millis(900);
+/// SIGKILL comes at the earliest after the longest deadline, limited to this value, plus `KILL_DELAY`, from SIGTERM.
+const MAX_DEADLINE: Duration = Duration::from_millis(3_000);
+/// See `MAX_DEADLINE`.
+const KILL_DELAY: Duration = Duration::from_millis(700);
+/// Every request has its response this long before SIGKILL. A request that comes 0.6 s after SIGTERM, the last moment,
+/// still has its full deadline.
+const RESPONSES_BEFORE_KILL: Duration = Duration::from_millis(95);
+/// Time limit for writing the last responses.
+const LAST_WRITES_TIMEOUT: Duration = Duration::from_millis(20);
+/// The listen queue counts as empty if `accept` returns nothing for this long.
+const EMPTY_QUEUE_TIMEOUT: Duration = Duration::from_millis(1);
+/// Time limit for the orderly close of the connections to nodes.
+const NODES_CLOSE_TIMEOUT: Duration = Duration::from_millis(30);
+/// Time limit for the orderly close of all connections.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
+/// The shutdown is complete this long before SIGKILL.
+const END_BEFORE_KILL: Duration = Duration::from_millis(25);
 
 impl Shell {
-    /// Bytes wait for a socket.
+    /// Returns whether any connection has queued bytes.
     fn is_writing(&self) -> bool {
-        let waits = |p: &Rc<Peer>| p.is_writing();
-        self.viewers.borrow().values().any(waits) || self.nodes.borrow().values().any(waits)
+        let has_queued = |p: &Rc<Peer>| p.is_writing();
+        self.viewers.borrow().values().any(has_queued) || self.nodes.borrow().values().any(has_queued)
     }
 
-    /// Every answer is written, and no viewer has written anything that was not taken, not even in part.
+    /// Returns whether every response is written and no viewer has sent anything, even part of a message, that was not
+    /// handled.
     fn is_idle(&self) -> bool {
         !self.is_writing() && self.viewers.borrow().values().all(|p| p.is_idle())
     }
 
-    /// Waits for something to change.
-    async fn look_again(&self) {
-        let _ = timeout(LOOK, self.idle.notified()).await;
+    /// Waits for a change of state, at most the poll interval.
+    async fn wait_for_change(&self) {
+        let _ = timeout(POLL_INTERVAL, self.state_changed.notified()).await;
     }
 
-    /// Serves on, then refuses what comes too late, and ends as soon as nobody is owed anything; shortly before SIGKILL
-    /// may come everyone gets an answer. Then each connection is ended in order.
-    pub(super) async fn stop(
+    /// Keeps serving, then refuses requests that come too late, and proceeds once no request or release is pending. Shortly
+    /// before the earliest SIGKILL, every request that is still open gets a response. Then all connections are closed in
+    /// order.
+    pub(super) async fn shut_down(
         self: Rc<Self>,
-        longest: Duration,
+        longest_deadline: Duration,
         accepting: JoinHandle<()>,
         timers: JoinHandle<()>,
         listener: Rc<TcpListener>,
     ) {
         let began = Instant::now();
-        let killed = began + longest.min(LONGEST) + KILLED;
-        let last = killed - BEFORE;
-        sleep_until(last.min(began + STILL_COMING)).await;
+        let kill_at = began + longest_deadline.min(MAX_DEADLINE) + KILL_DELAY;
+        let respond_by = kill_at - RESPONSES_BEFORE_KILL;
+        sleep_until(respond_by.min(began + ACCEPT_TIME)).await;
         self.drive(Input::Closing);
-        sleep_until(last.min(began + EARLIEST)).await;
-        while Instant::now() < last && !self.core.borrow().is_quiet() {
-            self.look_again().await;
+        sleep_until(respond_by.min(began + MIN_SHUTDOWN_TIME)).await;
+        while Instant::now() < respond_by && !self.core.borrow().is_quiet() {
+            self.wait_for_change().await;
         }
         accepting.abort();
         let _ = accepting.await;
-        let came = self.take_in_newcomer().then(Instant::now);
-        self.hear_out(&listener, came, began, last).await;
-        // In the same turn in which nobody waited there.
+        let last_admitted = self.admit_waiting_viewer().then(Instant::now);
+        self.drain_listen_queue(&listener, last_admitted, began, respond_by).await;
+        // Without a yield since the listen queue was found empty.
         drop(listener);
         self.drive(Input::Last);
-        let end = Instant::now() + LAST_WORDS;
+        let end = Instant::now() + LAST_WRITES_TIMEOUT;
         while Instant::now() < end && self.is_writing() {
-            self.look_again().await;
+            self.wait_for_change().await;
         }
         timers.abort();
-        self.part(killed - OVER).await;
+        self.close_connections(kill_at - END_BEFORE_KILL).await;
     }
 
-    /// Takes in whom the machine has accepted, and hears out who has written something: what has begun when requests
-    /// still come is whole, or its time is up, some time after; who reads nothing is not waited for any longer either.
-    async fn hear_out(
+    /// Admits the connections in the listen queue and handles what they and the others send, until nothing is pending. A
+    /// message that began while requests were accepted is complete, or has timed out, by `give_up_at`; beyond it, viewers
+    /// that do not read their responses are not waited for either.
+    async fn drain_listen_queue(
         self: &Rc<Self>,
         listener: &TcpListener,
-        mut came: Option<Instant>,
+        mut last_admitted: Option<Instant>,
         began: Instant,
-        last: Instant,
+        respond_by: Instant,
     ) {
-        let late = last.min((began + STILL_COMING + WHOLE).max(Instant::now() + QUIET));
+        let give_up_at =
+            respond_by.min((began + ACCEPT_TIME + MESSAGE_TIMEOUT).max(Instant::now() + QUIET_TIME));
         loop {
-            let (all, some) = self.take_in_all(listener, last).await;
-            if some {
-                came = Some(Instant::now());
+            let (is_empty, any_admitted) = self.admit_all(listener, respond_by).await;
+            if any_admitted {
+                last_admitted = Some(Instant::now());
             }
             let now = Instant::now();
-            // Who has just been taken in may have written before that, or is about to.
-            let fresh = came.is_some_and(|at| now < at + QUIET);
-            let over = self.core.borrow().is_quiet() && (now >= late || (all && !fresh && self.is_idle()));
-            if now >= last || over {
+            // A connection that was just admitted may have sent a request that is not read yet, or is about to.
+            let recently_admitted = last_admitted.is_some_and(|at| now < at + QUIET_TIME);
+            let is_done = self.core.borrow().is_quiet()
+                && (now >= give_up_at || (is_empty && !recently_admitted && self.is_idle()));
+            if now >= respond_by || is_done {
                 return;
             }
-            self.look_again().await;
+            self.wait_for_change().await;
         }
     }
 
-    /// Takes in who waits in the listen queue: whether that is all, and whether there was anybody.
-    async fn take_in_all(self: &Rc<Self>, listener: &TcpListener, last: Instant) -> (bool, bool) {
-        let mut some = false;
+    /// Admits the connections in the listen queue; returns whether the queue is empty now, and whether any was admitted.
+    async fn admit_all(self: &Rc<Self>, listener: &TcpListener, respond_by: Instant) -> (bool, bool) {
+        let mut any_admitted = false;
         loop {
-            match timeout(NOBODY, listener.accept()).await {
+            match timeout(EMPTY_QUEUE_TIMEOUT, listener.accept()).await {
                 Ok(Ok((stream, address))) => {
-                    some = true;
+                    any_admitted = true;
                     let _ = stream.set_nodelay(true);
-                    self.take_in(stream, address);
+                    self.admit(stream, address);
                 }
                 Ok(Err(e)) => {
-                    // Out of descriptors: who has nothing under way makes room.
+                    // Out of file descriptors: closing an idle connection frees one.
                     pepperhook_net::warn_accept_failed(&e);
-                    self.make_way();
-                    return (false, some);
+                    self.close_idle_viewer();
+                    return (false, any_admitted);
                 }
-                Err(_) => return (true, some),
+                Err(_) => return (true, any_admitted),
             }
-            if Instant::now() >= last {
-                return (false, some);
+            if Instant::now() >= respond_by {
+                return (false, any_admitted);
             }
         }
     }
 
-    /// Ends every connection in order: its sending side is shut once all is written, the other side is read on until it
-    /// ends. Bytes that nobody has read would make the machine reset it, and what was said on it could be lost (RFC
-    /// 9112, 9.6). Nodes come first: what they say until then is passed on to viewers.
-    async fn part(self: &Rc<Self>, over: Instant) {
-        let end = over.min(Instant::now() + PART);
-        self.parting.set(true);
+    /// Closes every connection in order: its sending half is shut down once its queue is written, and it is read until the
+    /// peer closes. Closing a socket with unread bytes would reset the connection, and sent data could be lost (RFC 9112,
+    /// 9.6). Nodes come first: their messages until then are passed on to viewers.
+    async fn close_connections(self: &Rc<Self>, end_by: Instant) {
+        let end = end_by.min(Instant::now() + CLOSE_TIMEOUT);
+        self.closing_connections.set(true);
         self.nodes.borrow().values().for_each(|p| p.shut());
-        let nodes = end.min(Instant::now() + NODES_PART);
-        while Instant::now() < nodes && !self.nodes.borrow().is_empty() {
-            self.look_again().await;
+        let nodes_end = end.min(Instant::now() + NODES_CLOSE_TIMEOUT);
+        while Instant::now() < nodes_end && !self.nodes.borrow().is_empty() {
+            self.wait_for_change().await;
         }
         self.viewers.borrow().values().for_each(|p| p.close());
-        let is_left = || !self.viewers.borrow().is_empty() || self.lingering.get() > 0;
-        while Instant::now() < end && is_left() {
-            self.look_again().await;
+        let any_left = || !self.viewers.borrow().is_empty() || self.lingering.get() > 0;
+        while Instant::now() < end && any_left() {
+            self.wait_for_change().await;
         }
     }
 }
