--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -154,7 +154,7 @@
         let limit = self.descriptor_limit.min(usize::try_from(soft).unwrap_or(usize::MAX));
         if limit < MIN_DESCRIPTORS {
             return Err(format!(
-                "the system allows {limit} file descriptors; the front needs at least {MIN_DESCRIPTORS}"
+                "the system allows {limit} descriptors; the front needs at least {MIN_DESCRIPTORS}"
             ));
         }
         Ok(limit)
--- a/crates/platform/src/shell.rs
+++ b/crates/platform/src/shell.rs
@@ -33,7 +33,7 @@
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// A message must be complete within this time of its first byte.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Divisor: this fraction of the viewers' limit may be connections in an orderly close.
+/// The number of connections in an orderly close is limited to the limit on viewers divided by this.
 const LINGERING_DIVISOR: usize = 16;
 /// Number of rejected messages at which a viewer's connection is closed.
 const MAX_REJECTED_MESSAGES: u32 = 4;
@@ -52,7 +52,7 @@
     core: RefCell<Core>,
     list: RefCell<NodeList>,
     node_filter: RefCell<NodeFilter>,
-    start: StartConfig,
+    start_config: StartConfig,
     /// Address of the change log.
     log_address: Cell<SocketAddr>,
     /// Notified when the change log's address changes.
@@ -79,7 +79,7 @@
 
 impl Shell {
     /// Passes an input to the core and carries out its effects.
-    fn drive(self: &Rc<Self>, input: Input) {
+    fn handle_input(self: &Rc<Self>, input: Input) {
         trace!(event = "input", ?input);
         let is_link_event = matches!(
             input,
@@ -91,16 +91,16 @@
         }
         let mut out = Vec::new();
         self.core.borrow_mut().handle(self.clock.now(), input, &mut out);
-        self.carry_out(out);
+        self.apply_effects(out);
     }
 
-    fn carry_out(self: &Rc<Self>, effects: Vec<Effect>) {
+    fn apply_effects(self: &Rc<Self>, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Tell(conn, word) => {
-                    trace!(event = "to-viewer", conn = conn.0, ?word);
+                Effect::Tell(conn, output) => {
+                    trace!(event = "to-viewer", conn = conn.0, word = ?output);
                     if let Some(peer) = self.viewers.borrow().get(&conn) {
-                        peer.send(&viewer::encode(&word));
+                        peer.send(&viewer::encode(&output));
                     }
                 }
                 Effect::Hang(conn) => {
@@ -115,10 +115,10 @@
                     trace!(event = "dial", link = link.0, %address);
                     spawn_local(self.clone().serve_link(link, address));
                 }
-                Effect::Write(link, word) => {
-                    trace!(event = "to-node", link = link.0, ?word);
+                Effect::Write(link, output) => {
+                    trace!(event = "to-node", link = link.0, word = ?output);
                     if let Some(peer) = self.nodes.borrow().get(&link) {
-                        peer.send(&node::encode(&word, &self.sockets));
+                        peer.send(&node::encode(&output, &self.sockets));
                     }
                 }
                 Effect::Close(link) => {
@@ -151,8 +151,8 @@
         trace!(event = "look", conn = conn.0, id = id.0, left, blocked);
         match (left, blocked) {
             (true, _) => {}
-            (false, true) => self.drive(Input::Blocked(id)),
-            (false, false) => self.drive(Input::Waits(id)),
+            (false, true) => self.handle_input(Input::Blocked(id)),
+            (false, false) => self.handle_input(Input::Waits(id)),
         }
     }
 
@@ -197,7 +197,7 @@
     fn update_nodes(self: &Rc<Self>) {
         let now_ms = self.clock.now() / 1_000_000;
         let entries = self.node_filter.borrow_mut().usable(&self.list.borrow(), now_ms);
-        self.drive(Input::Nodes(entries));
+        self.handle_input(Input::Nodes(entries));
     }
 
     // ---- connections ---------------------------------------------------------------------------
@@ -210,12 +210,12 @@
         let end = peer
             .run(timeouts, |received| {
                 let Received::Message(m) = received else {
-                    self.drive(Input::Left(id));
+                    self.handle_input(Input::Left(id));
                     return ControlFlow::Continue(());
                 };
                 match viewer::decode(&m, &self.sockets, self.cells) {
-                    Ok(FromViewer::Ask(ask)) => self.drive(Input::Ask(id, *ask)),
-                    Ok(FromViewer::End(session)) => self.drive(Input::End(id, session)),
+                    Ok(FromViewer::Ask(ask)) => self.handle_input(Input::Ask(id, *ask)),
+                    Ok(FromViewer::End(session)) => self.handle_input(Input::End(id, session)),
                     Ok(FromViewer::Options(answer)) => peer.send(&answer),
                     Ok(FromViewer::Ignored) => {}
                     Err(viewer::Rejected(answer)) => {
@@ -230,7 +230,7 @@
             })
             .await;
         // Before the connection is removed: the core still answers the open requests on it.
-        self.drive(Input::Gone(id));
+        self.handle_input(Input::Gone(id));
         self.viewers.borrow_mut().remove(&id);
         if matches!(end, EndReason::Noise | EndReason::Unreadable(_)) {
             peer.send(&pepperhook_rtsp::Message::response(400));
@@ -252,32 +252,38 @@
         let stream = match tokio::time::timeout(dial_timeout, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => {
-                return self.drive(Input::LinkFailed(id, DialEnd::Refused));
+                return self.handle_input(Input::LinkFailed(id, DialEnd::Refused));
             }
             Ok(Err(e)) => {
                 if self.may_warn("dial") {
                     warn!(event = "dial-failed", %address, "{e}");
                 }
-                return self.drive(Input::LinkFailed(id, DialEnd::Failed));
+                return self.handle_input(Input::LinkFailed(id, DialEnd::Failed));
             }
-            Err(_) => return self.drive(Input::LinkFailed(id, DialEnd::TimedOut)),
+            Err(_) => return self.handle_input(Input::LinkFailed(id, DialEnd::TimedOut)),
         };
         let _ = stream.set_nodelay(true);
         let peer = Rc::new(Peer::new(stream));
         self.nodes.borrow_mut().insert(id, peer.clone());
-        self.drive(Input::LinkUp(id));
+        self.handle_input(Input::LinkUp(id));
         let timeouts = ReceiveTimeouts { first_message: None, message: MESSAGE_TIMEOUT };
         let end = peer
             .run(timeouts, |received| {
                 let Received::Message(m) = received else { return ControlFlow::Continue(()) };
                 match node::decode(&m, &self.sockets) {
                     Ok(message) => {
-                        self.drive(Input::Node(id, message));
+                        self.handle_input(Input::Node(id, message));
                         ControlFlow::Continue(())
                     }
                     Err(node::Unexpected) => {
                         if self.may_warn("noise-message") {
-                            warn!(event = "node-message", %address, start = ?m.start, fields = ?m.fields, "a node sent a message that nodes must not send");
+                            warn!(
+                                event = "node-message",
+                                %address,
+                                start = ?m.start,
+                                fields = ?m.fields,
+                                "a node sent a message that nodes must not send"
+                            );
                         }
                         ControlFlow::Break(EndReason::Noise)
                     }
@@ -290,7 +296,7 @@
         self.nodes.borrow_mut().remove(&id);
         // The socket is closed before the core is notified: closing it cancels the set-ups in progress on it.
         drop(peer);
-        self.drive(if end == EndReason::Shut { Input::LinkShut(id) } else { Input::LinkDown(id) });
+        self.handle_input(if end == EndReason::Shut { Input::LinkShut(id) } else { Input::LinkDown(id) });
     }
 
     /// Runs the core's timers.
@@ -304,7 +310,7 @@
                     tokio::task::yield_now().await;
                     let mut out = Vec::new();
                     self.core.borrow_mut().wake(self.clock.now(), &mut out);
-                    self.carry_out(out);
+                    self.apply_effects(out);
                 }
                 () = self.timer_changed.notified() => {}
             }
@@ -313,7 +319,7 @@
 
     /// Reloads the configuration. Only the change log's address takes effect; an invalid file changes nothing.
     fn reload(&self, path: &Path) {
-        match self.start.reload(path) {
+        match self.start_config.reload(path) {
             Ok(new) => {
                 info!(event = "config-taken", changelog = %new.changelog, "configuration reloaded");
                 if !new.needs_restart.is_empty() {
@@ -362,7 +368,7 @@
     let core =
         Core::new(config.settings.clone(), config.sockets.clone(), bounds, config.seed).map_err(invalid)?;
     let longest_deadline = Duration::from_nanos(config.sockets.deadlines.iter().copied().max().unwrap_or(0));
-    let start = config.start_config();
+    let start_config = config.start_config();
     let shell = Rc::new(Shell {
         clock: Clock::new(),
         cells: config.settings.cells,
@@ -370,7 +376,7 @@
         core: RefCell::new(core),
         list: RefCell::new(config.list),
         node_filter: RefCell::default(),
-        start,
+        start_config,
         log_address: Cell::new(config.changelog),
         log_moved: Notify::new(),
         viewers: RefCell::default(),
--- a/crates/platform/src/shell/accept.rs
+++ b/crates/platform/src/shell/accept.rs
@@ -59,7 +59,7 @@
         let id = ConnId(self.next_viewer.replace(self.next_viewer.get() + 1));
         let connection = Rc::new(Peer::new(stream));
         self.viewers.borrow_mut().insert(id, connection.clone());
-        self.drive(Input::Opened(id, address.ip()));
+        self.handle_input(Input::Opened(id, address.ip()));
         spawn_local(self.clone().serve_viewer(id, connection));
     }
 
@@ -79,7 +79,7 @@
             self.close_stuck_viewers(ranks.iter().flatten());
             return false;
         };
-        self.drive(Input::GiveWay(id));
+        self.handle_input(Input::GiveWay(id));
         self.viewers.borrow_mut().remove(&id);
         true
     }
@@ -90,7 +90,7 @@
         let is_stuck =
             |id: &&ConnId| self.viewers.borrow().get(id).is_some_and(|p| p.is_stuck(self.useless_after));
         for id in spare.filter(is_stuck) {
-            self.drive(Input::GiveWay(*id));
+            self.handle_input(Input::GiveWay(*id));
         }
     }
 }
--- a/crates/platform/src/shell/shutdown.rs
+++ b/crates/platform/src/shell/shutdown.rs
@@ -66,7 +66,7 @@
         let kill_at = began + longest_deadline.min(MAX_DEADLINE) + KILL_DELAY;
         let respond_by = kill_at - RESPONSES_BEFORE_KILL;
         sleep_until(respond_by.min(began + ACCEPT_TIME)).await;
-        self.drive(Input::Closing);
+        self.handle_input(Input::Closing);
         sleep_until(respond_by.min(began + MIN_SHUTDOWN_TIME)).await;
         while Instant::now() < respond_by && !self.core.borrow().is_quiet() {
             self.wait_for_change().await;
@@ -77,7 +77,7 @@
         self.drain_listen_queue(&listener, last_admitted, began, respond_by).await;
         // Without a yield since the listen queue was found empty.
         drop(listener);
-        self.drive(Input::Last);
+        self.handle_input(Input::Last);
         let end = Instant::now() + LAST_WRITES_TIMEOUT;
         while Instant::now() < end && self.is_writing() {
             self.wait_for_change().await;
