--- a/crates/parameters/src/lib.rs
+++ b/crates/parameters/src/lib.rs
@@ -16,7 +16,7 @@
 pub type Parsed<T> = Result<T, String>;
 
 fn required<'a>(v: &'a Value, key: &str) -> Parsed<&'a Value> {
-    v.get(key).ok_or_else(|| format!("settings: '{key}' is missing"))
+    v.get(key).ok_or_else(|| format!("settings lack '{key}'"))
 }
 
 /// The error for a value of the wrong type; a long value is cut after 80 characters.
--- a/crates/platform/src/core/tests/customers.rs
+++ b/crates/platform/src/core/tests/customers.rs
@@ -107,7 +107,7 @@
     for (what, which, ms) in steps {
         if what % 16 <= 3 {
             match decode(&good_wish(&mut rng, &v, j.next), &known, cells) {
-                Ok(FromViewer::Ask(ask)) => j.ask(*ask),
+                Ok(FromViewer::SetUp(ask)) => j.ask(*ask),
                 _ => return Err("a good wish was not taken".to_owned()),
             }
         } else if (11..13).contains(&(what % 16)) {
@@ -158,7 +158,7 @@
         let m = good_wish(&mut StdRng::seed_from_u64(1), v, 1);
         let m = name.map_or(m.clone(), |name| m.with("P-Customer", name));
         match decode(&m, &known, 3) {
-            Ok(FromViewer::Ask(ask)) => Some(ask.wish.tenant.0),
+            Ok(FromViewer::SetUp(ask)) => Some(ask.wish.tenant.0),
             _ => None,
         }
     };
--- a/crates/platform/src/node.rs
+++ b/crates/platform/src/node.rs
@@ -6,7 +6,7 @@
 use pepperhook_parameters::SocketSettings;
 use pepperhook_rtsp::{Message, StartLine};
 
-/// A message that a node must not send. The caller closes the connection.
+/// A message that a node must not send: a response without a valid session id. The caller closes the connection.
 #[derive(Debug)]
 pub struct Unexpected;
 
--- a/crates/platform/src/peer.rs
+++ b/crates/platform/src/peer.rs
@@ -151,7 +151,7 @@
     }
 
     /// Shuts down the sending half once the send queue is written; receiving goes on until the peer closes.
-    pub fn shut(&self) {
+    pub fn shut_down_sending(&self) {
         self.send_half.set(SendHalf::Ending);
         self.wake.notify_one();
     }
--- a/crates/platform/src/shell.rs
+++ b/crates/platform/src/shell.rs
@@ -62,7 +62,8 @@
     waiting_viewer: RefCell<Option<(TcpStream, SocketAddr)>>,
     nodes: RefCell<HashMap<LinkId, Rc<Peer>>>,
     max_viewers: usize,
-    /// Time after which any queued response is useless to its viewer, whatever the request was.
+    /// Time after which a queued response is useless to its viewer, whatever the request was, counted from when it could
+    /// first have been written.
     useless_after: Duration,
     /// Number of viewers' connections in an orderly close.
     lingering: Cell<usize>,
@@ -128,7 +129,7 @@
                 }
                 Effect::Shut(link) => {
                     if let Some(peer) = self.nodes.borrow().get(&link) {
-                        peer.shut();
+                        peer.shut_down_sending();
                     }
                 }
                 // The decision module and the core limit the rate of their own lines.
@@ -141,7 +142,7 @@
 
     /// Checks, before the first byte of a set-up is written, that its viewer is still there and that the node's connection
     /// can take it. Timers, dials and messages from nodes may be handled before a viewer's close that came earlier. If
-    /// the viewer has left, the core gets no answer here: the reader of the connection reports it.
+    /// the viewer has left, the core gets no input here: the reader of the connection reports it in the same turn.
     fn check_before_set_up(self: &Rc<Self>, conn: ConnId, link: LinkId, id: SessionId) {
         let viewer = self.viewers.borrow().get(&conn).cloned();
         let left = viewer.is_none_or(|peer| peer.has_left(|m| viewer::is_teardown_of(m, id)));
@@ -214,12 +215,12 @@
                     return ControlFlow::Continue(());
                 };
                 match viewer::decode(&m, &self.sockets, self.cells) {
-                    Ok(FromViewer::Ask(ask)) => self.handle_input(Input::Ask(id, *ask)),
+                    Ok(FromViewer::SetUp(ask)) => self.handle_input(Input::Ask(id, *ask)),
                     Ok(FromViewer::End(session)) => self.handle_input(Input::End(id, session)),
-                    Ok(FromViewer::Options(answer)) => peer.send(&answer),
+                    Ok(FromViewer::Options(response)) => peer.send(&response),
                     Ok(FromViewer::Ignored) => {}
-                    Err(viewer::Rejected(answer)) => {
-                        peer.send(&answer);
+                    Err(viewer::Rejected(response)) => {
+                        peer.send(&response);
                         rejected += 1;
                         if rejected >= MAX_REJECTED_MESSAGES {
                             return ControlFlow::Break(EndReason::Noise);
--- a/crates/platform/src/shell/shutdown.rs
+++ b/crates/platform/src/shell/shutdown.rs
@@ -145,7 +145,7 @@
     async fn close_connections(self: &Rc<Self>, end_by: Instant) {
         let end = end_by.min(Instant::now() + CLOSE_TIMEOUT);
         self.closing_connections.set(true);
-        self.nodes.borrow().values().for_each(|p| p.shut());
+        self.nodes.borrow().values().for_each(|p| p.shut_down_sending());
         let nodes_end = end.min(Instant::now() + NODES_CLOSE_TIMEOUT);
         while Instant::now() < nodes_end && !self.nodes.borrow().is_empty() {
             self.wait_for_change().await;
--- a/crates/platform/src/viewer.rs
+++ b/crates/platform/src/viewer.rs
@@ -14,7 +14,7 @@
 /// A decoded message from a viewer.
 pub enum FromViewer {
     /// A set-up.
-    Ask(Box<Ask>),
+    SetUp(Box<Ask>),
     /// Cancels a set-up or ends a session.
     End(SessionId),
     /// An `OPTIONS` request; contains the response, which is sent at once.
@@ -50,7 +50,7 @@
     match (method.as_str(), session) {
         ("OPTIONS", _) => Ok(FromViewer::Options(reply(200, m))),
         ("SETUP", Some(session)) => match set_up(m, uri, session, settings, cells) {
-            Some(ask) => Ok(FromViewer::Ask(Box::new(ask))),
+            Some(ask) => Ok(FromViewer::SetUp(Box::new(ask))),
             None => reject(400),
         },
         ("TEARDOWN", Some(session)) => Ok(FromViewer::End(session)),
