--- a/crates/parameters/src/bounds.rs
+++ b/crates/parameters/src/bounds.rs
@@ -125,12 +125,12 @@
         (decisions.rules.retry_budget.is_none_or(|b| b.min_retries >= 0.0), "'min_extra' is negative"),
     ];
     match checks.iter().find(|(ok, _)| !ok) {
-        Some((_, what)) => Err(format!("settings: {what}")),
+        Some((_, problem)) => Err(format!("settings: {problem}")),
         None => Ok(()),
     }
 }
 
-/// Whether a name is unchanged by being written to a message's header field and parsed from it again.
+/// Returns whether a name survives being written to a header field of a message and parsed from it.
 fn is_field_value(name: &str) -> bool {
     !name.is_empty() && name.trim() == name && !name.chars().any(char::is_control)
 }
--- a/crates/parameters/src/lib.rs
+++ b/crates/parameters/src/lib.rs
@@ -116,7 +116,10 @@
     let live = live
         .map(|l| {
             l.as_bool().ok_or_else(|| {
-                format!("settings: 'is_live' contains {l}; every element must be true or false")
+                format!(
+                    "settings: 'is_live' contains {:.80}; every element must be true or false",
+                    l.to_string()
+                )
             })
         })
         .transpose()?;
@@ -134,6 +137,7 @@
     })
 }
 
+/// The gauge that a value of a load report measures, by its name in the settings.
 fn gauge(name: &Value) -> Gauge {
     match name.as_str() {
         Some("active") => Gauge::Streams,
@@ -162,7 +166,7 @@
     let (rates, worths) = (numbers(specifics, "rung_kb")?, numbers(specifics, "ladder_worth")?);
     if rates.len() != worths.len() {
         return Err(format!(
-            "settings: 'rung_kb' has {} elements and 'ladder_worth' {}; they need the same number",
+            "settings: 'rung_kb' and 'ladder_worth' differ in length: {} and {} elements",
             rates.len(),
             worths.len()
         ));
