--- a/crates/platform/src/core/links.rs
+++ b/crates/platform/src/core/links.rs
@@ -142,7 +142,7 @@
     /// Whether the node is unlikely to close a connection for idleness while a message is on its way. The
     /// last fifth of the idle time is avoided, which is far longer than any message takes.
     fn is_fresh(&self, now: Time, link: &Link) -> bool {
-        link.last_used + self.sockets.idle / 5 * 4 > now
+        link.last_used + self.sockets.idle_timeout / 5 * 4 > now
     }
 
     fn up_links(&self, incarnation: IncarnationId) -> impl Iterator<Item = (LinkId, &Link)> {
@@ -169,8 +169,9 @@
         }
         let ids = self.incarnations.get(&incarnation).into_iter().flat_map(|node| &node.links);
         let some = ids.filter_map(|id| self.links.get(id).map(|l| (*id, l)));
-        let room =
-            some.filter(|(_, l)| !l.is_half_closed() && !l.blocked && l.set_ups.len() < self.sockets.streams);
+        let room = some.filter(|(_, l)| {
+            !l.is_half_closed() && !l.blocked && l.set_ups.len() < self.sockets.max_set_ups_per_link
+        });
         room.min_by_key(|(_, l)| (!l.is_up(), l.set_ups.len())).map(|(link, _)| link)
     }
 
@@ -228,7 +229,7 @@
         };
         let id = ProbeId(self.fresh_number());
         self.probes.insert(id, Probe { server, incarnation, link, retried: false });
-        self.set_timer(now + self.sockets.dial, Wake::ProbeTimeout(id));
+        self.set_timer(now + self.sockets.dial_timeout, Wake::ProbeTimeout(id));
         self.query_load(now, id, link, out);
     }
 
--- a/crates/platform/src/core/liveness.rs
+++ b/crates/platform/src/core/liveness.rs
@@ -431,7 +431,7 @@
         dial_end: DialEnd,
         out: &mut Vec<Effect>,
     ) {
-        let dial = self.sockets.dial;
+        let dial = self.sockets.dial_timeout;
         let Some(node) = self.incarnations.get_mut(&incarnation) else { return };
         if node.retired {
             if node.links.is_empty() {
@@ -519,8 +519,11 @@
     /// to detect a vanished machine. Each front and node draws up to an eighth less each time, so that fronts
     /// that received a message of a node at the same moment do not all check it at the same moment.
     fn quiet_limit(&self, incarnation: IncarnationId, last_heard: Time) -> Time {
-        let detection =
-            SWEEP_INTERVAL + DEAD_AFTER_SILENCE + self.sockets.dial + REDIAL_INTERVAL + END_NOTICE_MARGIN;
+        let detection = SWEEP_INTERVAL
+            + DEAD_AFTER_SILENCE
+            + self.sockets.dial_timeout
+            + REDIAL_INTERVAL
+            + END_NOTICE_MARGIN;
         let limit = END_NOTICE_LIMIT.saturating_sub(detection);
         let draw = (incarnation.0 ^ last_heard).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 56;
         limit - limit / 8 * draw / 256
--- a/crates/platform/src/core/mod.rs
+++ b/crates/platform/src/core/mod.rs
@@ -22,7 +22,7 @@
 use liveness::Incarnation;
 use pepperhook::{Action, Controller, Event, ServerId, SessionId, Settings, SettingsError, Time};
 use pepperhook_net::Timers;
-use pepperhook_parameters::Sockets;
+use pepperhook_parameters::SocketSettings;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::IpAddr;
 pub use types::*;
@@ -162,7 +162,7 @@
     bounds: Bounds,
     /// Whether nodes may be asked for their load.
     probing: bool,
-    sockets: Sockets,
+    sockets: SocketSettings,
     sessions: BTreeMap<SessionId, Session>,
     /// Number of sessions in [`Phase::Open`].
     open_requests: usize,
@@ -196,7 +196,7 @@
     /// When the settings contradict each other.
     pub fn new(
         settings: Settings,
-        sockets: Sockets,
+        sockets: SocketSettings,
         bounds: Bounds,
         seed: u64,
     ) -> Result<Self, SettingsError> {
--- a/crates/platform/src/core/tests/random_settings.rs
+++ b/crates/platform/src/core/tests/random_settings.rs
@@ -4,7 +4,7 @@
 
 use super::histories::CheckedHarness;
 use super::*;
-use crate::viewer::{FromViewer, read};
+use crate::viewer::{FromViewer, decode};
 use pepperhook_rtsp::Message;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -100,16 +100,16 @@
 fn run_history(seed: u64, steps: &[(u8, usize, u64)]) -> Result<Counts, String> {
     let mut rng = StdRng::seed_from_u64(seed);
     let v = random_settings(&mut rng);
-    let settings = pepperhook_parameters::decisions(&v)?;
-    let sockets = pepperhook_parameters::sockets(&v)?;
+    let settings = pepperhook_parameters::decision_settings(&v)?;
+    let sockets = pepperhook_parameters::socket_settings(&v)?;
     let (cells, descriptors) = (settings.cells, pick(&mut rng, &[24, 64, 1_024]));
     let at_most_once =
         settings.classes.iter().map(|c| c.idempotency == pepperhook::Idempotency::AtMostOnce).collect();
     let mut checked = CheckedHarness::with_settings(&v, descriptors, at_most_once);
     for (what, which, ms) in steps {
         if what % 16 <= 3 {
-            match read(&valid_set_up(&mut rng, &v, checked.next), &sockets, cells) {
-                Ok(FromViewer::Ask(ask)) => checked.set_up(*ask),
+            match decode(&valid_set_up(&mut rng, &v, checked.next), &sockets, cells) {
+                Ok(FromViewer::SetUp(ask)) => checked.set_up(*ask),
                 _ => return Err("a valid set-up was rejected".to_owned()),
             }
         } else if (11..13).contains(&(what % 16)) {
@@ -157,11 +157,11 @@
 fn a_request_counts_for_the_tenant_that_its_set_up_names() {
     let mut v = settings();
     let tenant = |v: &Value, name: Option<&str>| {
-        let sockets = pepperhook_parameters::sockets(v).expect("settings");
+        let sockets = pepperhook_parameters::socket_settings(v).expect("settings");
         let m = valid_set_up(&mut StdRng::seed_from_u64(1), v, 1);
         let m = name.map_or(m.clone(), |name| m.with("P-Customer", name));
-        match read(&m, &sockets, 3) {
-            Ok(FromViewer::Ask(ask)) => Some(ask.spec.tenant.0),
+        match decode(&m, &sockets, 3) {
+            Ok(FromViewer::SetUp(ask)) => Some(ask.spec.tenant.0),
             _ => None,
         }
     };
