--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -38,15 +38,15 @@
     };
     let live = Class { live: true, rate_scale: 0.8, highest_rung: 3, ..class() };
     let near = Class {
-        idempotency: Idempotency::Deduplicated(DedupScope::Cell, S),
-        set_up_target: 400 * MS,
+        idempotency: Idempotency::Deduplicated(DedupScope::Cell, SECOND),
+        set_up_target: 400 * MILLISECOND,
         ..class()
     };
     let mut set = settings();
     (set.cells, set.racks, set.shared_stream_share, set.probes) = (12, 3, 0.2, true);
     set.classes = vec![paid, live, near];
     set.prices.probe = 0.02;
-    set.rules.retry_budget = Some(RetryBudget { min_retries: 2.0, retry_ratio: 0.2, window: 5 * S });
+    set.rules.retry_budget = Some(RetryBudget { min_retries: 2.0, retry_ratio: 0.2, window: 5 * SECOND });
     set
 }
 
@@ -63,24 +63,24 @@
         c.max_sessions_per_title = draw.of(4) as u32;
         c.value = 1.0 + draw.of(5) as f64;
         c.rate_scale = 0.5 + draw.of(3) as f64 / 2.0;
-        c.set_up_target = (200 + 200 * draw.of(5)) * MS;
+        c.set_up_target = (200 + 200 * draw.of(5)) * MILLISECOND;
         c.idempotency = [
             Idempotency::Idempotent,
             Idempotency::AtMostOnce,
-            Idempotency::Deduplicated(DedupScope::Zone, 2 * S),
+            Idempotency::Deduplicated(DedupScope::Zone, 2 * SECOND),
         ][draw.of(3) as usize];
         c.live = draw.of(3) == 0;
     }
     set.max_attempts = 1 + draw.of(4) as u32;
     set.uplink_kb = 4_000.0 + draw.of(10) as f64 * 1_000.0;
     set.kb_per_weight = 4_000.0 + draw.of(10) as f64 * 1_000.0;
-    set.rules.warm_up = (6 + draw.of(8)) * S;
-    set.rules.overload_window = (1 + draw.of(4)) * S;
+    set.rules.warm_up = (6 + draw.of(8)) * SECOND;
+    set.rules.overload_window = (1 + draw.of(4)) * SECOND;
     set.rules.overload_multiple = 0.5 + draw.of(4) as f64;
     let budget = RetryBudget {
         min_retries: draw.of(4) as f64,
         retry_ratio: draw.of(3) as f64 / 10.0,
-        window: draw.of(9) * S,
+        window: draw.of(9) * SECOND,
     };
     set.rules.retry_budget = (draw.of(4) > 0).then_some(budget);
     set
@@ -103,9 +103,9 @@
 impl World {
     fn new(seed: u64) -> Self {
         let mut world = Self {
-            controller: Controller::new(policy(), seed).expect("settings that agree"),
+            controller: Controller::new(policy(), seed).expect("the settings should be valid"),
             checker: Checker::new(policy()),
-            now: 100 * S,
+            now: 100 * SECOND,
             draw: Draw(seed),
             due: BTreeMap::new(),
             order: 0,
@@ -115,7 +115,7 @@
             said: Vec::new(),
         };
         let list = world.list.clone();
-        world.tell(Event::ListFull(list));
+        world.handle(Event::ListFull(list));
         world
     }
 
@@ -141,8 +141,8 @@
                     };
                     self.at(after, Due::Ends(id, server, outcome));
                 }
-                Action::Move(id) => self.at(50 * MS, Due::Moves(id)),
-                Action::Probe(server) => self.at(20 * MS, Due::Probed(server)),
+                Action::Move(id) => self.at(50 * MILLISECOND, Due::Moves(id)),
+                Action::Probe(server) => self.at(20 * MILLISECOND, Due::Probed(server)),
                 _ => {}
             }
         }
@@ -151,7 +151,7 @@
         }
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         self.checker.event(self.now, &event);
         let mut out = Vec::new();
         self.controller.handle(self.now, event, &mut out);
@@ -167,22 +167,22 @@
         done
     }
 
-    fn end(&mut self, session: SessionId, server: ServerId, outcome: Outcome, settled: bool) {
+    fn end(&mut self, session: SessionId, server: ServerId, outcome: Outcome, is_final: bool) {
         let report = if self.draw.of(3) == 0 { vec![0.5, 0.4] } else { vec![] };
-        self.tell(Event::Ended { session, server, outcome, is_final: settled, report });
+        self.handle(Event::Ended { session, server, outcome, is_final, report });
     }
 
     /// Lets time pass.
-    fn pass(&mut self, time: Time) {
+    fn advance(&mut self, time: Time) {
         let until = self.now + time;
         while let Some(entry) = self.due.first_entry().filter(|e| e.key().0 <= until) {
             let ((at, _), due) = entry.remove_entry();
             self.now = at;
             match due {
-                Due::Timer(token) => self.tell(Event::Timer(token)),
+                Due::Timer(token) => self.handle(Event::Timer(token)),
                 Due::Ends(id, server, Outcome::Served) => {
                     self.playing.push((id, server));
-                    self.tell(Event::Started(id, server));
+                    self.handle(Event::Started(id, server));
                 }
                 Due::Ends(id, server, outcome) => self.end(id, server, outcome, false),
                 Due::Moves(id) => {
@@ -194,7 +194,7 @@
                 Due::Probed(server) => {
                     let load = self.draw.of(90) as f64 / 100.0;
                     let report = (self.draw.of(9) > 0).then(|| vec![load, load / 2.0]);
-                    self.tell(Event::Probed(server, report));
+                    self.handle(Event::Probed(server, report));
                 }
             }
             if let Err(e) = self.checker.overdue(self.now) {
@@ -205,17 +205,17 @@
     }
 
     fn step(&mut self) {
-        let time = self.draw.of(60) * MS;
-        self.pass(time);
+        let time = self.draw.of(60) * MILLISECOND;
+        self.advance(time);
         let any = |draw: &mut Draw, n: usize| draw.of(n as u64) as usize;
         match self.draw.of(20) {
             0..=8 => {
                 self.next += 1;
-                let mut w = wish(self.next, self.draw.of(12) as f64, 4.0);
+                let mut w = spec(self.next, self.draw.of(12) as f64, 4.0);
                 w.class = ClassId(self.draw.of(3) as u16);
                 w.title = TitleId(self.draw.of(4) + 10 * u64::from(w.class.0));
-                (w.highest_rung, w.max_wait) = (self.draw.of(5) as f64, (1 + self.draw.of(4)) * S);
-                self.tell(Event::Request(SessionId(self.next), w));
+                (w.highest_rung, w.max_wait) = (self.draw.of(5) as f64, (1 + self.draw.of(4)) * SECOND);
+                self.handle(Event::Request(SessionId(self.next), w));
             }
             9 | 10 if self.playing.len() > 40 => {
                 let i = any(&mut self.draw, self.playing.len());
@@ -229,7 +229,7 @@
                     [NotificationKind::LinkUse, NotificationKind::UplinkUse, NotificationKind::Delivered]
                         [any(&mut self.draw, 3)];
                 let value = self.draw.of(130) as f64 / 100.0;
-                self.tell(Event::Notification(id, server, kind, value));
+                self.handle(Event::Notification(id, server, kind, value));
             }
             15 if self.draw.of(8) == 0 => {
                 let i = any(&mut self.draw, 12);
@@ -239,7 +239,7 @@
                     self.list[i].started = Some(self.now);
                 }
                 let entry = self.list[i];
-                self.tell(Event::ListChanged(vec![entry]));
+                self.handle(Event::ListChanged(vec![entry]));
             }
             16 => {
                 let (id, kb) = (ServerId(self.draw.of(12) as u32 + 1), self.draw.of(3) as f64 * 800.0);
@@ -249,12 +249,12 @@
                     servers: vec![(id, kb)],
                 };
                 let which = ReservationId(self.draw.of(3));
-                self.tell(Event::Reserved(which, hold));
+                self.handle(Event::Reserved(which, hold));
             }
             17 => {
                 let (id, used) = (ServerId(self.draw.of(12) as u32 + 1), self.draw.of(110) as f64 / 100.0);
-                let age = self.draw.of(900) * MS;
-                self.tell(Event::PeerReport(id, age, vec![used, used]));
+                let age = self.draw.of(900) * MILLISECOND;
+                self.handle(Event::PeerReport(id, age, vec![used, used]));
             }
             _ => {}
         }
@@ -295,9 +295,9 @@
                 over += w.checker.over();
             }
         }
-        w.pass(5 * S);
+        w.advance(5 * SECOND);
         // One in five at each look: of less than a hundred none is left after 25 looks.
-        w.pass(13 * S);
+        w.advance(13 * SECOND);
         assert_eq!(w.checker.over(), 0, "seed {seed}: some still play above the top");
         w.checker.overdue(Time::MAX).expect("each request has its answer");
         sent += w.said.iter().filter(|s| s.contains("SetUp")).count();
@@ -313,7 +313,7 @@
         0,
         &Event::ListFull(vec![server(1, 0), ServerEntry { state: ServerState::Draining, ..server(2, 1) }]),
     );
-    c.event(0, &Event::Request(SessionId(1), SessionSpec { max_wait: S, ..wish(1, 0.0, 4.0) }));
+    c.event(0, &Event::Request(SessionId(1), SessionSpec { max_wait: SECOND, ..spec(1, 0.0, 4.0) }));
     (c, SessionId(1))
 }
 
@@ -324,12 +324,12 @@
         let e = r.expect_err(rule);
         assert!(e.contains(rule), "{e}");
     };
-    broken(c.action(0, &Action::SetUp(id, ServerId(2), S)), "rule 3");
-    broken(c.action(0, &Action::SetUp(id, ServerId(1), 2 * S)), "rule 1");
+    broken(c.action(0, &Action::SetUp(id, ServerId(2), SECOND)), "rule 3");
+    broken(c.action(0, &Action::SetUp(id, ServerId(1), 2 * SECOND)), "rule 1");
     broken(c.action(0, &Action::SetRung(id, 0)), "rule 5");
     c.action(0, &Action::SetRung(id, 4)).expect("within its bounds");
-    c.action(0, &Action::SetUp(id, ServerId(1), S)).expect("the first");
-    broken(c.action(0, &Action::SetUp(id, ServerId(1), S)), "rule 2");
+    c.action(0, &Action::SetUp(id, ServerId(1), SECOND)).expect("the first");
+    broken(c.action(0, &Action::SetUp(id, ServerId(1), SECOND)), "rule 2");
     broken(c.action(0, &Action::Fail(id)), "rule 1");
     c.event(0, &Event::Started(id, ServerId(1)));
     let mut lower = policy();
@@ -341,10 +341,13 @@
     c.change(0, &lower);
     c.event(
         0,
-        &Event::Request(SessionId(2), SessionSpec { title: TitleId(1), max_wait: S, ..wish(2, 0.0, 4.0) }),
+        &Event::Request(
+            SessionId(2),
+            SessionSpec { title: TitleId(1), max_wait: SECOND, ..spec(2, 0.0, 4.0) },
+        ),
     );
-    broken(c.action(0, &Action::SetUp(SessionId(2), ServerId(1), S)), "rule 5");
-    broken(c.overdue(2 * S), "rule 1");
+    broken(c.action(0, &Action::SetUp(SessionId(2), ServerId(1), SECOND)), "rule 5");
+    broken(c.overdue(2 * SECOND), "rule 1");
     c.action(0, &Action::SetRung(id, 1)).expect("down");
     lower.classes[0].lowest_rung = 2;
     c.change(0, &lower);
@@ -352,15 +355,15 @@
     // A paid one that may have run, a cold server, and the ration.
     let (mut c, id) = ready(|c| c.idempotency = Idempotency::AtMostOnce);
     c.action(0, &Action::SetRung(id, 1)).expect("within its bounds");
-    c.action(0, &Action::SetUp(id, ServerId(1), S)).expect("the first");
+    c.action(0, &Action::SetUp(id, ServerId(1), SECOND)).expect("the first");
     let end =
         |outcome| Event::Ended { session: id, server: ServerId(1), outcome, is_final: false, report: vec![] };
     c.event(0, &end(Outcome::TimedOut));
-    broken(c.action(0, &Action::SetUp(id, ServerId(1), S)), "rule 2");
+    broken(c.action(0, &Action::SetUp(id, ServerId(1), SECOND)), "rule 2");
     let (mut c, id) = ready(|c| (c.max_sessions_per_title, c.idempotency) = (0, Idempotency::Idempotent));
     c.action(0, &Action::SetRung(id, 1)).expect("within its bounds");
     for n in 0..3 {
-        c.action(0, &Action::SetUp(id, ServerId(1), S)).unwrap_or_else(|e| panic!("{n}: {e}"));
+        c.action(0, &Action::SetUp(id, ServerId(1), SECOND)).unwrap_or_else(|e| panic!("{n}: {e}"));
         c.event(0, &end(Outcome::Full));
         if n == 1 {
             // What the account had counted stays in it.
@@ -369,14 +372,14 @@
             c.change(0, &set);
         }
     }
-    broken(c.action(0, &Action::SetUp(id, ServerId(1), S)), "rule 6");
+    broken(c.action(0, &Action::SetUp(id, ServerId(1), SECOND)), "rule 6");
     let (mut c, _) = ready(|c| c.max_sessions_per_title = 0);
-    c.event(S, &Event::ListChanged(vec![ServerEntry { started: Some(S), ..server(1, 0) }]));
+    c.event(SECOND, &Event::ListChanged(vec![ServerEntry { started: Some(SECOND), ..server(1, 0) }]));
     let sent = (2..20).find_map(|n| {
         let id = SessionId(n);
-        c.event(S, &Event::Request(id, wish(n, 0.0, 4.0)));
-        c.action(S, &Action::SetRung(id, 1)).expect("within its bounds");
-        c.action(S, &Action::SetUp(id, ServerId(1), S)).err()
+        c.event(SECOND, &Event::Request(id, spec(n, 0.0, 4.0)));
+        c.action(SECOND, &Action::SetRung(id, 1)).expect("within its bounds");
+        c.action(SECOND, &Action::SetUp(id, ServerId(1), SECOND)).err()
     });
     assert!(sent.is_some_and(|e| e.contains("rule 4")));
 }
@@ -386,43 +389,43 @@
     let mut set = settings();
     (set.uplink_kb, set.kb_per_weight) = (100_000.0, 100_000.0);
     classes(&mut set.classes[0]);
-    let mut f = Front::new(set.clone(), &[server(1, 0), server(2, 1)]);
+    let mut front = Front::new(set.clone(), &[server(1, 0), server(2, 1)]);
     for n in 1..=12 {
-        f.play(n, SessionSpec { title: TitleId(5), ..wish(n, 0.0, 2.0) });
+        front.start_session(n, SessionSpec { title: TitleId(5), ..spec(n, 0.0, 2.0) });
     }
-    (f, set)
+    (front, set)
 }
 
-fn change(f: &mut Front, set: &Settings) -> Vec<Action> {
+fn change(front: &mut Front, set: &Settings) -> Vec<Action> {
     let mut out = Vec::new();
-    f.controller.apply_settings(f.now, set.clone(), &mut out).expect("a policy that agrees");
+    front.controller.apply_settings(front.now, set.clone(), &mut out).expect("a policy that agrees");
     out
 }
 
 #[test]
 fn a_higher_floor_is_met_at_once_and_a_lower_top_by_one_in_five_a_look() {
-    let (mut f, mut set) = twelve(|c| c.highest_rung = 2);
+    let (mut front, mut set) = twelve(|c| c.highest_rung = 2);
     set.classes[0] = Class { lowest_rung: 3, highest_rung: 4, ..set.classes[0].clone() };
-    let raised = change(&mut f, &set);
+    let raised = change(&mut front, &set);
     assert_eq!(raised.iter().filter(|a| matches!(a, Action::SetRung(_, 3))).count(), 12);
     assert_eq!(raised.len(), 12);
     set.classes[0] = Class { lowest_rung: 0, highest_rung: 1, ..set.classes[0].clone() };
-    assert_eq!(change(&mut f, &set), []);
-    let looks: Vec<usize> = (0..9).map(|_| lowered(&f.pass(500 * MS)).len()).collect();
+    assert_eq!(change(&mut front, &set), []);
+    let looks: Vec<usize> = (0..9).map(|_| rung_changes(&front.advance(500 * MILLISECOND)).len()).collect();
     assert_eq!(looks, [3, 2, 2, 1, 1, 1, 1, 1, 0]);
 }
 
 #[test]
 fn fewer_seats_than_stand_take_nothing_new_until_there_is_one() {
-    let (mut f, mut set) = twelve(|_| {});
+    let (mut front, mut set) = twelve(|_| {});
     set.classes[0].max_sessions_per_title = 11;
-    assert_eq!(change(&mut f, &set), [], "who stands plays on");
-    let same = |n| SessionSpec { title: TitleId(5), ..wish(n, 0.0, 2.0) };
-    assert_eq!(f.ask(13, same(13)), None);
-    f.end(1, ServerId(1), Outcome::Served, true);
-    assert_eq!(f.ask(14, same(14)), None);
-    f.end(2, ServerId(1), Outcome::Served, true);
-    assert!(f.ask(15, same(15)).is_some());
+    assert_eq!(change(&mut front, &set), [], "who stands plays on");
+    let same = |n| SessionSpec { title: TitleId(5), ..spec(n, 0.0, 2.0) };
+    assert_eq!(front.request(13, same(13)), None);
+    front.end(1, ServerId(1), Outcome::Served, true);
+    assert_eq!(front.request(14, same(14)), None);
+    front.end(2, ServerId(1), Outcome::Served, true);
+    assert!(front.request(15, same(15)).is_some());
 }
 
 #[test]
@@ -434,14 +437,14 @@
     ] {
         let mut set = settings();
         set.classes[0].idempotency = before;
-        let mut f = Front::new(set.clone(), &two);
-        let (at, _) = f.ask(1, wish(1, 0.0, 2.0)).expect("set up");
-        (set.classes[0].idempotency, set.classes[0].set_up_target) = (after, 100 * MS);
-        change(&mut f, &set);
-        let sent = f.end(1, at, Outcome::Error, false);
-        assert_eq!(placed(&sent).is_some(), again);
+        let mut front = Front::new(set.clone(), &two);
+        let (at, _) = front.request(1, spec(1, 0.0, 2.0)).expect("a set-up should be sent");
+        (set.classes[0].idempotency, set.classes[0].set_up_target) = (after, 100 * MILLISECOND);
+        change(&mut front, &set);
+        let sent = front.end(1, at, Outcome::Error, false);
+        assert_eq!(placement(&sent).is_some(), again);
         assert!(
-            !again || sent.iter().any(|a| matches!(a, Action::SetUp(_, _, w) if *w == 400 * MS)),
+            !again || sent.iter().any(|a| matches!(a, Action::SetUp(_, _, w) if *w == 400 * MILLISECOND)),
             "its aim"
         );
     }
@@ -451,46 +454,55 @@
 fn an_open_set_up_goes_by_the_tighter_bounds_and_a_session_by_those_in_force() {
     let mut set = settings();
     set.classes[0].highest_rung = 1;
-    let mut f = Front::new(set.clone(), &[server(1, 0), server(2, 1)]);
-    let (at, _) = f.ask(1, wish(1, 0.0, 2.0)).expect("set up");
+    let mut front = Front::new(set.clone(), &[server(1, 0), server(2, 1)]);
+    let (at, _) = front.request(1, spec(1, 0.0, 2.0)).expect("a set-up should be sent");
     set.classes[0].highest_rung = 4;
-    assert_eq!(change(&mut f, &set), []);
-    let (at, rung) = placed(&f.end(1, at, Outcome::Full, false)).expect("the other server");
+    assert_eq!(change(&mut front, &set), []);
+    let (at, rung) = placement(&front.end(1, at, Outcome::Full, false)).expect("the other server");
     assert_eq!(rung, 1, "the top it was taken with");
-    assert!(f.tell(Event::Started(SessionId(1), at)).is_empty());
-    assert!(!lowered(&f.pass(20 * S)).is_empty(), "it rises to the top in force");
+    assert!(front.handle(Event::Started(SessionId(1), at)).is_empty());
+    assert!(!rung_changes(&front.advance(20 * SECOND)).is_empty(), "it rises to the top in force");
     set.classes[0].lowest_rung = 2;
-    let (at, rung) = f.ask(2, wish(2, 0.0, 1.0)).expect("set up");
-    assert!(rung >= 2 || lowered(&change(&mut f, &set)).contains(&2), "the floor in force holds at once");
-    f.tell(Event::Started(SessionId(2), at));
+    let (at, rung) = front.request(2, spec(2, 0.0, 1.0)).expect("a set-up should be sent");
+    assert!(
+        rung >= 2 || rung_changes(&change(&mut front, &set)).contains(&2),
+        "the floor in force holds at once"
+    );
+    front.handle(Event::Started(SessionId(2), at));
 }
 
 #[test]
 fn what_was_counted_and_seen_stands() {
     let mut set = settings();
-    set.rules.retry_budget = Some(RetryBudget { min_retries: 1.0, retry_ratio: 0.0, window: 10 * S });
-    let mut f = Front::new(set.clone(), &[server(1, 0), server(2, 1)]);
-    let (at, _) = f.ask(1, wish(1, 0.0, 2.0)).expect("set up");
-    let (again, _) = placed(&f.end(1, at, Outcome::ConnectFailed, false)).expect("the one free attempt");
-    f.end(1, again, Outcome::Served, true);
-    f.tell(Event::PeerReport(again, 0, vec![0.9, 0.9]));
-    let held = f.controller.view(f.now);
-    set.rules.retry_budget = Some(RetryBudget { min_retries: 1.0, retry_ratio: 0.0, window: 8 * S });
-    change(&mut f, &set);
-    assert_eq!(f.controller.view(f.now), held, "bars, warmth and readings");
-    f.now += 8 * S;
-    let (at, _) = f.ask(2, wish(2, 0.0, 2.0)).expect("set up");
-    assert_eq!(placed(&f.end(2, at, Outcome::Full, false)), None, "the free attempt was used in this window");
+    set.rules.retry_budget = Some(RetryBudget { min_retries: 1.0, retry_ratio: 0.0, window: 10 * SECOND });
+    let mut front = Front::new(set.clone(), &[server(1, 0), server(2, 1)]);
+    let (at, _) = front.request(1, spec(1, 0.0, 2.0)).expect("a set-up should be sent");
+    let (again, _) =
+        placement(&front.end(1, at, Outcome::ConnectFailed, false)).expect("the one free attempt");
+    front.end(1, again, Outcome::Served, true);
+    front.handle(Event::PeerReport(again, 0, vec![0.9, 0.9]));
+    let held = front.controller.view(front.now);
+    set.rules.retry_budget = Some(RetryBudget { min_retries: 1.0, retry_ratio: 0.0, window: 8 * SECOND });
+    change(&mut front, &set);
+    assert_eq!(front.controller.view(front.now), held, "bars, warmth and readings");
+    front.now += 8 * SECOND;
+    let (at, _) = front.request(2, spec(2, 0.0, 2.0)).expect("a set-up should be sent");
+    assert_eq!(
+        placement(&front.end(2, at, Outcome::Full, false)),
+        None,
+        "the free attempt was used in this window"
+    );
 }
 
 #[test]
 fn a_class_may_come_but_none_may_go_and_what_accounts_rest_on_stays() {
-    let mut f = Front::new(settings(), &[server(1, 0)]);
+    let mut front = Front::new(settings(), &[server(1, 0)]);
     let mut more = settings();
     more.classes.push(Class { lowest_rung: 3, ..class() });
-    change(&mut f, &more);
-    let (_, rung) =
-        f.ask(1, SessionSpec { class: ClassId(1), highest_rung: 0.0, ..wish(1, 0.0, 1.0) }).expect("set up");
+    change(&mut front, &more);
+    let (_, rung) = front
+        .request(1, SessionSpec { class: ClassId(1), highest_rung: 0.0, ..spec(1, 0.0, 1.0) })
+        .expect("a set-up should be sent");
     assert_eq!(rung, 3, "the new class's floor");
     let wrong: [fn(&mut Settings); 6] = [
         |s| s.classes.truncate(1),
@@ -504,9 +516,10 @@
         let mut set = more.clone();
         make(&mut set);
         let mut out = Vec::new();
-        assert!(f.controller.apply_settings(f.now, set, &mut out).is_err() && out.is_empty());
+        assert!(front.controller.apply_settings(front.now, set, &mut out).is_err() && out.is_empty());
     }
-    let (_, rung) =
-        f.ask(2, SessionSpec { class: ClassId(1), highest_rung: 0.0, ..wish(2, 0.0, 1.0) }).expect("set up");
+    let (_, rung) = front
+        .request(2, SessionSpec { class: ClassId(1), highest_rung: 0.0, ..spec(2, 0.0, 1.0) })
+        .expect("a set-up should be sent");
     assert_eq!(rung, 3, "the last good one stays in force");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -6,29 +6,29 @@
 use pepperhook::*;
 
 #[test]
-fn a_time_out_at_the_deadline_is_answered_with_a_failure_in_the_same_step() {
-    let mut f = Front::new(settings(), &[server(1, 0)]);
-    let (at, _) = f.ask(1, wish(1, 0.0, 1.0)).expect("set up");
-    f.now += 4 * S;
-    assert!(failed(&f.end(1, at, Outcome::TimedOut, false)));
-    assert!(f.tell(Event::Timer(1)).is_empty(), "nothing more is said of a request that ended");
+fn a_time_out_at_the_deadline_fails_the_request_in_the_same_call() {
+    let mut front = Front::new(settings(), &[server(1, 0)]);
+    let (at, _) = front.request(1, spec(1, 0.0, 1.0)).expect("a set-up should be sent");
+    front.now += 4 * SECOND;
+    assert!(failed(&front.end(1, at, Outcome::TimedOut, false)));
+    assert!(front.handle(Event::Timer(1)).is_empty(), "a timer caused actions for a request that has ended");
 }
 
 #[test]
-fn a_request_that_nobody_can_take_is_refused_at_once_with_advice() {
-    let mut f = Front::new(settings(), &[server(1, 3)]);
-    let actions = f.tell(Event::Request(SessionId(1), wish(1, 0.0, 1.0)));
-    assert!(actions.contains(&Action::Refuse(SessionId(1), Some(500 * MS))));
+fn a_request_that_no_server_can_take_is_refused_at_once_with_a_retry_after_time() {
+    let mut front = Front::new(settings(), &[server(1, 3)]);
+    let actions = front.handle(Event::Request(SessionId(1), spec(1, 0.0, 1.0)));
+    assert!(actions.contains(&Action::Refuse(SessionId(1), Some(500 * MILLISECOND))), "actions {actions:?}");
 }
 
 #[test]
-fn a_paid_set_up_is_repeated_only_when_it_provably_never_ran() {
-    let paid = || {
-        let mut s = settings();
-        s.classes[0].idempotency = Idempotency::AtMostOnce;
-        Front::new(s, &[server(1, 0), server(2, 1)])
+fn an_at_most_once_set_up_is_repeated_only_if_it_provably_never_ran() {
+    let at_most_once_front = || {
+        let mut settings = settings();
+        settings.classes[0].idempotency = Idempotency::AtMostOnce;
+        Front::new(settings, &[server(1, 0), server(2, 1)])
     };
-    for (outcome, again) in [
+    for (outcome, repeated) in [
         (Outcome::ConnectFailed, true),
         (Outcome::Full, true),
         (Outcome::Unsent, true),
@@ -37,156 +37,185 @@
         (Outcome::Broken, false),
         (Outcome::Cancelled, false),
     ] {
-        let mut f = paid();
-        let (at, _) = f.ask(1, wish(1, 0.0, 2.0)).expect("set up");
-        let actions = f.end(1, at, outcome, false);
-        assert_eq!(placed(&actions).is_some(), again, "{outcome:?}");
-        assert_eq!(failed(&actions), !again, "{outcome:?}");
+        let mut front = at_most_once_front();
+        let (at, _) = front.request(1, spec(1, 0.0, 2.0)).expect("a set-up should be sent");
+        let actions = front.end(1, at, outcome, false);
+        assert_eq!(
+            placement(&actions).is_some(),
+            repeated,
+            "whether the set-up is repeated after {outcome:?}"
+        );
+        assert_eq!(failed(&actions), !repeated, "whether the request fails after {outcome:?}");
         assert!(!refused(&actions));
     }
 }
 
 #[test]
-fn never_two_attempts_out() {
-    let mut f = Front::new(settings(), &[server(1, 0), server(2, 1)]);
-    f.ask(1, wish(1, 0.0, 2.0)).expect("set up");
-    f.now += S;
-    let actions = f.pass(2 * S);
-    assert!(placed(&actions).is_none());
-    assert!(placed(&f.tell(Event::Timer(1))).is_none());
+fn a_request_never_has_two_open_attempts() {
+    let mut front = Front::new(settings(), &[server(1, 0), server(2, 1)]);
+    front.request(1, spec(1, 0.0, 2.0)).expect("a set-up should be sent");
+    front.now += SECOND;
+    let actions = front.advance(2 * SECOND);
+    assert!(placement(&actions).is_none());
+    assert!(placement(&front.handle(Event::Timer(1))).is_none());
 }
 
 #[test]
-fn nothing_new_goes_to_a_server_that_drains_or_is_gone_or_left_the_list() {
+fn no_set_up_goes_to_a_server_that_drains_or_is_gone_or_left_the_list() {
     for state in [ServerState::Draining, ServerState::Gone] {
-        let mut f = Front::new(settings(), &[server(1, 0), server(2, 3)]);
-        f.tell(Event::ListChanged(vec![ServerEntry { state, ..server(1, 0) }]));
-        assert_eq!(f.ask(1, wish(1, 0.0, 1.0)), None);
+        let mut front = Front::new(settings(), &[server(1, 0), server(2, 3)]);
+        front.handle(Event::ListChanged(vec![ServerEntry { state, ..server(1, 0) }]));
+        assert_eq!(front.request(1, spec(1, 0.0, 1.0)), None);
     }
-    let mut f = Front::new(settings(), &[server(1, 0), server(2, 3)]);
-    f.tell(Event::ListFull(vec![server(2, 3)]));
-    assert_eq!(f.ask(1, wish(1, 0.0, 1.0)), None);
+    let mut front = Front::new(settings(), &[server(1, 0), server(2, 3)]);
+    front.handle(Event::ListFull(vec![server(2, 3)]));
+    assert_eq!(front.request(1, spec(1, 0.0, 1.0)), None);
 }
 
 #[test]
-fn a_cold_server_gets_no_more_than_this_fronts_part_in_any_window() {
-    let mut s = settings();
-    s.fronts = 3;
-    let fresh = ServerEntry { started: Some(100 * S), ..server(1, 0) };
-    let mut f = Front::new(s, &[fresh]);
-    let mut sends = Vec::new();
+fn a_cold_server_gets_at_most_this_fronts_share_of_set_ups_in_any_window() {
+    let mut settings = settings();
+    settings.fronts = 3;
+    let fresh = ServerEntry { started: Some(100 * SECOND), ..server(1, 0) };
+    let mut front = Front::new(settings, &[fresh]);
+    let mut set_ups = Vec::new();
     for n in 0..1200 {
-        if f.ask(n, wish(n, 0.0, 1.0)).is_some() {
-            sends.push(f.now);
+        if front.request(n, spec(n, 0.0, 1.0)).is_some() {
+            set_ups.push(front.now);
         }
-        f.now += 10 * MS;
+        front.now += 10 * MILLISECOND;
     }
-    assert!(!sends.is_empty());
-    for first in &sends {
-        let window = sends.iter().filter(|t| (*first..*first + 2 * S).contains(*t)).count();
-        let warmth = 0.4 + 0.6 * ((*first + 2 * S - 100 * S) as f64 / (12 * S) as f64);
-        let all = 2.5 * 40.0 / 12.0 * warmth.min(1.0) * 2.0;
-        assert!(window as f64 <= (all / 3.0).max(1.0), "{window} set-ups at {first}");
+    assert!(!set_ups.is_empty());
+    for first in &set_ups {
+        let window = set_ups.iter().filter(|t| (*first..*first + 2 * SECOND).contains(*t)).count();
+        let warmth = 0.4 + 0.6 * ((*first + 2 * SECOND - 100 * SECOND) as f64 / (12 * SECOND) as f64);
+        let limit = 2.5 * 40.0 / 12.0 * warmth.min(1.0) * 2.0;
+        assert!(
+            window as f64 <= (limit / 3.0).max(1.0),
+            "{window} set-ups in the window that starts at {first} ns; at most {} expected",
+            (limit / 3.0).max(1.0)
+        );
     }
 }
 
 #[test]
-fn a_server_that_breaks_is_presumed_cold_before_the_list_says_so() {
-    let mut f = Front::new(settings(), &[server(1, 0)]);
-    let (at, _) = f.play(1, wish(1, 0.0, 1.0));
-    f.end(1, at, Outcome::Broken, true);
-    f.now += 10 * S;
-    let sent = (10..60).filter(|n| f.ask(*n, wish(*n, 0.0, 1.0)).is_some()).count();
-    assert!((1..=5).contains(&sent), "{sent} set-ups at one moment");
+fn a_broken_server_counts_as_cold_before_the_list_reports_its_start() {
+    let mut front = Front::new(settings(), &[server(1, 0)]);
+    let (at, _) = front.start_session(1, spec(1, 0.0, 1.0));
+    front.end(1, at, Outcome::Broken, true);
+    front.now += 10 * SECOND;
+    let sent = (10..60).filter(|n| front.request(*n, spec(*n, 0.0, 1.0)).is_some()).count();
+    assert!((1..=5).contains(&sent), "{sent} set-ups at one time; expected 1 to 5");
 }
 
 #[test]
-fn rungs_stay_between_the_floor_and_the_viewers_top() {
-    let mut s = settings();
-    s.classes[0].lowest_rung = 1;
-    let mut f = Front::new(s, &[server(1, 0)]);
-    let (_, rung) = f.ask(1, SessionSpec { highest_rung: 2.0, ..wish(1, 0.0, 1.0) }).expect("set up");
+fn rungs_stay_between_the_lowest_rung_of_the_class_and_the_highest_of_the_viewer() {
+    let mut settings = settings();
+    settings.classes[0].lowest_rung = 1;
+    let mut front = Front::new(settings, &[server(1, 0)]);
+    let (_, rung) = front
+        .request(1, SessionSpec { highest_rung: 2.0, ..spec(1, 0.0, 1.0) })
+        .expect("a set-up should be sent");
     assert_eq!(rung, 2);
-    f.under_way(2, wish(2, 0.0, 1.0), 1, 1);
-    let lowered = f.note(2, 1, NotificationKind::Delivered, 0.2);
-    assert!(lowered.iter().all(|a| !matches!(a, Action::SetRung(_, 0))));
+    front.adopt(2, spec(2, 0.0, 1.0), 1, 1);
+    let actions = front.notify(2, 1, NotificationKind::Delivered, 0.2);
+    assert!(actions.iter().all(|a| !matches!(a, Action::SetRung(_, 0))));
 }
 
 #[test]
-fn seats_count_from_the_attempt_to_the_outcome() {
-    let mut s = settings();
-    s.classes[0].max_sessions_per_title = 1;
-    let mut f = Front::new(s, &[server(1, 0)]);
-    let same = |n| SessionSpec { title: TitleId(7), ..wish(n, 0.0, 1.0) };
-    let (at, _) = f.ask(1, same(1)).expect("set up");
-    assert_eq!(f.ask(2, same(2)), None);
-    f.end(1, at, Outcome::Served, true);
-    assert!(f.ask(3, same(3)).is_some());
+fn the_limit_of_sessions_per_title_counts_from_the_attempt_to_the_outcome() {
+    let mut settings = settings();
+    settings.classes[0].max_sessions_per_title = 1;
+    let mut front = Front::new(settings, &[server(1, 0)]);
+    let same_title = |n| SessionSpec { title: TitleId(7), ..spec(n, 0.0, 1.0) };
+    let (at, _) = front.request(1, same_title(1)).expect("a set-up should be sent");
+    assert_eq!(front.request(2, same_title(2)), None);
+    front.end(1, at, Outcome::Served, true);
+    assert!(front.request(3, same_title(3)).is_some());
 }
 
 #[test]
-fn further_attempts_stay_within_the_ration() {
-    let mut s = settings();
-    s.rules.retry_budget = Some(RetryBudget { min_retries: 1.0, retry_ratio: 0.2, window: 10 * S });
-    let mut f = Front::new(s, &[server(1, 0), server(2, 1), server(3, 2)]);
-    let mut further = 0;
+fn retries_stay_within_the_retry_budget() {
+    let mut settings = settings();
+    settings.rules.retry_budget =
+        Some(RetryBudget { min_retries: 1.0, retry_ratio: 0.2, window: 10 * SECOND });
+    let mut front = Front::new(settings, &[server(1, 0), server(2, 1), server(3, 2)]);
+    let mut retries = 0;
     for n in 0..10 {
-        let mut at = f.ask(n, wish(n, 0.0, 3.0)).map(|(at, _)| at);
+        let mut at = front.request(n, spec(n, 0.0, 3.0)).map(|(at, _)| at);
         while let Some(server) = at {
-            at = placed(&f.end(n, server, Outcome::ConnectFailed, false)).map(|(at, _)| at);
-            further += usize::from(at.is_some());
-            assert!(further as f64 <= 1.0 + 0.2 * (n + 1) as f64);
+            at = placement(&front.end(n, server, Outcome::ConnectFailed, false)).map(|(at, _)| at);
+            retries += usize::from(at.is_some());
+            assert!(
+                retries as f64 <= 1.0 + 0.2 * (n + 1) as f64,
+                "{retries} retries after {} requests; at most 1 + 0.2 for each request expected",
+                n + 1
+            );
         }
     }
-    assert!(further > 0);
+    assert!(retries > 0);
 }
 
 #[test]
-fn an_attempt_just_on_the_edge_of_the_window_still_counts() {
-    for (gap, allowed) in [(10 * S, false), (10 * S + 1, true)] {
-        let mut s = settings();
-        s.rules.retry_budget = Some(RetryBudget { min_retries: 1.0, retry_ratio: 0.0, window: 10 * S });
-        let mut f = Front::new(s, &[server(1, 0), server(2, 1)]);
-        let (at, _) = f.ask(1, wish(1, 0.0, 2.0)).expect("set up");
-        let (at, _) = placed(&f.end(1, at, Outcome::Full, false)).expect("the one free attempt");
-        f.end(1, at, Outcome::Served, true);
-        f.now += gap;
-        let (at, _) = f.ask(2, wish(2, 0.0, 2.0)).expect("set up");
-        assert_eq!(placed(&f.end(2, at, Outcome::Full, false)).is_some(), allowed);
+fn a_retry_exactly_one_window_ago_still_counts() {
+    for (gap, allowed) in [(10 * SECOND, false), (10 * SECOND + 1, true)] {
+        let mut settings = settings();
+        settings.rules.retry_budget =
+            Some(RetryBudget { min_retries: 1.0, retry_ratio: 0.0, window: 10 * SECOND });
+        let mut front = Front::new(settings, &[server(1, 0), server(2, 1)]);
+        let (at, _) = front.request(1, spec(1, 0.0, 2.0)).expect("a set-up should be sent");
+        let (at, _) = placement(&front.end(1, at, Outcome::Full, false))
+            .expect("the one guaranteed retry should be sent");
+        front.end(1, at, Outcome::Served, true);
+        front.now += gap;
+        let (at, _) = front.request(2, spec(2, 0.0, 2.0)).expect("a set-up should be sent");
+        assert_eq!(
+            placement(&front.end(2, at, Outcome::Full, false)).is_some(),
+            allowed,
+            "whether a retry is sent {gap} ns after the last one"
+        );
     }
 }
 
-/// Set-ups sent to a server just started, by many fronts that are asked for it every `gap`.
-fn cold_sends(fronts: u64, gap: Time) -> Vec<Time> {
+/// Times of the set-ups that all fronts together send in 10 s to a server that has just started. Each front receives a
+/// request every `gap`.
+fn cold_set_ups(fronts: u64, gap: Time) -> Vec<Time> {
     let settings = Settings { fronts: fronts as u32, ..settings() };
-    let fresh = ServerEntry { started: Some(100 * S), ..server(1, 0) };
-    let mut sends = Vec::new();
+    let fresh = ServerEntry { started: Some(100 * SECOND), ..server(1, 0) };
+    let mut set_ups = Vec::new();
     for seed in 0..fronts {
-        let controller = Controller::new(settings.clone(), 31 * seed).expect("settings that agree");
-        let mut f = Front { controller, now: 100 * S };
-        f.tell(Event::ListFull(vec![fresh]));
-        for n in 0..10 * S / gap {
-            f.now = 100 * S + n * gap + gap * seed / fronts;
-            if let Some((at, _)) = f.ask(n, wish(n, 0.0, 1.0)) {
-                sends.push(f.now);
-                f.end(n, at, Outcome::Served, true);
+        let controller = Controller::new(settings.clone(), 31 * seed).expect("the settings should be valid");
+        let mut front = Front { controller, now: 100 * SECOND };
+        front.handle(Event::ListFull(vec![fresh]));
+        for n in 0..10 * SECOND / gap {
+            front.now = 100 * SECOND + n * gap + gap * seed / fronts;
+            if let Some((at, _)) = front.request(n, spec(n, 0.0, 1.0)) {
+                set_ups.push(front.now);
+                front.end(n, at, Outcome::Served, true);
             }
         }
     }
-    sends.sort_unstable();
-    sends
+    set_ups.sort_unstable();
+    set_ups
 }
 
 #[test]
-fn many_fronts_together_keep_to_what_a_cold_server_stands_and_yet_use_it() {
-    for gap in [50 * MS, S, 5 * S] {
-        let sends = cold_sends(80, gap);
-        assert!(sends.len() >= 10, "{} set-ups in ten seconds", sends.len());
-        for first in &sends {
-            let window = sends.iter().filter(|t| (*first..*first + 2 * S).contains(*t)).count();
-            let warmth = 0.4 + 0.6 * ((*first - 100 * S) as f64 / (12 * S) as f64);
-            let all = 2.5 * 40.0 / 12.0 * warmth.min(1.0) * 2.0;
-            assert!(window as f64 <= all, "asked every {gap}: {window} set-ups, {all} at most");
+fn many_fronts_together_stay_within_a_cold_servers_limit_and_still_use_it() {
+    for gap in [50 * MILLISECOND, SECOND, 5 * SECOND] {
+        let set_ups = cold_set_ups(80, gap);
+        assert!(
+            set_ups.len() >= 10,
+            "{} set-ups in 10 s with a request every {gap} ns; at least 10 expected",
+            set_ups.len()
+        );
+        for first in &set_ups {
+            let window = set_ups.iter().filter(|t| (*first..*first + 2 * SECOND).contains(*t)).count();
+            let warmth = 0.4 + 0.6 * ((*first - 100 * SECOND) as f64 / (12 * SECOND) as f64);
+            let limit = 2.5 * 40.0 / 12.0 * warmth.min(1.0) * 2.0;
+            assert!(
+                window as f64 <= limit,
+                "{window} set-ups in a window with a request every {gap} ns; at most {limit} expected"
+            );
         }
     }
 }
