--- a/tests/policy/checker.rs
+++ b/tests/policy/checker.rs
@@ -1,105 +1,128 @@
-//! Judges a front whose policy changes, from events and actions alone. It shares no account with the module.
+//! Checks the six rules of a front whose policy changes, from its events and actions alone. It shares no code and no
+//! counters with the module.
+//!
+//! 1. Each request gets one answer, and in time.
+//! 2. An attempt that may have run is repeated only where the class allows it, and never beside an open one.
+//! 3. Set-ups go only to servers that the list names as ready.
+//! 4. A cold server gets no more set-ups than it can take.
+//! 5. Rungs and sessions per title stay within the limits.
+//! 6. Retries stay within the retry budget.
 
 use pepperhook::*;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Stand {
+enum RequestState {
+    /// Waits for a set-up or an answer.
     Waiting,
-    Out(ServerId),
-    Plays(ServerId),
+    /// A set-up is open on the server.
+    Attempting(ServerId),
+    /// The session plays on the server.
+    Playing(ServerId),
 }
 
 struct Request {
-    wish: SessionSpec,
-    due: Time,
-    /// As the class was when the request came.
-    taken: Class,
-    taken_top: u8,
-    /// The lowest top and the highest floor in force since.
-    least_top: u8,
-    most_floor: u8,
-    stand: Stand,
+    spec: SessionSpec,
+    /// Time by which the viewer must have an answer.
+    deadline: Time,
+    /// The class as it was at the time of the request.
+    class_at_request: Class,
+    /// The highest rung that was allowed at the time of the request.
+    highest_at_request: u8,
+    /// The lowest of all highest rungs in force since the request.
+    min_highest: u8,
+    /// The highest of all lowest rungs in force since the request.
+    max_lowest: u8,
+    state: RequestState,
+    /// Number of set-ups sent.
     attempts: u32,
-    /// The first attempt, and whether one may have run.
-    first: Option<(Time, ServerId)>,
-    ran: bool,
+    /// Time and server of the first attempt.
+    first_attempt: Option<(Time, ServerId)>,
+    /// An attempt may have run.
+    may_have_run: bool,
     rung: u8,
-    /// It played above a top when that fell, and has not been lowered yet.
-    over: bool,
+    /// It played above the highest rung when that was lowered, and its rung has not been set since.
+    above_highest: bool,
 }
 
-/// Everything that was seen of one front.
+/// The state of one front as its events and actions show it.
 pub struct Checker {
-    set: Settings,
+    settings: Settings,
     requests: BTreeMap<SessionId, Request>,
-    list: BTreeMap<ServerId, ServerEntry>,
-    sends: Vec<(Time, ServerId)>,
-    taken: Vec<Time>,
-    further: Vec<Time>,
-    /// Further attempts before this moment are no longer in the account: its window was shorter, or there was none.
-    horizon: Time,
+    servers: BTreeMap<ServerId, ServerEntry>,
+    /// Set-ups sent.
+    set_ups: Vec<(Time, ServerId)>,
+    /// Times of the requests.
+    request_times: Vec<Time>,
+    /// Times of the retries: attempts after a request's first one.
+    retry_times: Vec<Time>,
+    /// Retries before this time no longer count: they had already left the window of an earlier policy, which was
+    /// shorter, or empty where that policy had no retry budget.
+    retry_horizon: Time,
 }
 
-fn window(set: &Settings) -> Time {
-    set.rules.retry_budget.map_or(0, |b| b.window)
+fn retry_window(settings: &Settings) -> Time {
+    settings.rules.retry_budget.map_or(0, |budget| budget.window)
 }
 
 impl Checker {
-    pub fn new(set: Settings) -> Self {
+    pub fn new(settings: Settings) -> Self {
         Self {
-            set,
+            settings,
             requests: BTreeMap::new(),
-            list: BTreeMap::new(),
-            sends: Vec::new(),
-            taken: Vec::new(),
-            further: Vec::new(),
-            horizon: 0,
+            servers: BTreeMap::new(),
+            set_ups: Vec::new(),
+            request_times: Vec::new(),
+            retry_times: Vec::new(),
+            retry_horizon: 0,
         }
     }
 
-    /// Bounds in force for a wish.
-    fn bounds(&self, wish: &SessionSpec) -> (u8, u8) {
-        let c = &self.set.classes[usize::from(wish.class.0)];
-        let ladder = self.set.ladder.len() as u8 - 1;
-        (c.lowest_rung, (wish.highest_rung as u8).min(c.highest_rung).min(ladder).max(c.lowest_rung))
+    /// The lowest and the highest rung in force for a session.
+    fn rung_bounds(&self, spec: &SessionSpec) -> (u8, u8) {
+        let class = &self.settings.classes[usize::from(spec.class.0)];
+        let last_rung = self.settings.ladder.len() as u8 - 1;
+        let highest = (spec.highest_rung as u8).min(class.highest_rung).min(last_rung).max(class.lowest_rung);
+        (class.lowest_rung, highest)
     }
 
-    pub fn event(&mut self, now: Time, event: &Event) {
+    /// Records an event before the front handles it.
+    pub fn record_event(&mut self, now: Time, event: &Event) {
         match event {
             Event::ListFull(entries) | Event::ListChanged(entries) => {
-                self.list.extend(entries.iter().map(|e| (e.server, *e)));
+                self.servers.extend(entries.iter().map(|e| (e.server, *e)));
             }
-            Event::Request(id, wish) => {
-                self.taken.push(now);
-                let (floor, top) = self.bounds(wish);
+            Event::Request(id, spec) => {
+                self.request_times.push(now);
+                let (lowest, highest) = self.rung_bounds(spec);
                 let request = Request {
-                    wish: *wish,
-                    due: now + wish.max_wait,
-                    taken: self.set.classes[usize::from(wish.class.0)].clone(),
-                    taken_top: top,
-                    least_top: top,
-                    most_floor: floor,
-                    stand: Stand::Waiting,
+                    spec: *spec,
+                    deadline: now + spec.max_wait,
+                    class_at_request: self.settings.classes[usize::from(spec.class.0)].clone(),
+                    highest_at_request: highest,
+                    min_highest: highest,
+                    max_lowest: lowest,
+                    state: RequestState::Waiting,
                     attempts: 0,
-                    first: None,
-                    ran: false,
-                    rung: floor,
-                    over: false,
+                    first_attempt: None,
+                    may_have_run: false,
+                    rung: lowest,
+                    above_highest: false,
                 };
                 self.requests.insert(*id, request);
             }
-            Event::Started(id, at) => {
-                if let Some(r) = self.requests.get_mut(id) {
-                    r.stand = Stand::Plays(*at);
+            Event::Started(id, server) => {
+                if let Some(request) = self.requests.get_mut(id) {
+                    request.state = RequestState::Playing(*server);
                 }
             }
-            Event::Ended { session, outcome, is_final: settled, .. } => {
-                if let Some(r) = self.requests.get_mut(session) {
-                    r.stand = Stand::Waiting;
-                    r.ran |= !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Unsent);
+            Event::Ended { session, outcome, is_final, .. } => {
+                if let Some(request) = self.requests.get_mut(session) {
+                    request.state = RequestState::Waiting;
+                    request.may_have_run |=
+                        !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Unsent);
                 }
-                if *settled {
+                if *is_final {
                     self.requests.remove(session);
                 }
             }
@@ -110,149 +133,210 @@
         }
     }
 
-    /// Another policy is in force.
-    pub fn change(&mut self, now: Time, set: &Settings) {
-        self.horizon = self.horizon.max(now.saturating_sub(window(&self.set)));
-        self.set = set.clone();
-        let bounds: Vec<_> = self.requests.iter().map(|(id, r)| (*id, self.bounds(&r.wish))).collect();
-        for (id, (floor, top)) in bounds {
-            let r = self.requests.get_mut(&id).expect("known");
-            (r.least_top, r.most_floor) = (r.least_top.min(top), r.most_floor.max(floor));
-            r.over = matches!(r.stand, Stand::Plays(_)) && r.rung > top;
+    /// Records that another policy is in force.
+    pub fn change_settings(&mut self, now: Time, settings: &Settings) {
+        self.retry_horizon = self.retry_horizon.max(now.saturating_sub(retry_window(&self.settings)));
+        self.settings = settings.clone();
+        let bounds: Vec<_> = self.requests.iter().map(|(id, r)| (*id, self.rung_bounds(&r.spec))).collect();
+        for (id, (lowest, highest)) in bounds {
+            let request = self.requests.get_mut(&id).expect("the id comes from this map");
+            (request.min_highest, request.max_lowest) =
+                (request.min_highest.min(highest), request.max_lowest.max(lowest));
+            request.above_highest =
+                matches!(request.state, RequestState::Playing(_)) && request.rung > highest;
         }
     }
 
-    pub fn action(&mut self, now: Time, action: &Action) -> Result<(), String> {
+    /// Checks an action of the front and records it.
+    pub fn check_action(&mut self, now: Time, action: &Action) -> Result<(), String> {
         match action {
             Action::SetRung(id, rung) => {
-                let r = self.requests.get(id).ok_or("a rung for nobody")?;
-                let (floor, top) = self.bounds(&r.wish);
-                if *rung < floor || *rung > top {
-                    return Err(format!("rule 5: {id:?} is set to {rung}, {floor} to {top} are in force"));
+                let request = self
+                    .requests
+                    .get(id)
+                    .ok_or_else(|| format!("{id:?} is set to rung {rung} but has no request"))?;
+                let (lowest, highest) = self.rung_bounds(&request.spec);
+                if *rung < lowest || *rung > highest {
+                    return Err(format!(
+                        "rule 5: {id:?} is set to rung {rung}; rungs {lowest} to {highest} are in force"
+                    ));
                 }
-                let r = self.requests.get_mut(id).expect("known");
-                (r.rung, r.over) = (*rung, false);
+                let request = self.requests.get_mut(id).expect("the request was found above");
+                (request.rung, request.above_highest) = (*rung, false);
             }
             Action::Refuse(id, _) | Action::Fail(id) => {
-                let r = self.requests.get(id).ok_or("rule 1: an answer that nobody waits for")?;
-                if r.stand != Stand::Waiting {
-                    return Err(format!("rule 1: {id:?} is answered though it is {:?}", r.stand));
+                let request = self
+                    .requests
+                    .get(id)
+                    .ok_or_else(|| format!("rule 1: {action:?} answers a request that is not open"))?;
+                if request.state != RequestState::Waiting {
+                    return Err(format!(
+                        "rule 1: {action:?} answers a request in state {:?}; only a waiting one may be answered",
+                        request.state
+                    ));
                 }
-                if now > r.due {
-                    return Err(format!("rule 1: {id:?} is answered too late"));
+                if now > request.deadline {
+                    return Err(format!(
+                        "rule 1: {action:?} answers at {now} ns, after the deadline of {} ns",
+                        request.deadline
+                    ));
                 }
                 if matches!(action, Action::Refuse(..))
-                    && r.ran
-                    && r.taken.idempotency == Idempotency::AtMostOnce
+                    && request.may_have_run
+                    && request.class_at_request.idempotency == Idempotency::AtMostOnce
                 {
-                    return Err(format!("rule 2: {id:?} is refused though it may have run"));
+                    return Err(format!(
+                        "rule 2: {id:?} of an at-most-once class is refused though an attempt may have run"
+                    ));
                 }
                 self.requests.remove(id);
             }
-            Action::SetUp(id, at, wait) => self.set_up(now, *id, *at, *wait)?,
+            Action::SetUp(id, server, wait) => self.check_set_up(now, *id, *server, *wait)?,
             _ => {}
         }
         Ok(())
     }
 
-    fn set_up(&mut self, now: Time, id: SessionId, at: ServerId, wait: Time) -> Result<(), String> {
-        let r = self.requests.get(&id).ok_or("rule 2: a set-up that nobody waits for")?;
-        if r.stand != Stand::Waiting {
-            return Err(format!("rule 2: {id:?} has two attempts out"));
+    fn check_set_up(&mut self, now: Time, id: SessionId, to: ServerId, wait: Time) -> Result<(), String> {
+        let request = self
+            .requests
+            .get(&id)
+            .ok_or_else(|| format!("rule 2: a set-up is sent for {id:?}, which has no open request"))?;
+        if request.state != RequestState::Waiting {
+            return Err(format!(
+                "rule 2: a set-up is sent for {id:?}, which is in state {:?}",
+                request.state
+            ));
         }
-        let server = self.list.get(&at).ok_or("rule 3: an unlisted server")?;
-        let within = match r.taken.idempotency {
+        let server = self
+            .servers
+            .get(&to)
+            .ok_or_else(|| format!("rule 3: a set-up of {id:?} is sent to {to:?}, which is not listed"))?;
+        let may_repeat = match request.class_at_request.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::AtMostOnce => false,
-            Idempotency::Deduplicated(group, span) => r.first.is_some_and(|(t, first)| {
-                let first = self.list[&first];
-                now <= t + span
-                    && match group {
-                        DedupScope::All => true,
-                        DedupScope::Zone => first.zone == server.zone,
-                        DedupScope::Cell => first.cell == server.cell,
-                    }
-            }),
+            Idempotency::Deduplicated(scope, span) => {
+                request.first_attempt.is_some_and(|(first_time, first)| {
+                    let first = self.servers[&first];
+                    now <= first_time + span
+                        && match scope {
+                            DedupScope::All => true,
+                            DedupScope::Zone => first.zone == server.zone,
+                            DedupScope::Cell => first.cell == server.cell,
+                        }
+                })
+            }
         };
-        if r.ran && !within {
-            return Err(format!("rule 2: {id:?} may have run and is sent again"));
+        if request.may_have_run && !may_repeat {
+            return Err(format!(
+                "rule 2: {id:?} is sent to {to:?} though an attempt may have run; its class has {:?}",
+                request.class_at_request.idempotency
+            ));
         }
-        if now + wait > r.due {
-            return Err(format!("rule 1: {id:?} is waited for past its viewer's patience"));
+        if now + wait > request.deadline {
+            return Err(format!(
+                "rule 1: a set-up of {id:?} waits until {} ns, past the deadline of {} ns",
+                now + wait,
+                request.deadline
+            ));
         }
-        if r.attempts >= self.set.max_attempts {
-            return Err(format!("{id:?} has more attempts than are in force"));
+        if request.attempts >= self.settings.max_attempts {
+            return Err(format!(
+                "{id:?} has an attempt after {}; at most {} are in force",
+                request.attempts, self.settings.max_attempts
+            ));
         }
         if server.state != ServerState::Ready {
-            return Err(format!("rule 3: {id:?} goes to {:?}", server.state));
+            return Err(format!("rule 3: {id:?} goes to {to:?}, which is {:?} and not ready", server.state));
         }
-        if r.rung < r.taken.lowest_rung.min(r.least_top) || r.rung > r.taken_top.max(r.most_floor) {
-            return Err(format!("rule 5: {id:?} at {} is off what it was taken with", r.rung));
+        let lowest = request.class_at_request.lowest_rung.min(request.min_highest);
+        let highest = request.highest_at_request.max(request.max_lowest);
+        if request.rung < lowest || request.rung > highest {
+            return Err(format!(
+                "rule 5: a set-up of {id:?} is sent at rung {}; the bounds since its request allow {lowest} to {highest}",
+                request.rung
+            ));
         }
-        let rules = self.set.rules;
-        if let Some(started) = server.started.filter(|s| s + rules.warm_up > now) {
+        let rules = self.settings.rules;
+        if let Some(started) = server.started.filter(|started| started + rules.warm_up > now) {
             let warmth = rules.cold_share
                 + (1.0 - rules.cold_share) * (now.saturating_sub(started)) as f64 / rules.warm_up as f64;
-            let pace = self.set.kind_max_streams[0] / (rules.warm_up as f64 / 1e9)
+            let per_second = self.settings.kind_max_streams[0] / (rules.warm_up as f64 / 1e9)
                 * warmth
                 * rules.overload_multiple;
-            let most = (pace * rules.overload_window as f64 / 1e9).max(1.0);
-            let sent =
-                self.sends.iter().filter(|(t, s)| *s == at && t + rules.overload_window > now).count() + 1;
-            if sent as f64 > most {
-                return Err(format!("rule 4: {sent} set-ups at {at:?}, {most} at most"));
+            let limit = (per_second * rules.overload_window as f64 / 1e9).max(1.0);
+            let in_window =
+                |(time, server): &&(Time, ServerId)| *server == to && time + rules.overload_window > now;
+            let sent = self.set_ups.iter().filter(in_window).count() + 1;
+            if sent as f64 > limit {
+                return Err(format!(
+                    "rule 4: {sent} set-ups in a window at the cold server {to:?}; at most {limit} allowed"
+                ));
             }
         }
-        let seats = self.set.classes[usize::from(r.wish.class.0)].max_sessions_per_title as usize;
-        let like = |o: &&Request| {
-            o.stand != Stand::Waiting && (o.wish.class, o.wish.title) == (r.wish.class, r.wish.title)
+        let max_sessions =
+            self.settings.classes[usize::from(request.spec.class.0)].max_sessions_per_title as usize;
+        let has_same_title = |other: &&Request| {
+            other.state != RequestState::Waiting
+                && (other.spec.class, other.spec.title) == (request.spec.class, request.spec.title)
         };
-        let alike = self.requests.values().filter(like).count();
-        if seats > 0 && alike >= seats {
-            return Err(format!("rule 5: {id:?} is one too many beside {alike}"));
+        let same_title = self.requests.values().filter(has_same_title).count();
+        if max_sessions > 0 && same_title >= max_sessions {
+            return Err(format!(
+                "rule 5: {id:?} is sent beside {same_title} sessions of its class and title; at most {max_sessions} are \
+                 in force"
+            ));
         }
-        if r.attempts > 0 {
-            if let Some(b) = self.set.rules.retry_budget {
-                let after = now.saturating_sub(b.window);
-                let from = after.max(self.horizon);
-                let further = self.further.iter().filter(|t| **t >= from).count() + 1;
-                let taken = self.taken.iter().filter(|t| **t > after).count();
-                if further as f64 > b.min_retries + b.retry_ratio * taken as f64 {
-                    return Err(format!("rule 6: {further} further attempts for {taken} sessions"));
+        if request.attempts > 0 {
+            if let Some(budget) = self.settings.rules.retry_budget {
+                let window_start = now.saturating_sub(budget.window);
+                let from = window_start.max(self.retry_horizon);
+                let retries = self.retry_times.iter().filter(|time| **time >= from).count() + 1;
+                let requests = self.request_times.iter().filter(|time| **time > window_start).count();
+                let limit = budget.min_retries + budget.retry_ratio * requests as f64;
+                if retries as f64 > limit {
+                    return Err(format!(
+                        "rule 6: {retries} retries beside {requests} requests in a window; at most {limit} allowed"
+                    ));
                 }
             }
-            self.further.push(now);
+            self.retry_times.push(now);
         }
-        self.sends.push((now, at));
-        let r = self.requests.get_mut(&id).expect("known");
-        r.attempts += 1;
-        r.first = r.first.or(Some((now, at)));
-        r.stand = Stand::Out(at);
+        self.set_ups.push((now, to));
+        let request = self.requests.get_mut(&id).expect("the request was found above");
+        request.attempts += 1;
+        request.first_attempt = request.first_attempt.or(Some((now, to)));
+        request.state = RequestState::Attempting(to);
         Ok(())
     }
 
-    /// After each event, with all its actions.
-    pub fn standing(&self) -> Result<(), String> {
-        for (id, r) in self.requests.iter().filter(|(_, r)| r.stand != Stand::Waiting) {
-            let (floor, top) = self.bounds(&r.wish);
-            if r.rung < floor || (r.rung > top && !r.over) {
-                return Err(format!("rule 5: {id:?} is at {}, {floor} to {top} are in force", r.rung));
+    /// Checks the rungs of all open attempts and sessions; to be called after all actions of an event.
+    pub fn check_rungs(&self) -> Result<(), String> {
+        for (id, request) in self.requests.iter().filter(|(_, r)| r.state != RequestState::Waiting) {
+            let (lowest, highest) = self.rung_bounds(&request.spec);
+            if request.rung < lowest || (request.rung > highest && !request.above_highest) {
+                return Err(format!(
+                    "rule 5: {id:?} is at rung {}; rungs {lowest} to {highest} are in force",
+                    request.rung
+                ));
             }
         }
         Ok(())
     }
 
-    /// Requests whose time is up.
-    pub fn overdue(&self, now: Time) -> Result<(), String> {
-        let late = |r: &Request| r.stand == Stand::Waiting && r.due < now;
-        match self.requests.iter().find(|(_, r)| late(r)) {
-            Some((id, _)) => Err(format!("rule 1: {id:?} has no answer")),
+    /// Checks that no request waits past its deadline.
+    pub fn check_deadlines(&self, now: Time) -> Result<(), String> {
+        let late = |request: &Request| request.state == RequestState::Waiting && request.deadline < now;
+        match self.requests.iter().find(|(_, request)| late(request)) {
+            Some((id, request)) => {
+                Err(format!("rule 1: {id:?} has no answer; its deadline was {} ns", request.deadline))
+            }
             None => Ok(()),
         }
     }
 
-    /// Sessions that play above the top in force.
-    pub fn over(&self) -> usize {
-        self.requests.values().filter(|r| r.over).count()
+    /// Number of sessions that still play above the highest rung in force.
+    pub fn sessions_above_highest(&self) -> usize {
+        self.requests.values().filter(|request| request.above_highest).count()
     }
 }
