--- a/crates/agreement/tests/malformed_messages.rs
+++ b/crates/agreement/tests/malformed_messages.rs
@@ -1,7 +1,7 @@
-//! Bytes of any kind into a front: nothing panics, memory and answers stay bounded.
+//! Feeds arbitrary bytes and corrupted messages to a front: it must not panic, and its memory and output stay bounded.
 //!
-//! Fronts do not lie to each other (the exchange seals what they say), so a forged message may well change what a front
-//! thinks; it must not bring it down.
+//! The exchange authenticates messages between fronts, so a forged message may change a front's state; it must not crash
+//! the front.
 
 mod sim;
 
@@ -12,29 +12,30 @@
 use sim::World;
 use std::sync::OnceLock;
 
-/// What fronts say in a while with all of it: the beginning, long and short entries, losses, catch-up, other voters.
-fn heard() -> &'static [Vec<u8>] {
-    static HEARD: OnceLock<Vec<Vec<u8>>> = OnceLock::new();
-    HEARD.get_or_init(|| {
+/// Messages of a simulated fleet that cover the first configuration, short and long entries, loss, catch-up and a change of
+/// voters.
+fn recorded_messages() -> &'static [Vec<u8>] {
+    static MESSAGES: OnceLock<Vec<Vec<u8>>> = OnceLock::new();
+    MESSAGES.get_or_init(|| {
         let mut world = World::new(6, 3, 9, 0.1);
-        world.listen = true;
-        world.pass(3_000);
+        world.record_messages = true;
+        world.run_for(3_000);
         for n in 0..6 {
             world.put(4 + n % 3, n, if n == 3 { 16_000 } else { 300 });
-            world.pass(400);
+            world.run_for(400);
         }
         world.kill(6);
         world.change_voters(4, 2, 5);
-        world.pass(3_000);
+        world.run_for(3_000);
         world.restart(6);
         world.wipe(3);
         world.kill(3);
         world.restart(3);
-        world.pass(4_000);
-        let mut heard = std::mem::take(&mut world.heard);
-        heard.sort();
-        heard.dedup();
-        heard
+        world.run_for(4_000);
+        let mut messages = std::mem::take(&mut world.recorded);
+        messages.sort();
+        messages.dedup();
+        messages
     })
 }
 
@@ -50,9 +51,9 @@
     }
 }
 
-/// A named voter with an empty store, one without, one that votes alone, and one that only learns.
+/// A named voter with an empty store, a named voter without a store, a lone voter and a learner.
 fn nodes() -> Vec<Node> {
-    let kept = |store| StoredState {
+    let stored = |store| StoredState {
         store,
         boots: 1,
         config: None,
@@ -61,10 +62,10 @@
     };
     let alone = Settings { voters: vec![1], ..settings(1) };
     vec![
-        Node::new(settings(1), Some(kept(11)), 0),
+        Node::new(settings(1), Some(stored(11)), 0),
         Node::new(settings(2), None, 0),
-        Node::new(alone, Some(kept(12)), 0),
-        Node::new(settings(9), Some(kept(13)), 0),
+        Node::new(alone, Some(stored(12)), 0),
+        Node::new(settings(9), Some(stored(13)), 0),
     ]
 }
 
@@ -93,39 +94,39 @@
 }
 
 #[derive(Clone, Debug)]
-enum Turn {
-    Real,
-    Cut(prop::sample::Index),
+enum Mutation {
+    Unchanged,
+    Truncate(prop::sample::Index),
     Flip(prop::sample::Index, u8),
-    Put(prop::sample::Index, Vec<u8>),
-    Any(Vec<u8>),
+    Insert(prop::sample::Index, Vec<u8>),
+    Replace(Vec<u8>),
 }
 
-fn turns() -> impl Strategy<Value = Turn> {
+fn mutations() -> impl Strategy<Value = Mutation> {
     prop_oneof![
-        3 => Just(Turn::Real),
-        1 => any::<prop::sample::Index>().prop_map(Turn::Cut),
-        3 => (any::<prop::sample::Index>(), 1..=255u8).prop_map(|(i, b)| Turn::Flip(i, b)),
+        3 => Just(Mutation::Unchanged),
+        1 => any::<prop::sample::Index>().prop_map(Mutation::Truncate),
+        3 => (any::<prop::sample::Index>(), 1..=255u8).prop_map(|(i, b)| Mutation::Flip(i, b)),
         1 => (any::<prop::sample::Index>(), prop::collection::vec(any::<u8>(), 1..12))
-            .prop_map(|(i, b)| Turn::Put(i, b)),
-        1 => prop::collection::vec(any::<u8>(), 0..1_200).prop_map(Turn::Any),
+            .prop_map(|(i, b)| Mutation::Insert(i, b)),
+        1 => prop::collection::vec(any::<u8>(), 0..1_200).prop_map(Mutation::Replace),
     ]
 }
 
-fn turned(real: &[u8], turn: &Turn) -> Vec<u8> {
-    let mut bytes = real.to_vec();
-    match turn {
-        Turn::Real => {}
-        Turn::Cut(at) => bytes.truncate(at.index(real.len() + 1)),
-        Turn::Flip(at, with) => {
-            let at = at.index(real.len());
-            bytes[at] ^= with;
+fn mutate(original: &[u8], mutation: &Mutation) -> Vec<u8> {
+    let mut bytes = original.to_vec();
+    match mutation {
+        Mutation::Unchanged => {}
+        Mutation::Truncate(at) => bytes.truncate(at.index(original.len() + 1)),
+        Mutation::Flip(at, mask) => {
+            let at = at.index(original.len());
+            bytes[at] ^= mask;
         }
-        Turn::Put(at, more) => {
-            let at = at.index(real.len());
-            bytes.splice(at..at, more.iter().copied());
+        Mutation::Insert(at, inserted) => {
+            let at = at.index(original.len());
+            bytes.splice(at..at, inserted.iter().copied());
         }
-        Turn::Any(any) => bytes.clone_from(any),
+        Mutation::Replace(replacement) => bytes.clone_from(replacement),
     }
     bytes
 }
@@ -138,13 +139,13 @@
     })]
 
     #[test]
-    fn turned_messages_bring_no_front_down(
-        said in prop::collection::vec((0..5u64, 0..3u64, any::<prop::sample::Index>(), turns()), 1..300)
+    fn corrupted_messages_do_not_crash_a_front(
+        deliveries in prop::collection::vec((0..5u64, 0..3u64, any::<prop::sample::Index>(), mutations()), 1..300)
     ) {
-        let heard = heard();
-        let messages: Vec<_> = said
+        let recorded = recorded_messages();
+        let messages: Vec<_> = deliveries
             .iter()
-            .map(|(from, run, which, turn)| (*from, *run, turned(which.get::<Vec<u8>>(heard), turn)))
+            .map(|(from, run, index, mutation)| (*from, *run, mutate(index.get::<Vec<u8>>(recorded), mutation)))
             .collect();
         for mut node in nodes() {
             feed(&mut node, &messages);
@@ -152,7 +153,7 @@
     }
 
     #[test]
-    fn what_is_read_is_written_the_same(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn a_decoded_message_encodes_to_the_same_content(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         if let Some((head, message)) = decode(&bytes) {
             prop_assert_eq!(decode(&encode(&head, &message)), Some((head, message)));
         }
@@ -160,17 +161,17 @@
     }
 }
 
-/// In the order in which they were said, so that state builds up, with one in a few turned.
+/// A long sequence of messages, so that the front's state builds up, with random bytes changed in many of them.
 #[test]
-fn a_turned_story_brings_no_front_down() {
+fn a_long_sequence_of_corrupted_messages_does_not_crash_a_front() {
     use rand::rngs::StdRng;
     use rand::{Rng, SeedableRng};
-    let heard = heard();
+    let recorded = recorded_messages();
     let mut random = StdRng::seed_from_u64(5);
     for mut node in nodes() {
         let messages: Vec<(u64, u64, Vec<u8>)> = (0..20_000)
             .map(|_| {
-                let mut bytes = heard[random.random_range(0..heard.len())].clone();
+                let mut bytes = recorded[random.random_range(0..recorded.len())].clone();
                 for _ in 0..random.random_range(0..3) {
                     let at = random.random_range(0..bytes.len());
                     bytes[at] = random.random();
--- a/crates/agreement/tests/sim/checker.rs
+++ b/crates/agreement/tests/sim/checker.rs
@@ -1,4 +1,5 @@
-//! Judges what fronts said, by a model of its own: it shares the types of commands with what it judges, and no code.
+//! Checks the outputs of fronts against a model of its own. It shares the command types with the code under test, but
+//! no logic.
 
 use pepperhook_agreement::{Command, Entry, Operation, Subject};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -6,17 +7,18 @@
 
 #[derive(Default)]
 pub struct Checker {
-    /// The commands, by number from 1, as first applied anywhere.
+    /// The commands by number, from 1, as the first front applied them.
     log: Vec<Command>,
     model: BTreeMap<Subject, (u64, Vec<u8>)>,
-    seen: BTreeSet<u128>,
+    applied_keys: BTreeSet<u128>,
     config: u32,
-    /// What the registers are after each entry.
-    after: Vec<u64>,
-    ahead: BTreeMap<u64, Command>,
-    /// The highest that was ever told to be settled.
-    pub settled: u64,
-    pub wrong: Vec<String>,
+    /// Digest of the registers after each entry.
+    digests: Vec<u64>,
+    /// Applied entries whose predecessors no front has applied yet.
+    pending: BTreeMap<u64, Command>,
+    /// The highest entry that any front has reported as stable.
+    pub stable: u64,
+    pub violations: Vec<String>,
 }
 
 fn digest<'a>(of: impl Iterator<Item = (&'a Subject, u64, &'a [u8])>) -> u64 {
@@ -30,46 +32,49 @@
 impl Checker {
     pub fn new(config: u32) -> Self {
         let mut new = Self { config, ..Self::default() };
-        new.after.push(digest(std::iter::empty()));
+        new.digests.push(digest(std::iter::empty()));
         new
     }
 
-    fn complain(&mut self, what: String) {
-        if self.wrong.len() < 5 {
-            self.wrong.push(what);
+    fn report(&mut self, violation: String) {
+        if self.violations.len() < 5 {
+            self.violations.push(violation);
         }
     }
 
     /// A front applied an entry.
     pub fn applied(&mut self, front: u64, entry: &Entry) {
         let at = (entry.number - 1) as usize;
-        let known = self.log.get(at).or_else(|| self.ahead.get(&entry.number));
+        let known = self.log.get(at).or_else(|| self.pending.get(&entry.number));
         match known {
             Some(known) if *known != entry.command => {
-                self.complain(format!("two entries at {}: front {front} has another", entry.number));
+                self.report(format!(
+                    "entry {}: front {front} applied another command than an earlier front",
+                    entry.number
+                ));
             }
             Some(_) => {}
-            None => drop(self.ahead.insert(entry.number, entry.command.clone())),
+            None => drop(self.pending.insert(entry.number, entry.command.clone())),
         }
-        while let Some(command) = self.ahead.remove(&(self.log.len() as u64 + 1)) {
+        while let Some(command) = self.pending.remove(&(self.log.len() as u64 + 1)) {
             self.log.push(command.clone());
-            self.play(&command);
-            let now = digest(self.model.iter().map(|(s, (n, b))| (s, *n, b.as_slice())));
-            self.after.push(now);
+            self.apply(&command);
+            let digest = digest(self.model.iter().map(|(s, (n, b))| (s, *n, b.as_slice())));
+            self.digests.push(digest);
         }
     }
 
-    fn play(&mut self, command: &Command) {
+    fn apply(&mut self, command: &Command) {
         let number = self.log.len() as u64;
-        if !self.seen.insert(command.key.0) {
+        if !self.applied_keys.insert(command.key.0) {
             return;
         }
         match &command.operation {
             Operation::Put { subject, expects, body } => {
-                let stands = self.model.get(subject).map_or(0, |(n, _)| *n);
-                if stands == *expects && body.is_empty() {
+                let current = self.model.get(subject).map_or(0, |(n, _)| *n);
+                if current == *expects && body.is_empty() {
                     self.model.remove(subject);
-                } else if stands == *expects {
+                } else if current == *expects {
                     self.model.insert(*subject, (number, body.clone()));
                 }
             }
@@ -77,29 +82,30 @@
         }
     }
 
-    /// A front's registers after an entry.
-    pub fn stands<'a>(
+    /// Checks a front's registers after an entry.
+    pub fn check_registers<'a>(
         &mut self,
         front: u64,
         number: u64,
         registers: impl Iterator<Item = (&'a Subject, u64, &'a [u8])>,
     ) {
-        let here = digest(registers);
-        if self.after.get(number as usize).is_some_and(|model| *model != here) {
-            self.complain(format!("registers of front {front} at {number} are others than the model's"));
+        let actual = digest(registers);
+        if self.digests.get(number as usize).is_some_and(|expected| *expected != actual) {
+            self.report(format!("registers of front {front} after entry {number} differ from the model's"));
         }
     }
 
-    pub fn told_settled(&mut self, number: u64) {
-        self.settled = self.settled.max(number);
+    /// A front reported this entry as stable.
+    pub fn on_stable(&mut self, number: u64) {
+        self.stable = self.stable.max(number);
     }
 
-    /// A front holds now and goes by this.
-    pub fn holds(&mut self, front: u64, vouches: u64, now: u64) {
-        if vouches < self.settled {
-            let settled = self.settled;
-            self.complain(format!(
-                "at {now} ms {settled} is settled, and front {front} holds and vouches for {vouches}"
+    /// Checks a front that holds a lease now and has confirmed this entry.
+    pub fn check_leaseholder(&mut self, front: u64, confirmed: u64, now_ms: u64) {
+        if confirmed < self.stable {
+            let stable = self.stable;
+            self.report(format!(
+                "at {now_ms} ms entry {stable} is stable, and front {front} holds a lease and has confirmed {confirmed}"
             ));
         }
     }
@@ -108,7 +114,7 @@
         self.log.len() as u64
     }
 
-    /// How often each key came, and which never did.
+    /// How often each key is in the log; a key that is not in the log is absent.
     pub fn keys(&self) -> HashMap<u128, usize> {
         let mut keys = HashMap::new();
         self.log.iter().for_each(|c| *keys.entry(c.key.0).or_insert(0) += 1);
--- a/crates/agreement/tests/sim/mod.rs
+++ b/crates/agreement/tests/sim/mod.rs
@@ -1,4 +1,4 @@
-//! Fronts in one process on a seeded network, with clocks and disks of their own.
+//! Simulates fronts in one process. Each has its own clock and disk; the network is drawn from a seed.
 #![allow(dead_code)]
 
 pub mod checker;
@@ -12,14 +12,15 @@
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
+/// Length of a simulation step.
 pub const STEP_MS: u64 = 10;
-pub const HOLD_MS: u64 = 4_000;
-pub const LOOK_MS: u64 = 500;
-pub const PROPOSE_MS: u64 = 120_000;
-/// Datagrams that the exchange takes from one front a second.
-const TAKEN: f64 = 128.0;
+pub const LEASE_MS: u64 = 4_000;
+pub const RENEW_MS: u64 = 500;
+pub const PROPOSAL_TIMEOUT_MS: u64 = 120_000;
+/// Datagrams per second that the exchange accepts from one front.
+const EXCHANGE_DATAGRAMS_PER_S: f64 = 128.0;
 
-/// A store as it is on the disk: a model of its own.
+/// Model of a store's content on disk, written independently of the store.
 #[derive(Clone, Default)]
 pub struct Disk {
     pub store: u64,
@@ -46,7 +47,7 @@
                 StoreOp::Decided(n) => self.decided = *n,
                 StoreOp::Log { from, commands } => {
                     self.log.truncate(*from as usize);
-                    assert_eq!(self.log.len() as u64, *from, "no gap on a disk");
+                    assert_eq!(self.log.len() as u64, *from, "the log on a disk has no gap");
                     self.log.extend(commands.iter().cloned());
                 }
             }
@@ -74,52 +75,62 @@
 pub struct Front {
     pub node: Option<Node>,
     pub run: u64,
-    pub began: u64,
-    still: u64,
-    offset: u64,
-    rate: u64,
+    pub started_ms: u64,
+    /// The process is paused until this time, in milliseconds.
+    paused_until_ms: u64,
+    /// Offset of the front's clock, in milliseconds.
+    clock_offset_ms: u64,
+    /// Rate of the front's clock, in thousandths of the true rate.
+    clock_rate: u64,
     pub disk: Disk,
-    copies: Vec<Disk>,
-    /// Writes under way: when each is synced.
+    saved_disks: Vec<Disk>,
+    /// Pending writes: time of the sync, batch and operations.
     writes: VecDeque<(u64, u64, Vec<StoreOp>)>,
-    fails: bool,
-    pub hold_ms: u64,
-    /// The application goes by entries a little later.
-    vouches: VecDeque<(u64, u64)>,
-    vouched: u64,
-    pub slow: u64,
-    /// Keys that it proposed in this run, and what came of them.
+    writes_fail: bool,
+    pub lease_ms: u64,
+    /// Confirmations to come, by time: the application acts on an entry some time after it was applied.
+    pending_confirms: VecDeque<(u64, u64)>,
+    confirmed: u64,
+    /// Time from applying an entry to confirming it.
+    pub confirm_delay_ms: u64,
+    /// Keys that it proposed in this run, with their results.
     pub proposed: BTreeMap<u128, Option<ProposalResult>>,
     pub syncs: u64,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Letter(std::cmp::Reverse<(u64, u64)>, u64, u64, u64, Vec<u8>);
+/// A datagram under way: delivery time and sequence number, sender, sender's run, receiver, bytes.
+struct InFlight(std::cmp::Reverse<(u64, u64)>, u64, u64, u64, Vec<u8>);
 
 pub struct World {
     pub now: u64,
     pub seed: u64,
     pub fronts: BTreeMap<u64, Front>,
-    wire: BinaryHeap<Letter>,
-    letters: u64,
-    pub cut: BTreeSet<(u64, u64)>,
+    network: BinaryHeap<InFlight>,
+    sequence: u64,
+    /// Directed links that deliver nothing, as (sender, receiver).
+    pub cut_links: BTreeSet<(u64, u64)>,
+    /// Probability that a datagram is lost.
     pub loss: f64,
     pub random: StdRng,
     pub checker: Checker,
-    taken: BTreeMap<(u64, u64), (f64, u64)>,
+    /// Token buckets of the receivers, by (sender, receiver): tokens and time of the last refill.
+    buckets: BTreeMap<(u64, u64), (f64, u64)>,
+    /// Datagrams dropped because a token bucket was empty.
     pub dropped: u64,
-    /// Holds that ran out.
-    pub lapses: u64,
+    /// Number of leases that expired.
+    pub expired_leases: u64,
     pub bytes: u64,
     pub datagrams: u64,
     pub sent: BTreeMap<u64, u64>,
+    /// Notes of all fronts: time, front, note.
     pub notes: Vec<(u64, u64, Note)>,
     voters: Vec<u64>,
-    judge_every: u64,
+    check_interval_ms: u64,
     next_key: u128,
-    /// Some of what was said, for tests of hostile bytes.
-    pub heard: Vec<Vec<u8>>,
-    pub listen: bool,
+    /// Some of the sent messages, for tests with malformed messages.
+    pub recorded: Vec<Vec<u8>>,
+    pub record_messages: bool,
 }
 
 impl World {
@@ -131,18 +142,18 @@
             let front = Front {
                 node: None,
                 run: 0,
-                began: 0,
-                still: 0,
-                offset: random.random_range(0..900_000),
-                rate: random.random_range(995..=1_005),
+                started_ms: 0,
+                paused_until_ms: 0,
+                clock_offset_ms: random.random_range(0..900_000),
+                clock_rate: random.random_range(995..=1_005),
                 disk,
-                copies: Vec::new(),
+                saved_disks: Vec::new(),
                 writes: VecDeque::new(),
-                fails: false,
-                hold_ms: HOLD_MS,
-                vouches: VecDeque::new(),
-                vouched: 0,
-                slow: random.random_range(0..300),
+                writes_fail: false,
+                lease_ms: LEASE_MS,
+                pending_confirms: VecDeque::new(),
+                confirmed: 0,
+                confirm_delay_ms: random.random_range(0..300),
                 proposed: BTreeMap::new(),
                 syncs: 0,
             };
@@ -152,24 +163,24 @@
             now: 1_000,
             seed,
             fronts,
-            wire: BinaryHeap::new(),
-            letters: 0,
-            cut: BTreeSet::new(),
+            network: BinaryHeap::new(),
+            sequence: 0,
+            cut_links: BTreeSet::new(),
             loss,
             random,
             checker: Checker::new(1),
-            taken: BTreeMap::new(),
+            buckets: BTreeMap::new(),
             dropped: 0,
-            lapses: 0,
+            expired_leases: 0,
             bytes: 0,
             datagrams: 0,
             sent: BTreeMap::new(),
             notes: Vec::new(),
             voters: (1..=voters).collect(),
-            judge_every: if n > 20 { 100 } else { STEP_MS },
+            check_interval_ms: if n > 20 { 100 } else { STEP_MS },
             next_key: 0,
-            heard: Vec::new(),
-            listen: false,
+            recorded: Vec::new(),
+            record_messages: false,
         };
         (1..=n).for_each(|me| world.restart(me));
         world
@@ -177,35 +188,35 @@
 
     fn clock(&self, me: u64) -> u64 {
         let f = &self.fronts[&me];
-        f.offset + self.now * f.rate / 1_000
+        f.clock_offset_ms + self.now * f.clock_rate / 1_000
     }
 
-    pub fn runs(&self, me: u64) -> bool {
+    pub fn is_running(&self, me: u64) -> bool {
         let f = &self.fronts[&me];
-        f.node.is_some() && f.still <= self.now
+        f.node.is_some() && f.paused_until_ms <= self.now
     }
 
     pub fn running(&self) -> Vec<u64> {
-        self.fronts.keys().copied().filter(|f| self.runs(*f)).collect()
+        self.fronts.keys().copied().filter(|f| self.is_running(*f)).collect()
     }
 
     pub fn node(&self, me: u64) -> &Node {
-        self.fronts[&me].node.as_ref().expect("it runs")
+        self.fronts[&me].node.as_ref().expect("the front runs")
     }
 
     pub fn front(&mut self, me: u64) -> &mut Front {
-        self.fronts.get_mut(&me).expect("named")
+        self.fronts.get_mut(&me).expect("a front with this number")
     }
 
     pub fn kill(&mut self, me: u64) {
-        let kept = self.random.random_range(0..3);
+        let surviving = self.random.random_range(0..3);
         let f = self.front(me);
         f.node = None;
-        // Of what was being written some may have come there.
-        let some: Vec<_> = f.writes.drain(..).take(kept).collect();
-        some.iter().for_each(|(.., ops)| f.disk.write(ops));
-        f.fails = false;
-        f.vouches.clear();
+        // A crash may leave some of the pending writes on the disk.
+        let survivors: Vec<_> = f.writes.drain(..).take(surviving).collect();
+        survivors.iter().for_each(|(.., ops)| f.disk.write(ops));
+        f.writes_fail = false;
+        f.pending_confirms.clear();
     }
 
     pub fn restart(&mut self, me: u64) {
@@ -213,47 +224,48 @@
         let (now, seed, voters) = (self.now, self.seed, self.voters.clone());
         let f = self.front(me);
         f.run += 1;
-        f.began = now;
-        f.still = 0;
-        (f.vouched, f.fails) = (0, false);
+        f.started_ms = now;
+        f.paused_until_ms = 0;
+        (f.confirmed, f.writes_fail) = (0, false);
         f.proposed.clear();
         let settings = Settings {
             me,
             run: f.run,
             voters,
-            lease_ms: f.hold_ms,
-            renew_ms: LOOK_MS,
-            proposal_timeout_ms: PROPOSE_MS,
+            lease_ms: f.lease_ms,
+            renew_ms: RENEW_MS,
+            proposal_timeout_ms: PROPOSAL_TIMEOUT_MS,
             seed,
         };
-        let kept = f.disk.open();
-        let node = Node::new(settings, Some(kept), clock);
-        f.vouches = VecDeque::from([(now + f.slow, node.registers().number())]);
+        let stored = f.disk.open();
+        let node = Node::new(settings, Some(stored), clock);
+        f.pending_confirms = VecDeque::from([(now + f.confirm_delay_ms, node.registers().number())]);
         f.node = Some(node);
     }
 
-    /// Its clock goes at so many thousandths of the true rate from now on.
+    /// Sets the rate of a front's clock from now on, in thousandths of the true rate.
     pub fn set_rate(&mut self, me: u64, rate: u64) {
         let (clock, now) = (self.clock(me), self.now);
         let f = self.front(me);
-        (f.rate, f.offset) = (rate, clock - now * rate / 1_000);
+        (f.clock_rate, f.clock_offset_ms) = (rate, clock - now * rate / 1_000);
     }
 
-    pub fn copy_disk(&mut self, me: u64) {
+    /// Saves a copy of a front's disk; the last four are kept.
+    pub fn save_disk_copy(&mut self, me: u64) {
         let f = self.front(me);
         let copy = f.disk.clone();
-        f.copies.push(copy);
-        if f.copies.len() > 4 {
-            f.copies.remove(0);
+        f.saved_disks.push(copy);
+        if f.saved_disks.len() > 4 {
+            f.saved_disks.remove(0);
         }
     }
 
-    /// It comes back with an older copy of its store.
-    pub fn restart_older(&mut self, me: u64) -> bool {
+    /// Restarts a front with a saved copy of its store; returns whether there was one.
+    pub fn restart_with_older_disk(&mut self, me: u64) -> bool {
         let f = self.front(me);
         let store = f.disk.store;
-        f.copies.retain(|c| c.store == store);
-        let older = f.copies.pop();
+        f.saved_disks.retain(|c| c.store == store);
+        let older = f.saved_disks.pop();
         if let Some(older) = &older {
             f.disk = older.clone();
         }
@@ -261,23 +273,26 @@
         older.is_some()
     }
 
+    /// Replaces a front's store by an empty one.
     pub fn wipe(&mut self, me: u64) {
         let store = self.random.random_range(1..u64::MAX);
         let f = self.front(me);
         f.disk = Disk { store, ..Disk::default() };
-        f.copies.clear();
+        f.saved_disks.clear();
     }
 
-    pub fn stand_still(&mut self, me: u64, ms: u64) {
+    /// Pauses a front's process.
+    pub fn pause(&mut self, me: u64, ms: u64) {
         let until = self.now + ms;
-        self.front(me).still = until;
+        self.front(me).paused_until_ms = until;
     }
 
+    /// All writes of a front fail until it restarts.
     pub fn fail_disk(&mut self, me: u64) {
-        self.front(me).fails = true;
+        self.front(me).writes_fail = true;
     }
 
-    /// The voters, as the furthest front knows them.
+    /// The latest configuration that any front knows.
     pub fn config(&self) -> Option<Config> {
         let all = self.fronts.values().filter_map(|f| f.node.as_ref()?.registers().config());
         all.max_by_key(|c| c.number).cloned()
@@ -297,7 +312,7 @@
         key
     }
 
-    /// A front takes a voter's place.
+    /// Proposes a configuration in which front `new` replaces the voter `old`.
     pub fn change_voters(&mut self, me: u64, old: u64, new: u64) {
         let Some(config) = self.node(me).registers().config().cloned() else { return };
         let store = self.fronts[&new].disk.store;
@@ -319,18 +334,18 @@
         let mut out = Vec::new();
         let f = self.front(me);
         f.proposed.insert(command.key.0, None);
-        f.node.as_mut().expect("it runs").propose(clock, command, &mut out);
-        self.carry(me, out);
+        f.node.as_mut().expect("the front runs").propose(clock, command, &mut out);
+        self.process_outputs(me, out);
     }
 
-    fn carry(&mut self, me: u64, said: Vec<Output>) {
-        for out in said {
+    fn process_outputs(&mut self, me: u64, outputs: Vec<Output>) {
+        for out in outputs {
             match out {
-                Output::Send { to, message } => self.post(me, to, message),
+                Output::Send { to, message } => self.send(me, to, message),
                 Output::Write { batch, ops } => {
-                    // Mostly quick, sometimes not.
-                    let late = if self.random.random_bool(0.02) { 400 } else { 12 };
-                    let at = self.now + self.random.random_range(1..late);
+                    // Most writes are quick, a few are slow.
+                    let max_delay_ms = if self.random.random_bool(0.02) { 400 } else { 12 };
+                    let at = self.now + self.random.random_range(1..max_delay_ms);
                     let f = self.front(me);
                     let at = f.writes.back().map_or(at, |(last, ..)| at.max(*last));
                     f.writes.push_back((at, batch, ops));
@@ -339,28 +354,28 @@
                     self.checker.applied(me, &entry);
                     let now = self.now;
                     let f = self.front(me);
-                    f.vouches.push_back((now + f.slow, entry.number));
+                    f.pending_confirms.push_back((now + f.confirm_delay_ms, entry.number));
                 }
                 Output::Replaced => {
                     let now = self.now;
                     let f = self.front(me);
-                    let number = f.node.as_ref().expect("it runs").registers().number();
-                    f.vouches.push_back((now + f.slow, number));
+                    let number = f.node.as_ref().expect("the front runs").registers().number();
+                    f.pending_confirms.push_back((now + f.confirm_delay_ms, number));
                 }
-                Output::Stable(number) => self.checker.told_settled(number),
-                Output::LeaseHeld(holds) => self.lapses += u64::from(!holds),
-                Output::Proposed { key, result: answer } => {
+                Output::Stable(number) => self.checker.on_stable(number),
+                Output::LeaseHeld(held) => self.expired_leases += u64::from(!held),
+                Output::Proposed { key, result } => {
                     if let Some(slot) = self.front(me).proposed.get_mut(&key.0) {
-                        assert!(slot.is_none(), "a proposal is answered once");
-                        *slot = Some(answer);
+                        assert!(slot.is_none(), "a proposal has one result");
+                        *slot = Some(result);
                     }
                 }
                 Output::RecreateStore => {
                     self.wipe(me);
                     let f = self.front(me);
                     f.writes.clear();
-                    let kept = f.disk.open();
-                    f.node.as_mut().expect("it runs").store_recreated(kept);
+                    let stored = f.disk.open();
+                    f.node.as_mut().expect("the front runs").store_recreated(stored);
                 }
                 Output::Note(note) => {
                     if std::env::var("AGREEMENT_TELL").is_ok() {
@@ -372,11 +387,11 @@
         }
     }
 
-    fn post(&mut self, me: u64, to: u64, message: Vec<u8>) {
+    fn send(&mut self, me: u64, to: u64, message: Vec<u8>) {
         assert!(message.len() <= pepperhook_agreement::wire::MAX_MESSAGE_BYTES);
         *self.sent.entry(me).or_insert(0) += message.len() as u64;
-        if self.listen && self.heard.len() < 4_000 {
-            self.heard.push(message.clone());
+        if self.record_messages && self.recorded.len() < 4_000 {
+            self.recorded.push(message.clone());
         }
         (self.datagrams, self.bytes) = (self.datagrams + 1, self.bytes + message.len() as u64);
         if !self.fronts.contains_key(&to) || self.random.random_bool(self.loss) {
@@ -384,15 +399,15 @@
         }
         let copies = if self.random.random_bool(0.02) { 2 } else { 1 };
         for _ in 0..copies {
-            let late = if self.random.random_bool(0.02) { 400 } else { 12 };
-            let at = self.now + self.random.random_range(1..late);
-            self.letters += 1;
+            let max_delay_ms = if self.random.random_bool(0.02) { 400 } else { 12 };
+            let at = self.now + self.random.random_range(1..max_delay_ms);
+            self.sequence += 1;
             let run = self.fronts[&me].run;
-            self.wire.push(Letter(std::cmp::Reverse((at, self.letters)), me, run, to, message.clone()));
+            self.network.push(InFlight(std::cmp::Reverse((at, self.sequence)), me, run, to, message.clone()));
         }
     }
 
-    pub fn pass(&mut self, ms: u64) {
+    pub fn run_for(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
             self.step();
@@ -401,22 +416,29 @@
 
     fn step(&mut self) {
         self.now += STEP_MS;
-        while self.wire.peek().is_some_and(|l| l.0.0.0 <= self.now) {
-            let Some(Letter(_, from, run, to, bytes)) = self.wire.pop() else { break };
-            if self.cut.contains(&(from, to)) || self.fronts[&to].node.is_none() {
+        while self.network.peek().is_some_and(|l| l.0.0.0 <= self.now) {
+            let Some(InFlight(_, from, run, to, bytes)) = self.network.pop() else { break };
+            if self.cut_links.contains(&(from, to)) || self.fronts[&to].node.is_none() {
                 continue;
             }
-            let still = self.fronts[&to].still;
-            if still > self.now {
-                // What comes to one that stands still waits in its socket, if there is room.
+            let paused_until_ms = self.fronts[&to].paused_until_ms;
+            if paused_until_ms > self.now {
+                // A datagram to a paused front waits in the socket's buffer, if there is room.
                 if self.random.random_bool(0.3) {
-                    self.letters += 1;
-                    self.wire.push(Letter(std::cmp::Reverse((still, self.letters)), from, run, to, bytes));
+                    self.sequence += 1;
+                    self.network.push(InFlight(
+                        std::cmp::Reverse((paused_until_ms, self.sequence)),
+                        from,
+                        run,
+                        to,
+                        bytes,
+                    ));
                 }
                 continue;
             }
-            let (tokens, at) = self.taken.entry((from, to)).or_insert((TAKEN, self.now));
-            *tokens = (*tokens + (self.now - *at) as f64 * TAKEN / 1_000.0).min(TAKEN);
+            let (tokens, at) = self.buckets.entry((from, to)).or_insert((EXCHANGE_DATAGRAMS_PER_S, self.now));
+            *tokens = (*tokens + (self.now - *at) as f64 * EXCHANGE_DATAGRAMS_PER_S / 1_000.0)
+                .min(EXCHANGE_DATAGRAMS_PER_S);
             *at = self.now;
             if *tokens < 1.0 {
                 self.dropped += 1;
@@ -428,7 +450,7 @@
             if let Some(node) = &mut self.front(to).node {
                 node.receive(clock, from, run, &bytes, &mut out);
             }
-            self.carry(to, out);
+            self.process_outputs(to, out);
         }
         for me in self.running() {
             let clock = self.clock(me);
@@ -439,76 +461,82 @@
                     break;
                 }
                 let Some((_, batch, ops)) = f.writes.pop_front() else { break };
-                let fails = f.fails;
-                if !fails {
+                let writes_fail = f.writes_fail;
+                if !writes_fail {
                     f.disk.write(&ops);
                     f.syncs += 1;
                 }
                 let mut out = Vec::new();
                 if let Some(node) = &mut f.node {
-                    node.written(clock, batch, !fails, &mut out);
+                    node.written(clock, batch, !writes_fail, &mut out);
                 }
-                self.carry(me, out);
+                self.process_outputs(me, out);
             }
             let f = self.front(me);
             let mut out = Vec::new();
             let Some(node) = &mut f.node else { continue };
-            while let Some((_, number)) = f.vouches.front().copied().filter(|v| v.0 <= now) {
-                f.vouches.pop_front();
-                f.vouched = f.vouched.max(number);
+            while let Some((_, number)) =
+                f.pending_confirms.front().copied().filter(|confirm| confirm.0 <= now)
+            {
+                f.pending_confirms.pop_front();
+                f.confirmed = f.confirmed.max(number);
                 node.confirm(number);
             }
             node.tick(clock, &mut out);
-            self.carry(me, out);
+            self.process_outputs(me, out);
         }
-        if self.now % self.judge_every == 0 {
-            self.judge();
+        if self.now % self.check_interval_ms == 0 {
+            self.check_invariants();
         }
     }
 
-    fn judge(&mut self) {
+    fn check_invariants(&mut self) {
         for (me, f) in &self.fronts {
             let Some(node) = &f.node else { continue };
-            let clock = f.offset + self.now * f.rate / 1_000;
+            let clock = f.clock_offset_ms + self.now * f.clock_rate / 1_000;
             if node.holds_lease(clock) {
-                self.checker.holds(*me, f.vouched, self.now);
+                self.checker.check_leaseholder(*me, f.confirmed, self.now);
             }
             let r = node.registers();
             if !node.forked() {
-                self.checker.stands(*me, r.number(), r.iter().map(|(s, r)| (s, r.number, r.body.as_slice())));
+                self.checker.check_registers(
+                    *me,
+                    r.number(),
+                    r.iter().map(|(s, r)| (s, r.number, r.body.as_slice())),
+                );
             }
         }
     }
 
-    /// Fronts that hold now.
-    pub fn holders(&self) -> usize {
+    /// Number of fronts that hold a lease now.
+    pub fn leaseholders(&self) -> usize {
         self.fronts
             .iter()
             .filter(|(me, f)| f.node.as_ref().is_some_and(|n| n.holds_lease(self.clock(**me))))
             .count()
     }
 
-    pub fn all_hold(&self) -> bool {
-        self.holders() == self.fronts.len()
+    pub fn all_hold_leases(&self) -> bool {
+        self.leaseholders() == self.fronts.len()
     }
 
-    /// All have the same, and it is settled.
+    /// All fronts have all entries, report them as stable, hold leases and have the results of their proposals.
     pub fn converged(&self) -> bool {
-        let most = self.checker.len();
+        let last = self.checker.len();
         let all = self.fronts.values().map(|f| f.node.as_ref().map(|n| (n.registers().number(), n.stable())));
-        all.into_iter().all(|n| n.is_some_and(|(number, settled)| number == most && settled == most))
-            && self.all_hold()
+        all.into_iter().all(|n| n.is_some_and(|(number, stable)| number == last && stable == last))
+            && self.all_hold_leases()
             && self.fronts.values().all(|f| f.proposed.values().all(Option::is_some))
     }
 
-    /// Passes until then; the milliseconds it took, or `None`.
-    pub fn until(&mut self, within: u64, mut is: impl FnMut(&Self) -> bool) -> Option<u64> {
-        let began = self.now;
-        while self.now < began + within {
-            if is(self) {
-                return Some(self.now - began);
+    /// Runs until the condition holds; returns the milliseconds that this took, or `None` after `limit_ms`.
+    pub fn run_until(&mut self, limit_ms: u64, mut condition: impl FnMut(&Self) -> bool) -> Option<u64> {
+        let started_ms = self.now;
+        while self.now < started_ms + limit_ms {
+            if condition(self) {
+                return Some(self.now - started_ms);
             }
-            self.pass(STEP_MS);
+            self.run_for(STEP_MS);
         }
         None
     }
@@ -522,7 +550,7 @@
             };
             let v = node.view(self.clock(*me));
             text += &format!(
-                "{me}: run {} votes {} leader {:?} config {:?} number {} known {} vouched {} settled {} holds {} grants {} floor {} cleared {:?} proposals {} stopped {} forked {}\n",
+                "{me}: run {} votes {} leader {:?} config {:?} number {} known {} confirmed {} stable {} lease {} ms grants {} min_confirmed {} watermark {:?} proposals {} stopped {} forked {}\n",
                 f.run,
                 v.votes,
                 v.leader.map(|l| l.front),
