--- a/crates/agreement/tests/lease_model.rs
+++ b/crates/agreement/tests/lease_model.rs
@@ -1,332 +1,349 @@
-//! Holds under a model checker: whatever is lost, late or doubled, whoever restarts, and whichever voters follow, nothing
-//! is settled while a front holds and goes by less.
+//! Checks the lease protocol with a model checker: no entry becomes stable while a front holds a lease and has confirmed
+//! less, whatever messages are lost, late or duplicated, whoever restarts, and whichever voters replace the former ones.
 //!
-//! Three voters and two fronts, and one voter that follows the three: no majority of the one set has to meet one of the
-//! other. Clocks go in ticks: a hold of 2 counts as 1 for who asked and as 3 for who granted. A front's clock may miss a
-//! tick, and a voter's may have one too many, which is as much as these margins are for. Answers come at once: a late one
-//! tells a front only later that it holds. An observer sees at any time what each voter has cleared, which is more than
-//! any front ever sees.
+//! The model has three voters, two fronts, and one voter that replaces the three: a majority of one set does not have to
+//! intersect a majority of the other. Clocks count ticks: a lease of 2 ticks counts as 1 at the front and as 3 at the
+//! voter. A front's clock may be one tick slow and a voter's one tick fast, which is all that these margins cover. Replies
+//! arrive at once: a late reply only makes a front learn later that it holds the lease. An observer sees every voter's
+//! watermark at any time, which is more than any front sees.
 
 use pepperhook_agreement::VoterId;
 use pepperhook_agreement::lease::{GrantReply, Grants, Lease};
 use stateright::{Checker, Model, Property};
 
-const HOLD: u64 = 2;
+/// Length of a lease, in ticks.
+const LEASE_TICKS: u64 = 2;
 
 fn ids(set: &[usize]) -> Vec<VoterId> {
     set.iter().map(|i| VoterId { front: *i as u64 + 1, store: 9 }).collect()
 }
 
-/// The first set of voters and the second.
+/// Indices of the first set of voters and of the second.
 const SETS: [&[usize]; 2] = [&[0, 1, 2], &[3]];
 
-/// A voter: what its disk has survives its restart, its grants do not.
+/// A voter. Its disk's content survives a restart, its grants do not.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Voter {
-    /// The entry is on its disk as decided.
+    /// Last entry that its disk has as decided: 0 or 1.
     durable: u64,
-    /// The command that ends the first set is in its log.
-    sealed: bool,
-    /// It has its seat.
+    /// Its log has the command that replaces the first set.
+    reconfiguring: bool,
+    /// It is a voter of its set.
     votes: bool,
     grants: Grants,
-    /// Its clock is ahead by so much.
-    ahead: u64,
+    /// Ticks that its clock is fast.
+    clock_fast: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Front {
-    hold: Lease,
+    lease: Lease,
     run: u64,
-    question: u64,
-    /// Its clock is behind by so much.
-    behind: u64,
+    /// Id of its last request.
+    request: u64,
+    /// Ticks that its clock is slow.
+    clock_slow: u64,
 }
 
-type Look = (usize, usize, u64, u64, u64, u64);
+/// A request under way: voter, front, run, request id, send time by the front's clock, confirmed entry.
+type Request = (usize, usize, u64, u64, u64, u64);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     now: u64,
     voters: Vec<Voter>,
     fronts: Vec<Front>,
-    /// On their way: voter, front, run, question, when it was asked by the front's clock, what it vouches for.
-    looks: Vec<Look>,
-    /// Of each set.
+    /// Requests under way.
+    requests: Vec<Request>,
+    /// An observer of each set.
     observers: [Lease; 2],
-    asks: u8,
+    requests_sent: u8,
     faults: u8,
-    /// The set that decided the entry; it is one or the other.
+    /// Index of the set that decided the entry; only one of them does.
     decided: Option<usize>,
+    /// The first front knows the second set.
     learned: bool,
 }
 
 impl World {
-    /// A majority has the command that ends the first set: it is decided.
-    fn ended(&self) -> bool {
-        SETS[0].iter().filter(|v| self.voters[**v].sealed).count() >= 2
+    /// The command that replaces the first set is decided: a majority has it.
+    fn replaced(&self) -> bool {
+        SETS[0].iter().filter(|v| self.voters[**v].reconfiguring).count() >= 2
     }
 
-    fn settled(&self) -> u64 {
+    fn stable(&self) -> u64 {
         self.observers.iter().map(Lease::stable).max().unwrap_or(0)
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Act {
-    Pass,
-    /// A front asks voters: those of the mask are reached at once, one more late or once more, the others never.
-    Ask(usize, u8, Option<usize>),
-    /// What was late arrives.
-    Arrive,
+enum Action {
+    Tick,
+    /// A front sends its request to the voters: those of the mask receive it at once, one more (or one of them again)
+    /// later, the others never.
+    Request(usize, u8, Option<usize>),
+    /// The late request arrives.
+    Deliver,
     /// A voter has the entry as decided.
     Decide(usize),
-    /// A front goes by the entry.
-    Vouch(usize),
-    Restart(usize),
-    /// A front begins another run; questions of its former one may still arrive.
-    Anew(usize),
-    /// The command that ends the first set comes into a voter's log.
-    Log(usize),
-    /// The second set's voter takes its seat.
-    Second,
+    /// A front confirms the entry.
+    Confirm(usize),
+    RestartVoter(usize),
+    /// A front starts another run; requests of its former run may still arrive.
+    RestartFront(usize),
+    /// The command that replaces the first set enters a voter's log.
+    AppendReplacement(usize),
+    /// The voter of the second set starts to vote.
+    StartSecondSet,
     /// A front learns of the second set.
     Learn(usize),
-    /// A clock goes wrong by a tick.
-    Late(usize),
-    Early(usize),
+    /// A front's clock falls behind by a tick.
+    SlowClock(usize),
+    /// A voter's clock gains a tick.
+    FastClock(usize),
 }
 
-/// What is planted.
+/// A deliberate violation of the protocol's rules.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Wrong {
-    Nothing,
-    /// A voter clears at once after its start.
-    ClearsAtOnce,
-    /// A voter that has the command in its log grants on until it knows that it is decided.
-    GrantsSealed,
-    /// A voter that starts takes what its disk has for no floor.
-    ForgetsFloor,
-    /// A front counts a hold in full.
+enum Defect {
+    None,
+    /// A voter reports a watermark immediately after its start.
+    WatermarkAtStart,
+    /// A voter whose log has the replacing command grants leases until it knows that the command is decided.
+    GrantsWhileReconfiguring,
+    /// A voter starts without the minimum that its disk gives.
+    ForgetsMinimum,
+    /// A front counts a lease in full.
     NoMargin,
 }
 
-struct Holds {
-    wrong: Wrong,
-    asks: u8,
-    ticks: u64,
-    faults: u8,
-    /// The voters change.
-    change: bool,
-    clocks: bool,
+struct LeaseModel {
+    defect: Defect,
+    max_requests: u8,
+    max_ticks: u64,
+    max_faults: u8,
+    /// The second set of voters replaces the first.
+    replace_voters: bool,
+    /// Clock rates differ.
+    clocks_differ: bool,
 }
 
-const FIRST: u64 = HOLD + 1;
+/// Time of the first state, in ticks.
+const FIRST_TICK: u64 = LEASE_TICKS + 1;
 
-impl Holds {
+impl LeaseModel {
+    /// Grants of a voter that starts.
     fn start(&self, now: u64, set: usize, durable: u64) -> Grants {
-        let at = if self.wrong == Wrong::ClearsAtOnce { now.saturating_sub(HOLD + 1) } else { now };
-        let floor = if self.wrong == Wrong::ForgetsFloor { 0 } else { durable };
-        Grants::new(at, HOLD, set as u32 + 1, floor)
+        let at =
+            if self.defect == Defect::WatermarkAtStart { now.saturating_sub(LEASE_TICKS + 1) } else { now };
+        let minimum = if self.defect == Defect::ForgetsMinimum { 0 } else { durable };
+        Grants::new(at, LEASE_TICKS, set as u32 + 1, minimum)
     }
 
-    fn arrive(&self, w: &mut World, (v, f, run, question, asked, vouched): Look) {
+    /// A request arrives, and its reply at once.
+    fn deliver(&self, w: &mut World, (v, f, run, request, sent, confirmed): Request) {
         let voter = &mut w.voters[v];
         if !voter.votes {
             return;
         }
-        let sealed = voter.sealed && self.wrong != Wrong::GrantsSealed;
-        let now = w.now + voter.ahead;
+        let reconfiguring = voter.reconfiguring && self.defect != Defect::GrantsWhileReconfiguring;
+        let now = w.now + voter.clock_fast;
         voter.grants.raise_min_confirmed(now, voter.durable);
-        let answer = voter.grants.request(now, (f as u64, run), question, vouched, sealed);
+        let reply = voter.grants.request(now, (f as u64, run), request, confirmed, reconfiguring);
         let since = voter.grants.voters_since();
-        // The observers see what is cleared.
-        let answer = GrantReply { watermark: None, ..answer };
+        // Only the observers see watermarks.
+        let reply = GrantReply { watermark: None, ..reply };
         if w.fronts[f].run == run {
-            w.fronts[f].hold.on_reply(ids(&[v])[0], since, asked, &answer);
+            w.fronts[f].lease.on_reply(ids(&[v])[0], since, sent, &reply);
         }
     }
 
-    fn hold(&self, set: usize) -> Lease {
-        let mut hold = Lease::new(if self.wrong == Wrong::NoMargin { HOLD + 2 } else { HOLD });
-        hold.set_voters(set as u32 + 1, &ids(SETS[set]));
-        hold
+    fn lease(&self, set: usize) -> Lease {
+        let mut lease =
+            Lease::new(if self.defect == Defect::NoMargin { LEASE_TICKS + 2 } else { LEASE_TICKS });
+        lease.set_voters(set as u32 + 1, &ids(SETS[set]));
+        lease
     }
 }
 
-impl Model for Holds {
+impl Model for LeaseModel {
     type State = World;
-    type Action = Act;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<World> {
-        // Long after the first start: voters clear.
+        // A full lease time after the voters' start: they report watermarks.
         let voters = (0..4).map(|v| Voter {
             durable: 0,
-            sealed: false,
+            reconfiguring: false,
             votes: v < 3,
-            grants: Grants::new(0, HOLD, 1, 0),
-            ahead: 0,
+            grants: Grants::new(0, LEASE_TICKS, 1, 0),
+            clock_fast: 0,
         });
-        let front = Front { hold: self.hold(0), run: 1, question: 0, behind: 0 };
+        let front = Front { lease: self.lease(0), run: 1, request: 0, clock_slow: 0 };
         vec![World {
-            now: FIRST,
+            now: FIRST_TICK,
             voters: voters.collect(),
             fronts: vec![front; 2],
-            looks: vec![],
-            observers: [self.hold(0), self.hold(1)],
-            asks: 0,
+            requests: vec![],
+            observers: [self.lease(0), self.lease(1)],
+            requests_sent: 0,
             faults: 0,
             decided: None,
             learned: false,
         }]
     }
 
-    fn actions(&self, w: &World, actions: &mut Vec<Act>) {
-        if w.now < FIRST + self.ticks {
-            actions.push(Act::Pass);
+    fn actions(&self, w: &World, actions: &mut Vec<Action>) {
+        if w.now < FIRST_TICK + self.max_ticks {
+            actions.push(Action::Tick);
         }
-        let there = if self.change { 4 } else { 3 };
-        if w.asks < self.asks && w.looks.is_empty() {
-            // The first front asks first; the other asks once: its grants are in the way, no more.
-            let second = w.asks > 0 && w.fronts[1].question == 0 && w.fronts[1].run == 1;
+        let voters = if self.replace_voters { 4 } else { 3 };
+        if w.requests_sent < self.max_requests && w.requests.is_empty() {
+            // The first front asks first. The other one asks once, and only to have grants that hold back watermarks.
+            let second = w.requests_sent > 0 && w.fronts[1].request == 0 && w.fronts[1].run == 1;
             for f in if second { 0..2 } else { 0..1 } {
-                let masks: &[u8] = if self.change { &[3, 5, 6, 8] } else { &[3, 5, 6, 7] };
+                let masks: &[u8] = if self.replace_voters { &[3, 5, 6, 8] } else { &[3, 5, 6, 7] };
                 for mask in masks {
-                    actions.push(Act::Ask(f, *mask, None));
+                    actions.push(Action::Request(f, *mask, None));
                     if f == 0 {
-                        actions.extend((0..there).map(|late| Act::Ask(f, *mask, Some(late))));
+                        actions.extend((0..voters).map(|late| Action::Request(f, *mask, Some(late))));
                     }
                 }
             }
         }
-        if !w.looks.is_empty() {
-            actions.push(Act::Arrive);
+        if !w.requests.is_empty() {
+            actions.push(Action::Deliver);
         }
-        for v in 0..there {
-            // Two voters have what a majority decides at once, the third has it later.
+        for v in 0..voters {
+            // Two voters have an entry as soon as a majority decides it, the third has it later.
             let set = usize::from(v == 3);
-            let first = w.decided.is_none() && (v == 0 || v == 3) && (set == 1 || !w.ended());
+            let initially = w.decided.is_none() && (v == 0 || v == 3) && (set == 1 || !w.replaced());
             let later = w.decided == Some(0) && v == 2;
-            if (first || later) && w.voters[v].votes && w.voters[v].durable == 0 {
-                actions.push(Act::Decide(v));
+            if (initially || later) && w.voters[v].votes && w.voters[v].durable == 0 {
+                actions.push(Action::Decide(v));
             }
-            if w.faults < self.faults && w.voters[v].votes {
-                actions.push(Act::Restart(v));
+            if w.faults < self.max_faults && w.voters[v].votes {
+                actions.push(Action::RestartVoter(v));
             }
-            if self.clocks && w.voters.iter().all(|v| v.ahead == 0) {
-                actions.push(Act::Early(v));
+            if self.clocks_differ && w.voters.iter().all(|v| v.clock_fast == 0) {
+                actions.push(Action::FastClock(v));
             }
-            // A majority has it, the third voter never does.
-            if self.change && v < 2 && !w.voters[v].sealed {
-                actions.push(Act::Log(v));
+            // A majority gets the command, the third voter never does.
+            if self.replace_voters && v < 2 && !w.voters[v].reconfiguring {
+                actions.push(Action::AppendReplacement(v));
             }
         }
-        if w.ended() && !w.voters[3].votes {
-            actions.push(Act::Second);
+        if w.replaced() && !w.voters[3].votes {
+            actions.push(Action::StartSecondSet);
         }
         for f in 0..2 {
             let front = &w.fronts[f];
-            if f == 0 && front.hold.confirmed() == 0 && w.decided.is_some() {
-                actions.push(Act::Vouch(f));
+            if f == 0 && front.lease.confirmed() == 0 && w.decided.is_some() {
+                actions.push(Action::Confirm(f));
             }
-            if f == 0 && w.ended() && !w.learned {
-                actions.push(Act::Learn(f));
+            if f == 0 && w.replaced() && !w.learned {
+                actions.push(Action::Learn(f));
             }
-            if w.faults < self.faults && f == 0 && front.run == 1 && front.question > 0 {
-                actions.push(Act::Anew(f));
+            if w.faults < self.max_faults && f == 0 && front.run == 1 && front.request > 0 {
+                actions.push(Action::RestartFront(f));
             }
-            if self.clocks && w.fronts.iter().all(|f| f.behind == 0) {
-                actions.push(Act::Late(f));
+            if self.clocks_differ && w.fronts.iter().all(|f| f.clock_slow == 0) {
+                actions.push(Action::SlowClock(f));
             }
         }
     }
 
-    fn next_state(&self, w: &World, act: Act) -> Option<World> {
+    fn next_state(&self, w: &World, act: Action) -> Option<World> {
         let mut w = w.clone();
         match act {
-            Act::Pass => w.now += 1,
-            Act::Ask(f, mask, late) => {
-                w.asks += 1;
+            Action::Tick => w.now += 1,
+            Action::Request(f, mask, late) => {
+                w.requests_sent += 1;
                 let front = &mut w.fronts[f];
-                front.question += 1;
-                let asked = w.now - front.behind;
-                let look = |v| (v, f, front.run, front.question, asked, front.hold.confirmed());
-                let arrive: Vec<Look> = (0..4).filter(|v| mask >> v & 1 == 1).map(look).collect();
-                w.looks.extend(late.map(look));
-                arrive.into_iter().for_each(|l| self.arrive(&mut w, l));
+                front.request += 1;
+                let sent = w.now - front.clock_slow;
+                let request = |v| (v, f, front.run, front.request, sent, front.lease.confirmed());
+                let delivered: Vec<Request> = (0..4).filter(|v| mask >> v & 1 == 1).map(request).collect();
+                w.requests.extend(late.map(request));
+                delivered.into_iter().for_each(|request| self.deliver(&mut w, request));
             }
-            Act::Arrive => {
-                if let Some(look) = w.looks.pop() {
-                    self.arrive(&mut w, look);
+            Action::Deliver => {
+                if let Some(request) = w.requests.pop() {
+                    self.deliver(&mut w, request);
                 }
             }
-            Act::Decide(v) => {
+            Action::Decide(v) => {
                 w.decided = w.decided.or(Some(usize::from(v == 3)));
                 w.voters[v].durable = 1;
                 if v == 0 {
                     w.voters[1].durable = 1;
-                    // The other front goes by it at once.
-                    w.fronts[1].hold.confirm(1);
+                    // The other front confirms it at once.
+                    w.fronts[1].lease.confirm(1);
                 }
             }
-            Act::Vouch(f) => w.fronts[f].hold.confirm(1),
-            Act::Restart(v) => {
+            Action::Confirm(f) => w.fronts[f].lease.confirm(1),
+            Action::RestartVoter(v) => {
                 w.faults += 1;
-                let now = w.now + w.voters[v].ahead;
+                let now = w.now + w.voters[v].clock_fast;
                 w.voters[v].grants = self.start(now, usize::from(v == 3), w.voters[v].durable);
             }
-            Act::Anew(f) => {
+            Action::RestartFront(f) => {
                 w.faults += 1;
                 let front = &mut w.fronts[f];
-                (front.run, front.question, front.hold) = (2, 0, self.hold(0));
+                (front.run, front.request, front.lease) = (2, 0, self.lease(0));
             }
-            Act::Log(v) => w.voters[v].sealed = true,
-            Act::Second => {
-                // Behind what the first set decided.
+            Action::AppendReplacement(v) => w.voters[v].reconfiguring = true,
+            Action::StartSecondSet => {
+                // Its log starts after what the first set decided.
                 let durable = u64::from(w.decided == Some(0));
-                let grants = self.start(w.now + w.voters[3].ahead, 1, durable);
-                let ahead = w.voters[3].ahead;
-                w.voters[3] = Voter { durable, sealed: false, votes: true, grants, ahead };
+                let grants = self.start(w.now + w.voters[3].clock_fast, 1, durable);
+                let clock_fast = w.voters[3].clock_fast;
+                w.voters[3] = Voter { durable, reconfiguring: false, votes: true, grants, clock_fast };
             }
-            Act::Learn(f) => {
+            Action::Learn(f) => {
                 w.learned = true;
-                w.fronts[f].hold.set_voters(2, &ids(SETS[1]));
+                w.fronts[f].lease.set_voters(2, &ids(SETS[1]));
             }
-            Act::Late(f) => w.fronts[f].behind = 1,
-            Act::Early(v) => w.voters[v].ahead = 1,
+            Action::SlowClock(f) => w.fronts[f].clock_slow = 1,
+            Action::FastClock(v) => w.voters[v].clock_fast = 1,
         }
         for (v, voter) in w.voters.iter_mut().enumerate().filter(|(_, v)| v.votes) {
-            let (now, set) = (w.now + voter.ahead, usize::from(v == 3));
+            let (now, set) = (w.now + voter.clock_fast, usize::from(v == 3));
             voter.grants.raise_min_confirmed(now, voter.durable);
-            let seen =
+            let reply =
                 GrantReply { granted: false, min_confirmed: 0, watermark: voter.grants.watermark(now) };
-            w.observers[set].on_reply(ids(&[v])[0], set as u32 + 1, 0, &seen);
+            w.observers[set].on_reply(ids(&[v])[0], set as u32 + 1, 0, &reply);
         }
         Some(w)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nothing is settled that a holder does not go by", |_, w: &World| {
-                let settled = w.settled();
-                w.fronts.iter().all(|f| !f.hold.is_held(w.now - f.behind) || f.hold.confirmed() >= settled)
-            }),
-            Property::sometimes("a front holds and vouches", |_, w: &World| {
-                w.fronts[0].hold.is_held(w.now) && w.fronts[0].hold.confirmed() == 1
+            Property::always(SAFETY, |_, w: &World| {
+                let stable = w.stable();
+                w.fronts
+                    .iter()
+                    .all(|f| !f.lease.is_held(w.now - f.clock_slow) || f.lease.confirmed() >= stable)
             }),
-            Property::sometimes("it is settled while another held before", |m: &Self, w: &World| {
-                let by = if m.change { 1 } else { 0 };
-                w.observers[by].stable() == 1 && w.fronts[0].hold.until_ms() > FIRST
+            Property::sometimes("a front holds a lease and has confirmed the entry", |_, w: &World| {
+                w.fronts[0].lease.is_held(w.now) && w.fronts[0].lease.confirmed() == 1
             }),
+            Property::sometimes(
+                "the entry is stable after a front has held a lease",
+                |m: &Self, w: &World| {
+                    let set = if m.replace_voters { 1 } else { 0 };
+                    w.observers[set].stable() == 1 && w.fronts[0].lease.until_ms() > FIRST_TICK
+                },
+            ),
         ]
     }
 }
 
-const SAFE: &str = "nothing is settled that a holder does not go by";
+const SAFETY: &str = "every leaseholder has confirmed the stable entry";
 
-fn check(model: Holds) -> usize {
-    let most = std::env::var("HOLD_STATES").ok().and_then(|s| s.parse().ok()).unwrap_or(usize::MAX);
-    let checker = model.checker().threads(4).target_state_count(most).spawn_bfs().join();
+fn check(model: LeaseModel) -> usize {
+    let max_states = std::env::var("HOLD_STATES").ok().and_then(|s| s.parse().ok()).unwrap_or(usize::MAX);
+    let checker = model.checker().threads(4).target_state_count(max_states).spawn_bfs().join();
     println!(
         "depth {} unique {} total {}",
         checker.max_depth(),
@@ -337,39 +354,62 @@
     checker.unique_state_count()
 }
 
-fn found(model: Holds) -> bool {
-    model.checker().threads(4).spawn_bfs().join().discovery(SAFE).is_some()
+/// Whether the checker finds a violation of the safety property.
+fn finds_violation(model: LeaseModel) -> bool {
+    model.checker().threads(4).spawn_bfs().join().discovery(SAFETY).is_some()
 }
 
-const NOTHING: Holds =
-    Holds { wrong: Wrong::Nothing, asks: 2, ticks: 4, faults: 1, change: false, clocks: false };
+const CORRECT: LeaseModel = LeaseModel {
+    defect: Defect::None,
+    max_requests: 2,
+    max_ticks: 4,
+    max_faults: 1,
+    replace_voters: false,
+    clocks_differ: false,
+};
 
 #[test]
-fn no_number_is_settled_while_a_holder_goes_by_less() {
-    let states = check(Holds { ..NOTHING });
+fn no_entry_is_stable_that_a_leaseholder_has_not_confirmed() {
+    let states = check(LeaseModel { ..CORRECT });
     println!("{states} states with a restart");
     assert!(states > 10_000);
 }
 
 #[test]
-fn nor_while_clocks_differ() {
-    let states = check(Holds { faults: 0, clocks: true, ticks: 3, ..NOTHING });
-    println!("{states} states with clocks that differ");
+fn no_entry_is_stable_too_early_while_clocks_differ() {
+    let states = check(LeaseModel { max_faults: 0, clocks_differ: true, max_ticks: 3, ..CORRECT });
+    println!("{states} states with differing clocks");
     assert!(states > 10_000);
 }
 
 #[test]
-fn nor_when_other_voters_follow() {
-    let states = check(Holds { faults: 0, change: true, ticks: 4, ..NOTHING });
-    println!("{states} states with other voters");
+fn no_entry_is_stable_too_early_when_voters_are_replaced() {
+    let states = check(LeaseModel { max_faults: 0, replace_voters: true, max_ticks: 4, ..CORRECT });
+    println!("{states} states with replaced voters");
     assert!(states > 10_000);
 }
 
 #[test]
-fn planted_rules_are_found() {
-    assert!(found(Holds { wrong: Wrong::ClearsAtOnce, ..NOTHING }));
-    assert!(found(Holds { wrong: Wrong::ForgetsFloor, ticks: 4, ..NOTHING }));
-    assert!(found(Holds { wrong: Wrong::NoMargin, faults: 0, clocks: true, ..NOTHING }));
-    assert!(found(Holds { wrong: Wrong::ClearsAtOnce, faults: 0, change: true, ..NOTHING }));
-    assert!(found(Holds { wrong: Wrong::GrantsSealed, faults: 0, change: true, ticks: 4, ..NOTHING }));
+fn planted_defects_are_found() {
+    assert!(finds_violation(LeaseModel { defect: Defect::WatermarkAtStart, ..CORRECT }));
+    assert!(finds_violation(LeaseModel { defect: Defect::ForgetsMinimum, max_ticks: 4, ..CORRECT }));
+    assert!(finds_violation(LeaseModel {
+        defect: Defect::NoMargin,
+        max_faults: 0,
+        clocks_differ: true,
+        ..CORRECT
+    }));
+    assert!(finds_violation(LeaseModel {
+        defect: Defect::WatermarkAtStart,
+        max_faults: 0,
+        replace_voters: true,
+        ..CORRECT
+    }));
+    assert!(finds_violation(LeaseModel {
+        defect: Defect::GrantsWhileReconfiguring,
+        max_faults: 0,
+        replace_voters: true,
+        max_ticks: 4,
+        ..CORRECT
+    }));
 }
