--- a/crates/platform/src/core/tests/lists.rs
+++ b/crates/platform/src/core/tests/lists.rs
@@ -1,345 +1,372 @@
-//! Changes of the list: what becomes of attempts that are out, of standing sessions and of connections, and what is
-//! believed of the node that comes.
+//! Changes of the list: attempts in flight, playing sessions, connections, and the controller's view of the
+//! new node.
 
 use super::*;
 use pepperhook::ServerView;
 use std::net::SocketAddr;
 
 fn probes(out: &[Effect]) -> usize {
-    out.iter().filter(|e| matches!(e, Effect::Write(_, ToNode::AskLoad(_)))).count()
+    out.iter().filter(|e| matches!(e, Effect::SendToNode(_, ToNode::QueryLoad(_)))).count()
 }
 
 fn set_ups(out: &[Effect]) -> usize {
-    out.iter().filter(|e| matches!(e, Effect::Write(_, ToNode::SetUp { .. }))).count()
+    out.iter().filter(|e| matches!(e, Effect::SendToNode(_, ToNode::SetUp { .. }))).count()
 }
 
-/// What the module holds of a node.
-fn view(w: &World, id: u32) -> ServerView {
-    let (servers, _) = w.core.controller.view(w.now);
+/// The controller's view of a node.
+fn view(front: &Harness, id: u32) -> ServerView {
+    let (servers, _) = front.core.controller.view(front.now);
     servers.into_iter().find(|s| s.entry.server == ServerId(id)).expect("a node")
 }
 
-fn started(w: &World, e: Entry) -> Entry {
-    Entry { started_ms: w.now / MS, ..e }
+fn restarted(front: &Harness, e: Entry) -> Entry {
+    Entry { started_ms: front.now / MS, ..e }
 }
 
-/// A dial to a node that leaves the list while it is made may come up at another's door.
+/// A dial to a node that leaves the list meanwhile may reach another node at its address.
 #[test]
-fn a_dial_under_way_to_a_node_that_leaves_the_list_is_taken_back() {
-    let mut w = World::new(&[node(1, State::Ready)]);
-    let (old, _) = w.standing(1);
-    let (late, _) = dialled(&w.pass(6 * S)).expect("a quiet node is dialled");
-    let new = started(&w, Entry { id: 4, ..node(1, State::Ready) });
-    let out = w.tell(Input::Nodes(vec![new]));
-    assert!(out.contains(&Effect::Close(late)) && !out.contains(&Effect::Close(old)), "{out:?}");
-    let out = w.tell(Input::LinkUp(late));
-    assert_eq!(out, [Effect::Close(late)], "it came up all the same: nothing goes over it");
-    assert_eq!(w.core.standing(), 1, "the old connection has its chance to speak");
-    assert!(w.tell(Input::Node(late, FromNode::Other)).is_empty());
-    let out = w.pass(1_100 * MS);
-    assert!(told(&out, &over(1, 41)), "nothing came on it");
+fn a_dial_in_progress_to_a_node_that_leaves_the_list_is_abandoned() {
+    let mut front = Harness::new(&[node(1, State::Ready)]);
+    let (old, _) = front.playing(1);
+    let (late, _) = first_dial(&front.advance(6 * S)).expect("a silent node is dialled");
+    let new = restarted(&front, Entry { id: 4, ..node(1, State::Ready) });
+    let out = front.handle(Input::NodeList(vec![new]));
+    assert!(out.contains(&Effect::CloseLink(late)) && !out.contains(&Effect::CloseLink(old)), "{out:?}");
+    let out = front.handle(Input::LinkUp(late));
+    assert_eq!(out, [Effect::CloseLink(late)], "it came up nevertheless: nothing is sent on it");
+    assert_eq!(front.core.playing_sessions(), 1, "the old connection may still yield a sign of life");
+    assert!(front.handle(Input::NodeMessage(late, FromNode::Other)).is_empty());
+    let out = front.advance(1_100 * MS);
+    assert!(sent_to_viewer(&out, &ended(1, 41)), "nothing was received on it");
 }
 
-/// The set-up that waits for such a dial was not sent: it goes elsewhere at once, the dial is not waited for.
+/// A set-up that waits for such a dial was not sent: it goes to another node at once instead of waiting for
+/// the dial.
 #[test]
 fn a_set_up_that_waits_for_a_node_that_leaves_the_list_goes_elsewhere_at_once() {
-    let mut w = World::three();
-    let out = w.tell(Input::Ask(ConnId(1), ask(1, 1)));
-    let (first, address) = dialled(&out).expect("a dial");
+    let mut front = Harness::with_three_nodes();
+    let out = front.handle(Input::SetUp(ConnId(1), request(1, 1)));
+    let (first, address) = first_dial(&out).expect("a dial");
     let all = [1, 2, 3].map(|id| node(id, State::Ready));
     let rest = all.into_iter().filter(|n| SocketAddr::from(n.address) != address).collect();
-    let out = w.tell(Input::Nodes(rest));
-    assert!(out.contains(&Effect::Close(first)), "{out:?}");
-    let (second, other) = dialled(&out).expect("another node is dialled");
+    let out = front.handle(Input::NodeList(rest));
+    assert!(out.contains(&Effect::CloseLink(first)), "{out:?}");
+    let (second, other) = first_dial(&out).expect("another node is dialled");
     assert_ne!(address, other);
-    assert_eq!(set_up(&w.tell(Input::LinkUp(second))), Some((second, SessionId(1))));
+    assert_eq!(first_set_up(&front.handle(Input::LinkUp(second))), Some((second, SessionId(1))));
 }
 
-/// The list tells late: a node has died, another has its address, and the front has dialled it as the old one. What the
-/// other says must not keep the old one's sessions standing.
+/// The list is late: a node has died, another one has taken its address, and the front has dialled it as the
+/// old one. Messages of the new node must not keep the sessions of the old one alive.
 #[test]
-fn a_connection_that_leads_to_the_newcomer_at_an_address_does_not_speak_for_the_old_node() {
-    let mut w = World::new(&[node(1, State::Ready)]);
-    let (link, _) = w.standing(1);
-    w.pass(S);
-    let new = started(&w, Entry { id: 4, ..node(1, State::Ready) });
-    w.pass(100 * MS);
-    let (check, _) = dialled(&w.tell(Input::LinkDown(link))).expect("the node is dialled");
-    w.tell(Input::LinkUp(check));
-    assert_eq!(w.core.standing(), 1, "as far as can be told, the connection alone broke");
-    // Set up over it meanwhile: it really plays at the newcomer.
-    let out = w.tell(Input::Ask(ConnId(1), ask(2, 0)));
-    assert_eq!(set_up(&out), Some((check, SessionId(2))));
-    w.tell(Input::Node(check, plays(2)));
-    w.pass(3 * S);
-    let out = w.tell(Input::Nodes(vec![new]));
-    assert!(told(&out, &over(1, 41)) && told(&out, &over(2, 41)), "{out:?}");
-    assert!(wrote(&out, &ToNode::Release(SessionId(2), 7, 41)), "it does not play on for nobody");
-    assert!(!wrote(&out, &ToNode::Release(SessionId(1), 7, 41)), "the newcomer never had it");
-    assert!(out.contains(&Effect::Close(check)));
-    assert_eq!(w.core.standing(), 0);
-    assert!(!view(&w, 4).barred, "nothing of the old node is held against the new one");
+fn a_connection_that_reaches_the_new_node_at_an_address_does_not_count_for_the_old_one() {
+    let mut front = Harness::new(&[node(1, State::Ready)]);
+    let (link, _) = front.playing(1);
+    front.advance(S);
+    let new = restarted(&front, Entry { id: 4, ..node(1, State::Ready) });
+    front.advance(100 * MS);
+    let (check, _) = first_dial(&front.handle(Input::LinkDown(link))).expect("the node is dialled");
+    front.handle(Input::LinkUp(check));
+    assert_eq!(front.core.playing_sessions(), 1, "only the connection seems to have broken");
+    // A session set up on it meanwhile really plays at the new node.
+    let out = front.handle(Input::SetUp(ConnId(1), request(2, 0)));
+    assert_eq!(first_set_up(&out), Some((check, SessionId(2))));
+    front.handle(Input::NodeMessage(check, session_started(2)));
+    front.advance(3 * S);
+    let out = front.handle(Input::NodeList(vec![new]));
+    assert!(sent_to_viewer(&out, &ended(1, 41)) && sent_to_viewer(&out, &ended(2, 41)), "{out:?}");
+    assert!(
+        sent_to_node(&out, &ToNode::Release(SessionId(2), 7, 41)),
+        "it does not play on without a viewer"
+    );
+    assert!(!sent_to_node(&out, &ToNode::Release(SessionId(1), 7, 41)), "the new node never had it");
+    assert!(out.contains(&Effect::CloseLink(check)));
+    assert_eq!(front.core.playing_sessions(), 0);
+    assert!(!view(&front, 4).barred, "failures of the old node do not count for the new one");
 }
 
-/// The old node's connection is open and quiet: it is asked, and the newcomer's own connection counts for nothing.
+/// The old node's connection stays open and silent: it is queried, and the new node's own connection does not
+/// count for it.
 #[test]
-fn an_old_connection_that_stays_open_and_quiet_ends_with_its_sessions_whatever_the_newcomer_says() {
-    let mut w = World::new(&[node(1, State::Ready)]);
-    w.core.probing = true;
-    let (old, _) = w.standing(1);
-    w.pass(S);
-    let new = started(&w, Entry { id: 4, ..node(1, State::Ready) });
-    w.tell(Input::Nodes(vec![new]));
-    let (fresh, _) = dialled(&w.tell(Input::Ask(ConnId(1), ask(2, 0)))).expect("a connection of its own");
-    let out = w.tell(Input::LinkUp(fresh));
-    assert_eq!(set_up(&out), Some((fresh, SessionId(2))));
-    w.tell(Input::Node(fresh, plays(2)));
+fn an_old_connection_that_stays_silent_ends_with_its_sessions_whatever_the_new_node_sends() {
+    let mut front = Harness::new(&[node(1, State::Ready)]);
+    front.core.probing = true;
+    let (old, _) = front.playing(1);
+    front.advance(S);
+    let new = restarted(&front, Entry { id: 4, ..node(1, State::Ready) });
+    front.handle(Input::NodeList(vec![new]));
+    let (fresh, _) =
+        first_dial(&front.handle(Input::SetUp(ConnId(1), request(2, 0)))).expect("a connection of its own");
+    let out = front.handle(Input::LinkUp(fresh));
+    assert_eq!(first_set_up(&out), Some((fresh, SessionId(2))));
+    front.handle(Input::NodeMessage(fresh, session_started(2)));
     let mut out = Vec::new();
     for _ in 0..12 {
-        out.extend(w.pass(100 * MS));
-        w.tell(Input::Node(fresh, FromNode::Other));
+        out.extend(front.advance(100 * MS));
+        front.handle(Input::NodeMessage(fresh, FromNode::Other));
     }
-    assert!(probes(&out) > 0 && told(&out, &over(1, 41)) && out.contains(&Effect::Close(old)), "{out:?}");
-    assert_eq!(w.core.standing(), 1);
-    assert!(!told(&out, &over(2, 41)));
+    assert!(
+        probes(&out) > 0 && sent_to_viewer(&out, &ended(1, 41)) && out.contains(&Effect::CloseLink(old)),
+        "{out:?}"
+    );
+    assert_eq!(front.core.playing_sessions(), 1);
+    assert!(!sent_to_viewer(&out, &ended(2, 41)));
 }
 
 #[test]
-fn an_attempt_that_is_out_to_a_removed_node_is_left_to_its_end_and_nothing_more_goes_there() {
+fn an_attempt_in_flight_to_a_removed_node_runs_to_its_end_and_nothing_more_goes_there() {
     for ending in 0..3 {
-        let mut w = World::three();
-        let (link, address) = w.sent(1, 1);
+        let mut front = Harness::with_three_nodes();
+        let (link, address) = front.set_up_sent(1, 1);
         let all = [1, 2, 3].map(|id| node(id, State::Ready));
         let rest: Vec<_> = all.into_iter().filter(|n| SocketAddr::from(n.address) != address).collect();
-        let out = w.tell(Input::Nodes(rest.clone()));
-        assert!(!told(&out, &failed(1)) && set_ups(&out) == 0, "one attempt at a time: {out:?}");
+        let out = front.handle(Input::NodeList(rest.clone()));
+        assert!(!sent_to_viewer(&out, &failed(1)) && set_ups(&out) == 0, "one attempt at a time: {out:?}");
         let out = match ending {
-            // It answers: the session stands there, and is over with the node.
+            // The node answers: the session plays there and ends with the node.
             0 => {
-                let out = w.tell(Input::Node(link, plays(1)));
-                assert!(told(&out, &ToViewer::Plays(SessionId(1), Bytes::from_static(b"answer"))));
-                w.tell(Input::LinkDown(link))
+                let out = front.handle(Input::NodeMessage(link, session_started(1)));
+                assert!(sent_to_viewer(
+                    &out,
+                    &ToViewer::Started(SessionId(1), Bytes::from_static(b"answer"))
+                ));
+                front.handle(Input::LinkDown(link))
             }
-            // Its connection ends: it may have run.
-            1 => w.tell(Input::LinkDown(link)),
-            // It never says anything: the time of the request.
-            _ => w.pass(3 * S + 50 * MS),
+            // Its connection breaks: the set-up may have run.
+            1 => front.handle(Input::LinkDown(link)),
+            // The node never answers: the request runs into its deadline.
+            _ => front.advance(3 * S + 50 * MS),
         };
-        let word = if ending == 0 { over(1, 41) } else { failed(1) };
-        assert!(told(&out, &word), "{ending}: {out:?}");
-        assert!(dialled(&out).is_none_or(|(_, at)| at != address), "its address may be another's");
-        assert_eq!((w.core.open(), w.core.standing()), (0, 0));
-        w.pass(15 * S);
-        assert!(w.core.lives.values().all(|l| !l.links.contains(&link)) && w.core.lives.len() == 2);
+        let message = if ending == 0 { ended(1, 41) } else { failed(1) };
+        assert!(sent_to_viewer(&out, &message), "{ending}: {out:?}");
+        assert!(
+            first_dial(&out).is_none_or(|(_, at)| at != address),
+            "its address may belong to another node"
+        );
+        assert_eq!((front.core.open_requests(), front.core.playing_sessions()), (0, 0));
+        front.advance(15 * S);
+        assert!(
+            front.core.incarnations.values().all(|l| !l.links.contains(&link))
+                && front.core.incarnations.len() == 2
+        );
     }
 }
 
-/// Told means told: the grace that the rule leaves is not used for anything new.
+/// Once the list says that a node drains or is gone, nothing new is sent there, although the protocol would
+/// allow a grace period.
 #[test]
-fn nothing_new_goes_to_a_node_after_it_was_told_to_drain_or_to_be_gone() {
+fn nothing_new_goes_to_a_node_listed_as_draining_or_gone() {
     for gone in [false, true] {
-        let mut w = World::three();
-        let (up, address) = w.sent(1, 0);
-        let waits = w.tell(Input::Ask(ConnId(1), ask(2, 0)));
-        let waits = dialled(&waits);
+        let mut front = Harness::with_three_nodes();
+        let (up, address) = front.set_up_sent(1, 0);
+        let waits = front.handle(Input::SetUp(ConnId(1), request(2, 0)));
+        let waits = first_dial(&waits);
         let all = [1, 2, 3].map(|id| node(id, State::Ready));
         let list = all.into_iter().filter_map(|n| match SocketAddr::from(n.address) == address {
             true if gone => None,
             true => Some(Entry { state: State::Draining, ..n }),
             false => Some(n),
         });
-        w.tell(Input::Nodes(list.collect()));
+        front.handle(Input::NodeList(list.collect()));
         if let Some((link, _)) = waits {
-            w.tell(Input::LinkUp(link));
+            front.handle(Input::LinkUp(link));
         }
-        // What is out there is given up and tried again; others come. All of it goes to the other two.
-        w.out.clear();
+        // The attempt in flight times out and is retried, and other requests come. All of them go to the
+        // other two nodes.
+        front.out.clear();
         let mut links = BTreeMap::new();
         for id in 3..30 {
-            let mut out = w.tell(Input::Ask(ConnId(1), ask(id, 0)));
-            out.extend(w.pass(50 * MS));
-            while let Some((link, at)) = dialled(&out) {
-                assert!(!gone || at != address, "dialled though it is gone");
+            let mut out = front.handle(Input::SetUp(ConnId(1), request(id, 0)));
+            out.extend(front.advance(50 * MS));
+            while let Some((link, at)) = first_dial(&out) {
+                assert!(!gone || at != address, "dialled although it is gone");
                 links.insert(link, at);
-                out = w.tell(Input::LinkUp(link));
+                out = front.handle(Input::LinkUp(link));
             }
-            let sent = w.out.iter().rev().find_map(|e| set_up(std::slice::from_ref(e)));
+            let sent = front.out.iter().rev().find_map(|e| first_set_up(std::slice::from_ref(e)));
             if let Some((link, id)) = sent {
-                w.tell(Input::Node(link, plays(id.0)));
+                front.handle(Input::NodeMessage(link, session_started(id.0)));
             }
         }
         let there: BTreeSet<_> = links.iter().filter(|(_, at)| **at == address).map(|(l, _)| *l).collect();
-        for e in &w.out {
-            if let Effect::Write(link, ToNode::SetUp { .. }) = e {
+        for e in &front.out {
+            if let Effect::SendToNode(link, ToNode::SetUp { .. }) = e {
                 assert!(*link != up && !there.contains(link), "{e:?}");
             }
         }
-        assert!(set_ups(&w.out) >= 27);
+        assert!(set_ups(&front.out) >= 27);
     }
 }
 
-/// A node id that comes back with a later start: what is older is over, what is newer stands, and it is cold.
+/// A node id returns with a later start: older sessions have ended, newer ones play on, and the node is cold.
 #[test]
-fn an_id_that_comes_back_with_a_later_start_is_cold_and_keeps_only_what_is_newer() {
-    let mut w = World::new(&[node(1, State::Ready)]);
-    let (old, _) = w.standing(1);
-    w.pass(S);
-    let back = started(&w, node(1, State::Ready));
-    w.pass(10 * MS);
-    // The process starts anew, the list does not tell it yet: the broken connection is dialled, and takes a set-up.
-    let (fresh, _) = dialled(&w.tell(Input::LinkDown(old))).expect("the node is dialled");
-    w.tell(Input::LinkUp(fresh));
-    assert_eq!(set_up(&w.tell(Input::Ask(ConnId(1), ask(2, 0)))), Some((fresh, SessionId(2))));
-    w.tell(Input::Node(fresh, plays(2)));
-    assert_eq!(view(&w, 1).warmth, 1.0, "nobody has told");
-    let out = w.tell(Input::Nodes(vec![back]));
-    assert!(told(&out, &over(1, 41)) && !told(&out, &over(2, 41)), "{out:?}");
-    assert!(!out.contains(&Effect::Close(fresh)), "it leads to the new process");
-    let now = view(&w, 1);
+fn a_restarted_id_is_cold_and_keeps_only_newer_sessions() {
+    let mut front = Harness::new(&[node(1, State::Ready)]);
+    let (old, _) = front.playing(1);
+    front.advance(S);
+    let back = restarted(&front, node(1, State::Ready));
+    front.advance(10 * MS);
+    // The process restarts before the list says so: the node is dialled after its connection broke, and gets
+    // a set-up.
+    let (fresh, _) = first_dial(&front.handle(Input::LinkDown(old))).expect("the node is dialled");
+    front.handle(Input::LinkUp(fresh));
+    assert_eq!(
+        first_set_up(&front.handle(Input::SetUp(ConnId(1), request(2, 0)))),
+        Some((fresh, SessionId(2)))
+    );
+    front.handle(Input::NodeMessage(fresh, session_started(2)));
+    assert_eq!(view(&front, 1).warmth, 1.0, "the list does not say yet that it restarted");
+    let out = front.handle(Input::NodeList(vec![back]));
+    assert!(sent_to_viewer(&out, &ended(1, 41)) && !sent_to_viewer(&out, &ended(2, 41)), "{out:?}");
+    assert!(!out.contains(&Effect::CloseLink(fresh)), "it leads to the new process");
+    let now = view(&front, 1);
     assert!(now.warmth < 0.5 && !now.barred && now.sessions == 1, "{now:?}");
-    // Told again it changes nothing.
-    assert!(w.tell(Input::Nodes(vec![back])).is_empty());
-    assert_eq!(w.core.standing(), 1);
+    // The same list again changes nothing.
+    assert!(front.handle(Input::NodeList(vec![back])).is_empty());
+    assert_eq!(front.core.playing_sessions(), 1);
 }
 
-/// It may also be gone from the list in between, and come back at another address: two lives of one id.
+/// The id may also leave the list and return at another address: two incarnations of one id.
 #[test]
-fn what_befalls_an_older_life_of_an_id_is_not_held_against_the_one_that_is_there_now() {
-    let mut w = World::new(&[node(1, State::Ready)]);
-    let (old, _) = w.sent(1, 0);
-    let (out_there, _) = w.sent(2, 1);
-    w.tell(Input::Node(old, plays(1)));
-    w.pass(S);
-    let moved = Entry { address: node(9, State::Ready).address, ..started(&w, node(1, State::Ready)) };
-    w.tell(Input::Nodes(vec![moved]));
-    w.pass(10 * MS);
-    assert!(!view(&w, 1).barred);
-    // The old process dies, with a session and an attempt; a report comes late.
+fn failures_of_an_older_incarnation_do_not_count_for_the_current_one() {
+    let mut front = Harness::new(&[node(1, State::Ready)]);
+    let (old, _) = front.set_up_sent(1, 0);
+    let (out_there, _) = front.set_up_sent(2, 1);
+    front.handle(Input::NodeMessage(old, session_started(1)));
+    front.advance(S);
+    let moved = Entry { address: node(9, State::Ready).address, ..restarted(&front, node(1, State::Ready)) };
+    front.handle(Input::NodeList(vec![moved]));
+    front.advance(10 * MS);
+    assert!(!view(&front, 1).barred);
+    // The old process dies with a session and an attempt, and a report of it comes late.
     let report = vec![9.0, 9.0];
-    let used = view(&w, 1).link_use;
-    w.tell(Input::Node(old, FromNode::Over(SessionId(1), Outcome::Broken, report)));
-    w.tell(Input::LinkDown(out_there));
-    let out = w.tell(Input::LinkDown(old));
-    assert!(w.out.contains(&Effect::Tell(ConnId(1), failed(2))), "{out:?}");
-    let now = view(&w, 1);
+    let used = view(&front, 1).link_use;
+    front.handle(Input::NodeMessage(old, FromNode::SessionEnded(SessionId(1), Outcome::Broken, report)));
+    front.handle(Input::LinkDown(out_there));
+    let out = front.handle(Input::LinkDown(old));
+    assert!(front.out.contains(&Effect::SendToViewer(ConnId(1), failed(2))), "{out:?}");
+    let now = view(&front, 1);
     assert!(!now.barred && now.sessions == 0 && now.link_use <= used + 0.1, "{now:?}");
-    // It serves.
-    let (link, at) = dialled(&w.tell(Input::Ask(ConnId(1), ask(3, 0)))).expect("a dial");
+    // The new incarnation serves requests.
+    let (link, at) = first_dial(&front.handle(Input::SetUp(ConnId(1), request(3, 0)))).expect("a dial");
     assert_eq!(at, moved.address.into());
-    assert_eq!(set_up(&w.tell(Input::LinkUp(link))), Some((link, SessionId(3))));
+    assert_eq!(first_set_up(&front.handle(Input::LinkUp(link))), Some((link, SessionId(3))));
 }
 
-/// A node that hangs keeps its connections open and says nothing: set-ups there end at their time, once; sessions stand,
-/// since it may only stall; and it does not gather connections.
+/// A hanging node keeps its connections open and is silent. Set-ups there fail at their deadline, once;
+/// sessions stay, since the node may only stall; and connections to it do not pile up.
 #[test]
-fn a_node_that_hangs_with_its_connections_open_costs_its_own_requests_and_few_connections() {
-    let mut w = World::new(&[node(1, State::Ready)]);
-    let (link, _) = w.standing(1);
+fn a_hanging_node_costs_its_own_requests_and_few_connections() {
+    let mut front = Harness::new(&[node(1, State::Ready)]);
+    let (link, _) = front.playing(1);
     let mut dials = 0;
     for id in 10..30u64 {
-        let asked = w.now;
-        let mut out = w.tell(Input::Ask(ConnId(1), ask(id, 1)));
+        let requested_at = front.now;
+        let mut out = front.handle(Input::SetUp(ConnId(1), request(id, 1)));
         let mut answers = 0;
-        while w.now < asked + 3 * S + 100 * MS {
-            // The system takes connections for it.
+        while front.now < requested_at + 3 * S + 100 * MS {
+            // The operating system of the node accepts connections.
             let links: Vec<_> =
                 out.iter().filter_map(|e| if let Effect::Dial(l, _) = e { Some(*l) } else { None }).collect();
             dials += links.len();
-            let own = |e: &&Effect| matches!(e, Effect::Tell(_, ToViewer::Failed(i) | ToViewer::Refused(i, _)) if i.0 == id);
+            let own = |e: &&Effect| matches!(e, Effect::SendToViewer(_, ToViewer::Failed(i) | ToViewer::Refused(i, _)) if i.0 == id);
             answers += out.iter().filter(own).count();
-            out = links.into_iter().flat_map(|l| w.tell(Input::LinkUp(l))).collect();
-            out.extend(w.pass(50 * MS));
+            out = links.into_iter().flat_map(|l| front.handle(Input::LinkUp(l))).collect();
+            out.extend(front.advance(50 * MS));
         }
-        answers += usize::from(told(&out, &failed(id)));
+        answers += usize::from(sent_to_viewer(&out, &failed(id)));
         assert_eq!(answers, 1, "request {id}");
     }
-    assert_eq!(w.core.standing(), 1, "a process that stalls may go on");
+    assert_eq!(front.core.playing_sessions(), 1, "a stalled process may go on");
     assert!(dials <= 20 + 14, "{dials} connections in a minute");
-    assert!(w.core.links.len() <= 8, "{} connections are held", w.core.links.len());
-    // It was there all the time.
-    let open: Vec<_> = w.core.links.keys().copied().collect();
+    assert!(front.core.links.len() <= 8, "{} connections are held", front.core.links.len());
+    // The node was alive all the time.
+    let open: Vec<_> = front.core.links.keys().copied().collect();
     let on = if open.contains(&link) { link } else { open[0] };
-    assert!(told(
-        &w.tell(Input::Node(on, FromNode::Over(SessionId(1), Outcome::Served, Vec::new()))),
-        &over(1, 16)
+    assert!(sent_to_viewer(
+        &front.handle(Input::NodeMessage(
+            on,
+            FromNode::SessionEnded(SessionId(1), Outcome::Served, Vec::new())
+        )),
+        &ended(1, 16)
     ));
 }
 
-/// The change log is down or silent: no input comes. What dies meanwhile is found by its own signs, and the list that
-/// comes late changes only what it tells.
+/// The change log is down or silent. Nodes that die meanwhile are detected without it, and the late list ends
+/// no session of a living node.
 #[test]
-fn without_a_list_for_eight_seconds_deaths_are_found_by_their_signs_and_the_late_list_ends_nothing_that_lives()
- {
-    let mut w = World::three();
-    let (link, dead) = w.standing(1);
+fn without_a_list_for_eight_seconds_deaths_are_detected_and_the_late_list_ends_no_living_session() {
+    let mut front = Harness::with_three_nodes();
+    let (link, dead) = front.playing(1);
     let mut id = 2;
-    while w.core.standing() < 3 {
-        let out = w.tell(Input::Ask(ConnId(1), ask(id, 0)));
-        if let Some((l, _)) = dialled(&out) {
-            w.tell(Input::LinkUp(l));
+    while front.core.playing_sessions() < 3 {
+        let out = front.handle(Input::SetUp(ConnId(1), request(id, 0)));
+        if let Some((l, _)) = first_dial(&out) {
+            front.handle(Input::LinkUp(l));
         }
-        let on = w.core.sessions.get(&SessionId(id)).and_then(|s| match &s.phase {
+        let on = front.core.sessions.get(&SessionId(id)).and_then(|s| match &s.phase {
             Phase::Open(Some(a)) => Some(a.link),
             _ => None,
         });
-        w.tell(Input::Node(on.expect("an attempt"), plays(id)));
+        front.handle(Input::NodeMessage(on.expect("an attempt"), session_started(id)));
         id += 1;
     }
-    let there = w.core.lives.values().filter(|l| SocketAddr::from(l.address) == dead);
-    let there: usize = there.map(|l| l.standing.len()).sum();
-    let mut out = w.tell(Input::LinkDown(link));
-    let (began, mut told_over) = (w.now, 0);
-    while w.now < began + 8 * S {
+    let there = front.core.incarnations.values().filter(|l| SocketAddr::from(l.address) == dead);
+    let there: usize = there.map(|l| l.playing.len()).sum();
+    let mut out = front.handle(Input::LinkDown(link));
+    let (began, mut told_over) = (front.now, 0);
+    while front.now < began + 8 * S {
         let links: Vec<_> = out
             .iter()
             .filter_map(|e| if let Effect::Dial(l, a) = e { Some((*l, *a)) } else { None })
             .collect();
-        told_over += out.iter().filter(|e| matches!(e, Effect::Tell(_, ToViewer::Over(..)))).count();
+        told_over += out.iter().filter(|e| matches!(e, Effect::SendToViewer(_, ToViewer::Ended(..)))).count();
         out = Vec::new();
         for (l, a) in links {
-            let end = if a == dead { Input::LinkFailed(l, DialEnd::Refused) } else { Input::LinkUp(l) };
-            out.extend(w.tell(end));
+            let end = if a == dead { Input::DialFailed(l, DialEnd::Refused) } else { Input::LinkUp(l) };
+            out.extend(front.handle(end));
         }
-        out.extend(w.pass(20 * MS));
-        // The others go on telling of themselves.
-        let each_second = w.now % S < 20 * MS;
-        let ups = w.core.links.iter().filter(|(_, l)| each_second && l.up()).map(|(id, _)| *id);
+        out.extend(front.advance(20 * MS));
+        // The other nodes keep sending messages.
+        let each_second = front.now % S < 20 * MS;
+        let ups = front.core.links.iter().filter(|(_, l)| each_second && l.is_up()).map(|(id, _)| *id);
         for l in ups.collect::<Vec<_>>() {
-            out.extend(w.tell(Input::Node(l, FromNode::Other)));
+            out.extend(front.handle(Input::NodeMessage(l, FromNode::Other)));
         }
     }
     assert_eq!(told_over, there);
-    assert_eq!(w.core.standing(), 3 - there);
+    assert_eq!(front.core.playing_sessions(), 3 - there);
     let all = [1, 2, 3].map(|id| node(id, State::Ready));
     let rest = all.into_iter().filter(|n| SocketAddr::from(n.address) != dead).collect();
-    let out = w.tell(Input::Nodes(rest));
-    assert!(!out.iter().any(|e| matches!(e, Effect::Tell(_, ToViewer::Over(..)))), "{out:?}");
-    assert_eq!(w.core.standing(), 3 - there);
+    let out = front.handle(Input::NodeList(rest));
+    assert!(!out.iter().any(|e| matches!(e, Effect::SendToViewer(_, ToViewer::Ended(..)))), "{out:?}");
+    assert_eq!(front.core.playing_sessions(), 3 - there);
 }
 
-/// A connection to a node that has left the list is not kept for its idle time once nothing stands there.
+/// A connection to a node that has left the list is closed as soon as no session plays there, instead of
+/// after its idle time.
 #[test]
 fn an_idle_connection_to_a_node_that_left_the_list_is_closed_at_once() {
-    let mut w = World::new(&[node(1, State::Ready)]);
-    let (link, _) = w.standing(1);
-    w.tell(Input::Nodes(Vec::new()));
-    assert_eq!(w.core.links.len(), 1, "its session may still be told of");
-    w.tell(Input::Node(link, FromNode::Over(SessionId(1), Outcome::Served, Vec::new())));
-    let out = w.pass(250 * MS);
-    assert!(out.contains(&Effect::Close(link)), "{out:?}");
-    w.pass(250 * MS);
-    assert!(w.core.links.is_empty() && w.core.lives.is_empty());
+    let mut front = Harness::new(&[node(1, State::Ready)]);
+    let (link, _) = front.playing(1);
+    front.handle(Input::NodeList(Vec::new()));
+    assert_eq!(front.core.links.len(), 1, "the end of its session may still be reported");
+    front.handle(Input::NodeMessage(link, FromNode::SessionEnded(SessionId(1), Outcome::Served, Vec::new())));
+    let out = front.advance(250 * MS);
+    assert!(out.contains(&Effect::CloseLink(link)), "{out:?}");
+    front.advance(250 * MS);
+    assert!(front.core.links.is_empty() && front.core.incarnations.is_empty());
 }
 
-/// A refusal of the process that had an id before tells nothing of the one that has it now.
+/// A report of an older process of an id is no evidence about the current one.
 #[test]
-fn a_report_of_an_older_life_of_an_id_is_passed_over() {
-    let mut w = World::new(&[node(1, State::Ready)]);
-    let (old, _) = w.sent(1, 0);
-    w.pass(100 * MS);
-    let moved = Entry { address: node(9, State::Ready).address, ..started(&w, node(1, State::Ready)) };
-    w.tell(Input::Nodes(vec![moved]));
-    let used = view(&w, 1).link_use;
-    w.tell(Input::Node(old, FromNode::Ended(SessionId(1), Outcome::Full, vec![9.0, 9.0])));
-    assert!(view(&w, 1).link_use <= used + 0.1, "{:?}", view(&w, 1));
+fn a_report_of_an_older_incarnation_is_ignored() {
+    let mut front = Harness::new(&[node(1, State::Ready)]);
+    let (old, _) = front.set_up_sent(1, 0);
+    front.advance(100 * MS);
+    let moved = Entry { address: node(9, State::Ready).address, ..restarted(&front, node(1, State::Ready)) };
+    front.handle(Input::NodeList(vec![moved]));
+    let used = view(&front, 1).link_use;
+    front.handle(Input::NodeMessage(old, FromNode::SetUpFailed(SessionId(1), Outcome::Full, vec![9.0, 9.0])));
+    assert!(view(&front, 1).link_use <= used + 0.1, "{:?}", view(&front, 1));
 }
