--- a/crates/front/src/agreed.rs
+++ b/crates/front/src/agreement.rs
@@ -2,8 +2,8 @@
 //! and operators' wishes. It decides nothing.
 
 use crate::engine::types::Input;
+use crate::fleet_io::with;
 use crate::shell::Shell;
-use crate::spread::with;
 use pepperhook_agreement::{Store, StoreError, StoreOp, StoredState};
 use pepperhook_fleet::{AgreedNote, AgreedSettings, Force, Means};
 use pepperhook_policy::{Answer, Ask, Policy};
--- a/crates/front/src/console.rs
+++ b/crates/front/src/console.rs
@@ -1,9 +1,9 @@
 //! The operators' page, on a listener of its own: authenticated by the admin key, loopback by default.
 
 use crate::console_policy;
+use crate::fleet_io::{NotTaken, announce};
 use crate::http::{Events, Out, Phase, accept, body, problem, response, set};
 use crate::shell::Shell;
-use crate::spread::{NotTaken, announce};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::header::{AUTHORIZATION, CONTENT_TYPE, COOKIE, SET_COOKIE};
--- a/crates/front/src/console_policy.rs
+++ b/crates/front/src/console_policy.rs
@@ -1,11 +1,11 @@
 //! What operators ask of the agreement, on the console's listener: `GET /policy` shows it, `POST /policy` asks for another,
 //! `POST /voters` for other voters.
 
-use crate::agreed;
+use crate::agreement;
 use crate::console::only_by_key;
+use crate::fleet_io::with;
 use crate::http::{Out, body, problem, response};
 use crate::shell::Shell;
-use crate::spread::with;
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response};
 use pepperhook_policy::{Answer, Ask};
@@ -25,7 +25,7 @@
     }
     let (method, path) = (request.method().clone(), request.uri().path().to_owned());
     if method == Method::GET && path == "/policy" {
-        let shown = agreed::shown(shell).unwrap_or_default();
+        let shown = agreement::shown(shell).unwrap_or_default();
         return response(200, "application/json", shown.to_string());
     }
     if method != Method::POST {
@@ -77,7 +77,7 @@
         trial: None,
     };
     let key = ask.key;
-    let answer = agreed::ask(shell, ask, yes(query, "wait")).await;
+    let answer = agreement::ask(shell, ask, yes(query, "wait")).await;
     let answer = answer.ok_or_else(|| Problem::new(503, "busy", "Busy", "too many wait for an answer"))?;
     let said = answer.to_string();
     let done = |status: u16, name: &str| {
--- a/crates/front/src/spread.rs
+++ b/crates/front/src/fleet_io.rs
@@ -1,7 +1,7 @@
 //! This front among the others, on a UDP socket: announced peaks, who is there, and duties that are shared. It
 //! carries out what [`Fleet`] says; it decides nothing.
 
-use crate::agreed::{self, Agreed, Disk, EngineMeans, Job};
+use crate::agreement::{self, Agreed, Disk, EngineMeans, Job};
 use crate::engine::types::{Copied, Input};
 use crate::engine::{DutyShown, ReplicaShown, Snapshot, life};
 use crate::shell::Shell;
@@ -131,7 +131,7 @@
             period_ms: r.check_interval / 1_000_000,
             bytes_per_s: r.bytes_per_s,
         });
-        let (agreed, disk) = agreed::prepare(config, run)?.unzip();
+        let (agreed, disk) = agreement::prepare(config, run)?.unzip();
         let disk = disk.flatten();
         let (carried, jobs) = Agreed::new(disk.as_ref());
         let disk = RefCell::new(disk.zip(jobs));
@@ -414,12 +414,12 @@
             Out::Remake => {
                 shell.spread.agreed.hand(Job::Remake);
             }
-            Out::InForce(force) => agreed::in_force(shell, force),
+            Out::InForce(force) => agreement::in_force(shell, force),
             Out::Told(key, answer) => shell.spread.agreed.told(key, &answer),
             Out::Note(note) => log(&note),
         }
     }
-    agreed::fence(shell);
+    agreement::fence(shell);
     r
 }
 
@@ -436,9 +436,9 @@
 pub fn agree(shell: &Rc<Shell>) -> Option<JoinHandle<()>> {
     shell.config.agreement.as_ref()?;
     shell.spread.fleet.borrow_mut().set_means(Box::new(EngineMeans(Rc::downgrade(shell))));
-    agreed::fence(shell);
+    agreement::fence(shell);
     let (disk, jobs) = shell.spread.disk.borrow_mut().take()?;
-    Some(spawn_local(agreed::write(shell.clone(), disk, jobs)))
+    Some(spawn_local(agreement::write(shell.clone(), disk, jobs)))
 }
 
 /// This front goes on with sessions of one that died.
@@ -487,7 +487,7 @@
         Note::View(Change::Rejoined(m)) => {
             warn!(event = "member-rejoined", renewed = m.renewals, "the others had given this front up");
         }
-        Note::Agreed(note) => agreed::log(note),
+        Note::Agreed(note) => agreement::log(note),
         Note::Run(run) => {
             warn!(
                 event = "run-raised",
--- a/crates/front/src/shell.rs
+++ b/crates/front/src/shell.rs
@@ -3,10 +3,10 @@
 use crate::clock::FleetTime;
 use crate::engine::types::*;
 use crate::engine::{Engine, Snapshot};
+use crate::fleet_io::Spread;
 use crate::http::Phase;
-use crate::spread::Spread;
 use crate::upstream::{Hold, Upstream};
-use crate::{console, listener, spread};
+use crate::{console, fleet_io, session_api};
 use pepperhook::{ServerId, Time};
 use pepperhook_inventory::{InventoryWatcher, Node, PollResult};
 use pepperhook_net::Clock;
@@ -93,7 +93,7 @@
         let (tell, told) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, tell);
         let mut waiting = Waiting { shell: self.clone(), ticket, answered: false };
-        crate::agreed::fence(self);
+        crate::agreement::fence(self);
         self.drive(input(ticket));
         let answer = told.await.unwrap_or((Answer::Failed, None));
         waiting.answered = true;
@@ -157,7 +157,7 @@
                         self.errand(async move { shell.upstream.delete(address, &path).await });
                     }
                 }
-                Effect::Probe(node) => spread::ask(self, node),
+                Effect::Probe(node) => fleet_io::ask(self, node),
                 Effect::SetLayer(node, path, rung) => self.set_layer(node, path, rung),
                 Effect::Subscribe(node, path) => self.follow(node, path),
                 Effect::Tell(resource, event, data) => {
@@ -169,7 +169,7 @@
                 Effect::Drop(resource) => {
                     self.streams.borrow_mut().remove(&resource);
                 }
-                Effect::Copy(key, copied) => spread::copy(self, key, copied.as_ref()),
+                Effect::Copy(key, copied) => fleet_io::copy(self, key, copied.as_ref()),
                 Effect::Log(line) => info!(event = "decision", "{line}"),
             }
         }
@@ -297,7 +297,7 @@
                 PollResult::Updated(nodes) => {
                     info!(event = "inventory-taken", nodes = nodes.len(), "a new list of nodes is in force");
                     self.drive(Input::Nodes(nodes));
-                    spread::list(&self);
+                    fleet_io::list(&self);
                 }
                 PollResult::Invalid(faults) => {
                     for fault in faults.iter().take(10) {
@@ -365,16 +365,16 @@
             config,
         });
         shell.drive(Input::Nodes(nodes));
-        spread::recall(&shell);
-        spread::list(&shell);
+        fleet_io::recall(&shell);
+        fleet_io::list(&shell);
         let (phase, seen) = watch::channel(Phase::Serving);
         let mut tasks = vec![
             spawn_local(shell.clone().timers()),
-            spawn_local(listener::serve(shell.clone(), listener, seen.clone())),
+            spawn_local(session_api::serve(shell.clone(), listener, seen.clone())),
             spawn_local(console::serve(shell.clone(), admin, seen)),
         ];
-        tasks.extend(spread::agree(&shell));
-        tasks.extend(socket.map(|s| spawn_local(spread::run(shell.clone(), s))));
+        tasks.extend(fleet_io::agree(&shell));
+        tasks.extend(socket.map(|s| spawn_local(fleet_io::run(shell.clone(), s))));
         tasks.extend(keeper.map(|k| spawn_local(shell.clone().watch(k))));
         info!(event = "serving", address = %address, admin = %admin_address, "the front serves");
         Ok(Self { shell, address, admin: admin_address, tasks, phase })
@@ -410,7 +410,7 @@
         let shell = &self.shell;
         info!(event = "stopping", waiting = shell.snapshot().waiting, "no new requests are taken");
         shell.engine.borrow_mut().stop();
-        spread::leave(shell);
+        fleet_io::leave(shell);
         let _ = self.phase.send(Phase::Stopping);
         let longest = shell.engine(|e, _| e.longest_wait());
         let idle = async {
