--- a/crates/front/src/agreement.rs
+++ b/crates/front/src/agreement.rs
@@ -2,7 +2,7 @@
 //! and operators' wishes. It decides nothing.
 
 use crate::engine::types::Input;
-use crate::fleet_io::with;
+use crate::fleet_io::call_fleet;
 use crate::shell::Shell;
 use pepperhook_agreement::{Store, StoreError, StoreOp, StoredState};
 use pepperhook_fleet::{AgreedNote, AgreedSettings, Force, Means};
@@ -19,32 +19,32 @@
 use tracing::{error, info, warn};
 
 /// The file of a voter's promises, in `state-dir`.
-const FILE: &str = "agreement.redb";
+const STORE_FILE: &str = "agreement.redb";
 /// Writes that wait for the disk at most. A disk that is further behind counts as one that refuses.
-const MOST_WRITES: usize = 1_024;
+const MAX_QUEUED_WRITES: usize = 1_024;
 /// Wishes that are waited for at once at most.
-const MOST_WAITING: usize = 64;
+const MAX_WAITING_OPERATORS: usize = 64;
 /// A proposal is sent again for so long, milliseconds.
-const PROPOSE_MS: u64 = 10_000;
+const PROPOSAL_TIMEOUT_MS: u64 = 10_000;
 
 /// What the store is to do.
-pub enum Job {
+pub enum StoreJob {
     /// Write a batch.
     Write(u64, Vec<StoreOp>),
     /// Put the file away and make another.
-    Remake,
+    Replace,
 }
 
 /// This front's side of the agreement, where it has one.
 #[derive(Default)]
-pub struct Agreed {
-    jobs: Option<mpsc::Sender<Job>>,
+pub struct AgreementIo {
+    jobs: Option<mpsc::Sender<StoreJob>>,
     fenced: Cell<bool>,
     waiting: RefCell<HashMap<u128, Vec<mpsc::Sender<Answer>>>>,
 }
 
 /// A voter's store and where it lies.
-pub struct Disk {
+pub struct VoterStore {
     store: Arc<Store>,
     path: PathBuf,
 }
@@ -55,7 +55,7 @@
     let draw = || rand::random::<u64>().max(1);
     match Store::open(path, draw()) {
         Err(StoreError::Invalid(why)) => {
-            let away = put_away(path)?;
+            let away = set_aside(path)?;
             warn!(event = "agreement-store-new", why, away = %away.display(), "its store could not be read");
             Store::open(path, draw())
         }
@@ -65,7 +65,7 @@
 }
 
 /// Renames a file to the first free name beside it.
-fn put_away(path: &Path) -> io::Result<PathBuf> {
+fn set_aside(path: &Path) -> io::Result<PathBuf> {
     let name = |n: u32| path.with_extension(format!("away-{n}"));
     let away = (1..10_000).map(name).find(|p| !p.exists());
     let away = away.ok_or_else(|| io::Error::other("too many stores were put away"))?;
@@ -77,14 +77,14 @@
 ///
 /// # Errors
 /// When the store cannot be opened.
-pub fn prepare(config: &Config, run: u64) -> io::Result<Option<(AgreedSettings, Option<Disk>)>> {
+pub fn prepare(config: &Config, run: u64) -> io::Result<Option<(AgreedSettings, Option<VoterStore>)>> {
     let Some(a) = &config.agreement else { return Ok(None) };
     let (me, ms) = (name_hash(&config.name), |t: u64| t / 1_000_000);
     let disk = match &config.state_dir {
         Some(dir) => {
-            let path = dir.join(FILE);
+            let path = dir.join(STORE_FILE);
             let (store, kept) = open(&path)?;
-            Some((Disk { store: Arc::new(store), path }, kept))
+            Some((VoterStore { store: Arc::new(store), path }, kept))
         }
         None => None,
     };
@@ -101,7 +101,7 @@
             voters,
             lease_ms: ms(a.lease),
             renew_ms: ms(a.renew_interval),
-            proposal_timeout_ms: PROPOSE_MS,
+            proposal_timeout_ms: PROPOSAL_TIMEOUT_MS,
             seed: rand::random(),
         },
         kept,
@@ -112,20 +112,20 @@
     Ok(Some((settings, disk)))
 }
 
-impl Agreed {
+impl AgreementIo {
     /// With a disk: the queue of what it is to do.
-    pub fn new(disk: Option<&Disk>) -> (Self, Option<mpsc::Receiver<Job>>) {
-        let (jobs, queue) = disk.map(|_| mpsc::channel(MOST_WRITES)).unzip();
+    pub fn new(disk: Option<&VoterStore>) -> (Self, Option<mpsc::Receiver<StoreJob>>) {
+        let (jobs, queue) = disk.map(|_| mpsc::channel(MAX_QUEUED_WRITES)).unzip();
         (Self { jobs, ..Self::default() }, queue)
     }
 
     /// Hands the disk something to do; false if it is too far behind.
-    pub fn hand(&self, job: Job) -> bool {
+    pub fn enqueue(&self, job: StoreJob) -> bool {
         self.jobs.as_ref().is_some_and(|jobs| jobs.try_send(job).is_ok())
     }
 
     /// What came of an operator's wish goes to whoever waits for it.
-    pub fn told(&self, key: u128, answer: &Answer) {
+    pub fn deliver_answer(&self, key: u128, answer: &Answer) {
         info!(event = "policy-answer", answer = %answer, "a change of the policy was answered");
         let mut waiting = self.waiting.borrow_mut();
         let Some(who) = waiting.get_mut(&key) else { return };
@@ -136,13 +136,13 @@
     }
 
     /// Waits for what comes of a wish; `None` where too many wait.
-    fn listen(&self, key: u128) -> Option<mpsc::Receiver<Answer>> {
+    fn subscribe(&self, key: u128) -> Option<mpsc::Receiver<Answer>> {
         let mut waiting = self.waiting.borrow_mut();
         waiting.retain(|_, who| {
             who.retain(|w| !w.is_closed());
             !who.is_empty()
         });
-        if waiting.values().map(Vec::len).sum::<usize>() >= MOST_WAITING {
+        if waiting.values().map(Vec::len).sum::<usize>() >= MAX_WAITING_OPERATORS {
             return None;
         }
         // An answer that a change is accepted, and one that it is through.
@@ -153,10 +153,10 @@
 }
 
 /// Writes what voters promise, batch after batch, on a thread for such work.
-pub async fn write(shell: Rc<Shell>, mut disk: Disk, mut jobs: mpsc::Receiver<Job>) {
+pub async fn run_store(shell: Rc<Shell>, mut disk: VoterStore, mut jobs: mpsc::Receiver<StoreJob>) {
     while let Some(job) = jobs.recv().await {
         match job {
-            Job::Write(batch, ops) => {
+            StoreJob::Write(batch, ops) => {
                 let store = disk.store.clone();
                 let done = tokio::task::spawn_blocking(move || store.write(&ops)).await;
                 let ok = match done {
@@ -167,18 +167,18 @@
                     }
                     Err(_) => false,
                 };
-                with(&shell, |fleet, now_ms, out| fleet.written(now_ms, batch, ok, out));
+                call_fleet(&shell, |fleet, now_ms, out| fleet.written(now_ms, batch, ok, out));
             }
-            Job::Remake => {
-                let Disk { store, path } = disk;
+            StoreJob::Replace => {
+                let VoterStore { store, path } = disk;
                 // Closed before its file is renamed.
                 drop(store);
                 let at = path.clone();
-                let made = tokio::task::spawn_blocking(move || put_away(&at).and_then(|_| open(&at))).await;
+                let made = tokio::task::spawn_blocking(move || set_aside(&at).and_then(|_| open(&at))).await;
                 match made {
                     Ok(Ok((store, kept))) => {
-                        disk = Disk { store: Arc::new(store), path };
-                        with(&shell, |fleet, _, _| fleet.remade(kept));
+                        disk = VoterStore { store: Arc::new(store), path };
+                        call_fleet(&shell, |fleet, _, _| fleet.remade(kept));
                     }
                     Ok(Err(e)) => {
                         error!(event = "agreement-disk", %e, "no new store could be made: this front does not vote");
@@ -192,10 +192,10 @@
 }
 
 /// What the engine is told of a policy: what it decides by, its open classes and its tenants.
-type Terms = (Box<pepperhook::Settings>, Vec<ClassSettings>, Vec<String>);
+type MergedPolicy = (Box<pepperhook::Settings>, Vec<ClassSettings>, Vec<String>);
 
 /// A policy laid over this front's file. A class that the policy has closed is left out: the engine takes nothing new of it.
-fn terms(config: &Config, policy: &Policy) -> Result<Terms, String> {
+fn merge_policy(config: &Config, policy: &Policy) -> Result<MergedPolicy, String> {
     let mut over = policy.over(config)?;
     let open: Vec<bool> = over.classes.iter().map(|c| !c.closed).collect();
     let mut keep = open.iter();
@@ -206,9 +206,9 @@
 }
 
 /// A policy that the fleet agreed on comes into force here.
-pub fn in_force(shell: &Rc<Shell>, force: Force) {
+pub fn apply_policy(shell: &Rc<Shell>, force: Force) {
     let Force { entry, version, step, policy } = force;
-    match terms(&shell.config, &policy) {
+    match merge_policy(&shell.config, &policy) {
         Ok((settings, classes, tenants)) => {
             info!(
                 event = "policy-in-force",
@@ -224,12 +224,12 @@
 }
 
 /// The engine's side of what is agreed.
-pub struct EngineMeans(pub Weak<Shell>);
+pub struct EnginePolicyCheck(pub Weak<Shell>);
 
-impl Means for EngineMeans {
+impl Means for EnginePolicyCheck {
     fn fits(&self, policy: &Policy) -> Result<(), String> {
         let Some(shell) = self.0.upgrade() else { return Ok(()) };
-        let (settings, classes, tenants) = terms(&shell.config, policy)?;
+        let (settings, classes, tenants) = merge_policy(&shell.config, policy)?;
         shell.engine(|e, _| e.can_go_by(&settings, &classes, &tenants)).map_err(|e| e.0)
     }
 
@@ -239,18 +239,18 @@
 }
 
 /// Before a set-up is taken, and at each look: the engine is told whether this front can know what the fleet agreed.
-pub fn fence(shell: &Rc<Shell>) {
+pub fn update_fence(shell: &Rc<Shell>) {
     if shell.config.agreement.is_none() {
         return;
     }
-    let fenced = shell.spread.fenced(shell.fleet_time.now_ms());
-    if shell.spread.agreed.fenced.replace(fenced) != fenced {
+    let fenced = shell.fleet_io.fenced(shell.fleet_clock.now_ms());
+    if shell.fleet_io.agreement.fenced.replace(fenced) != fenced {
         shell.drive(Input::Fenced(fenced));
     }
 }
 
 /// For the log.
-pub fn log(note: &AgreedNote) {
+pub fn log_note(note: &AgreedNote) {
     use pepperhook_agreement::node::Note;
     match note {
         AgreedNote::Held(true) => {
@@ -282,9 +282,9 @@
 // ---- what operators ask ------------------------------------------------------------------------
 
 /// What is in force here and stands, as JSON.
-pub fn shown(shell: &Shell) -> Option<serde_json::Value> {
-    let now_ms = shell.fleet_time.now_ms();
-    let (agreement, force, differs) = shell.spread.policy(now_ms, &shell.config)?;
+pub fn policy_json(shell: &Shell) -> Option<serde_json::Value> {
+    let now_ms = shell.fleet_clock.now_ms();
+    let (agreement, force, differs) = shell.fleet_io.policy(now_ms, &shell.config)?;
     let mut shown = json!({"file-differs": differs, "agreement": agreement});
     if let Some((version, step, text)) = force {
         shown["version"] = version.into();
@@ -295,9 +295,9 @@
 }
 
 /// A change is asked for, and what comes of it waited for: that it is accepted, or with `wait` that it is through or undone.
-pub async fn ask(shell: &Rc<Shell>, ask: Ask, wait: bool) -> Option<Answer> {
-    let mut told = shell.spread.agreed.listen(ask.key)?;
-    with(shell, |fleet, now_ms, out| fleet.ask_policy(now_ms, ask, out));
+pub async fn request_policy_change(shell: &Rc<Shell>, ask: Ask, wait: bool) -> Option<Answer> {
+    let mut told = shell.fleet_io.agreement.subscribe(ask.key)?;
+    call_fleet(shell, |fleet, now_ms, out| fleet.ask_policy(now_ms, ask, out));
     loop {
         match told.recv().await? {
             Answer::Accepted { .. } if wait => {}
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -9,13 +9,13 @@
 /// machine is suspended (clock_gettime(2)). `CLOCK_MONOTONIC`, by which `pepperhook_net::Clock` and tokio count, stands
 /// still then: what others granted for a time would outlast their own count of it.
 #[derive(Debug)]
-pub struct FleetTime {
+pub struct FleetClock {
     base: Duration,
     start: Duration,
     last: Cell<Duration>,
 }
 
-impl FleetTime {
+impl FleetClock {
     /// A clock that starts at the system's time.
     ///
     /// # Errors
@@ -57,7 +57,7 @@
     fn it_begins_at_the_systems_time_and_goes_on() {
         let system = || SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64;
         let before = system();
-        let clock = FleetTime::new().expect("the system has the clock");
+        let clock = FleetClock::new().expect("the system has the clock");
         let first = clock.now_ms();
         assert!((before..=system() + 1).contains(&first), "{before} {first}");
         // Goes on by the system's clock, without a sleep: a clock that stood still would never get there.
@@ -71,7 +71,7 @@
 
     #[test]
     fn it_counts_time_in_which_nothing_ran() {
-        let clock = FleetTime::begun(1_000_000 * MS, 70 * MS);
+        let clock = FleetClock::begun(1_000_000 * MS, 70 * MS);
         assert_eq!(clock.shown(Some(70 * MS)), 1_000_000);
         assert_eq!(clock.shown(Some(95 * MS)), 1_000_025);
         assert_eq!(clock.shown(Some(3_600_095 * MS)), 4_600_025, "an hour in suspend");
@@ -79,7 +79,7 @@
 
     #[test]
     fn it_never_goes_back() {
-        let clock = FleetTime::begun(1_000_000 * MS, 70 * MS);
+        let clock = FleetClock::begun(1_000_000 * MS, 70 * MS);
         assert_eq!(clock.shown(Some(170 * MS)), 1_000_100);
         for read in [Some(169 * MS), Some(70 * MS), Some(Duration::ZERO), None] {
             assert_eq!(clock.shown(read), 1_000_100, "{read:?}");
--- a/crates/front/src/console.rs
+++ b/crates/front/src/console.rs
@@ -1,8 +1,8 @@
 //! The operators' page, on a listener of its own: authenticated by the admin key, loopback by default.
 
 use crate::console_policy;
-use crate::fleet_io::{NotTaken, announce};
-use crate::http::{Events, Out, Phase, accept, body, problem, response, set};
+use crate::fleet_io::{AnnounceError, announce};
+use crate::http::{EventBody, Phase, ResponseBody, accept, problem, read_body, response, set_header};
 use crate::shell::Shell;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -16,9 +16,9 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 
-const PAGE: &str = include_str!("console.html");
+const PAGE_HTML: &str = include_str!("console.html");
 /// Time between two states on the page.
-const EVERY: Duration = Duration::from_secs(1);
+const STATE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Serves until told to close.
 pub async fn serve(shell: Rc<Shell>, listener: TcpListener, phase: watch::Receiver<Phase>) {
@@ -27,7 +27,7 @@
     limits.connections = limits.connections.min(64);
     accept(listener, limits, phase, move |request| {
         let shell = shell.clone();
-        async move { answer(&shell, request).await }
+        async move { handle(&shell, request).await }
     })
     .await;
 }
@@ -46,19 +46,19 @@
     }
 }
 
-async fn answer(shell: &Rc<Shell>, request: Request<Incoming>) -> Response<Out> {
+async fn handle(shell: &Rc<Shell>, request: Request<Incoming>) -> Response<ResponseBody> {
     let Some(by_query) = authorized(shell, &request) else {
         return problem(&Problem::new(401, "admin-key", "Not authorized", "open the address with its key"));
     };
     let path = request.uri().path().to_owned();
     let reads = request.method() == Method::GET;
     let mut r = match path.as_str() {
-        "/console" if reads => response(200, "text/html; charset=utf-8", PAGE),
-        "/state" if reads => response(200, "application/json", state(shell)),
-        "/console/events" if reads => events(shell),
-        "/peaks" if reads => response(200, "application/json", peaks(shell)),
-        p if p == "/peaks" || p.starts_with("/peaks/") => change(shell, request).await,
-        "/policy" | "/voters" => console_policy::answer(shell, request).await,
+        "/console" if reads => response(200, "text/html; charset=utf-8", PAGE_HTML),
+        "/state" if reads => response(200, "application/json", state_json(shell)),
+        "/console/events" if reads => event_stream(shell),
+        "/peaks" if reads => response(200, "application/json", peaks_json(shell)),
+        p if p == "/peaks" || p.starts_with("/peaks/") => change_peak(shell, request).await,
+        "/policy" | "/voters" => console_policy::handle(shell, request).await,
         "/console" | "/state" | "/console/events" => {
             problem(&Problem::new(405, "method", "Method not allowed", "GET is allowed here"))
         }
@@ -69,15 +69,15 @@
             "/console, /console/events, /state, /peaks, /policy and /voters are served",
         )),
     };
-    set(&mut r, "cache-control", "no-store");
-    set(
+    set_header(&mut r, "cache-control", "no-store");
+    set_header(
         &mut r,
         "content-security-policy",
         "default-src 'none'; style-src 'unsafe-inline'; script-src 'unsafe-inline'; connect-src 'self'",
     );
-    set(&mut r, "referrer-policy", "no-referrer");
+    set_header(&mut r, "referrer-policy", "no-referrer");
     if by_query {
-        set(
+        set_header(
             &mut r,
             SET_COOKIE.as_str(),
             &format!("pepperhook-key={}; HttpOnly; SameSite=Strict; Path=/", shell.admin_key),
@@ -87,27 +87,27 @@
 }
 
 /// Announcements and what is held for them here.
-fn peaks(shell: &Shell) -> String {
+fn peaks_json(shell: &Shell) -> String {
     let holds = shell.engine(|e, now| e.hold_rows(now));
-    serde_json::json!({"announced": shell.spread.announcements(), "holds": holds}).to_string()
+    serde_json::json!({"announced": shell.fleet_io.announcements(), "holds": holds}).to_string()
 }
 
 /// A browser sends the cookie wherever a page bids it; only who shows the key itself may change something.
-pub fn only_by_key(request: &Request<Incoming>) -> Option<Response<Out>> {
+pub fn require_bearer_key(request: &Request<Incoming>) -> Option<Response<ResponseBody>> {
     let shown = request.headers().contains_key(AUTHORIZATION);
     let detail = "changes need the key as a bearer token";
     (!shown).then(|| problem(&Problem::new(401, "admin-key", "Not authorized", detail)))
 }
 
 /// `POST /peaks` announces, `PUT /peaks/{name}` amends, `DELETE /peaks/{name}` calls off.
-async fn change(shell: &Rc<Shell>, request: Request<Incoming>) -> Response<Out> {
-    if let Some(no) = only_by_key(&request) {
+async fn change_peak(shell: &Rc<Shell>, request: Request<Incoming>) -> Response<ResponseBody> {
+    if let Some(no) = require_bearer_key(&request) {
         return no;
     }
     let method = request.method().clone();
     let name = request.uri().path().strip_prefix("/peaks/").map(str::to_owned);
     let name = name.map(|n| percent_encoding::percent_decode_str(&n).decode_utf8_lossy().into_owned());
-    let bytes = match body(request.into_body(), &shell.config.limits).await {
+    let bytes = match read_body(request.into_body(), &shell.config.limits).await {
         Ok(bytes) => bytes,
         Err(p) => return problem(&p),
     };
@@ -130,7 +130,7 @@
             true,
         ),
         (Method::DELETE, Some(name)) => {
-            let standing = shell.spread.announcement(&name).filter(|a| !a.cancelled);
+            let standing = shell.fleet_io.announcement(&name).filter(|a| !a.cancelled);
             let none = || Problem::new(404, "peak", "No such peak", "none of this name stands");
             (standing.ok_or_else(none).map(|a| Announcement { cancelled: true, ..a }), true)
         }
@@ -145,7 +145,7 @@
         ),
     };
     let done = match said {
-        Ok(said) => announce(shell, said, amends).await.map_err(|e| not_taken(&e)),
+        Ok(said) => announce(shell, said, amends).await.map_err(|e| announce_problem(&e)),
         Err(p) => Err(p),
     };
     match done {
@@ -158,54 +158,54 @@
     }
 }
 
-fn not_taken(why: &NotTaken) -> Problem {
+fn announce_problem(why: &AnnounceError) -> Problem {
     match why {
-        NotTaken::Refused(Refused::Fields(faults)) => {
+        AnnounceError::Refused(Refused::Fields(faults)) => {
             let detail =
                 faults.iter().map(|f| format!("{}: {}", f.field, f.what)).collect::<Vec<_>>().join("; ");
             let fields = serde_json::to_value(faults).unwrap_or_default();
             Problem::new(422, "announcement", "Not an announcement", detail).with("fields", fields)
         }
-        NotTaken::Refused(Refused::Room { could }) => {
+        AnnounceError::Refused(Refused::Room { could }) => {
             let detail =
                 format!("there is room for {could} viewers at their most, beside the peaks that stand");
             Problem::new(409, "room", "Not the room", detail).with("could-hold-viewers", (*could).into())
         }
-        NotTaken::Refused(Refused::Many) => {
+        AnnounceError::Refused(Refused::Many) => {
             Problem::new(409, "many", "Too many peaks", "max-peaks is reached")
         }
-        NotTaken::Exists => {
+        AnnounceError::Exists => {
             Problem::new(409, "exists", "It stands already", "a peak of this name stands: amend it")
         }
-        NotTaken::Unknown => Problem::new(404, "peak", "No such peak", "none of this name stands"),
-        NotTaken::Long => {
+        AnnounceError::Unknown => Problem::new(404, "peak", "No such peak", "none of this name stands"),
+        AnnounceError::TooLong => {
             Problem::new(422, "announcement", "Too long", "an announcement of 900 bytes at most is taken")
         }
-        NotTaken::Store(e) => Problem::new(500, "store", "It could not be kept", e.clone()),
+        AnnounceError::Store(e) => Problem::new(500, "store", "It could not be kept", e.clone()),
     }
 }
 
-fn state(shell: &Shell) -> String {
+fn state_json(shell: &Shell) -> String {
     serde_json::to_string(&shell.snapshot()).unwrap_or_default()
 }
 
-fn events(shell: &Rc<Shell>) -> Response<Out> {
+fn event_stream(shell: &Rc<Shell>) -> Response<ResponseBody> {
     let (tell, told) = mpsc::channel(2);
     let shell = shell.clone();
     tokio::task::spawn_local(async move {
-        let mut ticks = tokio::time::interval(EVERY);
+        let mut ticks = tokio::time::interval(STATE_INTERVAL);
         loop {
             tokio::select! {
                 _ = ticks.tick() => {}
                 () = tell.closed() => return,
             }
             // A reader who lags gets the newest state when it is ready for one.
-            if tell.send(write_event("state", &state(&shell))).await.is_err() {
+            if tell.send(write_event("state", &state_json(&shell))).await.is_err() {
                 return;
             }
         }
     });
-    let mut r = Response::new(Events(told).boxed());
-    set(&mut r, CONTENT_TYPE.as_str(), "text/event-stream");
+    let mut r = Response::new(EventBody(told).boxed());
+    set_header(&mut r, CONTENT_TYPE.as_str(), "text/event-stream");
     r
 }
--- a/crates/front/src/fleet_io.rs
+++ b/crates/front/src/fleet_io.rs
@@ -1,7 +1,7 @@
 //! This front among the others, on a UDP socket: announced peaks, who is there, and duties that are shared. It
 //! carries out what [`Fleet`] says; it decides nothing.
 
-use crate::agreement::{self, Agreed, Disk, EngineMeans, Job};
+use crate::agreement::{self, AgreementIo, EnginePolicyCheck, StoreJob, VoterStore};
 use crate::engine::types::{Copied, Input};
 use crate::engine::{DutyShown, ReplicaShown, Snapshot, life};
 use crate::shell::Shell;
@@ -27,22 +27,22 @@
 use tracing::{info, warn};
 
 /// Space of announced peaks.
-const PEAKS: u8 = 1;
+const PEAK_SPACE: u8 = 1;
 /// A record outlasts its peak by this, so that a front whose clock is behind still finds it; milliseconds.
-const OUTLAST_MS: u64 = 30_000;
+const PEAK_RECORD_MARGIN_MS: u64 = 30_000;
 
 /// Kind of duty that reads a node's list of sessions, and the space of what is told of it.
-const SESSIONS: u8 = 1;
-const LISTS: u8 = pepperhook_exchange::FIRST_EPHEMERAL_SPACE + 1;
+const SESSION_LIST_DUTY: u8 = 1;
+const SESSION_COUNT_SPACE: u8 = pepperhook_exchange::FIRST_EPHEMERAL_SPACE + 1;
 /// Time between the two lists on which something is believed.
-const TWICE: Duration = Duration::from_millis(1_000);
+const RECHECK_DELAY: Duration = Duration::from_millis(1_000);
 /// What is told of a node's load, in this order; NaN for what its report lacks.
-const TOLD: [&str; 3] = ["streams", "link", "uplink"];
+const SHARED_GAUGES: [&str; 3] = ["streams", "link", "uplink"];
 /// Time between two calls of the fleet's part.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The fleet's part, its store and its socket.
-pub struct Spread {
+pub struct FleetIo {
     fleet: RefCell<Fleet>,
     /// Nodes whose lists this front reads for itself.
     checking: RefCell<HashSet<ServerId>>,
@@ -51,9 +51,9 @@
     /// Sessions that this front goes on with after their front had died, by their key.
     adopted: RefCell<BTreeMap<u64, Copied>>,
     /// What the fleet agrees on, as this front carries it out.
-    pub agreed: Agreed,
+    pub agreement: AgreementIo,
     /// The voter's disk and its queue, until they run.
-    disk: RefCell<Option<(Disk, tokio::sync::mpsc::Receiver<Job>)>>,
+    disk: RefCell<Option<(VoterStore, tokio::sync::mpsc::Receiver<StoreJob>)>>,
     store: Option<Arc<Store>>,
     socket: Option<Arc<UdpSocket>>,
     loss: f64,
@@ -63,7 +63,7 @@
 
 /// Why an announcement was not taken.
 #[derive(Debug)]
-pub enum NotTaken {
+pub enum AnnounceError {
     /// By the holds.
     Refused(Refused),
     /// A peak of this name stands; it must be amended.
@@ -71,24 +71,24 @@
     /// There is none of this name.
     Unknown,
     /// It is too long for a datagram.
-    Long,
+    TooLong,
     /// It could not be kept.
     Store(String),
 }
 
-fn other(e: impl std::fmt::Display) -> io::Error {
+fn io_error(e: impl std::fmt::Display) -> io::Error {
     io::Error::other(e.to_string())
 }
 
-impl Spread {
+impl FleetIo {
     /// Opens the store and binds the socket, where the settings have them.
     pub async fn start(config: &Config, now_ms: u64) -> io::Result<(Self, Option<Arc<UdpSocket>>)> {
         let store = match &config.state_dir {
-            Some(dir) => Some(Arc::new(Store::open(&dir.join("records.redb")).map_err(other)?)),
+            Some(dir) => Some(Arc::new(Store::open(&dir.join("records.redb")).map_err(io_error)?)),
             None => None,
         };
-        let run = store.as_ref().map_or(Ok(now_ms), |s| s.next_run(now_ms)).map_err(other)?;
-        let kept = store.as_ref().map_or(Ok(Vec::new()), |s| s.records()).map_err(other)?;
+        let run = store.as_ref().map_or(Ok(now_ms), |s| s.next_run(now_ms)).map_err(io_error)?;
+        let kept = store.as_ref().map_or(Ok(Vec::new()), |s| s.records()).map_err(io_error)?;
         let x = config.exchange.as_ref();
         let socket = match x {
             Some(x) => Some(Arc::new(UdpSocket::bind(x.listen).await?)),
@@ -118,7 +118,7 @@
             weight: x.weight,
             max_fronts: fronts,
             startup_delay_ms: 2 * x.probe_interval / 1_000_000,
-            kinds: kinds(d),
+            kinds: duty_kinds(d),
         });
         let zone = config.decisions.zone.0;
         let copies = config.replica.map(|r| pepperhook_replica::Settings {
@@ -133,27 +133,37 @@
         });
         let (agreed, disk) = agreement::prepare(config, run)?.unzip();
         let disk = disk.flatten();
-        let (carried, jobs) = Agreed::new(disk.as_ref());
+        let (agreement, jobs) = AgreementIo::new(disk.as_ref());
         let disk = RefCell::new(disk.zip(jobs));
         let settings = Settings { exchange, view, duties, copies, agreed };
         let fleet = RefCell::new(Fleet::new(settings, kept, now_ms));
         let loss = x.map_or(0.0, |x| x.simulated_loss);
         let (running, checking, warned) = (RefCell::default(), RefCell::default(), Cell::new(0));
         let adopted = RefCell::default();
-        let (agreed, socket_) = (carried, socket.clone());
-        let new =
-            Self { fleet, running, checking, adopted, agreed, disk, store, socket: socket_, loss, warned };
+        let socket_copy = socket.clone();
+        let new = Self {
+            fleet,
+            running,
+            checking,
+            adopted,
+            agreement,
+            disk,
+            store,
+            socket: socket_copy,
+            loss,
+            warned,
+        };
         Ok((new, socket))
     }
 
     /// Shows this front's part in the fleet.
-    pub fn show(&self, now_ms: u64, on: &mut Snapshot) {
+    pub fn fill_snapshot(&self, now_ms: u64, on: &mut Snapshot) {
         let fleet = self.fleet.borrow();
         on.exchange = Some(fleet.counters().clone());
         on.members = fleet.member_rows();
         on.duty_counters = fleet.duty_counters().cloned();
         on.clock_offset_ms = fleet.offset_ms();
-        on.replica = self.show_copies(now_ms);
+        on.replica = self.replica_shown(now_ms);
         on.agreement = fleet.agreed(now_ms);
         let names: HashMap<u64, &str> = on
             .nodes
@@ -186,7 +196,7 @@
     }
 
     /// Copies for the console.
-    fn show_copies(&self, now_ms: u64) -> Option<ReplicaShown> {
+    fn replica_shown(&self, now_ms: u64) -> Option<ReplicaShown> {
         let fleet = self.fleet.borrow();
         let (streams, counters) = fleet.copies(now_ms)?;
         let adopted = self.adopted.borrow().len();
@@ -200,14 +210,14 @@
     /// Announcements that are known, calls-off included.
     pub fn announcements(&self) -> Vec<Announcement> {
         let fleet = self.fleet.borrow();
-        let peaks = fleet.records().iter().filter(|r| r.id.space == PEAKS);
+        let peaks = fleet.records().iter().filter(|r| r.id.space == PEAK_SPACE);
         peaks.filter_map(|r| serde_json::from_slice(&r.body).ok()).collect()
     }
 
     /// The last version of a peak.
     pub fn announcement(&self, name: &str) -> Option<Announcement> {
         let fleet = self.fleet.borrow();
-        fleet.records().get(&id(name)).and_then(|r| serde_json::from_slice(&r.body).ok())
+        fleet.records().get(&peak_id(name)).and_then(|r| serde_json::from_slice(&r.body).ok())
     }
 
     fn send(&self, to: SocketAddr, datagram: &[u8]) {
@@ -219,8 +229,8 @@
     }
 }
 
-/// The kinds of duty, in the order of [`READS`] and [`SESSIONS`].
-fn kinds(d: &DutySettings) -> Vec<DutyKind> {
+/// The kinds of duty, in the order of [`READS`] and [`SESSION_LIST_DUTY`].
+fn duty_kinds(d: &DutySettings) -> Vec<DutyKind> {
     let ms = |t: u64| t / 1_000_000;
     let reads = DutyKind {
         name: "probe".into(),
@@ -241,28 +251,28 @@
     [reads].into_iter().chain(lists).collect()
 }
 
-fn id(name: &str) -> Id {
-    Id { space: PEAKS, number: name_hash(name) }
+fn peak_id(name: &str) -> Id {
+    Id { space: PEAK_SPACE, number: name_hash(name) }
 }
 
 /// Takes what the store kept back into force.
-pub fn recall(shell: &Rc<Shell>) {
-    let kept: Vec<Record> = shell.spread.fleet.borrow().records().iter().cloned().collect();
+pub fn restore_records(shell: &Rc<Shell>) {
+    let kept: Vec<Record> = shell.fleet_io.fleet.borrow().records().iter().cloned().collect();
     for record in kept {
-        heard(shell, &record);
+        apply_record(shell, &record);
     }
 }
 
 /// Puts a record that came, or was kept, into force.
-fn heard(shell: &Rc<Shell>, record: &Record) {
+fn apply_record(shell: &Rc<Shell>, record: &Record) {
     match record.id.space {
-        PEAKS => {}
-        LISTS => return listed(shell, server(record.id.number), &record.body),
+        PEAK_SPACE => {}
+        SESSION_COUNT_SPACE => return check_session_count(shell, server_id(record.id.number), &record.body),
         _ => return,
     }
     let said: Result<Announcement, _> = serde_json::from_slice(&record.body);
     let peak = match &said {
-        Ok(said) if id(&said.name) == record.id => {
+        Ok(said) if peak_id(&said.name) == record.id => {
             shell.engine(|e, now| e.heard_peak(now, said)).map_err(|e| format!("{e:?}"))
         }
         Ok(_) => Err("its number is not its name's".to_owned()),
@@ -287,87 +297,96 @@
 ///
 /// # Errors
 /// Why it is not taken; nothing has changed then.
-pub async fn announce(shell: &Rc<Shell>, said: Announcement, amends: bool) -> Result<Announcement, NotTaken> {
-    let spread = &shell.spread;
-    let standing = spread.announcement(&said.name).filter(|a| !a.cancelled);
+pub async fn announce(
+    shell: &Rc<Shell>,
+    said: Announcement,
+    amends: bool,
+) -> Result<Announcement, AnnounceError> {
+    let fleet_io = &shell.fleet_io;
+    let standing = fleet_io.announcement(&said.name).filter(|a| !a.cancelled);
     match (&standing, amends) {
         // The same once more, as a client that heard no answer sends it, changes nothing.
         (Some(s), false) if *s == said => return Ok(said),
-        (Some(_), false) => return Err(NotTaken::Exists),
-        (None, true) => return Err(NotTaken::Unknown),
+        (Some(_), false) => return Err(AnnounceError::Exists),
+        (None, true) => return Err(AnnounceError::Unknown),
         _ => {}
     }
-    let peak = shell.engine(|e, now| e.admit_peak(now, &said)).map_err(NotTaken::Refused)?;
-    let body = serde_json::to_vec(&said).map_err(|e| NotTaken::Store(e.to_string()))?;
+    let peak = shell.engine(|e, now| e.admit_peak(now, &said)).map_err(AnnounceError::Refused)?;
+    let body = serde_json::to_vec(&said).map_err(|e| AnnounceError::Store(e.to_string()))?;
     if body.len() > pepperhook_exchange::MAX_BODY_BYTES {
-        return Err(NotTaken::Long);
+        return Err(AnnounceError::TooLong);
     }
-    let (now_ms, id) = (shell.fleet_time.now_ms(), id(&said.name));
+    let (now_ms, id) = (shell.fleet_clock.now_ms(), peak_id(&said.name));
     let mut out = Vec::new();
-    let merge =
-        spread.fleet.borrow_mut().put(now_ms, id, said.end_ms.saturating_add(OUTLAST_MS), body, &mut out);
+    let merge = fleet_io.fleet.borrow_mut().put(
+        now_ms,
+        id,
+        said.end_ms.saturating_add(PEAK_RECORD_MARGIN_MS),
+        body,
+        &mut out,
+    );
     if merge != MergeResult::Applied {
-        return Err(NotTaken::Store("there is no room for more records".into()));
+        return Err(AnnounceError::Store("there is no room for more records".into()));
     }
     for o in &out {
         if let Out::Changed(record) = o {
-            keep(spread.store.clone(), record.clone()).await.map_err(NotTaken::Store)?;
+            persist(fleet_io.store.clone(), record.clone()).await.map_err(AnnounceError::Store)?;
         }
     }
     shell.drive(Input::Peak(peak));
     for o in out {
         if let Out::Send(to, datagram) = o {
-            spread.send(to, &datagram);
+            fleet_io.send(to, &datagram);
         }
     }
     Ok(said)
 }
 
 /// Writes a record on a thread of its own: a disk that is slow must not hold up set-ups.
-async fn keep(store: Option<Arc<Store>>, record: Record) -> Result<(), String> {
+async fn persist(store: Option<Arc<Store>>, record: Record) -> Result<(), String> {
     let Some(store) = store else { return Ok(()) };
     let kept = tokio::task::spawn_blocking(move || store.write(&record).map_err(|e| e.to_string())).await;
     kept.map_err(|e| e.to_string())?
 }
 
 /// Runs the fleet's part on its socket.
-pub async fn run(shell: Rc<Shell>, socket: Arc<UdpSocket>) {
+pub async fn run_socket(shell: Rc<Shell>, socket: Arc<UdpSocket>) {
     let mut buffer = [0; 2_048];
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             got = socket.recv_from(&mut buffer) => {
                 // A port of a peer that is down answers by an error on the next call.
                 let Ok((n, from)) = got else { continue };
-                let rejected = with(&shell, |fleet, now_ms, out| fleet.receive(now_ms, from, &buffer[..n], out));
+                let rejected = call_fleet(&shell, |fleet, now_ms, out| fleet.receive(now_ms, from, &buffer[..n], out));
                 if let Err(why) = rejected {
-                    let warned = shell.spread.warned.replace(shell.spread.warned.get() + 1);
+                    let warned = shell.fleet_io.warned.replace(shell.fleet_io.warned.get() + 1);
                     if warned % 1_000 == 0 {
                         warn!(event = "datagram-rejected", why = ?why, "a datagram was thrown away");
                     }
                 }
             }
-            _ = ticks.tick() => with(&shell, |fleet, now_ms, out| fleet.tick(now_ms, out)),
+            _ = ticks.tick() => call_fleet(&shell, |fleet, now_ms, out| fleet.tick(now_ms, out)),
         }
     }
 }
 
 /// Calls the fleet's part and carries out what it says.
-pub fn with<R>(shell: &Rc<Shell>, call: impl FnOnce(&mut Fleet, u64, &mut Vec<Out>) -> R) -> R {
+pub fn call_fleet<R>(shell: &Rc<Shell>, call: impl FnOnce(&mut Fleet, u64, &mut Vec<Out>) -> R) -> R {
     let mut out = Vec::new();
-    let r = call(&mut shell.spread.fleet.borrow_mut(), shell.fleet_time.now_ms(), &mut out);
+    let r = call(&mut shell.fleet_io.fleet.borrow_mut(), shell.fleet_clock.now_ms(), &mut out);
     for o in out {
         match o {
-            Out::Send(to, datagram) => shell.spread.send(to, &datagram),
+            Out::Send(to, datagram) => shell.fleet_io.send(to, &datagram),
             Out::Changed(record) => {
-                heard(shell, &record);
+                apply_record(shell, &record);
                 if record.id.is_ephemeral() {
                     continue;
                 }
-                let store = shell.spread.store.clone();
+                let store = shell.fleet_io.store.clone();
                 spawn_local(async move {
-                    if let Err(e) = keep(store, record).await {
+                    if let Err(e) = persist(store, record).await {
                         warn!(event = "record-not-kept", e, "a restart would not know of it");
                     }
                 });
@@ -375,25 +394,25 @@
             Out::Run(duty, round, limit_ms) => {
                 let limit = Duration::from_millis(limit_ms);
                 match duty.kind {
-                    SESSIONS => read_list(shell, duty, round, limit),
-                    _ => probe(shell, duty, round, limit),
+                    SESSION_LIST_DUTY => run_session_list(shell, duty, round, limit),
+                    _ => run_probe(shell, duty, round, limit),
                 }
             }
             Out::Cancel(duty, round) => {
-                if let Some(task) = shell.spread.running.borrow_mut().remove(&(duty, round)) {
+                if let Some(task) = shell.fleet_io.running.borrow_mut().remove(&(duty, round)) {
                     task.abort();
                 }
             }
             Out::Seen(reading, age_ms) => {
                 if shell.config.duties.as_ref().is_some_and(|d| d.share_readings) {
-                    let load = load(&reading.values);
-                    let input = Input::Seen(server(reading.node), reading.life, age_ms * 1_000_000, load);
+                    let load = load_report(&reading.values);
+                    let input = Input::Seen(server_id(reading.node), reading.life, age_ms * 1_000_000, load);
                     shell.drive(input);
                 }
             }
-            Out::Adopted(keys) => adopted(shell, keys),
+            Out::Adopted(keys) => store_adopted(shell, keys),
             Out::Lost(keys) => {
-                let mut held = shell.spread.adopted.borrow_mut();
+                let mut held = shell.fleet_io.adopted.borrow_mut();
                 keys.iter().for_each(|key| {
                     held.remove(key);
                 });
@@ -404,46 +423,46 @@
                 );
             }
             Out::Ended(key) => {
-                shell.spread.adopted.borrow_mut().remove(&key);
+                shell.fleet_io.adopted.borrow_mut().remove(&key);
             }
             Out::Write(batch, ops) => {
-                if !shell.spread.agreed.hand(Job::Write(batch, ops)) {
-                    not_written(shell, batch);
+                if !shell.fleet_io.agreement.enqueue(StoreJob::Write(batch, ops)) {
+                    report_failed_write(shell, batch);
                 }
             }
             Out::Remake => {
-                shell.spread.agreed.hand(Job::Remake);
+                shell.fleet_io.agreement.enqueue(StoreJob::Replace);
             }
-            Out::InForce(force) => agreement::in_force(shell, force),
-            Out::Told(key, answer) => shell.spread.agreed.told(key, &answer),
-            Out::Note(note) => log(&note),
+            Out::InForce(force) => agreement::apply_policy(shell, force),
+            Out::Told(key, answer) => shell.fleet_io.agreement.deliver_answer(key, &answer),
+            Out::Note(note) => log_note(&note),
         }
     }
-    agreement::fence(shell);
+    agreement::update_fence(shell);
     r
 }
 
 /// The disk is too far behind to take a batch: it counts as refused.
-fn not_written(shell: &Rc<Shell>, batch: u64) {
+fn report_failed_write(shell: &Rc<Shell>, batch: u64) {
     let shell = shell.clone();
     spawn_local(async move {
-        with(&shell, |fleet, now_ms, out| fleet.written(now_ms, batch, false, out));
+        call_fleet(&shell, |fleet, now_ms, out| fleet.written(now_ms, batch, false, out));
     });
 }
 
 /// What this front's engine says of policies, and the task that writes what a voter promises. Nothing where settings do
 /// not name an agreement.
-pub fn agree(shell: &Rc<Shell>) -> Option<JoinHandle<()>> {
+pub fn start_agreement(shell: &Rc<Shell>) -> Option<JoinHandle<()>> {
     shell.config.agreement.as_ref()?;
-    shell.spread.fleet.borrow_mut().set_means(Box::new(EngineMeans(Rc::downgrade(shell))));
-    agreement::fence(shell);
-    let (disk, jobs) = shell.spread.disk.borrow_mut().take()?;
-    Some(spawn_local(agreement::write(shell.clone(), disk, jobs)))
+    shell.fleet_io.fleet.borrow_mut().set_means(Box::new(EnginePolicyCheck(Rc::downgrade(shell))));
+    agreement::update_fence(shell);
+    let (disk, jobs) = shell.fleet_io.disk.borrow_mut().take()?;
+    Some(spawn_local(agreement::run_store(shell.clone(), disk, jobs)))
 }
 
 /// This front goes on with sessions of one that died.
-fn adopted(shell: &Rc<Shell>, keys: Vec<(u64, Vec<u8>)>) {
-    let mut held = shell.spread.adopted.borrow_mut();
+fn store_adopted(shell: &Rc<Shell>, keys: Vec<(u64, Vec<u8>)>) {
+    let mut held = shell.fleet_io.adopted.borrow_mut();
     let mut unread = 0;
     info!(
         event = "sessions-adopted",
@@ -464,19 +483,19 @@
 }
 
 /// Other fronts get a copy of a session, or let go of it.
-pub fn copy(shell: &Rc<Shell>, key: u64, copied: Option<&Copied>) {
+pub fn replicate_session(shell: &Rc<Shell>, key: u64, copied: Option<&Copied>) {
     // What cannot be written must not be taken for a session that ended.
     let Ok(body) = copied.map(postcard::to_stdvec).transpose() else { return };
-    let kept = shell.spread.fleet.borrow_mut().keep(shell.fleet_time.now_ms(), key, body);
+    let kept = shell.fleet_io.fleet.borrow_mut().keep(shell.fleet_clock.now_ms(), key, body);
     if let Err(why) = kept {
-        let warned = shell.spread.warned.replace(shell.spread.warned.get() + 1);
+        let warned = shell.fleet_io.warned.replace(shell.fleet_io.warned.get() + 1);
         if warned % 1_000 == 0 {
             warn!(event = "session-not-copied", %why, "no other front has a copy of this session");
         }
     }
 }
 
-fn log(note: &Note) {
+fn log_note(note: &Note) {
     match note {
         Note::View(Change::Up(m)) => {
             info!(event = "member-up", front = m.front, address = %m.address, run = m.run, "a front is there");
@@ -487,7 +506,7 @@
         Note::View(Change::Rejoined(m)) => {
             warn!(event = "member-rejoined", renewed = m.renewals, "the others had given this front up");
         }
-        Note::Agreed(note) => agreement::log(note),
+        Note::Agreed(note) => agreement::log_note(note),
         Note::Run(run) => {
             warn!(
                 event = "run-raised",
@@ -498,23 +517,23 @@
     }
 }
 
-fn server(node: u64) -> ServerId {
+fn server_id(node: u64) -> ServerId {
     ServerId(u32::try_from(node).unwrap_or(u32::MAX))
 }
 
 /// Values as they are told, and back.
-fn told(load: &LoadReport) -> Vec<f32> {
-    TOLD.iter().map(|name| load.get(name).unwrap_or(f64::NAN) as f32).collect()
+fn gauge_values(load: &LoadReport) -> Vec<f32> {
+    SHARED_GAUGES.iter().map(|name| load.get(name).unwrap_or(f64::NAN) as f32).collect()
 }
 
-fn load(values: &[f32]) -> LoadReport {
-    let named = TOLD.iter().zip(values).filter(|(_, v)| v.is_finite());
+fn load_report(values: &[f32]) -> LoadReport {
+    let named = SHARED_GAUGES.iter().zip(values).filter(|(_, v)| v.is_finite());
     LoadReport(named.map(|(name, v)| ((*name).to_owned(), f64::from(*v))).collect())
 }
 
 /// Asks a node for its load, as a duty.
-fn probe(shell: &Rc<Shell>, duty: Duty, round: u64, limit: Duration) {
-    let node = server(duty.target);
+fn run_probe(shell: &Rc<Shell>, duty: Duty, round: u64, limit: Duration) {
+    let node = server_id(duty.target);
     let (address, of) = shell.engine(|e, _| (e.node(node).map(|n| n.address), e.node(node).map(life)));
     let task = {
         let shell = shell.clone();
@@ -524,32 +543,32 @@
                 Some(address) => shell.upstream().probe(address, path, limit).await,
                 None => None,
             };
-            shell.spread.running.borrow_mut().remove(&(duty, round));
+            shell.fleet_io.running.borrow_mut().remove(&(duty, round));
             let reading = of
-                .zip(read.as_ref().map(told))
+                .zip(read.as_ref().map(gauge_values))
                 .filter(|_| shell.config.duties.as_ref().is_some_and(|d| d.share_readings));
             let done = read.is_some();
             shell.drive(Input::Probed(node, read));
-            with(&shell, |fleet, now_ms, out| fleet.finished(now_ms, duty, round, done, reading, out));
+            call_fleet(&shell, |fleet, now_ms, out| fleet.finished(now_ms, duty, round, done, reading, out));
         })
     };
-    shell.spread.running.borrow_mut().insert((duty, round), task);
+    shell.fleet_io.running.borrow_mut().insert((duty, round), task);
 }
 
 /// The module wants a node's load. Where the bound on what a node hears does not allow to ask for it, what is known
 /// has to do, though it be nothing.
-pub fn ask(shell: &Rc<Shell>, node: ServerId) {
+pub fn request_probe(shell: &Rc<Shell>, node: ServerId) {
     let shell = shell.clone();
     spawn_local(async move {
         let duty = Duty { kind: READS, target: u64::from(node.0) };
-        if !with(&shell, |fleet, now_ms, out| fleet.ask(now_ms, duty, out)) {
+        if !call_fleet(&shell, |fleet, now_ms, out| fleet.ask(now_ms, duty, out)) {
             shell.drive(Input::Probed(node, Some(LoadReport::default())));
         }
     });
 }
 
 /// Duties are done on the nodes of the list.
-pub fn list(shell: &Rc<Shell>) {
+pub fn update_duty_targets(shell: &Rc<Shell>) {
     let target = |n: &pepperhook_inventory::Node| {
         let state = match n.entry.state {
             ServerState::Ready => TargetState::Ready,
@@ -559,19 +578,19 @@
         Some(Target { id: u64::from(n.entry.server.0), state, incarnation: life(n) })
     };
     let targets: Vec<Target> = shell.engine(|e, _| e.nodes().filter_map(target).collect());
-    for kind in [READS, SESSIONS] {
-        with(shell, |fleet, now_ms, out| fleet.set_targets(now_ms, kind, &targets, out));
+    for kind in [READS, SESSION_LIST_DUTY] {
+        call_fleet(shell, |fleet, now_ms, out| fleet.set_targets(now_ms, kind, &targets, out));
     }
 }
 
 /// Reads a node's list of sessions, as a duty, and tells all how many each run of a front has there.
-fn read_list(shell: &Rc<Shell>, duty: Duty, round: u64, limit: Duration) {
-    let node = server(duty.target);
+fn run_session_list(shell: &Rc<Shell>, duty: Duty, round: u64, limit: Duration) {
+    let node = server_id(duty.target);
     let task = {
         let shell = shell.clone();
         spawn_local(async move {
-            let list = sessions(&shell, node, limit).await;
-            shell.spread.running.borrow_mut().remove(&(duty, round));
+            let list = fetch_sessions(&shell, node, limit).await;
+            shell.fleet_io.running.borrow_mut().remove(&(duty, round));
             let done = list.is_some();
             if let Some(list) = list {
                 let mut runs: BTreeMap<u64, u32> = BTreeMap::new();
@@ -579,18 +598,20 @@
                     *runs.entry(name_hash(&via)).or_default() += 1;
                 }
                 if let Ok(body) = serde_json::to_vec(&runs) {
-                    let id = Id { space: LISTS, number: duty.target };
+                    let id = Id { space: SESSION_COUNT_SPACE, number: duty.target };
                     // Too many runs for a record are told to nobody; each finds its own when fewer are left.
-                    with(&shell, |fleet, now_ms, out| fleet.put(now_ms, id, now_ms + 10_000, body, out));
+                    call_fleet(&shell, |fleet, now_ms, out| {
+                        fleet.put(now_ms, id, now_ms + 10_000, body, out)
+                    });
                 }
             }
-            with(&shell, |fleet, now_ms, out| fleet.finished(now_ms, duty, round, done, None, out));
+            call_fleet(&shell, |fleet, now_ms, out| fleet.finished(now_ms, duty, round, done, None, out));
         })
     };
-    shell.spread.running.borrow_mut().insert((duty, round), task);
+    shell.fleet_io.running.borrow_mut().insert((duty, round), task);
 }
 
-async fn sessions(shell: &Rc<Shell>, node: ServerId, limit: Duration) -> Option<Vec<(String, String)>> {
+async fn fetch_sessions(shell: &Rc<Shell>, node: ServerId, limit: Duration) -> Option<Vec<(String, String)>> {
     let address = shell.address(node)?;
     let path = shell.config.duties.as_ref().map(|d| d.session_list_path.clone())?;
     shell.upstream().sessions(address, &path, limit).await
@@ -598,26 +619,27 @@
 
 /// One of the fronts read a node's list. Where it does not have as many of this front's sessions as this front holds,
 /// the front reads it for itself, twice.
-fn listed(shell: &Rc<Shell>, node: ServerId, body: &[u8]) {
+fn check_session_count(shell: &Rc<Shell>, node: ServerId, body: &[u8]) {
     let Ok(runs) = serde_json::from_slice::<BTreeMap<u64, usize>>(body) else { return };
     let there = runs.get(&name_hash(shell.upstream().via())).copied().unwrap_or(0);
-    if there == shell.engine(|e, _| e.sessions_at(node)) || !shell.spread.checking.borrow_mut().insert(node) {
+    if there == shell.engine(|e, _| e.sessions_at(node)) || !shell.fleet_io.checking.borrow_mut().insert(node)
+    {
         return;
     }
     let shell = shell.clone();
     spawn_local(async move {
-        for pause in [Duration::ZERO, TWICE] {
+        for pause in [Duration::ZERO, RECHECK_DELAY] {
             tokio::time::sleep(pause).await;
-            let Some(list) = sessions(&shell, node, TWICE).await else { break };
+            let Some(list) = fetch_sessions(&shell, node, RECHECK_DELAY).await else { break };
             let own = list.into_iter().filter(|(_, via)| via == shell.upstream().via());
             let paths: BTreeSet<String> = own.map(|(path, _)| path).collect();
             shell.drive(Input::Sessions(node, paths));
         }
-        shell.spread.checking.borrow_mut().remove(&node);
+        shell.fleet_io.checking.borrow_mut().remove(&node);
     });
 }
 
 /// This front goes: the others are told, and take its duties over at once.
 pub fn leave(shell: &Rc<Shell>) {
-    with(shell, |fleet, now_ms, out| fleet.leave(now_ms, out));
+    call_fleet(shell, |fleet, now_ms, out| fleet.leave(now_ms, out));
 }
--- a/crates/front/src/http.rs
+++ b/crates/front/src/http.rs
@@ -23,54 +23,54 @@
 use tracing::warn;
 
 /// Body of every response.
-pub type Out = BoxBody<Bytes, Infallible>;
+pub type ResponseBody = BoxBody<Bytes, Infallible>;
 
 /// A response with a body of one piece.
-pub fn response(status: u16, kind: &str, body: impl Into<Bytes>) -> Response<Out> {
+pub fn response(status: u16, kind: &str, body: impl Into<Bytes>) -> Response<ResponseBody> {
     let mut r = Response::new(Full::new(body.into()).boxed());
     *r.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     if !kind.is_empty() {
-        set(&mut r, CONTENT_TYPE.as_str(), kind);
+        set_header(&mut r, CONTENT_TYPE.as_str(), kind);
     }
     r
 }
 
 /// Sets a header; a value that no header can hold is left out.
-pub fn set(r: &mut Response<Out>, name: &'static str, value: &str) {
+pub fn set_header(r: &mut Response<ResponseBody>, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         r.headers_mut().insert(name, value);
     }
 }
 
 /// Adds a header beside those of its name.
-pub fn add(r: &mut Response<Out>, name: &'static str, value: &str) {
+pub fn append_header(r: &mut Response<ResponseBody>, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         r.headers_mut().append(name, value);
     }
 }
 
 /// Problem details, with `Retry-After` where there is advice.
-pub fn problem(p: &Problem) -> Response<Out> {
+pub fn problem(p: &Problem) -> Response<ResponseBody> {
     let mut r = response(p.status, PROBLEM_JSON, p.to_json());
     if let Some(s) = p.retry_after_s() {
-        set(&mut r, RETRY_AFTER.as_str(), &s.to_string());
+        set_header(&mut r, RETRY_AFTER.as_str(), &s.to_string());
     }
     // RFC 9110, 11.6.1, of viewers' tokens and of the console's key alike.
     if p.status == 401 {
-        set(&mut r, WWW_AUTHENTICATE.as_str(), "Bearer");
+        set_header(&mut r, WWW_AUTHENTICATE.as_str(), "Bearer");
     }
     r
 }
 
 /// What is read and thrown away past the bound, so that a client that sends all before it reads still hears
 /// why it was turned away.
-const DISCARDED: usize = 16 << 20;
+const MAX_DISCARDED_BYTES: usize = 16 << 20;
 
 /// Reads a body within its bounds.
 ///
 /// # Errors
 /// 413 past the bound, 408 past the time, 400 where it breaks off.
-pub async fn body(mut incoming: Incoming, limits: &Limits) -> Result<Bytes, Problem> {
+pub async fn read_body(mut incoming: Incoming, limits: &Limits) -> Result<Bytes, Problem> {
     let (mut kept, mut length) = (BytesMut::new(), 0usize);
     let whole = async {
         while let Some(frame) = incoming.frame().await {
@@ -81,7 +81,7 @@
             length = length.saturating_add(data.len());
             if length <= limits.body {
                 kept.extend_from_slice(data);
-            } else if length > DISCARDED {
+            } else if length > MAX_DISCARDED_BYTES {
                 break;
             }
         }
@@ -101,9 +101,9 @@
 }
 
 /// A body of server-sent events.
-pub struct Events(pub mpsc::Receiver<String>);
+pub struct EventBody(pub mpsc::Receiver<String>);
 
-impl Body for Events {
+impl Body for EventBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -127,16 +127,16 @@
 }
 
 /// A connection between two requests has so long for its next one once the front stops.
-const NEXT_TIME: Duration = Duration::from_millis(300);
+const FINAL_REQUEST_WAIT: Duration = Duration::from_millis(300);
 /// What a request hears that came as its connection was about to be shut.
-const LATE: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\nretry-after: 1\r\n\
+const LATE_RESPONSE: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\nretry-after: 1\r\n\
 access-control-allow-origin: *\r\ncontent-length: 0\r\n\r\n";
 
 /// Accepts connections until told to close; those that wait in the backlog then are served too.
 pub async fn accept<F, R>(listener: TcpListener, limits: Limits, phase: watch::Receiver<Phase>, each: F)
 where
     F: Fn(Request<Incoming>) -> R + Clone + Unpin + 'static,
-    R: Future<Output = Response<Out>> + 'static,
+    R: Future<Output = Response<ResponseBody>> + 'static,
 {
     let open = Rc::new(Cell::new(0usize));
     let mut closing = phase.clone();
@@ -171,7 +171,7 @@
 async fn serve<F, R>(stream: TcpStream, limits: Limits, phase: watch::Receiver<Phase>, each: F)
 where
     F: Fn(Request<Incoming>) -> R + Clone + Unpin + 'static,
-    R: Future<Output = Response<Out>> + 'static,
+    R: Future<Output = Response<ResponseBody>> + 'static,
 {
     // Whether a response has said that the connection closes: nothing may follow that one.
     let said: Rc<Cell<bool>> = Rc::default();
@@ -181,7 +181,7 @@
         Box::pin(async move {
             let mut response = answer.await;
             if *stopping.borrow() >= Phase::Stopping {
-                set(&mut response, "connection", "close");
+                set_header(&mut response, "connection", "close");
                 saying.set(true);
             }
             Ok::<_, Infallible>(response)
@@ -197,7 +197,7 @@
         let mut stopped = phase.clone();
         let time_up = async {
             let _ = stopped.wait_for(|p| *p >= Phase::Stopping).await;
-            tokio::time::sleep(NEXT_TIME).await;
+            tokio::time::sleep(FINAL_REQUEST_WAIT).await;
         };
         tokio::select! {
             // How a client's connection ended is told by what it left unanswered.
@@ -213,7 +213,7 @@
             let mut ended = phase.clone();
             let last = async {
                 let _ = ended.wait_for(|p| *p == Phase::Closing).await;
-                tokio::time::sleep(NEXT_TIME).await;
+                tokio::time::sleep(FINAL_REQUEST_WAIT).await;
             };
             tokio::select! {
                 ended = std::future::poll_fn(|cx| connection.poll_without_shutdown(cx)) => ended.is_ok(),
@@ -225,18 +225,18 @@
         return;
     }
     let parts = connection.into_parts();
-    finish(parts.io.into_inner(), !parts.read_buf.is_empty(), said.get()).await;
+    close_connection(parts.io.into_inner(), !parts.read_buf.is_empty(), said.get()).await;
 }
 
 /// Ends a connection in order: what came too late is told so, the sending side is shut, the rest is read and left.
-async fn finish(mut stream: TcpStream, mut late: bool, said_close: bool) {
+async fn close_connection(mut stream: TcpStream, mut late: bool, said_close: bool) {
     let mut buffer = [0u8; 4_096];
     let mut read = 0;
     if let (false, Ok(n)) = (late, stream.try_read(&mut buffer)) {
         (late, read) = (n > 0, n);
     }
     if late && !said_close {
-        let _ = tokio::time::timeout(pepperhook_net::LINGER_TIME, stream.write_all(LATE)).await;
+        let _ = tokio::time::timeout(pepperhook_net::LINGER_TIME, stream.write_all(LATE_RESPONSE)).await;
     }
     pepperhook_net::linger(&mut stream, read).await;
 }
--- a/crates/front/src/session_api.rs
+++ b/crates/front/src/session_api.rs
@@ -12,7 +12,9 @@
 //! where tokens are set (`docs/operators.md`).
 
 use crate::engine::types::*;
-use crate::http::{Events, Out, Phase, accept, add, body, problem, response, set};
+use crate::http::{
+    EventBody, Phase, ResponseBody, accept, append_header, problem, read_body, response, set_header,
+};
 use crate::shell::Shell;
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -32,55 +34,59 @@
 use tracing::{Instrument, debug, info_span};
 
 /// A PATCH must be through within this time.
-const PATCH_TIME: Duration = Duration::from_secs(2);
+const PATCH_TIMEOUT: Duration = Duration::from_secs(2);
 /// Advice to those who come to a live title before its publisher.
-const UNPUBLISHED_MS: u64 = 1_000;
+const UNPUBLISHED_RETRY_MS: u64 = 1_000;
 /// Names the version of the agreed policy by which a set-up was decided; problems have it as a member.
-const POLICY: &str = "pepperhook-policy";
+const POLICY_HEADER: &str = "pepperhook-policy";
 /// Bytes of a title's, a viewer's or a class's name at most.
-const NAME: usize = 256;
+const MAX_NAME_BYTES: usize = 256;
 
 /// Serves until told to close.
 pub async fn serve(shell: Rc<Shell>, listener: TcpListener, phase: watch::Receiver<Phase>) {
     let limits = shell.config.limits;
     accept(listener, limits, phase, move |request| {
         let shell = shell.clone();
-        async move { answer(&shell, request).await }
+        async move { handle(&shell, request).await }
     })
     .await;
 }
 
-async fn answer(shell: &Rc<Shell>, request: Request<Incoming>) -> Response<Out> {
+async fn handle(shell: &Rc<Shell>, request: Request<Incoming>) -> Response<ResponseBody> {
     let mut r = match route(shell, request).await {
         Ok(r) => r,
         Err(p) => problem(&p),
     };
-    set(&mut r, "access-control-allow-origin", "*");
-    set(&mut r, "access-control-expose-headers", "location, etag, link, retry-after");
-    if r.headers().contains_key(POLICY) {
-        set(&mut r, "access-control-expose-headers", "location, etag, link, retry-after, pepperhook-policy");
+    set_header(&mut r, "access-control-allow-origin", "*");
+    set_header(&mut r, "access-control-expose-headers", "location, etag, link, retry-after");
+    if r.headers().contains_key(POLICY_HEADER) {
+        set_header(
+            &mut r,
+            "access-control-expose-headers",
+            "location, etag, link, retry-after, pepperhook-policy",
+        );
     }
     r
 }
 
-fn not_allowed(allow: &str) -> Response<Out> {
+fn not_allowed(allow: &str) -> Response<ResponseBody> {
     let p = Problem::new(405, "method", "Method not allowed", format!("allowed here: {allow}"));
     let mut r = problem(&p);
-    set(&mut r, ALLOW.as_str(), allow);
+    set_header(&mut r, ALLOW.as_str(), allow);
     r
 }
 
-fn options(allow: &str, accept_post: Option<&str>) -> Response<Out> {
+fn options(allow: &str, accept_post: Option<&str>) -> Response<ResponseBody> {
     let mut r = response(204, "", Bytes::new());
-    set(&mut r, ALLOW.as_str(), allow);
-    set(&mut r, "access-control-allow-methods", allow);
-    set(&mut r, "access-control-allow-headers", "authorization, content-type, if-match");
+    set_header(&mut r, ALLOW.as_str(), allow);
+    set_header(&mut r, "access-control-allow-methods", allow);
+    set_header(&mut r, "access-control-allow-headers", "authorization, content-type, if-match");
     if let Some(kind) = accept_post {
-        set(&mut r, "accept-post", kind);
+        set_header(&mut r, "accept-post", kind);
     }
     // RFC 5789, 3.1.
     if allow.contains("PATCH") {
-        set(&mut r, "accept-patch", &format!("{FRAGMENT_TYPE}, {SDP_TYPE}"));
+        set_header(&mut r, "accept-patch", &format!("{FRAGMENT_TYPE}, {SDP_TYPE}"));
     }
     r
 }
@@ -111,7 +117,7 @@
     Problem::new(415, "media-type", "Unsupported media type", format!("{wanted} is expected"))
 }
 
-async fn route(shell: &Rc<Shell>, request: Request<Incoming>) -> Result<Response<Out>, Problem> {
+async fn route(shell: &Rc<Shell>, request: Request<Incoming>) -> Result<Response<ResponseBody>, Problem> {
     let path = request.uri().path().to_owned();
     let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
     let method = request.method().clone();
@@ -140,9 +146,9 @@
             if !matches!(shell.route(id).0, Route::Node(..)) {
                 return Err(unknown_session());
             }
-            let mut r = Response::new(Events(shell.open_stream(id)).boxed());
-            set(&mut r, CONTENT_TYPE.as_str(), "text/event-stream");
-            set(&mut r, "cache-control", "no-store");
+            let mut r = Response::new(EventBody(shell.open_stream(id)).boxed());
+            set_header(&mut r, CONTENT_TYPE.as_str(), "text/event-stream");
+            set_header(&mut r, "cache-control", "no-store");
             Ok(r)
         }
         (["session", _, "events", "stream"], _) => Ok(not_allowed("GET")),
@@ -164,11 +170,11 @@
     let all = request.uri().query()?;
     let value = all.split('&').filter_map(|p| p.split_once('=')).find(|(n, _)| *n == name)?.1;
     let decoded = percent_encoding::percent_decode_str(value).decode_utf8().ok()?;
-    (decoded.len() <= NAME).then_some(decoded)
+    (decoded.len() <= MAX_NAME_BYTES).then_some(decoded)
 }
 
 /// Turns a checked POST into what the engine is asked.
-fn ask_of(
+fn set_up_request(
     shell: &Shell,
     publish: bool,
     title: &str,
@@ -233,13 +239,13 @@
     publish: bool,
     title: &str,
     request: Request<Incoming>,
-) -> Result<Response<Out>, Problem> {
+) -> Result<Response<ResponseBody>, Problem> {
     let token = authorize(shell, request.headers())?;
     if !is_type(request.headers(), SDP_TYPE) {
         return Err(wrong_type(SDP_TYPE));
     }
-    let mut ask = ask_of(shell, publish, title, &request, token)?;
-    let offer = body(request.into_body(), &shell.config.limits).await?;
+    let mut ask = set_up_request(shell, publish, title, &request, token)?;
+    let offer = read_body(request.into_body(), &shell.config.limits).await?;
     let way = if publish { Direction::Send } else { Direction::Receive };
     let checked = Offer::parse(&offer, way)
         .map_err(|e| Problem::new(400, "offer", "The offer cannot be served", e.to_string()))?;
@@ -248,7 +254,7 @@
     let span = info_span!("session", title, viewer = format!("{:016x}", ask.viewer.0), publish);
     let (answer, policy) = async {
         let (answer, policy) = shell.ask(|t| Input::Post(t, ask)).await;
-        debug!(event = "answered", answer = kind(&answer), policy, "a request was answered");
+        debug!(event = "answered", answer = answer_kind(&answer), policy, "a request was answered");
         (answer, policy)
     }
     .instrument(span)
@@ -258,23 +264,23 @@
         return Err(policy.map_or(problem.clone(), |version| problem.with("policy", version.into())));
     };
     let mut r = response(201, SDP_TYPE, sdp);
-    set(&mut r, LOCATION.as_str(), &format!("/session/{resource}"));
+    set_header(&mut r, LOCATION.as_str(), &format!("/session/{resource}"));
     if let Some(etag) = etag {
-        set(&mut r, ETAG.as_str(), &etag);
+        set_header(&mut r, ETAG.as_str(), &etag);
     }
     for link in ice {
-        add(&mut r, LINK.as_str(), &link);
+        append_header(&mut r, LINK.as_str(), &link);
     }
     if let Some(version) = policy {
-        set(&mut r, POLICY, &version.to_string());
+        set_header(&mut r, POLICY_HEADER, &version.to_string());
     }
     let events =
         format!("</session/{resource}/events>; rel=\"{REL_EVENTS}\"; events=\"inactive,{EVENT_MOVE}\"");
-    add(&mut r, LINK.as_str(), &events);
+    append_header(&mut r, LINK.as_str(), &events);
     Ok(r)
 }
 
-fn kind(answer: &Answer) -> &'static str {
+fn answer_kind(answer: &Answer) -> &'static str {
     match answer {
         Answer::Created { .. } => "playing",
         Answer::Refused(..) => "refused",
@@ -311,7 +317,7 @@
         }
         Answer::Unpublished => {
             Problem::new(409, "unpublished", "Not published", "nobody publishes this title now")
-                .with_retry_after_ms(UNPUBLISHED_MS)
+                .with_retry_after_ms(UNPUBLISHED_RETRY_MS)
         }
         Answer::Published => {
             Problem::new(409, "published", "Published already", "another session publishes this title")
@@ -324,7 +330,11 @@
     }
 }
 
-async fn patch(shell: &Rc<Shell>, id: &str, request: Request<Incoming>) -> Result<Response<Out>, Problem> {
+async fn patch(
+    shell: &Rc<Shell>,
+    id: &str,
+    request: Request<Incoming>,
+) -> Result<Response<ResponseBody>, Problem> {
     authorize(shell, request.headers())?;
     // What is no session has no need of this header or that.
     if shell.route(id).0 == Route::Unknown {
@@ -340,7 +350,7 @@
     if given.is_none() && !is_answer && !shell.config.lenient_if_match {
         return Err(untagged());
     }
-    let bytes = body(request.into_body(), &shell.config.limits).await?;
+    let bytes = read_body(request.into_body(), &shell.config.limits).await?;
     let fragment = if is_answer { None } else { Some(Fragment::parse(&bytes)) };
     let fragment =
         fragment.transpose().map_err(|e| Problem::new(422, "fragment", "Bad fragment", e.to_string()))?;
@@ -360,7 +370,7 @@
         _ => return Err(unknown_session()),
     };
     let kind = if is_answer { SDP_TYPE } else { FRAGMENT_TYPE };
-    let through = shell.upstream().patch(node, &path, kind, tag.as_deref(), bytes, PATCH_TIME).await;
+    let through = shell.upstream().patch(node, &path, kind, tag.as_deref(), bytes, PATCH_TIMEOUT).await;
     let (status, etag, kind, bytes) = through.map_err(|_| {
         Problem::new(504, "node", "The node did not answer", "the change may or may not be in force")
     })?;
@@ -369,7 +379,7 @@
     }
     let mut r = response(status, kind.as_deref().unwrap_or(""), bytes);
     if let Some(etag) = etag {
-        set(&mut r, ETAG.as_str(), &etag);
+        set_header(&mut r, ETAG.as_str(), &etag);
     }
     Ok(r)
 }
@@ -378,18 +388,18 @@
     shell: &Rc<Shell>,
     id: &str,
     request: Request<Incoming>,
-) -> Result<Response<Out>, Problem> {
+) -> Result<Response<ResponseBody>, Problem> {
     authorize(shell, request.headers())?;
     if !is_type(request.headers(), "application/json") {
         return Err(wrong_type("application/json"));
     }
-    let bytes = body(request.into_body(), &shell.config.limits).await?;
+    let bytes = read_body(request.into_body(), &shell.config.limits).await?;
     let wanted: Result<Vec<String>, _> = serde_json::from_slice(&bytes);
     wanted.map_err(|_| Problem::new(400, "events", "Bad list", "a JSON list of event names is expected"))?;
     match shell.route(id).0 {
         Route::Node(..) => {
             let mut r = response(201, "", Bytes::new());
-            set(&mut r, LOCATION.as_str(), &format!("/session/{id}/events/stream"));
+            set_header(&mut r, LOCATION.as_str(), &format!("/session/{id}/events/stream"));
             Ok(r)
         }
         _ => Err(unknown_session()),
--- a/crates/front/src/shell.rs
+++ b/crates/front/src/shell.rs
@@ -1,11 +1,11 @@
 //! Carries out what the engine says: timers, sockets, answers. It decides nothing.
 
-use crate::clock::FleetTime;
+use crate::clock::FleetClock;
 use crate::engine::types::*;
 use crate::engine::{Engine, Snapshot};
-use crate::fleet_io::Spread;
+use crate::fleet_io::FleetIo;
 use crate::http::Phase;
-use crate::upstream::{Hold, Upstream};
+use crate::upstream::{AttemptHandle, Upstream};
 use crate::{console, fleet_io, session_api};
 use pepperhook::{ServerId, Time};
 use pepperhook_inventory::{InventoryWatcher, Node, PollResult};
@@ -25,18 +25,18 @@
 use tracing::{info, warn};
 
 /// Events of one viewer that wait to be read, at most; a viewer who does not read loses the later ones.
-const EVENTS_KEPT: usize = 16;
+const MAX_QUEUED_EVENTS: usize = 16;
 /// What is still to be told to nodes when the front stops takes so long at most.
-const LAST_WORDS: Duration = Duration::from_millis(800);
+const FINAL_REQUESTS_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Connections that are open then end within this time.
-const LAST_CONNECTIONS: Duration = Duration::from_millis(1_200);
+const FINAL_CONNECTIONS_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// An answer, and the version of the policy that it was decided by, where one was ever agreed.
-type Decided = (Answer, Option<u64>);
+type AnswerWithPolicy = (Answer, Option<u64>);
 
 /// Rungs on their way to a node: the latest counts, one request at a time.
-type Layers = HashMap<(ServerId, String), Option<u8>>;
+type PendingLayers = HashMap<(ServerId, String), Option<u8>>;
 
 /// One running front.
 pub struct Shell {
@@ -45,33 +45,33 @@
     /// Its clock.
     pub clock: Clock,
     /// The clock of its fleet's part.
-    pub fleet_time: FleetTime,
+    pub fleet_clock: FleetClock,
     /// Key of the console.
     pub admin_key: String,
     engine: RefCell<Engine>,
     next_ticket: Cell<u64>,
-    waiting: RefCell<HashMap<Ticket, oneshot::Sender<Decided>>>,
-    attempts: RefCell<HashMap<AttemptId, (Hold, JoinHandle<()>)>>,
+    waiting: RefCell<HashMap<Ticket, oneshot::Sender<AnswerWithPolicy>>>,
+    attempts: RefCell<HashMap<AttemptId, (AttemptHandle, JoinHandle<()>)>>,
     streams: RefCell<HashMap<String, mpsc::Sender<String>>>,
-    layers: RefCell<Layers>,
+    layers: RefCell<PendingLayers>,
     /// Requests to nodes that nobody waits for.
-    errands: Cell<usize>,
+    background_requests: Cell<usize>,
     warned: Cell<Option<Instant>>,
     upstream: Upstream,
     /// Announced peaks between fronts and over restarts.
-    pub spread: Spread,
+    pub fleet_io: FleetIo,
     wake: Notify,
     idle: Notify,
 }
 
 /// Withdraws a waiting request when its connection goes.
-pub struct Waiting {
+pub struct PendingRequest {
     shell: Rc<Shell>,
     ticket: Ticket,
     answered: bool,
 }
 
-impl Drop for Waiting {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
         if !self.answered && self.shell.waiting.borrow_mut().remove(&self.ticket).is_some() {
             self.shell.drive(Input::Left(self.ticket));
@@ -84,16 +84,16 @@
     pub fn drive(self: &Rc<Self>, input: Input) {
         let mut out = Vec::new();
         self.engine.borrow_mut().handle(self.clock.now(), input, &mut out);
-        self.carry_out(out);
+        self.execute(out);
     }
 
     /// Asks, and waits for the one answer.
-    pub async fn ask(self: &Rc<Self>, input: impl FnOnce(Ticket) -> Input) -> Decided {
+    pub async fn ask(self: &Rc<Self>, input: impl FnOnce(Ticket) -> Input) -> AnswerWithPolicy {
         let ticket = Ticket(self.next_ticket.replace(self.next_ticket.get() + 1));
         let (tell, told) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, tell);
-        let mut waiting = Waiting { shell: self.clone(), ticket, answered: false };
-        crate::agreement::fence(self);
+        let mut waiting = PendingRequest { shell: self.clone(), ticket, answered: false };
+        crate::agreement::update_fence(self);
         self.drive(input(ticket));
         let answer = told.await.unwrap_or((Answer::Failed, None));
         waiting.answered = true;
@@ -116,7 +116,7 @@
 
     /// Opens the event stream of a session; an earlier one of the same session ends.
     pub fn open_stream(&self, resource: &str) -> mpsc::Receiver<String> {
-        let (tell, told) = mpsc::channel(EVENTS_KEPT);
+        let (tell, told) = mpsc::channel(MAX_QUEUED_EVENTS);
         self.streams.borrow_mut().insert(resource.to_owned(), tell);
         told
     }
@@ -124,7 +124,7 @@
     /// What the console shows.
     pub fn snapshot(&self) -> Snapshot {
         let mut s = self.engine.borrow().snapshot(self.clock.now());
-        self.spread.show(self.fleet_time.now_ms(), &mut s);
+        self.fleet_io.fill_snapshot(self.fleet_clock.now_ms(), &mut s);
         s
     }
 
@@ -133,7 +133,7 @@
         read(&self.engine.borrow(), self.clock.now())
     }
 
-    fn carry_out(self: &Rc<Self>, effects: Vec<Effect>) {
+    fn execute(self: &Rc<Self>, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Answer(ticket, answer, by) => self.answer(ticket, answer, by),
@@ -154,10 +154,10 @@
                 Effect::DeleteUpstream(node, path) => {
                     if let Some(address) = self.address(node) {
                         let shell = self.clone();
-                        self.errand(async move { shell.upstream.delete(address, &path).await });
+                        self.spawn_background(async move { shell.upstream.delete(address, &path).await });
                     }
                 }
-                Effect::Probe(node) => fleet_io::ask(self, node),
+                Effect::Probe(node) => fleet_io::request_probe(self, node),
                 Effect::SetLayer(node, path, rung) => self.set_layer(node, path, rung),
                 Effect::Subscribe(node, path) => self.follow(node, path),
                 Effect::Tell(resource, event, data) => {
@@ -169,7 +169,7 @@
                 Effect::Drop(resource) => {
                     self.streams.borrow_mut().remove(&resource);
                 }
-                Effect::Copy(key, copied) => fleet_io::copy(self, key, copied.as_ref()),
+                Effect::Copy(key, copied) => fleet_io::replicate_session(self, key, copied.as_ref()),
                 Effect::Log(line) => info!(event = "decision", "{line}"),
             }
         }
@@ -198,12 +198,12 @@
         due
     }
 
-    fn errand(self: &Rc<Self>, work: impl Future<Output = ()> + 'static) {
+    fn spawn_background(self: &Rc<Self>, work: impl Future<Output = ()> + 'static) {
         let shell = self.clone();
-        self.errands.set(self.errands.get() + 1);
+        self.background_requests.set(self.background_requests.get() + 1);
         spawn_local(async move {
             work.await;
-            shell.errands.set(shell.errands.get() - 1);
+            shell.background_requests.set(shell.background_requests.get() - 1);
             shell.idle.notify_one();
         });
     }
@@ -216,7 +216,7 @@
         publish: bool,
         offer: bytes::Bytes,
     ) {
-        let (shell, hold) = (self.clone(), Hold::default());
+        let (shell, hold) = (self.clone(), AttemptHandle::default());
         let held = hold.clone();
         let address = self.address(node);
         let task = spawn_local(async move {
@@ -239,7 +239,7 @@
         }
         self.layers.borrow_mut().insert(key.clone(), None);
         let shell = self.clone();
-        self.errand(async move {
+        self.spawn_background(async move {
             let mut rung = rung;
             loop {
                 if !shell.upstream.set_layer(address, &key.1, rung).await && shell.may_warn() {
@@ -279,7 +279,7 @@
                 () = self.clock.sleep_until(next) => {
                     let mut out = Vec::new();
                     self.engine.borrow_mut().wake(self.clock.now(), &mut out);
-                    self.carry_out(out);
+                    self.execute(out);
                 }
                 () = self.wake.notified() => {}
             }
@@ -297,7 +297,7 @@
                 PollResult::Updated(nodes) => {
                     info!(event = "inventory-taken", nodes = nodes.len(), "a new list of nodes is in force");
                     self.drive(Input::Nodes(nodes));
-                    fleet_io::list(&self);
+                    fleet_io::update_duty_targets(&self);
                 }
                 PollResult::Invalid(faults) => {
                     for fault in faults.iter().take(10) {
@@ -342,14 +342,14 @@
         let admin = TcpListener::bind(config.admin).await?;
         let (address, admin_address) = (listener.local_addr()?, admin.local_addr()?);
         let key = config.admin_key.clone().unwrap_or_else(|| format!("{:032x}", rand::random::<u128>()));
-        let (clock, fleet_time) = (Clock::new(), FleetTime::new()?);
-        let (spread, socket) = Spread::start(&config, fleet_time.now_ms()).await?;
+        let (clock, fleet_clock) = (Clock::new(), FleetClock::new()?);
+        let (fleet_io, socket) = FleetIo::start(&config, fleet_clock.now_ms()).await?;
         let upstream =
             Upstream::new(&config.name, rand::random(), Duration::from_nanos(config.connect_timeout));
         let shell = Rc::new(Shell {
             clock,
-            fleet_time,
-            spread,
+            fleet_clock,
+            fleet_io,
             admin_key: key,
             engine: RefCell::new(engine),
             next_ticket: Cell::new(1),
@@ -357,7 +357,7 @@
             attempts: RefCell::default(),
             streams: RefCell::default(),
             layers: RefCell::default(),
-            errands: Cell::new(0),
+            background_requests: Cell::new(0),
             warned: Cell::new(None),
             upstream,
             wake: Notify::new(),
@@ -365,16 +365,16 @@
             config,
         });
         shell.drive(Input::Nodes(nodes));
-        fleet_io::recall(&shell);
-        fleet_io::list(&shell);
+        fleet_io::restore_records(&shell);
+        fleet_io::update_duty_targets(&shell);
         let (phase, seen) = watch::channel(Phase::Serving);
         let mut tasks = vec![
             spawn_local(shell.clone().timers()),
             spawn_local(session_api::serve(shell.clone(), listener, seen.clone())),
             spawn_local(console::serve(shell.clone(), admin, seen)),
         ];
-        tasks.extend(fleet_io::agree(&shell));
-        tasks.extend(socket.map(|s| spawn_local(fleet_io::run(shell.clone(), s))));
+        tasks.extend(fleet_io::start_agreement(&shell));
+        tasks.extend(socket.map(|s| spawn_local(fleet_io::run_socket(shell.clone(), s))));
         tasks.extend(keeper.map(|k| spawn_local(shell.clone().watch(k))));
         info!(event = "serving", address = %address, admin = %admin_address, "the front serves");
         Ok(Self { shell, address, admin: admin_address, tasks, phase })
@@ -423,16 +423,16 @@
         }
         let mut out = Vec::new();
         shell.engine.borrow_mut().end_all(shell.clock.now(), &mut out);
-        shell.carry_out(out);
+        shell.execute(out);
         let done = async {
-            while shell.errands.get() > 0 {
+            while shell.background_requests.get() > 0 {
                 shell.idle.notified().await;
             }
         };
-        let _ = tokio::time::timeout(LAST_WORDS, done).await;
+        let _ = tokio::time::timeout(FINAL_REQUESTS_TIMEOUT, done).await;
         // Connections finish what they are writing, and say that they end.
         let _ = self.phase.send(Phase::Closing);
-        let _ = tokio::time::timeout(LAST_CONNECTIONS, self.phase.closed()).await;
+        let _ = tokio::time::timeout(FINAL_CONNECTIONS_TIMEOUT, self.phase.closed()).await;
         self.tasks.iter().for_each(JoinHandle::abort);
         info!(event = "stopped", "the front has stopped");
     }
--- a/crates/front/src/upstream.rs
+++ b/crates/front/src/upstream.rs
@@ -28,21 +28,21 @@
 use tracing::warn;
 
 /// Bytes of a node's body at most.
-const MOST_BODY: usize = 64 << 10;
+const MAX_BODY_BYTES: usize = 64 << 10;
 /// Bytes of a node's list of sessions at most.
-const MOST_LIST: usize = 4 << 20;
+const MAX_SESSION_LIST_BYTES: usize = 4 << 20;
 /// Idle connections kept for a node, and how long.
-const MOST_IDLE: usize = 32;
-const IDLE_TIME: Duration = Duration::from_secs(10);
+const MAX_IDLE_PER_NODE: usize = 32;
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Warnings of answers that do not fit come no more often.
-const WARN_EVERY: Duration = Duration::from_secs(5);
+const WARNING_INTERVAL: Duration = Duration::from_secs(5);
 /// An event stream that says nothing for so long is held to be broken; nodes send comments each second.
-const SILENCE: Duration = Duration::from_secs(5);
+const EVENT_STREAM_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A socket that can be shut or reset from outside while hyper reads and writes it.
-struct Wire(Arc<TcpStream>);
+struct SharedStream(Arc<TcpStream>);
 
-impl AsyncRead for Wire {
+impl AsyncRead for SharedStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         loop {
             ready!(self.0.poll_read_ready(cx))?;
@@ -58,7 +58,7 @@
     }
 }
 
-impl AsyncWrite for Wire {
+impl AsyncWrite for SharedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_write_ready(cx))?;
@@ -80,15 +80,15 @@
 
 /// Holds on to one request's connection, to close it from outside.
 #[derive(Clone, Default)]
-pub struct Hold(Rc<HoldState>);
+pub struct AttemptHandle(Rc<HandleState>);
 
 #[derive(Default)]
-struct HoldState {
+struct HandleState {
     stream: RefCell<Option<Arc<TcpStream>>>,
     closed: Cell<bool>,
 }
 
-impl Hold {
+impl AttemptHandle {
     /// Shuts the sending side: the node sees the end of the requests and may still be heard.
     pub fn close(&self) {
         self.0.closed.set(true);
@@ -136,7 +136,7 @@
 pub struct Upstream {
     pools: RefCell<HashMap<SocketAddr, Vec<Idle>>>,
     via: String,
-    connect_time: Duration,
+    connect_timeout: Duration,
     warned: Cell<Option<Instant>>,
 }
 
@@ -156,13 +156,13 @@
     /// A client that names its front in `Via` (RFC 9110, 7.6.3), with a comment that tells this run of it from
     /// another: a node must not take a restarted front for the one that set its sessions up.
     #[must_use]
-    pub fn new(front: &str, run: u32, connect_time: Duration) -> Self {
+    pub fn new(front: &str, run: u32, connect_timeout: Duration) -> Self {
         let front: String =
             front.chars().filter(|c| c.is_ascii_alphanumeric() || "-._".contains(*c)).collect();
         Self {
             pools: RefCell::default(),
             via: format!("1.1 {front} (run {run:08x})"),
-            connect_time,
+            connect_timeout,
             warned: Cell::new(None),
         }
     }
@@ -187,30 +187,30 @@
     fn pooled(&self, node: SocketAddr) -> Option<Idle> {
         let mut pools = self.pools.borrow_mut();
         let pool = pools.get_mut(&node)?;
-        pool.retain(|i| i.since.elapsed() < IDLE_TIME && !i.sender.is_closed());
+        pool.retain(|i| i.since.elapsed() < IDLE_TIMEOUT && !i.sender.is_closed());
         pool.pop()
     }
 
-    fn give_back(&self, node: SocketAddr, mut idle: Idle, hold: &Hold) {
+    fn return_to_pool(&self, node: SocketAddr, mut idle: Idle, hold: &AttemptHandle) {
         if hold.is_closed() || idle.sender.is_closed() {
             return;
         }
         idle.since = Instant::now();
         let mut pools = self.pools.borrow_mut();
         let pool = pools.entry(node).or_default();
-        if pool.len() < MOST_IDLE {
+        if pool.len() < MAX_IDLE_PER_NODE {
             pool.push(idle);
         }
     }
 
     async fn connect(&self, node: SocketAddr) -> Result<Idle, NoResponse> {
-        let connecting = timeout(self.connect_time, TcpStream::connect(node));
+        let connecting = timeout(self.connect_timeout, TcpStream::connect(node));
         let stream =
             connecting.await.map_err(|_| NoResponse::NoConnection)?.map_err(|_| NoResponse::NoConnection)?;
         // Set-ups are one small write each way.
         let _ = stream.set_nodelay(true);
         let stream = Arc::new(stream);
-        let io = TokioIo::new(Wire(stream.clone()));
+        let io = TokioIo::new(SharedStream(stream.clone()));
         let (sender, connection) = http1::handshake(io).await.map_err(|_| NoResponse::NoConnection)?;
         tokio::task::spawn_local(async move {
             let _ = connection.await;
@@ -224,7 +224,7 @@
         &self,
         node: SocketAddr,
         request: Request<Full<Bytes>>,
-        hold: &Hold,
+        hold: &AttemptHandle,
     ) -> Result<Reply, NoResponse> {
         let mut request = request;
         loop {
@@ -253,11 +253,11 @@
         }
     }
 
-    async fn body(&self, node: SocketAddr, reply: Reply, hold: &Hold) -> Result<Bytes, NoResponse> {
+    async fn body(&self, node: SocketAddr, reply: Reply, hold: &AttemptHandle) -> Result<Bytes, NoResponse> {
         let Reply { response, idle } = reply;
-        let collected = Limited::new(response.into_body(), MOST_BODY).collect().await;
+        let collected = Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await;
         let bytes = collected.map_err(|_| NoResponse::Broken)?.to_bytes();
-        self.give_back(node, idle, hold);
+        self.return_to_pool(node, idle, hold);
         Ok(bytes)
     }
 
@@ -268,7 +268,7 @@
         publish: bool,
         title: &str,
         offer: Bytes,
-        hold: &Hold,
+        hold: &AttemptHandle,
     ) -> AttemptEnd {
         let offered = offer.clone();
         let path = format!("/{}/{title}", if publish { "whip" } else { "whep" });
@@ -317,7 +317,7 @@
         let way = if publish { Direction::Send } else { Direction::Receive };
         let Ok(offer) = Offer::parse(offered, way) else { return false };
         let Err(fault) = check_answer(&offer, answer) else { return true };
-        if self.warned.get().is_none_or(|at| at.elapsed() >= WARN_EVERY) {
+        if self.warned.get().is_none_or(|at| at.elapsed() >= WARNING_INTERVAL) {
             self.warned.set(Some(Instant::now()));
             warn!(event = "answer-rejected", node = %node, "{fault}");
         }
@@ -342,7 +342,7 @@
         node: SocketAddr,
         request: Request<Full<Bytes>>,
     ) -> Result<(u16, Bytes), NoResponse> {
-        let hold = Hold::default();
+        let hold = AttemptHandle::default();
         let reply = self.send(node, request, &hold).await?;
         let status = reply.response.status().as_u16();
         Ok((status, self.body(node, reply, &hold).await?))
@@ -352,7 +352,7 @@
     /// 9725, 4.2); the load report comes as with any answer. `None` where none came within the time.
     pub async fn probe(&self, node: SocketAddr, path: &str, time: Duration) -> Option<LoadReport> {
         let request = self.build(node, Method::OPTIONS, path, SDP_TYPE, Bytes::new())?;
-        let hold = Hold::default();
+        let hold = AttemptHandle::default();
         let whole = async {
             let reply = self.send(node, request, &hold).await.ok()?;
             let load = text(&reply.response, ORCA_HEADER).map(LoadReport::parse);
@@ -382,13 +382,14 @@
             via: String,
         }
         let request = self.build(node, Method::GET, path, "application/json", Bytes::new())?;
-        let hold = Hold::default();
+        let hold = AttemptHandle::default();
         let whole = async {
             let reply = self.send(node, request, &hold).await.ok()?;
             let Reply { response, idle } = reply;
             let found = response.status() == 200;
-            let body = Limited::new(response.into_body(), MOST_LIST).collect().await.ok()?.to_bytes();
-            self.give_back(node, idle, &hold);
+            let body =
+                Limited::new(response.into_body(), MAX_SESSION_LIST_BYTES).collect().await.ok()?.to_bytes();
+            self.return_to_pool(node, idle, &hold);
             found.then_some(body)
         };
         let body = timeout(time, whole).await.ok().flatten()?;
@@ -424,7 +425,7 @@
         if let Some(tag) = if_match.and_then(|t| t.parse().ok()) {
             request.headers_mut().insert(hyper::header::IF_MATCH, tag);
         }
-        let hold = Hold::default();
+        let hold = AttemptHandle::default();
         let whole = async {
             let reply = self.send(node, request, &hold).await?;
             let status = reply.response.status().as_u16();
@@ -442,7 +443,7 @@
             return StreamEnd::Refused;
         };
         let opened = timeout(Duration::from_secs(1), async {
-            let hold = Hold::default();
+            let hold = AttemptHandle::default();
             let reply = self.send(node, post, &hold).await?;
             let status = reply.response.status().as_u16();
             let at = text(&reply.response, LOCATION).and_then(|u| path_at(node, u));
@@ -466,16 +467,16 @@
         };
         let mut body = response.into_body();
         let mut reader = EventReader::default();
-        while let Ok(Some(Ok(frame))) = timeout(SILENCE, body.frame()).await {
+        while let Ok(Some(Ok(frame))) = timeout(EVENT_STREAM_TIMEOUT, body.frame()).await {
             if let Some(data) = frame.data_ref() {
-                reader.push(data, |e| each_news(&e, &mut each));
+                reader.push(data, |e| dispatch_event(&e, &mut each));
             }
         }
         StreamEnd::Closed
     }
 }
 
-fn each_news(event: &ServerEvent, each: &mut impl FnMut(NodeNews)) {
+fn dispatch_event(event: &ServerEvent, each: &mut impl FnMut(NodeNews)) {
     let Ok(data) = serde_json::from_str::<serde_json::Value>(&event.data) else { return };
     let value = data.get("value").and_then(serde_json::Value::as_f64);
     let news = match (event.name.as_str(), value) {
