--- a/crates/front/src/shell.rs
+++ b/crates/front/src/shell.rs
@@ -141,13 +141,13 @@
                     self.set_up(attempt, node, title, publish, offer);
                 }
                 Effect::CloseAttempt(id) => {
-                    if let Some((hold, _)) = self.attempts.borrow().get(&id) {
-                        hold.close();
+                    if let Some((handle, _)) = self.attempts.borrow().get(&id) {
+                        handle.close();
                     }
                 }
                 Effect::ResetAttempt(id) => {
-                    if let Some((hold, task)) = self.attempts.borrow_mut().remove(&id) {
-                        hold.reset();
+                    if let Some((handle, task)) = self.attempts.borrow_mut().remove(&id) {
+                        handle.reset();
                         task.abort();
                     }
                 }
@@ -216,18 +216,20 @@
         publish: bool,
         offer: bytes::Bytes,
     ) {
-        let (shell, hold) = (self.clone(), AttemptHandle::default());
-        let held = hold.clone();
+        let (shell, handle) = (self.clone(), AttemptHandle::default());
+        let attempt_handle = handle.clone();
         let address = self.address(node);
         let task = spawn_local(async move {
             let end = match address {
-                Some(address) => shell.upstream.set_up(address, publish, &title, offer, &held).await,
+                Some(address) => {
+                    shell.upstream.set_up(address, publish, &title, offer, &attempt_handle).await
+                }
                 None => AttemptEnd::NoConnection,
             };
             shell.attempts.borrow_mut().remove(&id);
             shell.drive(Input::Attempt(id, node, end));
         });
-        self.attempts.borrow_mut().insert(id, (hold, task));
+        self.attempts.borrow_mut().insert(id, (handle, task));
     }
 
     fn set_layer(self: &Rc<Self>, node: ServerId, path: String, rung: u8) {
--- a/crates/front/src/upstream.rs
+++ b/crates/front/src/upstream.rs
@@ -1,4 +1,4 @@
-//! The client of the nodes: WHIP and WHEP over HTTP/1.1, keep-alive connections pooled a node.
+//! HTTP client for the nodes: WHIP and WHEP over HTTP/1.1, with a pool of keep-alive connections per node.
 
 use crate::engine::types::{AttemptEnd, Created, NodeNews, StreamEnd};
 use bytes::Bytes;
@@ -27,19 +27,20 @@
 use tokio::time::{Instant, timeout};
 use tracing::warn;
 
-/// Bytes of a node's body at most.
+/// Largest response body that is read from a node, bytes.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// Bytes of a node's list of sessions at most.
+/// Largest list of sessions that is read from a node, bytes.
 const MAX_SESSION_LIST_BYTES: usize = 4 << 20;
-/// Idle connections kept for a node, and how long.
+/// Idle connections kept in the pool of one node.
 const MAX_IDLE_PER_NODE: usize = 32;
+/// An idle connection is dropped from the pool after this time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Warnings of answers that do not fit come no more often.
+/// Minimum time between two warnings about SDP answers that do not fit their offer.
 const WARNING_INTERVAL: Duration = Duration::from_secs(5);
-/// An event stream that says nothing for so long is held to be broken; nodes send comments each second.
+/// An event stream without data for this time counts as broken; nodes send a comment every second.
 const EVENT_STREAM_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A socket that can be shut or reset from outside while hyper reads and writes it.
+/// A socket that can be shut down or reset through another handle while hyper reads and writes it.
 struct SharedStream(Arc<TcpStream>);
 
 impl AsyncRead for SharedStream {
@@ -78,7 +79,7 @@
     }
 }
 
-/// Holds on to one request's connection, to close it from outside.
+/// Handle of the connection that carries one request, to close or reset it from outside the task that sends it.
 #[derive(Clone, Default)]
 pub struct AttemptHandle(Rc<HandleState>);
 
@@ -89,16 +90,16 @@
 }
 
 impl AttemptHandle {
-    /// Shuts the sending side: the node sees the end of the requests and may still be heard.
+    /// Half-close: shuts down the sending side. The node sees the end of the requests, and its response can still be read.
     pub fn close(&self) {
         self.0.closed.set(true);
         if let Some(stream) = &*self.0.stream.borrow() {
-            // A connection that is gone already is closed all the same.
+            // An error means that the connection is already closed.
             let _ = SockRef::from(&**stream).shutdown(Shutdown::Write);
         }
     }
 
-    /// Makes the close of the connection, which follows as its task ends, a reset.
+    /// Sets a linger time of zero, which makes the close at the end of the connection's task a reset (RST).
     pub fn reset(&self) {
         self.close();
         if let Some(stream) = self.0.stream.borrow_mut().take() {
@@ -111,50 +112,54 @@
     }
 }
 
-/// Why there is no response.
+/// Why a request got no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoResponse {
-    /// The request never left.
+    /// The request was not sent.
     NoConnection,
-    /// It may have been seen.
+    /// The request may have reached the node.
     Broken,
 }
 
-struct Idle {
+/// A connection to a node, in use or in the pool.
+struct NodeConnection {
     sender: SendRequest<Full<Bytes>>,
     stream: Arc<TcpStream>,
+    /// When it was opened or last returned to the pool.
     since: Instant,
 }
 
-/// A response with what brought it.
+/// A response and the connection on which it came.
 struct Reply {
     response: Response<Incoming>,
-    idle: Idle,
+    connection: NodeConnection,
 }
 
-/// The client of all nodes.
+/// The HTTP client for all nodes.
 pub struct Upstream {
-    pools: RefCell<HashMap<SocketAddr, Vec<Idle>>>,
+    pools: RefCell<HashMap<SocketAddr, Vec<NodeConnection>>>,
     via: String,
     connect_timeout: Duration,
-    warned: Cell<Option<Instant>>,
+    last_warning: Cell<Option<Instant>>,
 }
 
+/// A response header as text; `None` if absent or not ASCII.
 fn text(response: &Response<Incoming>, name: impl hyper::header::AsHeaderName) -> Option<&str> {
     response.headers().get(name).and_then(|v| v.to_str().ok())
 }
 
-/// The path of a URL that a node gave: relative to the node's root, or absolute at its own address.
+/// The path of a URL that a node returned: either an absolute path, or an absolute URL at the node's own address.
+/// Anything else is rejected, because a request would then go to another host.
 fn path_at(node: SocketAddr, url: &str) -> Option<String> {
     let own = format!("http://{node}");
     let path = url.strip_prefix(&own).unwrap_or(url);
-    let sane = path.starts_with('/') && !path.starts_with("//") && path.len() <= 1_024;
-    (sane && path.bytes().all(|b| b.is_ascii_graphic())).then(|| path.to_owned())
+    let valid = path.starts_with('/') && !path.starts_with("//") && path.len() <= 1_024;
+    (valid && path.bytes().all(|b| b.is_ascii_graphic())).then(|| path.to_owned())
 }
 
 impl Upstream {
-    /// A client that names its front in `Via` (RFC 9110, 7.6.3), with a comment that tells this run of it from
-    /// another: a node must not take a restarted front for the one that set its sessions up.
+    /// A client that sends its front's name in `Via` (RFC 9110, 7.6.3). The comment in it is unique to this run: sessions
+    /// of a restarted front must not be attributed to the run that set them up.
     #[must_use]
     pub fn new(front: &str, run: u32, connect_timeout: Duration) -> Self {
         let front: String =
@@ -163,51 +168,51 @@
             pools: RefCell::default(),
             via: format!("1.1 {front} (run {run:08x})"),
             connect_timeout,
-            warned: Cell::new(None),
+            last_warning: Cell::new(None),
         }
     }
 
-    fn build(
+    fn build_request(
         &self,
         node: SocketAddr,
         method: Method,
         path: &str,
-        kind: &str,
+        content_type: &str,
         body: Bytes,
     ) -> Option<Request<Full<Bytes>>> {
         let mut request = Request::builder().method(method).uri(path).header(HOST, node.to_string());
         request = request.header(VIA, &self.via).header(ACCEPT, "*/*");
-        // What has no body has no type.
+        // A request without a body has no content type.
         if !body.is_empty() {
-            request = request.header(CONTENT_TYPE, kind);
+            request = request.header(CONTENT_TYPE, content_type);
         }
         request.body(Full::new(body)).ok()
     }
 
-    fn pooled(&self, node: SocketAddr) -> Option<Idle> {
+    fn take_pooled(&self, node: SocketAddr) -> Option<NodeConnection> {
         let mut pools = self.pools.borrow_mut();
         let pool = pools.get_mut(&node)?;
         pool.retain(|i| i.since.elapsed() < IDLE_TIMEOUT && !i.sender.is_closed());
         pool.pop()
     }
 
-    fn return_to_pool(&self, node: SocketAddr, mut idle: Idle, hold: &AttemptHandle) {
-        if hold.is_closed() || idle.sender.is_closed() {
+    fn return_to_pool(&self, node: SocketAddr, mut connection: NodeConnection, handle: &AttemptHandle) {
+        if handle.is_closed() || connection.sender.is_closed() {
             return;
         }
-        idle.since = Instant::now();
+        connection.since = Instant::now();
         let mut pools = self.pools.borrow_mut();
         let pool = pools.entry(node).or_default();
         if pool.len() < MAX_IDLE_PER_NODE {
-            pool.push(idle);
+            pool.push(connection);
         }
     }
 
-    async fn connect(&self, node: SocketAddr) -> Result<Idle, NoResponse> {
+    async fn connect(&self, node: SocketAddr) -> Result<NodeConnection, NoResponse> {
         let connecting = timeout(self.connect_timeout, TcpStream::connect(node));
         let stream =
             connecting.await.map_err(|_| NoResponse::NoConnection)?.map_err(|_| NoResponse::NoConnection)?;
-        // Set-ups are one small write each way.
+        // A set-up is one small write in each direction: Nagle's algorithm would only delay it.
         let _ = stream.set_nodelay(true);
         let stream = Arc::new(stream);
         let io = TokioIo::new(SharedStream(stream.clone()));
@@ -215,37 +220,37 @@
         tokio::task::spawn_local(async move {
             let _ = connection.await;
         });
-        Ok(Idle { sender, stream, since: Instant::now() })
+        Ok(NodeConnection { sender, stream, since: Instant::now() })
     }
 
-    /// Sends a request. A pooled connection that closed before it took the request is passed over: the
-    /// request then never left.
+    /// Sends a request. If a pooled connection closed before the request was written, the next one is tried; the request
+    /// was not sent then. The first new connection is the last try.
     async fn send(
         &self,
         node: SocketAddr,
         request: Request<Full<Bytes>>,
-        hold: &AttemptHandle,
+        handle: &AttemptHandle,
     ) -> Result<Reply, NoResponse> {
         let mut request = request;
         loop {
-            let (mut idle, fresh) = match self.pooled(node) {
-                Some(idle) => (idle, false),
+            let (mut connection, fresh) = match self.take_pooled(node) {
+                Some(connection) => (connection, false),
                 None => (self.connect(node).await?, true),
             };
-            if hold.is_closed() {
+            if handle.is_closed() {
                 return Err(NoResponse::NoConnection);
             }
-            *hold.0.stream.borrow_mut() = Some(idle.stream.clone());
-            if idle.sender.ready().await.is_err() {
+            *handle.0.stream.borrow_mut() = Some(connection.stream.clone());
+            if connection.sender.ready().await.is_err() {
                 if fresh {
                     return Err(NoResponse::NoConnection);
                 }
                 continue;
             }
-            match idle.sender.try_send_request(request).await {
-                Ok(response) => return Ok(Reply { response, idle }),
+            match connection.sender.try_send_request(request).await {
+                Ok(response) => return Ok(Reply { response, connection }),
                 Err(mut e) => match e.take_message() {
-                    Some(back) if !fresh && !hold.is_closed() => request = back,
+                    Some(unsent) if !fresh && !handle.is_closed() => request = unsent,
                     Some(_) => return Err(NoResponse::NoConnection),
                     None => return Err(NoResponse::Broken),
                 },
@@ -253,31 +258,37 @@
         }
     }
 
-    async fn body(&self, node: SocketAddr, reply: Reply, hold: &AttemptHandle) -> Result<Bytes, NoResponse> {
-        let Reply { response, idle } = reply;
+    /// Reads the response's body and returns the connection to the pool.
+    async fn read_body(
+        &self,
+        node: SocketAddr,
+        reply: Reply,
+        handle: &AttemptHandle,
+    ) -> Result<Bytes, NoResponse> {
+        let Reply { response, connection } = reply;
         let collected = Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await;
         let bytes = collected.map_err(|_| NoResponse::Broken)?.to_bytes();
-        self.return_to_pool(node, idle, hold);
+        self.return_to_pool(node, connection, handle);
         Ok(bytes)
     }
 
-    /// One attempt to set a session up.
+    /// Runs one attempt to set a session up: POST of the offer, then a check of the answer.
     pub async fn set_up(
         &self,
         node: SocketAddr,
         publish: bool,
         title: &str,
         offer: Bytes,
-        hold: &AttemptHandle,
+        handle: &AttemptHandle,
     ) -> AttemptEnd {
         let offered = offer.clone();
         let path = format!("/{}/{title}", if publish { "whip" } else { "whep" });
-        let Some(request) = self.build(node, Method::POST, &path, SDP_TYPE, offer) else {
+        let Some(request) = self.build_request(node, Method::POST, &path, SDP_TYPE, offer) else {
             return AttemptEnd::NoConnection;
         };
-        let reply = match self.send(node, request, hold).await {
+        let reply = match self.send(node, request, handle).await {
             Ok(reply) => reply,
-            Err(_) if hold.is_closed() => return AttemptEnd::Closed,
+            Err(_) if handle.is_closed() => return AttemptEnd::Closed,
             Err(NoResponse::NoConnection) => return AttemptEnd::NoConnection,
             Err(NoResponse::Broken) => return AttemptEnd::Broken,
         };
@@ -285,25 +296,27 @@
         let load = text(r, ORCA_HEADER).map(LoadReport::parse).unwrap_or_default();
         let status = r.status().as_u16();
         if status != 201 {
-            // Its body tells nothing more, but must be read before the connection can serve again.
-            let _ = self.body(node, reply, hold).await;
+            // The body is not used, but must be read before the connection can be reused.
+            let _ = self.read_body(node, reply, handle).await;
             return AttemptEnd::Answered(status, load);
         }
         let links = || r.headers().get_all(LINK).iter().filter_map(|v| v.to_str().ok());
-        let at = |rel| link_with_rel(links(), rel).and_then(|url| path_at(node, &url));
-        let (events, layer) = (at(REL_EVENTS), at(REL_LAYER));
+        let linked_path = |rel| link_with_rel(links(), rel).and_then(|url| path_at(node, &url));
+        let (events, layer) = (linked_path(REL_EVENTS), linked_path(REL_LAYER));
         let ice = links().filter(|l| l.contains("ice-server")).map(str::to_owned).collect();
         let etag = text(r, ETAG).map(str::to_owned);
         let path = text(r, LOCATION).and_then(|url| path_at(node, url));
         let is_sdp = text(r, CONTENT_TYPE).is_some_and(|t| t.starts_with(SDP_TYPE));
-        let body = self.body(node, reply, hold).await;
+        let body = self.read_body(node, reply, handle).await;
         match (body, path) {
-            (Ok(answer), Some(path)) if is_sdp && self.fits(node, publish, &offered, &answer) => {
+            (Ok(answer), Some(path))
+                if is_sdp && self.answer_fits_offer(node, publish, &offered, &answer) =>
+            {
                 AttemptEnd::Created(Created { path, etag, answer, events, layer, ice, load })
             }
-            (Err(_), _) if hold.is_closed() => AttemptEnd::Closed,
+            (Err(_), _) if handle.is_closed() => AttemptEnd::Closed,
             (Err(_), _) => AttemptEnd::Broken,
-            // A 201 that names no session, or whose answer is no viewer's to take, is an answer all the same: the attempt is over.
+            // A 201 without a session path, or with an answer that does not fit the offer, also ends the attempt.
             (Ok(_), Some(path)) => {
                 self.delete(node, &path).await;
                 AttemptEnd::Answered(502, load)
@@ -312,153 +325,157 @@
         }
     }
 
-    /// Whether a node's answer is one to the offer; else a viewer would reject it, and the node's session is of no use.
-    fn fits(&self, node: SocketAddr, publish: bool, offered: &[u8], answer: &[u8]) -> bool {
-        let way = if publish { Direction::Send } else { Direction::Receive };
-        let Ok(offer) = Offer::parse(offered, way) else { return false };
-        let Err(fault) = check_answer(&offer, answer) else { return true };
-        if self.warned.get().is_none_or(|at| at.elapsed() >= WARNING_INTERVAL) {
-            self.warned.set(Some(Instant::now()));
-            warn!(event = "answer-rejected", node = %node, "{fault}");
+    /// True if the SDP answer fits the offer. A viewer would reject any other, and the node's session would be useless.
+    fn answer_fits_offer(&self, node: SocketAddr, publish: bool, offered: &[u8], answer: &[u8]) -> bool {
+        let direction = if publish { Direction::Send } else { Direction::Receive };
+        let Ok(offer) = Offer::parse(offered, direction) else { return false };
+        let Err(error) = check_answer(&offer, answer) else { return true };
+        if self.last_warning.get().is_none_or(|at| at.elapsed() >= WARNING_INTERVAL) {
+            self.last_warning.set(Some(Instant::now()));
+            warn!(event = "answer-rejected", node = %node, "{error}");
         }
         false
     }
 
-    /// Deletes a session, within three tries of a second each; a node that cannot be reached has lost it.
+    /// Deletes a session: three tries with a time-out of 1 s each. A node that cannot be reached is taken to have lost it.
     pub async fn delete(&self, node: SocketAddr, path: &str) {
         for pause in [0, 100, 400] {
             tokio::time::sleep(Duration::from_millis(pause)).await;
-            let Some(request) = self.build(node, Method::DELETE, path, SDP_TYPE, Bytes::new()) else {
+            let Some(request) = self.build_request(node, Method::DELETE, path, SDP_TYPE, Bytes::new()) else {
                 return;
             };
-            if let Ok(Ok(_)) = timeout(Duration::from_secs(1), self.exchange(node, request)).await {
+            if let Ok(Ok(_)) = timeout(Duration::from_secs(1), self.request(node, request)).await {
                 return;
             }
         }
     }
 
-    async fn exchange(
+    /// Sends a request outside any attempt; returns status and body.
+    async fn request(
         &self,
         node: SocketAddr,
         request: Request<Full<Bytes>>,
     ) -> Result<(u16, Bytes), NoResponse> {
-        let hold = AttemptHandle::default();
-        let reply = self.send(node, request, &hold).await?;
+        let handle = AttemptHandle::default();
+        let reply = self.send(node, request, &handle).await?;
         let status = reply.response.status().as_u16();
-        Ok((status, self.body(node, reply, &hold).await?))
+        Ok((status, self.read_body(node, reply, &handle).await?))
     }
 
-    /// Asks a node for its load: OPTIONS on an endpoint, which every node answers and which changes nothing (RFC
-    /// 9725, 4.2); the load report comes as with any answer. `None` where none came within the time.
-    pub async fn probe(&self, node: SocketAddr, path: &str, time: Duration) -> Option<LoadReport> {
-        let request = self.build(node, Method::OPTIONS, path, SDP_TYPE, Bytes::new())?;
-        let hold = AttemptHandle::default();
-        let whole = async {
-            let reply = self.send(node, request, &hold).await.ok()?;
+    /// Reads a node's load by OPTIONS on an endpoint, which every node answers and which changes nothing (RFC 9725, 4.2);
+    /// the load report is in a header, as in any response. `None` if none arrived within `time_limit`.
+    pub async fn probe(&self, node: SocketAddr, path: &str, time_limit: Duration) -> Option<LoadReport> {
+        let request = self.build_request(node, Method::OPTIONS, path, SDP_TYPE, Bytes::new())?;
+        let handle = AttemptHandle::default();
+        let exchange = async {
+            let reply = self.send(node, request, &handle).await.ok()?;
             let load = text(&reply.response, ORCA_HEADER).map(LoadReport::parse);
-            self.body(node, reply, &hold).await.ok()?;
+            self.read_body(node, reply, &handle).await.ok()?;
             load
         };
-        timeout(time, whole).await.ok().flatten()
+        timeout(time_limit, exchange).await.ok().flatten()
     }
 
-    /// What this front's requests say in `Via`.
+    /// Value of `Via` in this front's requests.
     #[must_use]
     pub fn via(&self) -> &str {
         &self.via
     }
 
-    /// Reads a node's list of sessions: the path of each and the `Via` it was set up with. An extension of the
-    /// project's own: JSON, `[{"path":"/s/1","via":"1.1 front (run 0)"}]`.
+    /// Reads a node's list of sessions: the path of each and the `Via` it was set up with. This is no standard but an
+    /// extension of this project: JSON, `[{"path":"/s/1","via":"1.1 front (run 0)"}]`.
     pub async fn sessions(
         &self,
         node: SocketAddr,
         path: &str,
-        time: Duration,
+        time_limit: Duration,
     ) -> Option<Vec<(String, String)>> {
         #[derive(serde::Deserialize)]
         struct Row {
             path: String,
             via: String,
         }
-        let request = self.build(node, Method::GET, path, "application/json", Bytes::new())?;
-        let hold = AttemptHandle::default();
-        let whole = async {
-            let reply = self.send(node, request, &hold).await.ok()?;
-            let Reply { response, idle } = reply;
+        let request = self.build_request(node, Method::GET, path, "application/json", Bytes::new())?;
+        let handle = AttemptHandle::default();
+        let exchange = async {
+            let reply = self.send(node, request, &handle).await.ok()?;
+            let Reply { response, connection } = reply;
             let found = response.status() == 200;
             let body =
                 Limited::new(response.into_body(), MAX_SESSION_LIST_BYTES).collect().await.ok()?.to_bytes();
-            self.return_to_pool(node, idle, &hold);
+            self.return_to_pool(node, connection, &handle);
             found.then_some(body)
         };
-        let body = timeout(time, whole).await.ok().flatten()?;
+        let body = timeout(time_limit, exchange).await.ok().flatten()?;
         let rows: Vec<Row> = serde_json::from_slice(&body).ok()?;
         rows.into_iter().map(|r| Some((path_at(node, &r.path)?, r.via))).collect()
     }
 
-    /// Chooses the rung of a session by the layer extension; false if the node did not take it.
+    /// Sets the rung of a session by the WHEP layer extension; false if the node did not accept it.
     pub async fn set_layer(&self, node: SocketAddr, path: &str, rung: u8) -> bool {
         let body = format!("{{\"mediaId\":\"1\",\"encodingId\":\"{rung}\"}}");
-        let Some(request) = self.build(node, Method::POST, path, "application/json", body.into()) else {
+        let Some(request) = self.build_request(node, Method::POST, path, "application/json", body.into())
+        else {
             return false;
         };
-        let done = timeout(Duration::from_secs(1), self.exchange(node, request)).await;
+        let done = timeout(Duration::from_secs(1), self.request(node, request)).await;
         matches!(done, Ok(Ok((200..=299, _))))
     }
 
-    /// Carries a PATCH through; returns status, entity tag, content type and body.
+    /// Forwards a PATCH to the node; returns status, entity tag, content type and body.
     ///
     /// # Errors
-    /// Without a response within the time.
+    /// If no response arrived within `time_limit`.
     pub async fn patch(
         &self,
         node: SocketAddr,
         path: &str,
-        kind: &str,
+        content_type: &str,
         if_match: Option<&str>,
         body: Bytes,
-        time: Duration,
+        time_limit: Duration,
     ) -> Result<(u16, Option<String>, Option<String>, Bytes), NoResponse> {
-        let mut request =
-            self.build(node, Method::PATCH, path, kind, body).ok_or(NoResponse::NoConnection)?;
+        let mut request = self
+            .build_request(node, Method::PATCH, path, content_type, body)
+            .ok_or(NoResponse::NoConnection)?;
         if let Some(tag) = if_match.and_then(|t| t.parse().ok()) {
             request.headers_mut().insert(hyper::header::IF_MATCH, tag);
         }
-        let hold = AttemptHandle::default();
-        let whole = async {
-            let reply = self.send(node, request, &hold).await?;
+        let handle = AttemptHandle::default();
+        let exchange = async {
+            let reply = self.send(node, request, &handle).await?;
             let status = reply.response.status().as_u16();
-            let (etag, kind) = (text(&reply.response, ETAG), text(&reply.response, CONTENT_TYPE));
-            let (etag, kind) = (etag.map(str::to_owned), kind.map(str::to_owned));
-            Ok((status, etag, kind, self.body(node, reply, &hold).await?))
+            let (etag, content_type) = (text(&reply.response, ETAG), text(&reply.response, CONTENT_TYPE));
+            let (etag, content_type) = (etag.map(str::to_owned), content_type.map(str::to_owned));
+            Ok((status, etag, content_type, self.read_body(node, reply, &handle).await?))
         };
-        timeout(time, whole).await.unwrap_or(Err(NoResponse::Broken))
+        timeout(time_limit, exchange).await.unwrap_or(Err(NoResponse::Broken))
     }
 
-    /// Follows a node's events until they end.
-    pub async fn follow(&self, node: SocketAddr, path: &str, mut each: impl FnMut(NodeNews)) -> StreamEnd {
+    /// Subscribes to a node's event stream and calls `on_news` for each event, until the stream ends.
+    pub async fn follow(&self, node: SocketAddr, path: &str, mut on_news: impl FnMut(NodeNews)) -> StreamEnd {
         let wanted = serde_json::json!(["inactive", EVENT_DELIVERED, EVENT_LINK, EVENT_UPLINK]).to_string();
-        let Some(post) = self.build(node, Method::POST, path, "application/json", wanted.into()) else {
+        let Some(post) = self.build_request(node, Method::POST, path, "application/json", wanted.into())
+        else {
             return StreamEnd::Refused;
         };
         let opened = timeout(Duration::from_secs(1), async {
-            let hold = AttemptHandle::default();
-            let reply = self.send(node, post, &hold).await?;
+            let handle = AttemptHandle::default();
+            let reply = self.send(node, post, &handle).await?;
             let status = reply.response.status().as_u16();
-            let at = text(&reply.response, LOCATION).and_then(|u| path_at(node, u));
-            self.body(node, reply, &hold).await?;
-            let Some(at) = at.filter(|_| status == 201) else { return Ok(Err(status)) };
-            let get = self.build(node, Method::GET, &at, "text/event-stream", Bytes::new());
+            let stream_path = text(&reply.response, LOCATION).and_then(|u| path_at(node, u));
+            self.read_body(node, reply, &handle).await?;
+            let Some(stream_path) = stream_path.filter(|_| status == 201) else { return Ok(Err(status)) };
+            let get = self.build_request(node, Method::GET, &stream_path, "text/event-stream", Bytes::new());
             let get = get.ok_or(NoResponse::NoConnection)?;
-            // A stream lasts: it has a connection of its own.
-            let mut idle = self.connect(node).await?;
-            let sent = idle.sender.try_send_request(get).await;
+            // The stream stays open, so it gets a connection outside the pool.
+            let mut connection = self.connect(node).await?;
+            let sent = connection.sender.try_send_request(get).await;
             let response = sent.map_err(|_| NoResponse::Broken)?;
             let status = response.status().as_u16();
-            Ok(if status == 200 { Ok((response, idle)) } else { Err(status) })
+            Ok(if status == 200 { Ok((response, connection)) } else { Err(status) })
         });
-        let (response, _idle) = match opened.await {
+        let (response, _connection) = match opened.await {
             Ok(Ok(Ok(open))) => open,
             Ok(Ok(Err(404 | 410))) => return StreamEnd::Unknown,
             Ok(Ok(Err(_))) => return StreamEnd::Refused,
@@ -469,14 +486,15 @@
         let mut reader = EventReader::default();
         while let Ok(Some(Ok(frame))) = timeout(EVENT_STREAM_TIMEOUT, body.frame()).await {
             if let Some(data) = frame.data_ref() {
-                reader.push(data, |e| dispatch_event(&e, &mut each));
+                reader.push(data, |e| dispatch_event(&e, &mut on_news));
             }
         }
         StreamEnd::Closed
     }
 }
 
-fn dispatch_event(event: &ServerEvent, each: &mut impl FnMut(NodeNews)) {
+/// Parses an event of a node and passes it on; unknown events are ignored.
+fn dispatch_event(event: &ServerEvent, on_news: &mut impl FnMut(NodeNews)) {
     let Ok(data) = serde_json::from_str::<serde_json::Value>(&event.data) else { return };
     let value = data.get("value").and_then(serde_json::Value::as_f64);
     let news = match (event.name.as_str(), value) {
@@ -489,7 +507,7 @@
         },
         _ => return,
     };
-    each(news);
+    on_news(news);
 }
 
 #[cfg(test)]
