--- a/crates/front/src/fleet_io.rs
+++ b/crates/front/src/fleet_io.rs
@@ -612,7 +612,7 @@
 }
 
 async fn fetch_sessions(shell: &Rc<Shell>, node: ServerId, limit: Duration) -> Option<Vec<(String, String)>> {
-    let address = shell.address(node)?;
+    let address = shell.node_address(node)?;
     let path = shell.config.duties.as_ref().map(|d| d.session_list_path.clone())?;
     shell.upstream().sessions(address, &path, limit).await
 }
--- a/crates/front/src/session_api.rs
+++ b/crates/front/src/session_api.rs
@@ -132,7 +132,7 @@
         (["session", id], Method::DELETE) => {
             authorize(shell, request.headers())?;
             let resource = (*id).to_owned();
-            match shell.ask(|t| Input::Delete(t, resource)).await.0 {
+            match shell.request(|t| Input::Delete(t, resource)).await.0 {
                 Answer::Ended => Ok(response(200, "", Bytes::new())),
                 _ => Err(unknown_session()),
             }
@@ -253,7 +253,7 @@
     ask.offer = offer;
     let span = info_span!("session", title, viewer = format!("{:016x}", ask.viewer.0), publish);
     let (answer, policy) = async {
-        let (answer, policy) = shell.ask(|t| Input::Post(t, ask)).await;
+        let (answer, policy) = shell.request(|t| Input::Post(t, ask)).await;
         debug!(event = "answered", answer = answer_kind(&answer), policy, "a request was answered");
         (answer, policy)
     }
--- a/crates/front/src/shell.rs
+++ b/crates/front/src/shell.rs
@@ -1,4 +1,5 @@
-//! Carries out what the engine says: timers, sockets, answers. It decides nothing.
+//! Runs the engine on tokio: feeds it inputs, executes the effects that it returns, and runs its timers. All decisions
+//! are made in the engine.
 
 use crate::clock::FleetClock;
 use crate::engine::types::*;
@@ -24,47 +25,52 @@
 use tokio::time::Instant;
 use tracing::{info, warn};
 
-/// Events of one viewer that wait to be read, at most; a viewer who does not read loses the later ones.
+/// Capacity of a viewer's event stream, events. Events for a viewer that does not read are dropped while it is full.
 const MAX_QUEUED_EVENTS: usize = 16;
-/// What is still to be told to nodes when the front stops takes so long at most.
+/// Time for the last requests to nodes when the front stops.
 const FINAL_REQUESTS_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Connections that are open then end within this time.
+/// Time for open connections to end after that.
 const FINAL_CONNECTIONS_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// An answer, and the version of the policy that it was decided by, where one was ever agreed.
+/// An answer, and the version of the agreed policy under which it was decided, if any.
 type AnswerWithPolicy = (Answer, Option<u64>);
 
-/// Rungs on their way to a node: the latest counts, one request at a time.
+/// Changes of rung in progress, by node and path of the layer resource. One request runs at a time; the value is the
+/// latest rung that was asked for meanwhile.
 type PendingLayers = HashMap<(ServerId, String), Option<u8>>;
 
-/// One running front.
+/// The running front: the engine and everything that does its I/O. Shared by all tasks of the thread.
 pub struct Shell {
     /// Its settings.
     pub config: Rc<Config>,
-    /// Its clock.
+    /// Monotonic clock of the engine.
     pub clock: Clock,
-    /// The clock of its fleet's part.
+    /// Clock of all messages between fronts.
     pub fleet_clock: FleetClock,
-    /// Key of the console.
+    /// Key that opens the console.
     pub admin_key: String,
     engine: RefCell<Engine>,
     next_ticket: Cell<u64>,
+    /// HTTP requests that wait for the engine's answer.
     waiting: RefCell<HashMap<Ticket, oneshot::Sender<AnswerWithPolicy>>>,
     attempts: RefCell<HashMap<AttemptId, (AttemptHandle, JoinHandle<()>)>>,
+    /// Open event streams to viewers, by resource.
     streams: RefCell<HashMap<String, mpsc::Sender<String>>>,
     layers: RefCell<PendingLayers>,
-    /// Requests to nodes that nobody waits for.
+    /// Number of requests to nodes in progress whose result nobody waits for.
     background_requests: Cell<usize>,
-    warned: Cell<Option<Instant>>,
+    last_warning: Cell<Option<Instant>>,
     upstream: Upstream,
-    /// Announced peaks between fronts and over restarts.
+    /// This front's I/O with the other fronts.
     pub fleet_io: FleetIo,
-    wake: Notify,
-    idle: Notify,
+    /// Notified when the engine's next timer may have changed.
+    timers_changed: Notify,
+    /// Notified when the engine may have become idle or a background request has ended.
+    work_done: Notify,
 }
 
-/// Withdraws a waiting request when its connection goes.
+/// Guard of a waiting request: dropped unanswered, when the client's connection closes, it withdraws the request.
 pub struct PendingRequest {
     shell: Rc<Shell>,
     ticket: Ticket,
@@ -80,27 +86,27 @@
 }
 
 impl Shell {
-    /// Hands the engine an input and carries out what it answers.
+    /// Passes an input to the engine and executes the resulting effects.
     pub fn drive(self: &Rc<Self>, input: Input) {
         let mut out = Vec::new();
         self.engine.borrow_mut().handle(self.clock.now(), input, &mut out);
         self.execute(out);
     }
 
-    /// Asks, and waits for the one answer.
-    pub async fn ask(self: &Rc<Self>, input: impl FnOnce(Ticket) -> Input) -> AnswerWithPolicy {
+    /// Passes a request to the engine and waits for its one answer.
+    pub async fn request(self: &Rc<Self>, input: impl FnOnce(Ticket) -> Input) -> AnswerWithPolicy {
         let ticket = Ticket(self.next_ticket.replace(self.next_ticket.get() + 1));
-        let (tell, told) = oneshot::channel();
-        self.waiting.borrow_mut().insert(ticket, tell);
-        let mut waiting = PendingRequest { shell: self.clone(), ticket, answered: false };
+        let (sender, receiver) = oneshot::channel();
+        self.waiting.borrow_mut().insert(ticket, sender);
+        let mut pending = PendingRequest { shell: self.clone(), ticket, answered: false };
         crate::agreement::update_fence(self);
         self.drive(input(ticket));
-        let answer = told.await.unwrap_or((Answer::Failed, None));
-        waiting.answered = true;
+        let answer = receiver.await.unwrap_or((Answer::Failed, None));
+        pending.answered = true;
         answer
     }
 
-    /// Where a request on a session goes: the node's address and the path there.
+    /// Where to forward a request on a session: its route, and the address of the node.
     pub fn route(&self, resource: &str) -> (Route, Option<SocketAddr>) {
         let engine = self.engine.borrow();
         let route = engine.route(resource);
@@ -114,21 +120,21 @@
         &self.upstream
     }
 
-    /// Opens the event stream of a session; an earlier one of the same session ends.
+    /// Opens the event stream of a session. An earlier stream of the same session ends.
     pub fn open_stream(&self, resource: &str) -> mpsc::Receiver<String> {
-        let (tell, told) = mpsc::channel(MAX_QUEUED_EVENTS);
-        self.streams.borrow_mut().insert(resource.to_owned(), tell);
-        told
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_EVENTS);
+        self.streams.borrow_mut().insert(resource.to_owned(), sender);
+        receiver
     }
 
-    /// What the console shows.
+    /// The state that the console shows.
     pub fn snapshot(&self) -> Snapshot {
-        let mut s = self.engine.borrow().snapshot(self.clock.now());
-        self.fleet_io.fill_snapshot(self.fleet_clock.now_ms(), &mut s);
-        s
+        let mut snapshot = self.engine.borrow().snapshot(self.clock.now());
+        self.fleet_io.fill_snapshot(self.fleet_clock.now_ms(), &mut snapshot);
+        snapshot
     }
 
-    /// Reads the engine.
+    /// Calls a function with read access to the engine and with the current time.
     pub fn engine<R>(&self, read: impl FnOnce(&Engine, Time) -> R) -> R {
         read(&self.engine.borrow(), self.clock.now())
     }
@@ -136,7 +142,9 @@
     fn execute(self: &Rc<Self>, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Answer(ticket, answer, by) => self.answer(ticket, answer, by),
+                Effect::Answer(ticket, answer, policy_version) => {
+                    self.answer(ticket, answer, policy_version);
+                }
                 Effect::SetUp { attempt, node, title, publish, offer } => {
                     self.set_up(attempt, node, title, publish, offer);
                 }
@@ -152,17 +160,17 @@
                     }
                 }
                 Effect::DeleteUpstream(node, path) => {
-                    if let Some(address) = self.address(node) {
+                    if let Some(address) = self.node_address(node) {
                         let shell = self.clone();
                         self.spawn_background(async move { shell.upstream.delete(address, &path).await });
                     }
                 }
                 Effect::Probe(node) => fleet_io::request_probe(self, node),
                 Effect::SetLayer(node, path, rung) => self.set_layer(node, path, rung),
-                Effect::Subscribe(node, path) => self.follow(node, path),
+                Effect::Subscribe(node, path) => self.follow_events(node, path),
                 Effect::Tell(resource, event, data) => {
                     if let Some(stream) = self.streams.borrow().get(&resource) {
-                        // A full stream belongs to a viewer who does not read it.
+                        // A full stream means that the viewer does not read it; the event is dropped.
                         let _ = stream.try_send(pepperhook_signalling::write_event(event, &data));
                     }
                 }
@@ -173,38 +181,39 @@
                 Effect::Log(line) => info!(event = "decision", "{line}"),
             }
         }
-        self.wake.notify_one();
-        self.idle.notify_one();
+        self.timers_changed.notify_one();
+        self.work_done.notify_one();
     }
 
-    pub(crate) fn address(&self, node: ServerId) -> Option<SocketAddr> {
+    pub(crate) fn node_address(&self, node: ServerId) -> Option<SocketAddr> {
         self.engine.borrow().node(node).map(|n| n.address)
     }
 
-    fn answer(self: &Rc<Self>, ticket: Ticket, answer: Answer, by: Option<u64>) {
-        let Some(tell) = self.waiting.borrow_mut().remove(&ticket) else { return };
-        if let Err((Answer::Created { resource, .. }, _)) = tell.send((answer, by)) {
+    fn answer(self: &Rc<Self>, ticket: Ticket, answer: Answer, policy_version: Option<u64>) {
+        let Some(sender) = self.waiting.borrow_mut().remove(&ticket) else { return };
+        if let Err((Answer::Created { resource, .. }, _)) = sender.send((answer, policy_version)) {
             let shell = self.clone();
             spawn_local(async move { shell.drive(Input::Undelivered(resource)) });
         }
     }
 
-    /// Warnings that a sick node could repeat for each session come once in five seconds.
-    fn may_warn(&self) -> bool {
-        let due = self.warned.get().is_none_or(|at| at.elapsed() >= Duration::from_secs(5));
+    /// Limits warnings that a faulty node could cause for each session to one in 5 s: true if one is due now.
+    fn warning_due(&self) -> bool {
+        let due = self.last_warning.get().is_none_or(|at| at.elapsed() >= Duration::from_secs(5));
         if due {
-            self.warned.set(Some(Instant::now()));
+            self.last_warning.set(Some(Instant::now()));
         }
         due
     }
 
+    /// Spawns a request to a node that [`Front::stop`] waits for.
     fn spawn_background(self: &Rc<Self>, work: impl Future<Output = ()> + 'static) {
         let shell = self.clone();
         self.background_requests.set(self.background_requests.get() + 1);
         spawn_local(async move {
             work.await;
             shell.background_requests.set(shell.background_requests.get() - 1);
-            shell.idle.notify_one();
+            shell.work_done.notify_one();
         });
     }
 
@@ -218,7 +227,7 @@
     ) {
         let (shell, handle) = (self.clone(), AttemptHandle::default());
         let attempt_handle = handle.clone();
-        let address = self.address(node);
+        let address = self.node_address(node);
         let task = spawn_local(async move {
             let end = match address {
                 Some(address) => {
@@ -233,7 +242,7 @@
     }
 
     fn set_layer(self: &Rc<Self>, node: ServerId, path: String, rung: u8) {
-        let Some(address) = self.address(node) else { return };
+        let Some(address) = self.node_address(node) else { return };
         let key = (node, path);
         if let Some(next) = self.layers.borrow_mut().get_mut(&key) {
             *next = Some(rung);
@@ -244,8 +253,8 @@
         self.spawn_background(async move {
             let mut rung = rung;
             loop {
-                if !shell.upstream.set_layer(address, &key.1, rung).await && shell.may_warn() {
-                    warn!(event = "layer-not-set", rung, "a node did not take a rung");
+                if !shell.upstream.set_layer(address, &key.1, rung).await && shell.warning_due() {
+                    warn!(event = "layer-not-set", rung, "a node refused the rung or did not answer");
                 }
                 let next = shell.layers.borrow_mut().get_mut(&key).and_then(Option::take);
                 match next {
@@ -257,24 +266,25 @@
         });
     }
 
-    fn follow(self: &Rc<Self>, node: ServerId, path: String) {
-        let (shell, address) = (self.clone(), self.address(node));
+    /// Subscribes to a node's events by the session at this path.
+    fn follow_events(self: &Rc<Self>, node: ServerId, path: String) {
+        let (shell, address) = (self.clone(), self.node_address(node));
         spawn_local(async move {
             let end = match address {
                 Some(address) => {
-                    let each = |news| shell.drive(Input::News(node, news));
-                    shell.upstream.follow(address, &path, each).await
+                    let on_news = |news| shell.drive(Input::News(node, news));
+                    shell.upstream.follow(address, &path, on_news).await
                 }
                 None => StreamEnd::NoConnection,
             };
-            // A node that closes its streams as they open must not be asked in a tight loop.
+            // Without a pause, a node that closes each stream at once would be asked in a tight loop.
             tokio::time::sleep(Duration::from_millis(30)).await;
             shell.drive(Input::StreamEnded(node, end));
         });
     }
 
     /// Runs the engine's timers.
-    async fn timers(self: Rc<Self>) {
+    async fn run_timers(self: Rc<Self>) {
         loop {
             let next = self.engine.borrow().next_wake();
             tokio::select! {
@@ -283,18 +293,18 @@
                     self.engine.borrow_mut().wake(self.clock.now(), &mut out);
                     self.execute(out);
                 }
-                () = self.wake.notified() => {}
+                () = self.timers_changed.notified() => {}
             }
         }
     }
 
-    /// Looks at the list of nodes.
-    async fn watch(self: Rc<Self>, mut keeper: InventoryWatcher) {
+    /// Polls the list of nodes and passes each new one to the engine.
+    async fn watch_inventory(self: Rc<Self>, mut watcher: InventoryWatcher) {
         let mut ticks = tokio::time::interval(Duration::from_nanos(self.config.inventory_poll_interval));
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            match keeper.poll() {
+            match watcher.poll() {
                 PollResult::Unchanged | PollResult::Changing => {}
                 PollResult::Updated(nodes) => {
                     info!(event = "inventory-taken", nodes = nodes.len(), "a new list of nodes is in force");
@@ -308,7 +318,7 @@
                     warn!(
                         event = "inventory-kept",
                         faults = faults.len(),
-                        "the last good list stays in force"
+                        "the list of nodes has errors; the last valid one stays in force"
                     );
                 }
             }
@@ -316,7 +326,7 @@
     }
 }
 
-/// A front that listens.
+/// A running front with its listeners.
 pub struct Front {
     shell: Rc<Shell>,
     address: SocketAddr,
@@ -326,16 +336,16 @@
 }
 
 impl Front {
-    /// Binds the listeners and starts to serve, within a `LocalSet`. `nodes` is the list to start with; `keeper`
-    /// looks for later ones.
+    /// Binds the listeners and starts to serve, within a `LocalSet`. `nodes` is the initial list of nodes; `watcher`
+    /// finds later versions of it.
     ///
     /// # Errors
-    /// When an address cannot be bound, or the module does not take its settings.
+    /// If an address cannot be bound, a store cannot be opened, or the decision module rejects its settings.
     pub async fn start(
         config: Config,
         seed: u64,
         nodes: Vec<Node>,
-        keeper: Option<InventoryWatcher>,
+        watcher: Option<InventoryWatcher>,
     ) -> io::Result<Self> {
         let config = Rc::new(config);
         let engine =
@@ -360,86 +370,86 @@
             streams: RefCell::default(),
             layers: RefCell::default(),
             background_requests: Cell::new(0),
-            warned: Cell::new(None),
+            last_warning: Cell::new(None),
             upstream,
-            wake: Notify::new(),
-            idle: Notify::new(),
+            timers_changed: Notify::new(),
+            work_done: Notify::new(),
             config,
         });
         shell.drive(Input::Nodes(nodes));
         fleet_io::restore_records(&shell);
         fleet_io::update_duty_targets(&shell);
-        let (phase, seen) = watch::channel(Phase::Serving);
+        let (phase, phase_receiver) = watch::channel(Phase::Serving);
         let mut tasks = vec![
-            spawn_local(shell.clone().timers()),
-            spawn_local(session_api::serve(shell.clone(), listener, seen.clone())),
-            spawn_local(console::serve(shell.clone(), admin, seen)),
+            spawn_local(shell.clone().run_timers()),
+            spawn_local(session_api::serve(shell.clone(), listener, phase_receiver.clone())),
+            spawn_local(console::serve(shell.clone(), admin, phase_receiver)),
         ];
         tasks.extend(fleet_io::start_agreement(&shell));
         tasks.extend(socket.map(|s| spawn_local(fleet_io::run_socket(shell.clone(), s))));
-        tasks.extend(keeper.map(|k| spawn_local(shell.clone().watch(k))));
-        info!(event = "serving", address = %address, admin = %admin_address, "the front serves");
+        tasks.extend(watcher.map(|w| spawn_local(shell.clone().watch_inventory(w))));
+        info!(event = "serving", address = %address, admin = %admin_address, "the front accepts requests");
         Ok(Self { shell, address, admin: admin_address, tasks, phase })
     }
 
-    /// Where viewers come.
+    /// Address of the listener for viewers and publishers.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Address of the console, with its key.
+    /// URL of the console, with its key.
     #[must_use]
     pub fn console_url(&self) -> String {
         format!("http://{}/console?key={}", self.admin, self.shell.admin_key)
     }
 
-    /// The console's address alone.
+    /// Address of the console's listener.
     #[must_use]
     pub fn admin(&self) -> SocketAddr {
         self.admin
     }
 
-    /// What the console shows.
+    /// The state that the console shows.
     #[must_use]
     pub fn snapshot(&self) -> Snapshot {
         self.shell.snapshot()
     }
 
-    /// Stops: new requests are refused, those taken get their answer, sessions end, connections close. Takes
-    /// the longest patience and two seconds at most.
+    /// Stops in order: refuses new requests, answers those accepted before, ends the sessions and closes the connections.
+    /// Takes at most the longest patience of a class and two seconds.
     pub async fn stop(self) {
         let shell = &self.shell;
-        info!(event = "stopping", waiting = shell.snapshot().waiting, "no new requests are taken");
+        info!(event = "stopping", waiting = shell.snapshot().waiting, "new requests are refused");
         shell.engine.borrow_mut().stop();
         fleet_io::leave(shell);
         let _ = self.phase.send(Phase::Stopping);
         let longest = shell.engine(|e, _| e.longest_wait());
-        let idle = async {
+        let engine_idle = async {
             while !shell.engine.borrow().is_idle() {
-                shell.idle.notified().await;
+                shell.work_done.notified().await;
             }
         };
-        if tokio::time::timeout(Duration::from_nanos(longest), idle).await.is_err() {
-            warn!(event = "stopped-busy", "requests were still open after the longest patience");
+        if tokio::time::timeout(Duration::from_nanos(longest), engine_idle).await.is_err() {
+            warn!(event = "stopped-busy", "some requests have no answer after the longest patience");
         }
         let mut out = Vec::new();
         shell.engine.borrow_mut().end_all(shell.clock.now(), &mut out);
         shell.execute(out);
         let done = async {
             while shell.background_requests.get() > 0 {
-                shell.idle.notified().await;
+                shell.work_done.notified().await;
             }
         };
         let _ = tokio::time::timeout(FINAL_REQUESTS_TIMEOUT, done).await;
-        // Connections finish what they are writing, and say that they end.
+        // Connections finish the response in progress, with `Connection: close`.
         let _ = self.phase.send(Phase::Closing);
         let _ = tokio::time::timeout(FINAL_CONNECTIONS_TIMEOUT, self.phase.closed()).await;
         self.tasks.iter().for_each(JoinHandle::abort);
         info!(event = "stopped", "the front has stopped");
     }
 
-    /// Stops at once, as if killed.
+    /// Stops at once, without ending sessions, as if the process were killed.
     pub fn abort(self) {
         self.tasks.iter().for_each(JoinHandle::abort);
     }
