--- a/crates/front/src/http.rs
+++ b/crates/front/src/http.rs
@@ -1,4 +1,4 @@
-//! What both listeners share: responses, bodies within their bounds, and the loop that accepts connections.
+//! HTTP parts that both listeners use: responses, request bodies within their limits, and the accept loop.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::combinators::BoxBody;
@@ -22,10 +22,10 @@
 use tokio::sync::{mpsc, watch};
 use tracing::warn;
 
-/// Body of every response.
+/// Body type of every response.
 pub type ResponseBody = BoxBody<Bytes, Infallible>;
 
-/// A response with a body of one piece.
+/// A response with a complete body. An empty `kind` sets no content type.
 pub fn response(status: u16, kind: &str, body: impl Into<Bytes>) -> Response<ResponseBody> {
     let mut r = Response::new(Full::new(body.into()).boxed());
     *r.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
@@ -35,47 +35,52 @@
     r
 }
 
-/// Sets a header; a value that no header can hold is left out.
+/// Sets a header; a value that is not valid in a header is left out.
 pub fn set_header(r: &mut Response<ResponseBody>, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         r.headers_mut().insert(name, value);
     }
 }
 
-/// Adds a header beside those of its name.
+/// Adds a header and keeps others of the same name.
 pub fn append_header(r: &mut Response<ResponseBody>, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         r.headers_mut().append(name, value);
     }
 }
 
-/// Problem details, with `Retry-After` where there is advice.
+/// A response with problem details (RFC 9457), and `Retry-After` if the problem has a time for it.
 pub fn problem(p: &Problem) -> Response<ResponseBody> {
     let mut r = response(p.status, PROBLEM_JSON, p.to_json());
     if let Some(s) = p.retry_after_s() {
         set_header(&mut r, RETRY_AFTER.as_str(), &s.to_string());
     }
-    // RFC 9110, 11.6.1, of viewers' tokens and of the console's key alike.
+    // RFC 9110, 11.6.1; for viewers' tokens and the console's key.
     if p.status == 401 {
         set_header(&mut r, WWW_AUTHENTICATE.as_str(), "Bearer");
     }
     r
 }
 
-/// What is read and thrown away past the bound, so that a client that sends all before it reads still hears
-/// why it was turned away.
+/// Bytes of a body that are read at most; past the limit they are discarded. A client that sends its whole body before
+/// it reads would otherwise not receive the 413.
 const MAX_DISCARDED_BYTES: usize = 16 << 20;
 
-/// Reads a body within its bounds.
+/// Reads a request body within the limits.
 ///
 /// # Errors
-/// 413 past the bound, 408 past the time, 400 where it breaks off.
+/// 413 if it is too large, 408 if it takes too long, 400 if it breaks off.
 pub async fn read_body(mut incoming: Incoming, limits: &Limits) -> Result<Bytes, Problem> {
     let (mut kept, mut length) = (BytesMut::new(), 0usize);
-    let whole = async {
+    let read_frames = async {
         while let Some(frame) = incoming.frame().await {
             let frame = frame.map_err(|_| {
-                Problem::new(400, "body-broken", "The body broke off", "the body did not come whole")
+                Problem::new(
+                    400,
+                    "body-broken",
+                    "The body broke off",
+                    "the connection ended before the whole body had arrived",
+                )
             })?;
             let Some(data) = frame.data_ref() else { continue };
             length = length.saturating_add(data.len());
@@ -87,20 +92,22 @@
         }
         Ok(())
     };
-    match tokio::time::timeout(Duration::from_nanos(limits.body_timeout), whole).await {
+    match tokio::time::timeout(Duration::from_nanos(limits.body_timeout), read_frames).await {
         Ok(read) => read?,
         Err(_) => {
-            return Err(Problem::new(408, "body-slow", "The body took too long", "send the body at once"));
+            let limit_ms = limits.body_timeout / 1_000_000;
+            let detail = format!("the body did not arrive within {limit_ms} ms");
+            return Err(Problem::new(408, "body-slow", "The body took too long", detail));
         }
     }
     if length > limits.body {
-        let detail = format!("bodies of {} bytes at most are taken", limits.body);
+        let detail = format!("the body has more than the allowed {} bytes", limits.body);
         return Err(Problem::new(413, "body-too-large", "The body is too large", detail));
     }
     Ok(kept.freeze())
 }
 
-/// A body of server-sent events.
+/// A response body of server-sent events, which ends when the sender is dropped.
 pub struct EventBody(pub mpsc::Receiver<String>);
 
 impl Body for EventBody {
@@ -115,74 +122,76 @@
     }
 }
 
-/// How far a front's stop has come, as its listeners see it.
+/// Phase of a front's shutdown, as its listeners see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It serves.
+    /// The front serves.
     Serving,
-    /// It takes no new work: each response closes its connection (RFC 9112, 9.6).
+    /// New requests are refused, and each response closes its connection (RFC 9112, 9.6).
     Stopping,
-    /// Connections end.
+    /// All connections are being closed.
     Closing,
 }
 
-/// A connection between two requests has so long for its next one once the front stops.
+/// Time that a connection without a request in progress has for its next request once the front stops.
 const FINAL_REQUEST_WAIT: Duration = Duration::from_millis(300);
-/// What a request hears that came as its connection was about to be shut.
+/// Response to a request that arrives while its connection is being closed.
 const LATE_RESPONSE: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\nretry-after: 1\r\n\
 access-control-allow-origin: *\r\ncontent-length: 0\r\n\r\n";
 
-/// Accepts connections until told to close; those that wait in the backlog then are served too.
-pub async fn accept<F, R>(listener: TcpListener, limits: Limits, phase: watch::Receiver<Phase>, each: F)
+/// Accepts connections until [`Phase::Closing`] and serves each in a task of its own. Connections that are in the
+/// backlog at that time are still accepted.
+pub async fn accept<F, R>(listener: TcpListener, limits: Limits, phase: watch::Receiver<Phase>, handler: F)
 where
     F: Fn(Request<Incoming>) -> R + Clone + Unpin + 'static,
     R: Future<Output = Response<ResponseBody>> + 'static,
 {
-    let open = Rc::new(Cell::new(0usize));
+    let open_connections = Rc::new(Cell::new(0usize));
     let mut closing = phase.clone();
-    let mut told = tokio::time::Instant::now() - Duration::from_secs(10);
+    // Long enough ago that the first warning is due.
+    let mut last_warning = tokio::time::Instant::now() - Duration::from_secs(10);
     loop {
         let (stream, _) = tokio::select! {
             biased;
             accepted = pepperhook_net::accept(&listener) => accepted,
             _ = closing.wait_for(|p| *p == Phase::Closing) => return,
         };
-        if open.get() >= limits.connections {
-            if told.elapsed() > Duration::from_secs(5) {
-                told = tokio::time::Instant::now();
+        if open_connections.get() >= limits.connections {
+            if last_warning.elapsed() > Duration::from_secs(5) {
+                last_warning = tokio::time::Instant::now();
                 warn!(
                     event = "connections-full",
                     most = limits.connections,
-                    "a connection was closed as it came"
+                    "too many open connections: a new one was closed"
                 );
             }
             continue;
         }
-        open.set(open.get() + 1);
-        let (each, open, phase) = (each.clone(), open.clone(), phase.clone());
+        open_connections.set(open_connections.get() + 1);
+        let (handler, open_connections, phase) = (handler.clone(), open_connections.clone(), phase.clone());
         tokio::task::spawn_local(async move {
-            serve(stream, limits, phase, each).await;
-            open.set(open.get() - 1);
+            serve(stream, limits, phase, handler).await;
+            open_connections.set(open_connections.get() - 1);
         });
     }
 }
 
 /// Serves one connection to its end.
-async fn serve<F, R>(stream: TcpStream, limits: Limits, phase: watch::Receiver<Phase>, each: F)
+async fn serve<F, R>(stream: TcpStream, limits: Limits, phase: watch::Receiver<Phase>, handler: F)
 where
     F: Fn(Request<Incoming>) -> R + Clone + Unpin + 'static,
     R: Future<Output = Response<ResponseBody>> + 'static,
 {
-    // Whether a response has said that the connection closes: nothing may follow that one.
-    let said: Rc<Cell<bool>> = Rc::default();
-    let (stopping, saying) = (phase.clone(), said.clone());
+    // Set once a response had `Connection: close`; no further response may follow it.
+    let close_announced: Rc<Cell<bool>> = Rc::default();
+    let (service_phase, announced) = (phase.clone(), close_announced.clone());
     let service = service_fn(move |request| {
-        let (answer, stopping, saying) = (each(request), stopping.clone(), saying.clone());
+        let (answer, phase, announced) = (handler(request), service_phase.clone(), announced.clone());
         Box::pin(async move {
             let mut response = answer.await;
-            if *stopping.borrow() >= Phase::Stopping {
+            if *phase.borrow() >= Phase::Stopping {
                 set_header(&mut response, "connection", "close");
-                saying.set(true);
+                announced.set(true);
             }
             Ok::<_, Infallible>(response)
         })
@@ -192,7 +201,7 @@
         .header_read_timeout(Duration::from_nanos(limits.head_timeout))
         .max_buf_size(limits.head)
         .serve_connection(TokioIo::new(stream), service);
-    let whole = {
+    let ended_cleanly = {
         let mut served = std::pin::pin!(std::future::poll_fn(|cx| connection.poll_without_shutdown(cx)));
         let mut stopped = phase.clone();
         let time_up = async {
@@ -200,43 +209,44 @@
             tokio::time::sleep(FINAL_REQUEST_WAIT).await;
         };
         tokio::select! {
-            // How a client's connection ended is told by what it left unanswered.
-            ended = &mut served => Some(ended.is_ok()),
+            // A broken client connection is not logged: its unanswered requests are withdrawn and counted.
+            result = &mut served => Some(result.is_ok()),
             () = time_up => None,
         }
     };
-    let whole = match whole {
-        Some(whole) => whole,
+    let ended_cleanly = match ended_cleanly {
+        Some(ended_cleanly) => ended_cleanly,
         None => {
-            // Between two requests it ends here; one that is being answered, or streams, ends as that does.
+            // A connection without a request in progress ends now; others end after their response or stream.
             Pin::new(&mut connection).graceful_shutdown();
-            let mut ended = phase.clone();
-            let last = async {
-                let _ = ended.wait_for(|p| *p == Phase::Closing).await;
+            let mut closing = phase.clone();
+            let time_up = async {
+                let _ = closing.wait_for(|p| *p == Phase::Closing).await;
                 tokio::time::sleep(FINAL_REQUEST_WAIT).await;
             };
             tokio::select! {
-                ended = std::future::poll_fn(|cx| connection.poll_without_shutdown(cx)) => ended.is_ok(),
-                () = last => false,
+                result = std::future::poll_fn(|cx| connection.poll_without_shutdown(cx)) => result.is_ok(),
+                () = time_up => false,
             }
         }
     };
-    if *phase.borrow() == Phase::Serving || !whole {
+    if *phase.borrow() == Phase::Serving || !ended_cleanly {
         return;
     }
     let parts = connection.into_parts();
-    close_connection(parts.io.into_inner(), !parts.read_buf.is_empty(), said.get()).await;
+    close_connection(parts.io.into_inner(), !parts.read_buf.is_empty(), close_announced.get()).await;
 }
 
-/// Ends a connection in order: what came too late is told so, the sending side is shut, the rest is read and left.
-async fn close_connection(mut stream: TcpStream, mut late: bool, said_close: bool) {
+/// Closes a connection in order: answers a late request by [`LATE_RESPONSE`], unless a response has announced the close,
+/// then half-closes and discards further input. `late_request`: bytes of a request have been read already.
+async fn close_connection(mut stream: TcpStream, mut late_request: bool, close_announced: bool) {
     let mut buffer = [0u8; 4_096];
-    let mut read = 0;
-    if let (false, Ok(n)) = (late, stream.try_read(&mut buffer)) {
-        (late, read) = (n > 0, n);
+    let mut read_bytes = 0;
+    if let (false, Ok(n)) = (late_request, stream.try_read(&mut buffer)) {
+        (late_request, read_bytes) = (n > 0, n);
     }
-    if late && !said_close {
+    if late_request && !close_announced {
         let _ = tokio::time::timeout(pepperhook_net::LINGER_TIME, stream.write_all(LATE_RESPONSE)).await;
     }
-    pepperhook_net::linger(&mut stream, read).await;
+    pepperhook_net::linger(&mut stream, read_bytes).await;
 }
