--- a/crates/front/src/session_api.rs
+++ b/crates/front/src/session_api.rs
@@ -1,15 +1,15 @@
-//! The face to viewers and publishers: WHEP and WHIP over HTTP.
+//! The HTTP interface for viewers (WHEP) and publishers (WHIP).
 //!
 //! | request | answer |
 //! | --- | --- |
 //! | `POST /whep/{title}`, `POST /whip/{title}` | 201, or a problem: see `problem_of` |
-//! | `PATCH /session/{id}` | carried through to the node |
-//! | `DELETE /session/{id}` | 200; the node is told |
+//! | `PATCH /session/{id}` | forwarded to the node, whose response is returned |
+//! | `DELETE /session/{id}` | 200; the session is deleted at the node |
 //! | `POST /session/{id}/events`, `GET /session/{id}/events/stream` | server-sent events |
 //! | `OPTIONS` on each | CORS |
 //!
-//! Who asks: `viewer`, `class`, `tenant` and `top` come from the query, tenant and rights from the bearer token
-//! where tokens are set (`docs/operators.md`).
+//! `viewer`, `class`, `tenant` and `top` come from the query. If the settings have tokens, tenant and rights come from
+//! the bearer token (`docs/operators.md`).
 
 use crate::engine::types::*;
 use crate::http::{
@@ -33,16 +33,16 @@
 use tokio::sync::watch;
 use tracing::{Instrument, debug, info_span};
 
-/// A PATCH must be through within this time.
+/// Time for a node to answer a forwarded PATCH.
 const PATCH_TIMEOUT: Duration = Duration::from_secs(2);
-/// Advice to those who come to a live title before its publisher.
+/// Retry-After for viewers of a live title that nobody publishes yet, milliseconds.
 const UNPUBLISHED_RETRY_MS: u64 = 1_000;
-/// Names the version of the agreed policy by which a set-up was decided; problems have it as a member.
+/// Response header with the version of the agreed policy under which a set-up was decided. Problems have it as a member.
 const POLICY_HEADER: &str = "pepperhook-policy";
-/// Bytes of a title's, a viewer's or a class's name at most.
+/// Longest query argument that is accepted, in bytes after decoding; a longer one counts as absent.
 const MAX_NAME_BYTES: usize = 256;
 
-/// Serves until told to close.
+/// Serves until [`Phase::Closing`].
 pub async fn serve(shell: Rc<Shell>, listener: TcpListener, phase: watch::Receiver<Phase>) {
     let limits = shell.config.limits;
     accept(listener, limits, phase, move |request| {
@@ -91,7 +91,7 @@
     r
 }
 
-/// The token that a request bears, where tokens are set (RFC 6750; RFC 9725, 4.7).
+/// Checks the request's bearer token and returns it; `None` if the settings have no tokens (RFC 6750; RFC 9725, 4.7).
 fn authorize<'a>(shell: &'a Shell, headers: &HeaderMap) -> Result<Option<&'a Token>, Problem> {
     if shell.config.tokens.is_empty() {
         return Ok(None);
@@ -103,11 +103,16 @@
     let matches = |t: &&Token| bool::from(t.secret.as_bytes().ct_eq(bearer.unwrap_or("").as_bytes()));
     match shell.config.tokens.iter().find(matches) {
         Some(token) => Ok(Some(token)),
-        None => Err(Problem::new(401, "token", "Not authorized", "a valid bearer token is needed")),
+        None => Err(Problem::new(
+            401,
+            "token",
+            "Not authorized",
+            "the request needs one of the configured tokens as its bearer token",
+        )),
     }
 }
 
-/// Compares media types without their parameters.
+/// Compares the request's media type, without parameters, with the expected one.
 fn is_type(headers: &HeaderMap, wanted: &str) -> bool {
     let given = headers.get(CONTENT_TYPE).and_then(|v| v.to_str().ok()).unwrap_or("");
     given.split(';').next().unwrap_or("").trim().eq_ignore_ascii_case(wanted)
@@ -132,7 +137,7 @@
         (["session", id], Method::DELETE) => {
             authorize(shell, request.headers())?;
             let resource = (*id).to_owned();
-            match shell.request(|t| Input::Delete(t, resource)).await.0 {
+            match shell.request(|ticket| Input::Delete(ticket, resource)).await.0 {
                 Answer::Ended => Ok(response(200, "", Bytes::new())),
                 _ => Err(unknown_session()),
             }
@@ -165,7 +170,7 @@
     Problem::new(404, "session", "No such session", "it has ended, or never was")
 }
 
-/// Query arguments, decoded; the first of a name counts.
+/// A query argument, decoded; the first of that name counts.
 fn query<'a>(request: &'a Request<Incoming>, name: &str) -> Option<std::borrow::Cow<'a, str>> {
     let all = request.uri().query()?;
     let value = all.split('&').filter_map(|p| p.split_once('=')).find(|(n, _)| *n == name)?.1;
@@ -173,7 +178,7 @@
     (decoded.len() <= MAX_NAME_BYTES).then_some(decoded)
 }
 
-/// Turns a checked POST into what the engine is asked.
+/// Builds the engine's request from an authorized POST; the offer is filled in later.
 fn set_up_request(
     shell: &Shell,
     publish: bool,
@@ -181,24 +186,27 @@
     request: &Request<Incoming>,
     token: Option<&Token>,
 ) -> Result<Ask, Problem> {
-    // The classes and tenants in force: an agreed policy may have brought some.
+    // The engine's config has the classes and tenants in force; an agreed policy may have added some to the file's.
     let config = shell.engine(|e, _| e.config().clone());
-    let bad = |what: String| Problem::new(400, "query", "Bad query", what);
+    let bad_query = |detail: String| Problem::new(400, "query", "Bad query", detail);
     let name = percent_encoding::percent_decode_str(title).decode_utf8_lossy().into_owned();
-    let place = config.titles.get(&name).filter(|t| t.copies > 0);
-    let place =
-        place.ok_or_else(|| Problem::new(404, "title", "No such title", "nobody holds this title"))?;
+    let placement = config.titles.get(&name).filter(|t| t.copies > 0);
+    let placement =
+        placement.ok_or_else(|| Problem::new(404, "title", "No such title", "nobody holds this title"))?;
     if token.is_some_and(|t| publish && !t.publish) {
         return Err(Problem::new(403, "token", "Not allowed", "this token may not publish"));
     }
     let class = match query(request, "class") {
         _ if publish => config.classes.iter().position(|c| c.ingest),
         Some(name) => config.classes.iter().position(|c| c.name == *name && !c.ingest),
-        None => Some(usize::from(place.class)),
+        None => Some(usize::from(placement.class)),
     };
     let class = class.ok_or_else(|| match publish {
         true => Problem::new(405, "publish", "Publishing is not offered", "there is no class for ingest"),
-        false => bad("there is no such class".into()),
+        false => {
+            let class = query(request, "class").unwrap_or_default();
+            bad_query(format!("'class' is '{class}', which is no class for viewers"))
+        }
     })?;
     let tenant = match (token, query(request, "tenant")) {
         (Some(token), _) => usize::from(token.tenant),
@@ -206,16 +214,18 @@
             .tenants
             .iter()
             .position(|t| *t == name)
-            .ok_or_else(|| bad("there is no such tenant".into()))?,
+            .ok_or_else(|| bad_query(format!("'tenant' is '{name}', which is no tenant")))?,
         (None, None) => 0,
     };
     let top = match query(request, "top") {
-        Some(top) => top.parse::<u8>().map_err(|_| bad("'top' is a rung, a number from 0 to 255".into()))?,
+        Some(top) => {
+            top.parse::<u8>().map_err(|_| bad_query("'top' is a rung, a number from 0 to 255".into()))?
+        }
         None => u8::MAX,
     };
-    let top = token.and_then(|t| t.top).map_or(top, |most| top.min(most));
+    let top = token.and_then(|t| t.top).map_or(top, |limit| top.min(limit));
     let viewer = match query(request, "viewer") {
-        // Tokens keep the names of their viewers apart.
+        // The token's name is part of the key: viewers of different tokens may have the same name.
         Some(v) => name_hash(&format!("{}\n{v}\n{name}\n{publish}", token.map_or("", |t| &t.name))),
         None => rand::random(),
     };
@@ -223,9 +233,9 @@
         offer: Bytes::new(),
         offer_hash: 0,
         name: title.to_owned(),
-        title: place.id,
-        home: place.home,
-        copies: place.copies,
+        title: placement.id,
+        home: placement.home,
+        copies: placement.copies,
         class: class as u16,
         tenant: tenant as u16,
         viewer: ViewerKey(viewer),
@@ -246,14 +256,14 @@
     }
     let mut ask = set_up_request(shell, publish, title, &request, token)?;
     let offer = read_body(request.into_body(), &shell.config.limits).await?;
-    let way = if publish { Direction::Send } else { Direction::Receive };
-    let checked = Offer::parse(&offer, way)
+    let direction = if publish { Direction::Send } else { Direction::Receive };
+    let parsed = Offer::parse(&offer, direction)
         .map_err(|e| Problem::new(400, "offer", "The offer cannot be served", e.to_string()))?;
-    ask.offer_hash = name_hash(&checked.raw);
+    ask.offer_hash = name_hash(&parsed.raw);
     ask.offer = offer;
     let span = info_span!("session", title, viewer = format!("{:016x}", ask.viewer.0), publish);
     let (answer, policy) = async {
-        let (answer, policy) = shell.request(|t| Input::Post(t, ask)).await;
+        let (answer, policy) = shell.request(|ticket| Input::Post(ticket, ask)).await;
         debug!(event = "answered", answer = answer_kind(&answer), policy, "a request was answered");
         (answer, policy)
     }
@@ -280,6 +290,7 @@
     Ok(r)
 }
 
+/// Name of an answer in the log.
 fn answer_kind(answer: &Answer) -> &'static str {
     match answer {
         Answer::Created { .. } => "playing",
@@ -294,23 +305,25 @@
     }
 }
 
-/// What each answer that is no 201 means to a client.
+/// The problem that a client gets for each answer other than a 201.
 fn problem_of(answer: &Answer) -> Problem {
     match answer {
-        Answer::Refused(advice, why) => {
-            let (name, detail) = match why {
+        Answer::Refused(retry_after, reason) => {
+            let (name, detail) = match reason {
                 Refusal::NoRoom => ("refused", "no holder of the title has room now; a new try does no harm"),
-                Refusal::Overload => ("overload", "the front holds as many requests or sessions as it may"),
+                Refusal::Overload => {
+                    ("overload", "the front has reached its limit of waiting requests or of sessions")
+                }
                 Refusal::Stopping => ("stopping", "the front is stopping; another one takes the request"),
-                Refusal::Copies => ("copies", "copies of this request wait for its answer already"),
+                Refusal::Copies => ("copies", "too many copies of this request already wait for its answer"),
                 Refusal::Fenced => {
                     ("fenced", "this front cannot know what the fleet agreed; trying elsewhere is harmless")
                 }
             };
-            let title = if *why == Refusal::Fenced { "Fenced" } else { "Refused" };
+            let title = if *reason == Refusal::Fenced { "Fenced" } else { "Refused" };
             let p = Problem::new(503, name, title, detail);
-            // Without advice of the module a second is told: RFC 9725 wants Retry-After with a 503.
-            p.with_retry_after_ms(advice.map_or(1_000, |ns| ns.div_ceil(1_000_000)))
+            // 1 s if the decision module gave no time: RFC 9725 requires Retry-After with a 503.
+            p.with_retry_after_ms(retry_after.map_or(1_000, |ns| ns.div_ceil(1_000_000)))
         }
         Answer::Superseded => {
             Problem::new(409, "superseded", "Superseded", "a newer request of the same viewer took its place")
@@ -336,7 +349,7 @@
     request: Request<Incoming>,
 ) -> Result<Response<ResponseBody>, Problem> {
     authorize(shell, request.headers())?;
-    // What is no session has no need of this header or that.
+    // An unknown session is a 404, whatever headers the request has or lacks.
     if shell.route(id).0 == Route::Unknown {
         return Err(unknown_session());
     }
@@ -344,24 +357,24 @@
     if !is_answer && !is_type(request.headers(), FRAGMENT_TYPE) {
         return Err(wrong_type(FRAGMENT_TYPE));
     }
-    let given = request.headers().get(IF_MATCH).and_then(|v| v.to_str().ok()).map(str::to_owned);
-    let untagged =
+    let if_match = request.headers().get(IF_MATCH).and_then(|v| v.to_str().ok()).map(str::to_owned);
+    let no_if_match =
         || Problem::new(428, "if-match", "Precondition required", "If-Match names the ICE session");
-    if given.is_none() && !is_answer && !shell.config.lenient_if_match {
-        return Err(untagged());
+    if if_match.is_none() && !is_answer && !shell.config.lenient_if_match {
+        return Err(no_if_match());
     }
     let bytes = read_body(request.into_body(), &shell.config.limits).await?;
     let fragment = if is_answer { None } else { Some(Fragment::parse(&bytes)) };
     let fragment =
         fragment.transpose().map_err(|e| Problem::new(422, "fragment", "Bad fragment", e.to_string()))?;
-    // RFC 9725, 4.3.1 asks for the header ("MUST"); many players trickle without. What names the running ICE session by
-    // its credentials can mean no other; a restart without the header never passes.
-    let running = || {
+    // RFC 9725, 4.3.1 requires the header ("MUST"), but many players trickle without it. A fragment with the user fragment
+    // of the running ICE session cannot mean another session. A restart has a new one and always needs the header.
+    let running_tag = || {
         let (ufrag, etag) = shell.engine(|e, _| e.ice_session(id))?;
         fragment.as_ref().is_some_and(|f| f.ufrag.as_ref() == Some(&ufrag)).then_some(etag).flatten()
     };
-    let tag = if is_answer { given } else { Some(given.or_else(running).ok_or_else(untagged)?) };
-    // The session may have been moved while the body came: it is looked up now, not before.
+    let tag = if is_answer { if_match } else { Some(if_match.or_else(running_tag).ok_or_else(no_if_match)?) };
+    // Looked up only now: the session may have been moved while the body was read.
     let (node, path) = match shell.route(id) {
         (Route::Node(_, path), Some(address)) => (address, path),
         (Route::Moved, _) => {
@@ -370,9 +383,14 @@
         _ => return Err(unknown_session()),
     };
     let kind = if is_answer { SDP_TYPE } else { FRAGMENT_TYPE };
-    let through = shell.upstream().patch(node, &path, kind, tag.as_deref(), bytes, PATCH_TIMEOUT).await;
-    let (status, etag, kind, bytes) = through.map_err(|_| {
-        Problem::new(504, "node", "The node did not answer", "the change may or may not be in force")
+    let forwarded = shell.upstream().patch(node, &path, kind, tag.as_deref(), bytes, PATCH_TIMEOUT).await;
+    let (status, etag, kind, bytes) = forwarded.map_err(|_| {
+        Problem::new(
+            504,
+            "node",
+            "The node did not answer",
+            "the node may or may not have applied the change",
+        )
     })?;
     if let (200, Some(ufrag)) = (status, fragment.and_then(|f| f.ufrag)) {
         shell.drive(Input::Restarted(id.to_owned(), ufrag, etag.clone()));
@@ -384,6 +402,7 @@
     Ok(r)
 }
 
+/// Creates an event stream for a session. The list of event names is checked, but each stream has all events.
 async fn subscribe(
     shell: &Rc<Shell>,
     id: &str,
@@ -419,7 +438,7 @@
         let named = p.with("policy", 7.into());
         assert!(String::from_utf8(named.to_json()).expect("text").contains("\"policy\":7"));
         assert_eq!(problem_of(&Answer::Closed).status, 409);
-        let full = problem_of(&Answer::Refused(Some(500_000_000), Refusal::NoRoom));
-        assert_eq!((full.title.as_str(), full.retry_after_ms), ("Refused", Some(500)));
+        let no_room = problem_of(&Answer::Refused(Some(500_000_000), Refusal::NoRoom));
+        assert_eq!((no_room.title.as_str(), no_room.retry_after_ms), ("Refused", Some(500)));
     }
 }
