--- a/crates/front/src/agreement.rs
+++ b/crates/front/src/agreement.rs
@@ -1,5 +1,6 @@
-//! What the fleet agrees on, as a front carries it out: the voter's store on the disk, policies into the engine, the fence,
-//! and operators' wishes. It decides nothing.
+//! I/O of the agreement between fronts: writes the voter's store, applies agreed policies to the engine, fences the engine
+//! while the front cannot know what was agreed, and passes operators' requests on. The protocol itself is in
+//! `pepperhook_agreement`.
 
 use crate::engine::types::Input;
 use crate::fleet_io::call_fleet;
@@ -18,46 +19,53 @@
 use tokio::sync::mpsc;
 use tracing::{error, info, warn};
 
-/// The file of a voter's promises, in `state-dir`.
+/// Name of the voter's store in `state-dir`.
 const STORE_FILE: &str = "agreement.redb";
-/// Writes that wait for the disk at most. A disk that is further behind counts as one that refuses.
+/// Capacity of the store's queue, jobs. A write that finds it full counts as failed.
 const MAX_QUEUED_WRITES: usize = 1_024;
-/// Wishes that are waited for at once at most.
+/// Limit of operators' requests that wait for an answer at the same time.
 const MAX_WAITING_OPERATORS: usize = 64;
-/// A proposal is sent again for so long, milliseconds.
+/// Time for which a proposal is sent again, milliseconds.
 const PROPOSAL_TIMEOUT_MS: u64 = 10_000;
 
-/// What the store is to do.
+/// A job of the task that writes the voter's store.
 pub enum StoreJob {
-    /// Write a batch.
+    /// Write the operations of this batch.
     Write(u64, Vec<StoreOp>),
-    /// Put the file away and make another.
+    /// Rename the file and create a new one.
     Replace,
 }
 
-/// This front's side of the agreement, where it has one.
+/// State of the agreement's I/O; unused if the settings have no agreement.
 #[derive(Default)]
 pub struct AgreementIo {
     jobs: Option<mpsc::Sender<StoreJob>>,
+    /// The engine's last known fence.
     fenced: Cell<bool>,
+    /// Operators that wait for an answer, by the key of their request.
     waiting: RefCell<HashMap<u128, Vec<mpsc::Sender<Answer>>>>,
 }
 
-/// A voter's store and where it lies.
+/// A voter's store and its path.
 pub struct VoterStore {
     store: Arc<Store>,
     path: PathBuf,
 }
 
-/// Opens a store. One that is torn or no store is put beside it under another name, and a new one made: this front is
-/// another voter then, and cannot contradict what the former promised.
+/// Opens a store. A damaged file is renamed and replaced by a new store. The new store has an identity of its own: the
+/// front then counts as another voter, and cannot contradict the promises in the lost one.
 fn open(path: &Path) -> io::Result<(Store, StoredState)> {
-    let draw = || rand::random::<u64>().max(1);
-    match Store::open(path, draw()) {
-        Err(StoreError::Invalid(why)) => {
-            let away = set_aside(path)?;
-            warn!(event = "agreement-store-new", why, away = %away.display(), "its store could not be read");
-            Store::open(path, draw())
+    let random_identity = || rand::random::<u64>().max(1);
+    match Store::open(path, random_identity()) {
+        Err(StoreError::Invalid(reason)) => {
+            let new_path = set_aside(path)?;
+            warn!(
+                event = "agreement-store-new",
+                why = reason,
+                away = %new_path.display(),
+                "the voter's store was unreadable: it was renamed and a new one created"
+            );
+            Store::open(path, random_identity())
         }
         opened => opened,
     }
@@ -66,21 +74,24 @@
 
 /// Renames a file to the first free name beside it.
 fn set_aside(path: &Path) -> io::Result<PathBuf> {
-    let name = |n: u32| path.with_extension(format!("away-{n}"));
-    let away = (1..10_000).map(name).find(|p| !p.exists());
-    let away = away.ok_or_else(|| io::Error::other("too many stores were put away"))?;
-    std::fs::rename(path, &away)?;
-    Ok(away)
+    let numbered = |n: u32| path.with_extension(format!("away-{n}"));
+    let new_path = (1..10_000).map(numbered).find(|p| !p.exists());
+    let new_path = new_path.ok_or_else(|| {
+        let shown = path.display();
+        io::Error::other(format!("cannot rename {shown}: all names from .away-1 to .away-9999 are in use"))
+    })?;
+    std::fs::rename(path, &new_path)?;
+    Ok(new_path)
 }
 
-/// What the fleet's part is told of the agreement, and the disk; nothing where settings do not name it.
+/// Opens the voter's store and builds the settings of the agreement; `None` if the configuration has no agreement.
 ///
 /// # Errors
-/// When the store cannot be opened.
+/// If the store cannot be opened, or the configuration makes no valid policy.
 pub fn prepare(config: &Config, run: u64) -> io::Result<Option<(AgreedSettings, Option<VoterStore>)>> {
     let Some(a) = &config.agreement else { return Ok(None) };
-    let (me, ms) = (name_hash(&config.name), |t: u64| t / 1_000_000);
-    let disk = match &config.state_dir {
+    let (me, ms) = (name_hash(&config.name), |ns: u64| ns / 1_000_000);
+    let opened = match &config.state_dir {
         Some(dir) => {
             let path = dir.join(STORE_FILE);
             let (store, kept) = open(&path)?;
@@ -88,10 +99,10 @@
         }
         None => None,
     };
-    let (disk, kept) = disk.unzip();
+    let (voter_store, kept) = opened.unzip();
     let mut voters: Vec<u64> = a.voters.iter().map(|v| name_hash(v)).collect();
     voters.sort_unstable();
-    // The file of a voter is the seed, where the fleet has no policy yet.
+    // A voter proposes the policy in its configuration file if the fleet has none yet.
     let seed = voters.contains(&me).then(|| Policy::from_config(config)).transpose();
     let seed = seed.map_err(|e| io::Error::new(io::ErrorKind::InvalidInput, e.to_string()))?;
     let settings = AgreedSettings {
@@ -109,60 +120,60 @@
         patience_ms: ms(config.classes.iter().map(|c| c.patience).max().unwrap_or(0)),
         serve_unknown: a.serve_before_contact,
     };
-    Ok(Some((settings, disk)))
+    Ok(Some((settings, voter_store)))
 }
 
 impl AgreementIo {
-    /// With a disk: the queue of what it is to do.
-    pub fn new(disk: Option<&VoterStore>) -> (Self, Option<mpsc::Receiver<StoreJob>>) {
-        let (jobs, queue) = disk.map(|_| mpsc::channel(MAX_QUEUED_WRITES)).unzip();
+    /// Also returns the queue of the store's jobs, if there is a store.
+    pub fn new(store: Option<&VoterStore>) -> (Self, Option<mpsc::Receiver<StoreJob>>) {
+        let (jobs, queue) = store.map(|_| mpsc::channel(MAX_QUEUED_WRITES)).unzip();
         (Self { jobs, ..Self::default() }, queue)
     }
 
-    /// Hands the disk something to do; false if it is too far behind.
+    /// Queues a job for the store; false if the queue is full or there is no store.
     pub fn enqueue(&self, job: StoreJob) -> bool {
         self.jobs.as_ref().is_some_and(|jobs| jobs.try_send(job).is_ok())
     }
 
-    /// What came of an operator's wish goes to whoever waits for it.
+    /// Passes an answer to the operators that wait for it.
     pub fn deliver_answer(&self, key: u128, answer: &Answer) {
-        info!(event = "policy-answer", answer = %answer, "a change of the policy was answered");
+        info!(event = "policy-answer", answer = %answer, "an operator's request about the policy was answered");
         let mut waiting = self.waiting.borrow_mut();
-        let Some(who) = waiting.get_mut(&key) else { return };
-        who.retain(|w| w.try_send(answer.clone()).is_ok());
-        if who.is_empty() {
+        let Some(receivers) = waiting.get_mut(&key) else { return };
+        receivers.retain(|r| r.try_send(answer.clone()).is_ok());
+        if receivers.is_empty() {
             waiting.remove(&key);
         }
     }
 
-    /// Waits for what comes of a wish; `None` where too many wait.
+    /// Subscribes to the answers to a request; `None` if too many operators wait.
     fn subscribe(&self, key: u128) -> Option<mpsc::Receiver<Answer>> {
         let mut waiting = self.waiting.borrow_mut();
-        waiting.retain(|_, who| {
-            who.retain(|w| !w.is_closed());
-            !who.is_empty()
+        waiting.retain(|_, receivers| {
+            receivers.retain(|r| !r.is_closed());
+            !receivers.is_empty()
         });
         if waiting.values().map(Vec::len).sum::<usize>() >= MAX_WAITING_OPERATORS {
             return None;
         }
-        // An answer that a change is accepted, and one that it is through.
-        let (tell, told) = mpsc::channel(4);
-        waiting.entry(key).or_default().push(tell);
-        Some(told)
+        // A change has up to two answers: accepted, then completed.
+        let (sender, receiver) = mpsc::channel(4);
+        waiting.entry(key).or_default().push(sender);
+        Some(receiver)
     }
 }
 
-/// Writes what voters promise, batch after batch, on a thread for such work.
-pub async fn run_store(shell: Rc<Shell>, mut disk: VoterStore, mut jobs: mpsc::Receiver<StoreJob>) {
+/// Runs the store's jobs in order, on the runtime's threads for blocking work.
+pub async fn run_store(shell: Rc<Shell>, mut voter_store: VoterStore, mut jobs: mpsc::Receiver<StoreJob>) {
     while let Some(job) = jobs.recv().await {
         match job {
             StoreJob::Write(batch, ops) => {
-                let store = disk.store.clone();
-                let done = tokio::task::spawn_blocking(move || store.write(&ops)).await;
-                let ok = match done {
+                let store = voter_store.store.clone();
+                let result = tokio::task::spawn_blocking(move || store.write(&ops)).await;
+                let ok = match result {
                     Ok(Ok(())) => true,
                     Ok(Err(e)) => {
-                        error!(event = "agreement-disk", %e, "this front votes no more in this run");
+                        error!(event = "agreement-disk", %e, "a write to the voter's store failed: this front does not vote until restart");
                         false
                     }
                     Err(_) => false,
@@ -170,18 +181,18 @@
                 call_fleet(&shell, |fleet, now_ms, out| fleet.written(now_ms, batch, ok, out));
             }
             StoreJob::Replace => {
-                let VoterStore { store, path } = disk;
-                // Closed before its file is renamed.
+                let VoterStore { store, path } = voter_store;
+                // The store must be closed before its file is renamed.
                 drop(store);
-                let at = path.clone();
-                let made = tokio::task::spawn_blocking(move || set_aside(&at).and_then(|_| open(&at))).await;
-                match made {
+                let old_path = path.clone();
+                let replace = move || set_aside(&old_path).and_then(|_| open(&old_path));
+                match tokio::task::spawn_blocking(replace).await {
                     Ok(Ok((store, kept))) => {
-                        disk = VoterStore { store: Arc::new(store), path };
+                        voter_store = VoterStore { store: Arc::new(store), path };
                         call_fleet(&shell, |fleet, _, _| fleet.remade(kept));
                     }
                     Ok(Err(e)) => {
-                        error!(event = "agreement-disk", %e, "no new store could be made: this front does not vote");
+                        error!(event = "agreement-disk", %e, "no new voter's store could be created: this front does not vote");
                         return;
                     }
                     Err(_) => return,
@@ -191,39 +202,45 @@
     }
 }
 
-/// What the engine is told of a policy: what it decides by, its open classes and its tenants.
+/// A policy as the engine takes it: settings of the decision module, classes that are not closed, and tenants.
 type MergedPolicy = (Box<pepperhook::Settings>, Vec<ClassSettings>, Vec<String>);
 
-/// A policy laid over this front's file. A class that the policy has closed is left out: the engine takes nothing new of it.
+/// Applies a policy to this front's configuration. A class that the policy closes is left out, and the engine then accepts
+/// no new sessions of it.
 fn merge_policy(config: &Config, policy: &Policy) -> Result<MergedPolicy, String> {
-    let mut over = policy.over(config)?;
-    let open: Vec<bool> = over.classes.iter().map(|c| !c.closed).collect();
+    let mut merged = policy.over(config)?;
+    let open: Vec<bool> = merged.classes.iter().map(|c| !c.closed).collect();
     let mut keep = open.iter();
-    over.classes.retain(|_| keep.next().copied().unwrap_or(false));
+    merged.classes.retain(|_| keep.next().copied().unwrap_or(false));
     let mut keep = open.iter();
-    over.decisions.classes.retain(|_| keep.next().copied().unwrap_or(false));
-    Ok((Box::new(over.decisions), over.classes, over.tenants))
+    merged.decisions.classes.retain(|_| keep.next().copied().unwrap_or(false));
+    Ok((Box::new(merged.decisions), merged.classes, merged.tenants))
 }
 
-/// A policy that the fleet agreed on comes into force here.
+/// Puts an agreed policy into force in the engine.
 pub fn apply_policy(shell: &Rc<Shell>, force: Force) {
     let Force { entry, version, step, policy } = force;
     match merge_policy(&shell.config, &policy) {
         Ok((settings, classes, tenants)) => {
-            info!(
-                event = "policy-in-force",
-                version, step, entry, "a policy that the fleet agreed on is in force"
-            );
+            info!(event = "policy-in-force", version, step, entry, "an agreed policy is in force");
             shell.drive(Input::Policy { version: entry, settings, classes, tenants });
         }
-        // It was asked before, so this is a fault of the program: what is not in force is never vouched for.
-        Err(why) => {
-            error!(event = "policy-stuck", version, step, entry, why, "this policy cannot be gone by")
+        // `fits` has accepted the policy before, so this is a defect of the program. A policy that is not in force here is
+        // never confirmed to the other fronts.
+        Err(reason) => {
+            error!(
+                event = "policy-stuck",
+                version,
+                step,
+                entry,
+                why = reason,
+                "an agreed policy cannot be applied here"
+            )
         }
     }
 }
 
-/// The engine's side of what is agreed.
+/// Checks policies against this front's engine, for the agreement.
 pub struct EnginePolicyCheck(pub Weak<Shell>);
 
 impl Means for EnginePolicyCheck {
@@ -238,7 +255,8 @@
     }
 }
 
-/// Before a set-up is taken, and at each look: the engine is told whether this front can know what the fleet agreed.
+/// Fences the engine if this front may have missed an agreed change, and lifts the fence otherwise. Called before each
+/// request and after each call of the fleet.
 pub fn update_fence(shell: &Rc<Shell>) {
     if shell.config.agreement.is_none() {
         return;
@@ -249,57 +267,65 @@
     }
 }
 
-/// For the log.
+/// Logs a note of the agreement.
 pub fn log_note(note: &AgreedNote) {
     use pepperhook_agreement::node::Note;
     match note {
         AgreedNote::Held(true) => {
-            info!(event = "agreement-holds", "nothing newer takes effect without this front")
+            info!(
+                event = "agreement-holds",
+                "this front holds a lease: no later change takes effect without its confirmation"
+            )
         }
         AgreedNote::Held(false) => {
-            warn!(event = "agreement-hold-lost", "no majority of the voters answers: set-ups are refused");
+            warn!(
+                event = "agreement-hold-lost",
+                "this front's lease expired and no majority of the voters renews it: set-ups are refused"
+            );
         }
-        AgreedNote::Stuck(why) => {
+        AgreedNote::Stuck(reason) => {
             warn!(
                 event = "policy-stuck",
-                why, "this front cannot go by what was decided: set-ups are refused"
+                why = reason,
+                "this front cannot apply the agreed policy: set-ups are refused"
             );
         }
         AgreedNote::Node(note @ Note::Forked { .. }) => {
             error!(
                 event = "agreement-forked",
                 ?note,
-                "what this front has is not what was agreed: it is not used"
+                "this front's log differs from the agreed one: it is not used"
             );
         }
         AgreedNote::Node(note @ (Note::Disk | Note::Broken | Note::OldStore)) => {
-            error!(event = "agreement-votes-no-more", ?note, "this front does not vote in this run");
+            error!(event = "agreement-votes-no-more", ?note, "this front does not vote until restart");
         }
-        AgreedNote::Node(note) => info!(event = "agreement", ?note, "a change in who votes"),
+        AgreedNote::Node(note) => info!(event = "agreement", ?note, "the state of the agreement changed"),
     }
 }
 
-// ---- what operators ask ------------------------------------------------------------------------
+// ---- operators' requests -----------------------------------------------------------------------
 
-/// What is in force here and stands, as JSON.
+/// The policy in force, the state of the agreement, and where this front's file differs, as JSON.
 pub fn policy_json(shell: &Shell) -> Option<serde_json::Value> {
     let now_ms = shell.fleet_clock.now_ms();
     let (agreement, force, differs) = shell.fleet_io.policy(now_ms, &shell.config)?;
-    let mut shown = json!({"file-differs": differs, "agreement": agreement});
+    let mut json = json!({"file-differs": differs, "agreement": agreement});
     if let Some((version, step, text)) = force {
-        shown["version"] = version.into();
-        shown["step"] = step.into();
-        shown["text"] = text.into();
+        json["version"] = version.into();
+        json["step"] = step.into();
+        json["text"] = text.into();
     }
-    Some(shown)
+    Some(json)
 }
 
-/// A change is asked for, and what comes of it waited for: that it is accepted, or with `wait` that it is through or undone.
+/// Requests a change of the policy and waits for the answer: that it is accepted or refused, or with `wait`, that it is
+/// completed or undone. `None` if too many operators wait, or the front stops.
 pub async fn request_policy_change(shell: &Rc<Shell>, ask: Ask, wait: bool) -> Option<Answer> {
-    let mut told = shell.fleet_io.agreement.subscribe(ask.key)?;
+    let mut answers = shell.fleet_io.agreement.subscribe(ask.key)?;
     call_fleet(shell, |fleet, now_ms, out| fleet.ask_policy(now_ms, ask, out));
     loop {
-        match told.recv().await? {
+        match answers.recv().await? {
             Answer::Accepted { .. } if wait => {}
             answer => return Some(answer),
         }
--- a/crates/front/src/console_policy.rs
+++ b/crates/front/src/console_policy.rs
@@ -1,5 +1,5 @@
-//! What operators ask of the agreement, on the console's listener: `GET /policy` shows it, `POST /policy` asks for another,
-//! `POST /voters` for other voters.
+//! Operators' interface to the agreement, on the console's listener: `GET /policy` returns the policy in force,
+//! `POST /policy` requests another one, and `POST /voters` requests a change of the voters.
 
 use crate::agreement;
 use crate::console::require_bearer_key;
@@ -15,45 +15,46 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Arguments of the query.
+/// Query arguments by name, decoded.
 type Query = HashMap<String, String>;
 
+/// Answers a request to `/policy` or `/voters`.
 pub async fn handle(shell: &Rc<Shell>, request: Request<Incoming>) -> Response<ResponseBody> {
     if shell.config.agreement.is_none() {
-        let detail = "this front has no section agreement";
+        let detail = "the settings of this front have no section agreement";
         return problem(&Problem::new(404, "agreement", "Nothing is agreed on", detail));
     }
     let (method, path) = (request.method().clone(), request.uri().path().to_owned());
     if method == Method::GET && path == "/policy" {
-        let shown = agreement::policy_json(shell).unwrap_or_default();
-        return response(200, "application/json", shown.to_string());
+        let json = agreement::policy_json(shell).unwrap_or_default();
+        return response(200, "application/json", json.to_string());
     }
     if method != Method::POST {
-        let detail = "GET and POST /policy, POST /voters";
+        let detail = "allowed here: GET and POST /policy, POST /voters";
         return problem(&Problem::new(405, "method", "Method not allowed", detail));
     }
-    if let Some(no) = require_bearer_key(&request) {
-        return no;
+    if let Some(refusal) = require_bearer_key(&request) {
+        return refusal;
     }
-    let decoded = |t: &str| percent_encoding::percent_decode_str(t).decode_utf8_lossy().into_owned();
+    let decode = |t: &str| percent_encoding::percent_decode_str(t).decode_utf8_lossy().into_owned();
     let query = request.uri().query().unwrap_or("").split('&').filter_map(|p| p.split_once('='));
-    let query: Query = query.map(|(k, v)| (k.to_owned(), decoded(v))).collect();
+    let query: Query = query.map(|(k, v)| (k.to_owned(), decode(v))).collect();
     let bytes = match read_body(request.into_body(), &shell.config.limits).await {
         Ok(bytes) => bytes,
         Err(p) => return problem(&p),
     };
-    let done = match path.as_str() {
+    let result = match path.as_str() {
         "/voters" => change_voters(shell, &query),
         _ => change_policy(shell, &query, &bytes).await,
     };
-    done.unwrap_or_else(|p| problem(&p))
+    result.unwrap_or_else(|p| problem(&p))
 }
 
 fn bad_query(detail: &str) -> Problem {
     Problem::new(422, "query", "Not such a request", detail)
 }
 
-/// The key that names a call: who sends it again sends the same.
+/// Idempotency key of a request: a client that repeats a request sends the same key. Random if the query has none.
 fn idempotency_key(query: &Query) -> Result<u128, Problem> {
     match query.get("key") {
         Some(text) => u128::from_str_radix(text, 16).map_err(|_| bad_query("'key' is at most 32 hex digits")),
@@ -61,11 +62,13 @@
     }
 }
 
+/// True if this argument is `yes`.
 fn is_yes(query: &Query, name: &str) -> bool {
     query.get(name).is_some_and(|v| v == "yes")
 }
 
-/// Asks for a policy: its text is the body, the query has `against`, `by`, and perhaps `key`, `dry-run` and `wait`.
+/// Requests another policy, whose text is the body. The query has `against` (the version that the operator started from)
+/// and `by` (the operator), and optionally `key`, `dry-run` and `wait`.
 async fn change_policy(
     shell: &Rc<Shell>,
     query: &Query,
@@ -82,22 +85,23 @@
     };
     let key = ask.key;
     let answer = agreement::request_policy_change(shell, ask, is_yes(query, "wait")).await;
-    let answer = answer.ok_or_else(|| Problem::new(503, "busy", "Busy", "too many wait for an answer"))?;
-    let said = answer.to_string();
-    let done = |status: u16, name: &str| {
-        let body = json!({"answer": name, "key": format!("{key:032x}"), "detail": said});
+    let too_many = "too many operators' requests already wait for an answer at this front: try again";
+    let answer = answer.ok_or_else(|| Problem::new(503, "busy", "Busy", too_many))?;
+    let detail = answer.to_string();
+    let success = |status: u16, name: &str| {
+        let body = json!({"answer": name, "key": format!("{key:032x}"), "detail": detail});
         Ok(response(status, "application/json", body.to_string()))
     };
     let refused = |status: u16, name: &str, title: &str| {
-        let p = Problem::new(status, name, title, said.clone());
-        Err(p.with("key", format!("{key:032x}").into()))
+        let problem = Problem::new(status, name, title, detail.clone());
+        Err(problem.with("key", format!("{key:032x}").into()))
     };
     match &answer {
-        Answer::Accepted { .. } => done(202, "accepted"),
-        Answer::Stands { .. } => done(200, "stands"),
-        Answer::Dry { .. } => done(200, "dry-run"),
-        Answer::Same { .. } => done(200, "same"),
-        Answer::Keeping { .. } => done(202, "keeping"),
+        Answer::Accepted { .. } => success(202, "accepted"),
+        Answer::Stands { .. } => success(200, "stands"),
+        Answer::Dry { .. } => success(200, "dry-run"),
+        Answer::Same { .. } => success(200, "same"),
+        Answer::Keeping { .. } => success(202, "keeping"),
         Answer::Undone(_) => refused(409, "undone", "Undone"),
         Answer::Conflict { .. } => refused(409, "conflict", "Conflict"),
         Answer::UnderWay { .. } => refused(409, "under-way", "A change is under way"),
@@ -109,7 +113,7 @@
     }
 }
 
-/// Asks for other voters: `add`, `remove` or both name fronts. Who votes then is shown by `GET /policy`.
+/// Requests a change of the voters: `add`, `remove` or both name a front. `GET /policy` shows the result.
 fn change_voters(shell: &Rc<Shell>, query: &Query) -> Result<Response<ResponseBody>, Problem> {
     let front = |name: &str| query.get(name).map(|n| name_hash(n));
     let change = (front("add"), front("remove"));
@@ -117,7 +121,7 @@
         return Err(bad_query("'add' or 'remove' names a front"));
     }
     let key = idempotency_key(query)?;
-    let asked = call_fleet(shell, |fleet, now_ms, out| fleet.ask_voters(now_ms, key, change, out));
-    let fronts = asked.map_err(|why| Problem::new(409, "voters", "Not these voters", why))?;
+    let requested = call_fleet(shell, |fleet, now_ms, out| fleet.ask_voters(now_ms, key, change, out));
+    let fronts = requested.map_err(|reason| Problem::new(409, "voters", "Not these voters", reason))?;
     Ok(response(202, "application/json", json!({"key": format!("{key:032x}"), "asked": fronts}).to_string()))
 }
