--- a/crates/front/src/console_policy.rs
+++ b/crates/front/src/console_policy.rs
@@ -57,7 +57,8 @@
 /// Idempotency key of a request: a client that repeats a request sends the same key. Random if the query has none.
 fn idempotency_key(query: &Query) -> Result<u128, Problem> {
     match query.get("key") {
-        Some(text) => u128::from_str_radix(text, 16).map_err(|_| bad_query("'key' is at most 32 hex digits")),
+        Some(text) => u128::from_str_radix(text, 16)
+            .map_err(|_| bad_query(&format!("'key' is '{text}'; expected at most 32 hex digits"))),
         None => Ok(rand::random()),
     }
 }
@@ -79,7 +80,8 @@
         key: idempotency_key(query)?,
         name: query.get("by").cloned().ok_or_else(|| bad_query("'by' names who asks"))?,
         against: against.ok_or_else(|| bad_query("'against' is the version that was looked at"))?,
-        text: String::from_utf8(bytes.to_vec()).map_err(|_| bad_query("a policy is UTF-8 text"))?,
+        text: String::from_utf8(bytes.to_vec())
+            .map_err(|_| bad_query("the body must be the policy's text in UTF-8"))?,
         dry_run: is_yes(query, "dry-run"),
         trial: None,
     };
--- a/crates/front/src/fleet_io.rs
+++ b/crates/front/src/fleet_io.rs
@@ -1,5 +1,5 @@
-//! This front among the others, on a UDP socket: announced peaks, who is there, and duties that are shared. It
-//! carries out what [`Fleet`] says; it decides nothing.
+//! I/O between fronts, on a UDP socket: announced peaks, membership, shared duties (reading nodes), copies of sessions and
+//! the agreement. This module sends, stores and runs what [`Fleet`] returns; all decisions are made there.
 
 use crate::agreement::{self, AgreementIo, EnginePolicyCheck, StoreJob, VoterStore};
 use crate::engine::types::{Copied, Input};
@@ -26,53 +26,56 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tracing::{info, warn};
 
-/// Space of announced peaks.
+/// Record space of announced peaks.
 const PEAK_SPACE: u8 = 1;
-/// A record outlasts its peak by this, so that a front whose clock is behind still finds it; milliseconds.
+/// A record is kept for this time after the end of its peak, milliseconds: a front whose clock is behind still needs it.
 const PEAK_RECORD_MARGIN_MS: u64 = 30_000;
 
-/// Kind of duty that reads a node's list of sessions, and the space of what is told of it.
+/// Kind of duty that reads a node's list of sessions.
 const SESSION_LIST_DUTY: u8 = 1;
+/// Record space of the number of sessions that each run of a front has at a node.
 const SESSION_COUNT_SPACE: u8 = pepperhook_exchange::FIRST_EPHEMERAL_SPACE + 1;
-/// Time between the two lists on which something is believed.
+/// Time between the two lists of sessions that must agree before the engine acts on a difference. Also the time-out of each.
 const RECHECK_DELAY: Duration = Duration::from_millis(1_000);
-/// What is told of a node's load, in this order; NaN for what its report lacks.
+/// Gauges of a node's load that fronts share, in this order; NaN stands for one that the node's report lacks.
 const SHARED_GAUGES: [&str; 3] = ["streams", "link", "uplink"];
-/// Time between two calls of the fleet's part.
+/// Time between two calls of [`Fleet::tick`].
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The fleet's part, its store and its socket.
+/// The fleet's state machine with its store and its socket.
 pub struct FleetIo {
     fleet: RefCell<Fleet>,
-    /// Nodes whose lists this front reads for itself.
+    /// Nodes whose lists of sessions this front is reading to check a difference.
     checking: RefCell<HashSet<ServerId>>,
-    /// Duties that are being done here.
+    /// Tasks of the duties in progress here, by duty and round.
     running: RefCell<HashMap<(Duty, u64), JoinHandle<()>>>,
-    /// Sessions that this front goes on with after their front had died, by their key.
+    /// Sessions taken over from a front that failed, by key.
     adopted: RefCell<BTreeMap<u64, Copied>>,
-    /// What the fleet agrees on, as this front carries it out.
+    /// I/O of the agreement.
     pub agreement: AgreementIo,
-    /// The voter's disk and its queue, until they run.
-    disk: RefCell<Option<(VoterStore, tokio::sync::mpsc::Receiver<StoreJob>)>>,
+    /// The voter's store and its queue, until [`start_agreement`] takes them.
+    voter_store: RefCell<Option<(VoterStore, tokio::sync::mpsc::Receiver<StoreJob>)>>,
+    /// Store of the records that outlast a restart.
     store: Option<Arc<Store>>,
     socket: Option<Arc<UdpSocket>>,
+    /// Share of datagrams that are dropped on purpose, from 0 to 1.
     loss: f64,
-    /// Warnings about datagrams come once in so many.
-    warned: Cell<u64>,
+    /// Occurrences of a repeated problem; one in 1000 is logged.
+    warnings: Cell<u64>,
 }
 
-/// Why an announcement was not taken.
+/// Why an announcement was rejected.
 #[derive(Debug)]
 pub enum AnnounceError {
-    /// By the holds.
+    /// The plan of the peaks has no room for it, or its fields are invalid.
     Refused(Refused),
-    /// A peak of this name stands; it must be amended.
+    /// A peak of this name is already announced; it must be amended instead.
     Exists,
-    /// There is none of this name.
+    /// No peak of this name is announced.
     Unknown,
     /// It is too long for a datagram.
     TooLong,
-    /// It could not be kept.
+    /// It could not be stored.
     Store(String),
 }
 
@@ -81,7 +84,7 @@
 }
 
 impl FleetIo {
-    /// Opens the store and binds the socket, where the settings have them.
+    /// Opens the stores and binds the socket, as far as the settings have them.
     pub async fn start(config: &Config, now_ms: u64) -> io::Result<(Self, Option<Arc<UdpSocket>>)> {
         let store = match &config.state_dir {
             Some(dir) => Some(Arc::new(Store::open(&dir.join("records.redb")).map_err(io_error)?)),
@@ -89,9 +92,9 @@
         };
         let run = store.as_ref().map_or(Ok(now_ms), |s| s.next_run(now_ms)).map_err(io_error)?;
         let kept = store.as_ref().map_or(Ok(Vec::new()), |s| s.records()).map_err(io_error)?;
-        let x = config.exchange.as_ref();
-        let socket = match x {
-            Some(x) => Some(Arc::new(UdpSocket::bind(x.listen).await?)),
+        let exchange_config = config.exchange.as_ref();
+        let socket = match exchange_config {
+            Some(section) => Some(Arc::new(UdpSocket::bind(section.listen).await?)),
             None => None,
         };
         let me = name_hash(&config.name);
@@ -99,27 +102,30 @@
         let exchange = pepperhook_exchange::Settings {
             me,
             run,
-            keys: x.map_or(Keys::new("", None), |x| Keys::new(&x.key, x.previous_key.as_deref())),
-            peers: x.map_or(Vec::new(), |x| x.peers.clone()),
-            period_ms: x.map_or(1_000, |x| x.round_interval / 1_000_000),
-            fanout: x.map_or(1, |x| x.fanout),
+            keys: exchange_config.map_or(Keys::new("", None), |section| {
+                Keys::new(&section.key, section.previous_key.as_deref())
+            }),
+            peers: exchange_config.map_or(Vec::new(), |section| section.peers.clone()),
+            period_ms: exchange_config.map_or(1_000, |section| section.round_interval / 1_000_000),
+            fanout: exchange_config.map_or(1, |section| section.fanout),
             seed: rand::random(),
         };
         let address = socket.as_ref().map(|s| s.local_addr()).transpose()?;
-        let view = x.zip(address).map(|(x, address)| View {
-            address: x.advertise.unwrap_or(address),
-            weight: x.weight,
+        let view = exchange_config.zip(address).map(|(section, address)| View {
+            address: section.advertise.unwrap_or(address),
+            weight: section.weight,
             fronts,
-            period_ms: x.probe_interval / 1_000_000,
-            suspicion_ms: x.suspicion_timeout / 1_000_000,
-        });
-        let duties = x.zip(config.duties.as_ref()).map(|(x, d)| pepperhook_duties::Settings {
-            me,
-            weight: x.weight,
-            max_fronts: fronts,
-            startup_delay_ms: 2 * x.probe_interval / 1_000_000,
-            kinds: duty_kinds(d),
+            period_ms: section.probe_interval / 1_000_000,
+            suspicion_ms: section.suspicion_timeout / 1_000_000,
         });
+        let duties =
+            exchange_config.zip(config.duties.as_ref()).map(|(section, d)| pepperhook_duties::Settings {
+                me,
+                weight: section.weight,
+                max_fronts: fronts,
+                startup_delay_ms: 2 * section.probe_interval / 1_000_000,
+                kinds: duty_kinds(d),
+            });
         let zone = config.decisions.zone.0;
         let copies = config.replica.map(|r| pepperhook_replica::Settings {
             me,
@@ -131,14 +137,14 @@
             period_ms: r.check_interval / 1_000_000,
             bytes_per_s: r.bytes_per_s,
         });
-        let (agreed, disk) = agreement::prepare(config, run)?.unzip();
-        let disk = disk.flatten();
-        let (agreement, jobs) = AgreementIo::new(disk.as_ref());
-        let disk = RefCell::new(disk.zip(jobs));
+        let (agreed, voter_store) = agreement::prepare(config, run)?.unzip();
+        let voter_store = voter_store.flatten();
+        let (agreement, jobs) = AgreementIo::new(voter_store.as_ref());
+        let voter_store = RefCell::new(voter_store.zip(jobs));
         let settings = Settings { exchange, view, duties, copies, agreed };
         let fleet = RefCell::new(Fleet::new(settings, kept, now_ms));
-        let loss = x.map_or(0.0, |x| x.simulated_loss);
-        let (running, checking, warned) = (RefCell::default(), RefCell::default(), Cell::new(0));
+        let loss = exchange_config.map_or(0.0, |section| section.simulated_loss);
+        let (running, checking, warnings) = (RefCell::default(), RefCell::default(), Cell::new(0));
         let adopted = RefCell::default();
         let socket_copy = socket.clone();
         let new = Self {
@@ -147,25 +153,25 @@
             checking,
             adopted,
             agreement,
-            disk,
+            voter_store,
             store,
             socket: socket_copy,
             loss,
-            warned,
+            warnings,
         };
         Ok((new, socket))
     }
 
-    /// Shows this front's part in the fleet.
-    pub fn fill_snapshot(&self, now_ms: u64, on: &mut Snapshot) {
+    /// Fills in the parts of the snapshot that are about the fleet.
+    pub fn fill_snapshot(&self, now_ms: u64, snapshot: &mut Snapshot) {
         let fleet = self.fleet.borrow();
-        on.exchange = Some(fleet.counters().clone());
-        on.members = fleet.member_rows();
-        on.duty_counters = fleet.duty_counters().cloned();
-        on.clock_offset_ms = fleet.offset_ms();
-        on.replica = self.replica_shown(now_ms);
-        on.agreement = fleet.agreed(now_ms);
-        let names: HashMap<u64, &str> = on
+        snapshot.exchange = Some(fleet.counters().clone());
+        snapshot.members = fleet.member_rows();
+        snapshot.duty_counters = fleet.duty_counters().cloned();
+        snapshot.clock_offset_ms = fleet.offset_ms();
+        snapshot.replica = self.replica_shown(now_ms);
+        snapshot.agreement = fleet.agreed(now_ms);
+        let names: HashMap<u64, &str> = snapshot
             .nodes
             .iter()
             .map(|n| (u64::from(pepperhook_inventory::node_id(&n.name).0), n.name.as_str()))
@@ -174,16 +180,17 @@
             node: names.get(&row.target).map_or_else(String::new, |n| (*n).to_owned()),
             row,
         };
-        on.duties = fleet.duty_rows(now_ms).into_iter().map(shown).collect();
+        snapshot.duties = fleet.duty_rows(now_ms).into_iter().map(shown).collect();
     }
 
-    /// This front cannot know what the fleet agreed on.
+    /// True if this front may have missed an agreed change and must refuse set-ups.
     pub fn fenced(&self, now_ms: u64) -> bool {
         self.fleet.borrow().fenced(now_ms)
     }
 
-    /// For operators: the agreement, the policy in force (version, step, text) and where the file differs from it.
-    #[expect(clippy::type_complexity, reason = "shown as it is")]
+    /// For operators: the agreement's state, the policy in force (version, step, text) and the differences from this front's
+    /// file. `None` without an agreement.
+    #[expect(clippy::type_complexity, reason = "only unpacked into JSON")]
     pub fn policy(
         &self,
         now_ms: u64,
@@ -195,35 +202,38 @@
         Some((fleet.agreed(now_ms)?, force, differs))
     }
 
-    /// Copies for the console.
+    /// Streams of copies, for the console.
     fn replica_shown(&self, now_ms: u64) -> Option<ReplicaShown> {
         let fleet = self.fleet.borrow();
         let (streams, counters) = fleet.copies(now_ms)?;
         let adopted = self.adopted.borrow().len();
-        let keys = |of: &dyn Fn(&StreamRow) -> bool| streams.iter().filter(|r| of(r)).map(|r| r.keys).sum();
-        let written: usize = keys(&|r| r.writable || r.fenced);
-        let (kept, fenced) = (keys(&|r| !r.writable && !r.fenced), keys(&|r| r.fenced));
+        let count_keys = |matches: &dyn Fn(&StreamRow) -> bool| {
+            streams.iter().filter(|r| matches(r)).map(|r| r.keys).sum()
+        };
+        let written: usize = count_keys(&|r| r.writable || r.fenced);
+        let (kept, fenced) = (count_keys(&|r| !r.writable && !r.fenced), count_keys(&|r| r.fenced));
         let own = written.saturating_sub(adopted);
         Some(ReplicaShown { own, adopted, kept, fenced, streams, counters: counters.clone() })
     }
 
-    /// Announcements that are known, calls-off included.
+    /// All known announcements, including cancelled ones.
     pub fn announcements(&self) -> Vec<Announcement> {
         let fleet = self.fleet.borrow();
         let peaks = fleet.records().iter().filter(|r| r.id.space == PEAK_SPACE);
         peaks.filter_map(|r| serde_json::from_slice(&r.body).ok()).collect()
     }
 
-    /// The last version of a peak.
+    /// The latest version of a peak's announcement.
     pub fn announcement(&self, name: &str) -> Option<Announcement> {
         let fleet = self.fleet.borrow();
         fleet.records().get(&peak_id(name)).and_then(|r| serde_json::from_slice(&r.body).ok())
     }
 
+    /// Sends a datagram, unless the simulated loss drops it.
     fn send(&self, to: SocketAddr, datagram: &[u8]) {
         let lost = self.loss > 0.0 && rand::rng().random_bool(self.loss);
         if let Some(socket) = self.socket.as_ref().filter(|_| !lost) {
-            // A datagram that cannot be sent now is one that is lost; a later round makes up for it.
+            // A send error counts as loss: the protocols repeat what matters.
             let _ = socket.try_send_to(datagram, to);
         }
     }
@@ -231,8 +241,8 @@
 
 /// The kinds of duty, in the order of [`READS`] and [`SESSION_LIST_DUTY`].
 fn duty_kinds(d: &DutySettings) -> Vec<DutyKind> {
-    let ms = |t: u64| t / 1_000_000;
-    let reads = DutyKind {
+    let ms = |ns: u64| ns / 1_000_000;
+    let probes = DutyKind {
         name: "probe".into(),
         period_ms: ms(d.probe_interval),
         stagger_ms: ms(d.takeover_delay),
@@ -248,14 +258,14 @@
         max_runs_per_period: d.max_per_period,
         include_draining: true,
     });
-    [reads].into_iter().chain(lists).collect()
+    [probes].into_iter().chain(lists).collect()
 }
 
 fn peak_id(name: &str) -> Id {
     Id { space: PEAK_SPACE, number: name_hash(name) }
 }
 
-/// Takes what the store kept back into force.
+/// Applies the records that the store has kept over a restart.
 pub fn restore_records(shell: &Rc<Shell>) {
     let kept: Vec<Record> = shell.fleet_io.fleet.borrow().records().iter().cloned().collect();
     for record in kept {
@@ -263,19 +273,23 @@
     }
 }
 
-/// Puts a record that came, or was kept, into force.
+/// Applies a record that was received, or kept over a restart.
 fn apply_record(shell: &Rc<Shell>, record: &Record) {
     match record.id.space {
         PEAK_SPACE => {}
         SESSION_COUNT_SPACE => return check_session_count(shell, server_id(record.id.number), &record.body),
         _ => return,
     }
-    let said: Result<Announcement, _> = serde_json::from_slice(&record.body);
-    let peak = match &said {
-        Ok(said) if peak_id(&said.name) == record.id => {
-            shell.engine(|e, now| e.heard_peak(now, said)).map_err(|e| format!("{e:?}"))
+    let parsed: Result<Announcement, _> = serde_json::from_slice(&record.body);
+    let peak = match &parsed {
+        Ok(announcement) if peak_id(&announcement.name) == record.id => {
+            shell.engine(|e, now| e.heard_peak(now, announcement)).map_err(|e| format!("{e:?}"))
+        }
+        Ok(announcement) => {
+            let (name, number, expected) =
+                (&announcement.name, record.id.number, peak_id(&announcement.name).number);
+            Err(format!("the record of peak '{name}' has number {number}; expected {expected}"))
         }
-        Ok(_) => Err("its number is not its name's".to_owned()),
         Err(e) => Err(e.to_string()),
     };
     match peak {
@@ -285,85 +299,90 @@
                 name = peak.said.name,
                 cancelled = peak.said.cancelled,
                 version = record.version.counter,
-                "a peak is in force"
+                "an announced peak was applied"
             );
             shell.drive(Input::Peak(peak));
         }
-        Err(why) => warn!(event = "peak-not-taken", why, "a peak of another front is not in force here"),
+        Err(reason) => {
+            warn!(event = "peak-not-taken", why = reason, "a peak from another front could not be applied")
+        }
     }
 }
 
-/// Announces, amends or calls off a peak at this front: checked, kept, in force, then told.
+/// Announces, amends or cancels a peak at this front: the announcement is checked, stored, applied here and then sent to
+/// the other fronts.
 ///
 /// # Errors
-/// Why it is not taken; nothing has changed then.
+/// Why it was rejected. It is not in force then.
 pub async fn announce(
     shell: &Rc<Shell>,
-    said: Announcement,
+    announcement: Announcement,
     amends: bool,
 ) -> Result<Announcement, AnnounceError> {
     let fleet_io = &shell.fleet_io;
-    let standing = fleet_io.announcement(&said.name).filter(|a| !a.cancelled);
-    match (&standing, amends) {
-        // The same once more, as a client that heard no answer sends it, changes nothing.
-        (Some(s), false) if *s == said => return Ok(said),
+    let current = fleet_io.announcement(&announcement.name).filter(|a| !a.cancelled);
+    match (&current, amends) {
+        // Idempotent: a client that got no answer may send the same announcement again.
+        (Some(current), false) if *current == announcement => return Ok(announcement),
         (Some(_), false) => return Err(AnnounceError::Exists),
         (None, true) => return Err(AnnounceError::Unknown),
         _ => {}
     }
-    let peak = shell.engine(|e, now| e.admit_peak(now, &said)).map_err(AnnounceError::Refused)?;
-    let body = serde_json::to_vec(&said).map_err(|e| AnnounceError::Store(e.to_string()))?;
+    let peak = shell.engine(|e, now| e.admit_peak(now, &announcement)).map_err(AnnounceError::Refused)?;
+    let body = serde_json::to_vec(&announcement).map_err(|e| AnnounceError::Store(e.to_string()))?;
     if body.len() > pepperhook_exchange::MAX_BODY_BYTES {
         return Err(AnnounceError::TooLong);
     }
-    let (now_ms, id) = (shell.fleet_clock.now_ms(), peak_id(&said.name));
+    let (now_ms, id) = (shell.fleet_clock.now_ms(), peak_id(&announcement.name));
     let mut out = Vec::new();
     let merge = fleet_io.fleet.borrow_mut().put(
         now_ms,
         id,
-        said.end_ms.saturating_add(PEAK_RECORD_MARGIN_MS),
+        announcement.end_ms.saturating_add(PEAK_RECORD_MARGIN_MS),
         body,
         &mut out,
     );
     if merge != MergeResult::Applied {
-        return Err(AnnounceError::Store("there is no room for more records".into()));
+        return Err(AnnounceError::Store(
+            "the announcement expired, ends too far in the future, or the limit of records is reached".into(),
+        ));
     }
-    for o in &out {
-        if let Out::Changed(record) = o {
+    for output in &out {
+        if let Out::Changed(record) = output {
             persist(fleet_io.store.clone(), record.clone()).await.map_err(AnnounceError::Store)?;
         }
     }
     shell.drive(Input::Peak(peak));
-    for o in out {
-        if let Out::Send(to, datagram) = o {
+    for output in out {
+        if let Out::Send(to, datagram) = output {
             fleet_io.send(to, &datagram);
         }
     }
-    Ok(said)
+    Ok(announcement)
 }
 
-/// Writes a record on a thread of its own: a disk that is slow must not hold up set-ups.
+/// Writes a record on a thread for blocking work: a slow disk must not delay set-ups.
 async fn persist(store: Option<Arc<Store>>, record: Record) -> Result<(), String> {
     let Some(store) = store else { return Ok(()) };
-    let kept = tokio::task::spawn_blocking(move || store.write(&record).map_err(|e| e.to_string())).await;
-    kept.map_err(|e| e.to_string())?
+    let written = tokio::task::spawn_blocking(move || store.write(&record).map_err(|e| e.to_string())).await;
+    written.map_err(|e| e.to_string())?
 }
 
-/// Runs the fleet's part on its socket.
+/// Receives datagrams and ticks the fleet, until the task is aborted.
 pub async fn run_socket(shell: Rc<Shell>, socket: Arc<UdpSocket>) {
     let mut buffer = [0; 2_048];
     let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            got = socket.recv_from(&mut buffer) => {
-                // A port of a peer that is down answers by an error on the next call.
-                let Ok((n, from)) = got else { continue };
-                let rejected = call_fleet(&shell, |fleet, now_ms, out| fleet.receive(now_ms, from, &buffer[..n], out));
-                if let Err(why) = rejected {
-                    let warned = shell.fleet_io.warned.replace(shell.fleet_io.warned.get() + 1);
-                    if warned % 1_000 == 0 {
-                        warn!(event = "datagram-rejected", why = ?why, "a datagram was thrown away");
+            received = socket.recv_from(&mut buffer) => {
+                // An ICMP error from a peer that is down is reported by the next call on the socket.
+                let Ok((length, from)) = received else { continue };
+                let rejected = call_fleet(&shell, |fleet, now_ms, out| fleet.receive(now_ms, from, &buffer[..length], out));
+                if let Err(reason) = rejected {
+                    let warnings = shell.fleet_io.warnings.replace(shell.fleet_io.warnings.get() + 1);
+                    if warnings % 1_000 == 0 {
+                        warn!(event = "datagram-rejected", why = ?reason, "a datagram was rejected (one warning in 1000)");
                     }
                 }
             }
@@ -372,12 +391,12 @@
     }
 }
 
-/// Calls the fleet's part and carries out what it says.
+/// Calls the fleet and executes what it returns.
 pub fn call_fleet<R>(shell: &Rc<Shell>, call: impl FnOnce(&mut Fleet, u64, &mut Vec<Out>) -> R) -> R {
     let mut out = Vec::new();
-    let r = call(&mut shell.fleet_io.fleet.borrow_mut(), shell.fleet_clock.now_ms(), &mut out);
-    for o in out {
-        match o {
+    let result = call(&mut shell.fleet_io.fleet.borrow_mut(), shell.fleet_clock.now_ms(), &mut out);
+    for output in out {
+        match output {
             Out::Send(to, datagram) => shell.fleet_io.send(to, &datagram),
             Out::Changed(record) => {
                 apply_record(shell, &record);
@@ -387,7 +406,10 @@
                 let store = shell.fleet_io.store.clone();
                 spawn_local(async move {
                     if let Err(e) = persist(store, record).await {
-                        warn!(event = "record-not-kept", e, "a restart would not know of it");
+                        warn!(
+                            event = "record-not-kept",
+                            e, "a record was not stored and would be lost by a restart"
+                        );
                     }
                 });
             }
@@ -412,14 +434,14 @@
             }
             Out::Adopted(keys) => store_adopted(shell, keys),
             Out::Lost(keys) => {
-                let mut held = shell.fleet_io.adopted.borrow_mut();
+                let mut adopted = shell.fleet_io.adopted.borrow_mut();
                 keys.iter().for_each(|key| {
-                    held.remove(key);
+                    adopted.remove(key);
                 });
                 warn!(
                     event = "sessions-lost",
                     sessions = keys.len(),
-                    "another front goes on with these sessions"
+                    "another front has taken these sessions over"
                 );
             }
             Out::Ended(key) => {
@@ -439,10 +461,10 @@
         }
     }
     agreement::update_fence(shell);
-    r
+    result
 }
 
-/// The disk is too far behind to take a batch: it counts as refused.
+/// Reports a batch as failed that the store's full queue could not take.
 fn report_failed_write(shell: &Rc<Shell>, batch: u64) {
     let shell = shell.clone();
     spawn_local(async move {
@@ -450,68 +472,75 @@
     });
 }
 
-/// What this front's engine says of policies, and the task that writes what a voter promises. Nothing where settings do
-/// not name an agreement.
+/// Connects the agreement with the engine and starts the task of the voter's store. `None` without an agreement or a store.
 pub fn start_agreement(shell: &Rc<Shell>) -> Option<JoinHandle<()>> {
     shell.config.agreement.as_ref()?;
     shell.fleet_io.fleet.borrow_mut().set_means(Box::new(EnginePolicyCheck(Rc::downgrade(shell))));
     agreement::update_fence(shell);
-    let (disk, jobs) = shell.fleet_io.disk.borrow_mut().take()?;
-    Some(spawn_local(agreement::run_store(shell.clone(), disk, jobs)))
+    let (voter_store, jobs) = shell.fleet_io.voter_store.borrow_mut().take()?;
+    Some(spawn_local(agreement::run_store(shell.clone(), voter_store, jobs)))
 }
 
-/// This front goes on with sessions of one that died.
+/// Stores the sessions that this front takes over from one that failed.
 fn store_adopted(shell: &Rc<Shell>, keys: Vec<(u64, Vec<u8>)>) {
-    let mut held = shell.fleet_io.adopted.borrow_mut();
+    let mut adopted = shell.fleet_io.adopted.borrow_mut();
     let mut unread = 0;
     info!(
         event = "sessions-adopted",
         sessions = keys.len(),
-        "this front goes on with a dead front's sessions"
+        "this front takes over the sessions of a failed front"
     );
     for (key, body) in keys {
         match postcard::from_bytes(&body) {
             Ok(copied) => {
-                held.insert(key, copied);
+                adopted.insert(key, copied);
             }
             Err(_) => unread += 1,
         }
     }
     if unread > 0 {
-        warn!(event = "copies-unread", unread, "copies of another version could not be read");
+        warn!(
+            event = "copies-unread",
+            unread, "copies of sessions, perhaps of another program version, could not be decoded"
+        );
     }
 }
 
-/// Other fronts get a copy of a session, or let go of it.
+/// Updates the copies of a session at other fronts; without `copied`, deletes them.
 pub fn replicate_session(shell: &Rc<Shell>, key: u64, copied: Option<&Copied>) {
-    // What cannot be written must not be taken for a session that ended.
+    // A session that cannot be encoded must not look like one that ended: its last copies stay.
     let Ok(body) = copied.map(postcard::to_stdvec).transpose() else { return };
     let kept = shell.fleet_io.fleet.borrow_mut().keep(shell.fleet_clock.now_ms(), key, body);
-    if let Err(why) = kept {
-        let warned = shell.fleet_io.warned.replace(shell.fleet_io.warned.get() + 1);
-        if warned % 1_000 == 0 {
-            warn!(event = "session-not-copied", %why, "no other front has a copy of this session");
+    if let Err(reason) = kept {
+        let warnings = shell.fleet_io.warnings.replace(shell.fleet_io.warnings.get() + 1);
+        if warnings % 1_000 == 0 {
+            warn!(event = "session-not-copied", why = %reason, "no other front has a copy of a session (one warning in 1000)");
         }
     }
 }
 
+/// Logs a note of the fleet.
 fn log_note(note: &Note) {
     match note {
         Note::View(Change::Up(m)) => {
-            info!(event = "member-up", front = m.front, address = %m.address, run = m.run, "a front is there");
+            info!(event = "member-up", front = m.front, address = %m.address, run = m.run, "a front has joined");
         }
         Note::View(Change::Down(m)) => {
-            info!(event = "member-down", front = m.front, address = %m.address, run = m.run, "a front is gone");
+            info!(event = "member-down", front = m.front, address = %m.address, run = m.run, "a front has left or failed");
         }
         Note::View(Change::Rejoined(m)) => {
-            warn!(event = "member-rejoined", renewed = m.renewals, "the others had given this front up");
+            warn!(
+                event = "member-rejoined",
+                renewed = m.renewals,
+                "the other fronts had declared this front failed; it rejoined"
+            );
         }
         Note::Agreed(note) => agreement::log_note(note),
         Note::Run(run) => {
             warn!(
                 event = "run-raised",
                 run,
-                "the others know a later run of this front: its clock went back, or another has its name"
+                "other fronts know a later run of this front: its clock went back, or another front has its name"
             );
         }
     }
@@ -521,42 +550,44 @@
     ServerId(u32::try_from(node).unwrap_or(u32::MAX))
 }
 
-/// Values as they are told, and back.
+/// Values of the shared gauges in a load report.
 fn gauge_values(load: &LoadReport) -> Vec<f32> {
     SHARED_GAUGES.iter().map(|name| load.get(name).unwrap_or(f64::NAN) as f32).collect()
 }
 
+/// The load report of shared gauge values; inverse of [`gauge_values`].
 fn load_report(values: &[f32]) -> LoadReport {
     let named = SHARED_GAUGES.iter().zip(values).filter(|(_, v)| v.is_finite());
     LoadReport(named.map(|(name, v)| ((*name).to_owned(), f64::from(*v))).collect())
 }
 
-/// Asks a node for its load, as a duty.
+/// Runs a duty: reads a node's load and passes it to the engine and the fleet.
 fn run_probe(shell: &Rc<Shell>, duty: Duty, round: u64, limit: Duration) {
     let node = server_id(duty.target);
-    let (address, of) = shell.engine(|e, _| (e.node(node).map(|n| n.address), e.node(node).map(life)));
+    let (address, incarnation) =
+        shell.engine(|e, _| (e.node(node).map(|n| n.address), e.node(node).map(life)));
     let task = {
         let shell = shell.clone();
         spawn_local(async move {
             let path = shell.config.duties.as_ref().map_or("/", |d| d.probe_path.as_str());
-            let read = match address {
+            let report = match address {
                 Some(address) => shell.upstream().probe(address, path, limit).await,
                 None => None,
             };
             shell.fleet_io.running.borrow_mut().remove(&(duty, round));
-            let reading = of
-                .zip(read.as_ref().map(gauge_values))
+            let reading = incarnation
+                .zip(report.as_ref().map(gauge_values))
                 .filter(|_| shell.config.duties.as_ref().is_some_and(|d| d.share_readings));
-            let done = read.is_some();
-            shell.drive(Input::Probed(node, read));
+            let done = report.is_some();
+            shell.drive(Input::Probed(node, report));
             call_fleet(&shell, |fleet, now_ms, out| fleet.finished(now_ms, duty, round, done, reading, out));
         })
     };
     shell.fleet_io.running.borrow_mut().insert((duty, round), task);
 }
 
-/// The module wants a node's load. Where the bound on what a node hears does not allow to ask for it, what is known
-/// has to do, though it be nothing.
+/// Requests a node's load for the decision module. If the limit of probes per node does not allow a probe now, the module
+/// gets an empty report and decides by what it knows.
 pub fn request_probe(shell: &Rc<Shell>, node: ServerId) {
     let shell = shell.clone();
     spawn_local(async move {
@@ -567,7 +598,7 @@
     });
 }
 
-/// Duties are done on the nodes of the list.
+/// Sets the targets of the duties to the nodes of the current list.
 pub fn update_duty_targets(shell: &Rc<Shell>) {
     let target = |n: &pepperhook_inventory::Node| {
         let state = match n.entry.state {
@@ -583,7 +614,7 @@
     }
 }
 
-/// Reads a node's list of sessions, as a duty, and tells all how many each run of a front has there.
+/// Runs a duty: reads a node's list of sessions and shares how many of them each run of a front has there.
 fn run_session_list(shell: &Rc<Shell>, duty: Duty, round: u64, limit: Duration) {
     let node = server_id(duty.target);
     let task = {
@@ -599,7 +630,7 @@
                 }
                 if let Ok(body) = serde_json::to_vec(&runs) {
                     let id = Id { space: SESSION_COUNT_SPACE, number: duty.target };
-                    // Too many runs for a record are told to nobody; each finds its own when fewer are left.
+                    // A list with too many runs for a record is not shared; it is once it has fewer.
                     call_fleet(&shell, |fleet, now_ms, out| {
                         fleet.put(now_ms, id, now_ms + 10_000, body, out)
                     });
@@ -611,18 +642,20 @@
     shell.fleet_io.running.borrow_mut().insert((duty, round), task);
 }
 
+/// A node's list of sessions: the path of each and the `Via` it was set up with.
 async fn fetch_sessions(shell: &Rc<Shell>, node: ServerId, limit: Duration) -> Option<Vec<(String, String)>> {
     let address = shell.node_address(node)?;
     let path = shell.config.duties.as_ref().map(|d| d.session_list_path.clone())?;
     shell.upstream().sessions(address, &path, limit).await
 }
 
-/// One of the fronts read a node's list. Where it does not have as many of this front's sessions as this front holds,
-/// the front reads it for itself, twice.
+/// Compares a shared count with the number of sessions that this front has at the node. If they differ, this front reads
+/// the node's list itself, twice, and passes both lists to the engine.
 fn check_session_count(shell: &Rc<Shell>, node: ServerId, body: &[u8]) {
     let Ok(runs) = serde_json::from_slice::<BTreeMap<u64, usize>>(body) else { return };
-    let there = runs.get(&name_hash(shell.upstream().via())).copied().unwrap_or(0);
-    if there == shell.engine(|e, _| e.sessions_at(node)) || !shell.fleet_io.checking.borrow_mut().insert(node)
+    let listed = runs.get(&name_hash(shell.upstream().via())).copied().unwrap_or(0);
+    if listed == shell.engine(|e, _| e.sessions_at(node))
+        || !shell.fleet_io.checking.borrow_mut().insert(node)
     {
         return;
     }
@@ -639,7 +672,7 @@
     });
 }
 
-/// This front goes: the others are told, and take its duties over at once.
+/// Announces that this front leaves: the others take over its duties at once.
 pub fn leave(shell: &Rc<Shell>) {
     call_fleet(shell, |fleet, now_ms, out| fleet.leave(now_ms, out));
 }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,13 +1,17 @@
-//! The session front: a state machine around the decision module, and its faces.
+//! The session front: a state machine around the decision module, and its network interfaces.
 //!
-//! - [`engine`]: sessions, attempts and answers, without I/O; what it does is decided by `pepperhook`.
-//! - `shell`: carries out what the engine says, on tokio's current-thread runtime.
-//! - `upstream`: speaks WHIP and WHEP to the nodes. `session_api`: speaks them to viewers and publishers.
-//! - `console`: one page for operators, and the interface for announced peaks.
-//! - `agreement`: what the fleet agrees on: a voter's store, policies into the engine, the fence.
-//! - `fleet_io`: announced peaks between fronts and over restarts.
+//! - [`engine`]: sessions, attempts and answers, without I/O. The decision module `pepperhook` decides on placement.
+//! - `shell`: runs the engine on tokio's current-thread runtime and executes its effects.
+//! - `session_api`: WHIP and WHEP server for publishers and viewers.
+//! - `upstream`: WHIP and WHEP client for the nodes.
+//! - `console`: the operators' page and the interface for announced peaks.
+//! - `console_policy`: the operators' interface for the agreed policy and the voters.
+//! - `http`: HTTP parts that both listeners use.
+//! - `fleet_io`: datagrams between fronts (announced peaks, membership, duties, copies) and the store of records.
+//! - `agreement`: a voter's store, agreed policies, and the fence of a front that cannot know what was agreed.
+//! - `clock`: the clock for messages between fronts.
 //!
-//! Arrows go one way: faces and shell know the engine, the engine knows neither.
+//! Dependencies go one way: the other modules use the engine, and the engine uses none of them.
 
 mod agreement;
 mod clock;
