--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,10 +1,11 @@
-//! The limit on set-ups to nodes that have just started, over all fronts: many controllers (300 in most cases) in
-//! one process, each with its own seed, its own share of uneven traffic and its own delay until it receives the list
-//! that names the start. The set-ups that they send together are checked against the load at which a node becomes
-//! overloaded, and against the share of that load that informed fronts (those that have received the list) may cause.
+//! The limit on set-ups to nodes that have just started, over all fronts: many controllers (300 in most
+//! cases) in one process, each with its own seed, its own share of uneven traffic and its own delay until it
+//! receives the list that names the start. The set-ups that they send together are checked against the load
+//! at which a node becomes overloaded, and against the share of that load that informed fronts (those that
+//! have received the list) may cause.
 //!
-//! The checker uses only the figures of the settings: streams over the warm-up time, cold share, multiple and window.
-//! It shares no code and no counters with the module.
+//! The checker uses only the figures of the settings: streams over the warm-up time, cold share, multiple and
+//! window. It shares no code and no counters with the module.
 
 mod common;
 
@@ -59,8 +60,8 @@
     start: Start,
     /// Number of times that a refused viewer asks again, each time shortly after the refusal.
     retries: u32,
-    /// Share of the fronts that is killed at each of `restart_times`. A restarted front begins with the list that
-    /// names the start and has no record of its earlier set-ups.
+    /// Share of the fronts that is killed at each of `restart_times`. A restarted front begins with the list
+    /// that names the start and has no record of its earlier set-ups.
     restarted_share: f64,
     /// Times of the front restarts, from the start of the cold nodes on.
     restart_times: &'static [Time],
@@ -90,8 +91,8 @@
     configured_fronts: None,
 };
 
-/// Set-ups to one cold node, in order of time: the time, whether the front was informed, and the work relative to a
-/// mean set-up.
+/// Set-ups to one cold node, in order of time: the time, whether the front was informed, and the work
+/// relative to a mean set-up.
 type SetUps = Vec<(Time, bool, f64)>;
 
 /// Result of one node's warm-up.
@@ -124,7 +125,8 @@
     allowed + 2.0 * allowed.sqrt() + 2.0
 }
 
-/// Evaluates one node's set-ups: the node becomes overloaded at the first one that takes a window past the bound.
+/// Evaluates one node's set-ups: the node becomes overloaded at the first one that takes a window past the
+/// bound.
 fn evaluate(case: &Case, started: Time, set_ups: &SetUps) -> WarmUp {
     let mut result = WarmUp { set_ups: set_ups.len(), ..WarmUp::default() };
     for (i, (at, ..)) in set_ups.iter().enumerate() {
@@ -238,7 +240,8 @@
             .expect("the settings of the case are valid")
     }
 
-    /// The list as a front has it. Each cold node is in a cell of its own, with at most one warm node beside it.
+    /// The list as a front has it. Each cold node is in a cell of its own, with at most one warm node beside
+    /// it.
     fn list(&self, front: usize, started: bool) -> Vec<ServerEntry> {
         let case = &self.case;
         let warm = (0..case.warm_nodes).map(|i| server(FIRST_WARM_ID + i, i % case.cold_nodes));
@@ -351,7 +354,8 @@
                     let viewer = ViewerKey(self.count);
                     let spec = SessionSpec { viewer, title, ..spec(0, f64::from(cell), 1.0) };
                     let out = self.handle(now, front, Event::Request(id, spec));
-                    // A refused viewer asks a random front again, also where a warm node could have served it.
+                    // A refused viewer asks a random front again, also where a warm node could have served
+                    // it.
                     if refused(&out) && tries < case.retries {
                         let front = self.rng.random_range(0..case.fronts);
                         let after = self.rng.random_range(20..160) * MILLISECOND;
@@ -383,8 +387,8 @@
     }
 }
 
-/// Runs a case for some seeds, prints the distribution of the results and returns the number of warm-ups that violated
-/// the rule.
+/// Runs a case for some seeds, prints the distribution of the results and returns the number of warm-ups that
+/// violated the rule.
 fn run_case(case: Case, seeds: std::ops::Range<u64>) -> usize {
     let all: Vec<WarmUp> = seeds.flat_map(|seed| World::new(case, seed).run()).collect();
     let distribution = |value: fn(&WarmUp) -> f64| {
@@ -469,9 +473,10 @@
     );
 }
 
-/// Guards against taking a node that has just been listed for one without requests in the last 10 s. Each front's first
-/// request to it then passed the random admission, and 300 fronts together overloaded the node (6 of 8 warm-ups, with a
-/// work of up to 1.11 of the bound). The rate of requests for its titles is known from the time before it was listed.
+/// Guards against taking a node that has just been listed for one without requests in the last 10 s. Each
+/// front's first request to it then passed the random admission, and 300 fronts together overloaded the node
+/// (6 of 8 warm-ups, with a work of up to 1.11 of the bound). The rate of requests for its titles is known
+/// from the time before it was listed.
 #[test]
 fn a_newly_listed_node_does_not_count_as_one_without_demand() {
     let c = Case {
@@ -504,9 +509,10 @@
     );
 }
 
-/// Guards against set-ups in excess when demand rises within one window. The random admission follows the requests of the
-/// last 10 s, which do not yet contain such a rise. Without a lower bound on the assumed demand, the first window sent up
-/// to ten seconds' worth of set-ups (1.44 of the bound with a window of 0.5 s, 1.04 with 1 s).
+/// Guards against set-ups in excess when demand rises within one window. The random admission follows the
+/// requests of the last 10 s, which do not yet contain such a rise. Without a lower bound on the assumed
+/// demand, the first window sent up to ten seconds' worth of set-ups (1.44 of the bound with a window of 0.5
+/// s, 1.04 with 1 s).
 #[test]
 fn demand_that_rises_within_a_window() {
     let c = Case {
@@ -539,8 +545,8 @@
     );
 }
 
-/// The same at a restarted node, which uninformed fronts take for warm. They may overload it, but informed fronts must
-/// not cause more than two thirds of the work.
+/// The same at a restarted node, which uninformed fronts take for warm. They may overload it, but informed
+/// fronts must not cause more than two thirds of the work.
 #[test]
 fn demand_that_rises_at_a_restarted_node() {
     let c = Case {
@@ -624,8 +630,9 @@
     );
 }
 
-/// A front knows the number of fronts only from its settings. The rule holds when three times as many run, and when twice
-/// as many run and demand rises six-fold as well. It cannot hold with ten times as many (see the next test).
+/// A front knows the number of fronts only from its settings. The rule holds when three times as many run,
+/// and when twice as many run and demand rises six-fold as well. It cannot hold with ten times as many (see
+/// the next test).
 #[test]
 fn a_wrong_number_of_fronts_in_the_settings() {
     let c = Case { cold_nodes: 4, demand: 8.0, configured_fronts: Some(30), ..MANY };
@@ -643,7 +650,8 @@
     );
 }
 
-/// A planted violation: 300 fronts with 30 in their settings overload every node, and the evaluation detects all of them.
+/// A planted violation: 300 fronts with 30 in their settings overload every node, and the evaluation detects
+/// all of them.
 #[test]
 fn the_evaluation_detects_ten_times_as_many_fronts_as_configured() {
     let c = Case { cold_nodes: 4, max_streams: 24.0, demand: 8.0, configured_fronts: Some(30), ..MANY };
@@ -651,8 +659,9 @@
     assert_eq!(violations, 8, "number of warm-ups that violate the rule; each of the 8 must");
 }
 
-/// Tests the evaluation itself: it counts an overload as a violation when informed fronts caused more than two thirds of
-/// it, and not otherwise. At `allowed` = 30 a node takes 42 set-ups of mean work in 3 s and is overloaded by 43.
+/// Tests the evaluation itself: it counts an overload as a violation when informed fronts caused more than
+/// two thirds of it, and not otherwise. At `allowed` = 30 a node takes 42 set-ups of mean work in 3 s and is
+/// overloaded by 43.
 #[test]
 fn the_evaluation_detects_an_overload_and_which_fronts_caused_it() {
     let case = USUAL;
@@ -663,8 +672,8 @@
         let result = evaluate(&case, T0, &set_ups(50, informed_of_ten));
         assert!(
             result.overloaded && result.violated == violated,
-            "50 set-ups, {informed_of_ten} of ten from informed fronts: overloaded {} (expected true), violated {} \
-             (expected {violated})",
+            "50 set-ups, {informed_of_ten} of ten from informed fronts: overloaded {} (expected true), \
+             violated {} (expected {violated})",
             result.overloaded,
             result.violated
         );
@@ -674,8 +683,8 @@
     // The sum of work counts, not the number of set-ups.
     let light = set_ups(80, 10).into_iter().map(|(at, informed, _)| (at, informed, 0.5)).collect();
     assert!(!evaluate(&case, T0, &light).overloaded);
-    // 42 set-ups and another 42 one window later are no overload; one millisecond earlier they are. `allowed` is 41 by
-    // then.
+    // 42 set-ups and another 42 one window later are no overload; one millisecond earlier they are. `allowed`
+    // is 41 by then.
     let twice = |gap: Time| {
         let later = set_ups(42, 10).into_iter().map(|(time, ..)| (time + gap, true, 1.0)).collect();
         [set_ups(42, 10), later]
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -74,7 +74,8 @@
     }
 }
 
-/// The session that viewer `n` asks for, of title `n`, which is stored in `cell_count` cells from `first_cell` on.
+/// The session that viewer `n` asks for, of title `n`, which is stored in `cell_count` cells from
+/// `first_cell` on.
 pub fn spec(n: u64, first_cell: f64, cell_count: f64) -> SessionSpec {
     SessionSpec {
         viewer: ViewerKey(n),
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -5,8 +5,8 @@
 use common::*;
 use pepperhook::*;
 
-/// A front with this many sessions at a rung, in turn on servers 1 and 3 of rack 0. Servers 2 and 4 of rack 1 store the
-/// same titles.
+/// A front with this many sessions at a rung, in turn on servers 1 and 3 of rack 0. Servers 2 and 4 of rack 1
+/// store the same titles.
 fn loaded_rack(sessions: u64, rung: u8) -> Front {
     let mut front = Front::new(settings(), &[server(1, 0), server(2, 1), server(3, 2), server(4, 3)]);
     for n in 0..sessions {
@@ -70,7 +70,8 @@
         }
         assert!(
             seconds < 10,
-            "no step down {seconds} s after a shortage of a tenth; a step frees four tenths, so it should take less than 10 s"
+            "no step down {seconds} s after a shortage of a tenth; a step frees four tenths, so it should \
+             take less than 10 s"
         );
     }
 }
@@ -315,7 +316,8 @@
         front.now += 5 * SECOND;
         stepped_down += rung_changes(&front.notify(1, 1, NotificationKind::LinkUse, 1.25)).len();
     }
-    // A fifth of the total rate must go and a step frees two fifths of a session's rate, so half of the sessions step down.
+    // A fifth of the total rate must go and a step frees two fifths of a session's rate, so half of the
+    // sessions step down.
     assert!(
         (70..=130).contains(&stepped_down),
         "{stepped_down} of 200 sessions stepped down; expected 70 to 130"
@@ -397,8 +399,8 @@
     }
 }
 
-/// Guards against sessions that never rise. On days with a scaled clock sessions last 5 s, so none reached the end of a
-/// quiet time of 8 s.
+/// Guards against sessions that never rise. On days with a scaled clock sessions last 5 s, so none reached
+/// the end of a quiet time of 8 s.
 #[test]
 fn rungs_of_short_sessions_rise_after_a_part_of_their_length() {
     let rises_after = |short: bool| {
@@ -451,8 +453,8 @@
     }
 }
 
-/// Guards against a new connection for nearly every set-up: hundreds of fronts with little traffic each chose another
-/// server nearly every time.
+/// Guards against a new connection for nearly every set-up: hundreds of fronts with little traffic each chose
+/// another server nearly every time.
 #[test]
 fn a_price_for_new_connections_prefers_a_connected_server_at_the_same_rung() {
     let servers: Vec<_> = (0..4).map(|i| server(i + 1, i)).collect();
@@ -487,8 +489,8 @@
     }
 }
 
-/// Guards against taking all links for as full as the few that report short delivery. With the full fleet, fronts then
-/// placed new viewers at low rungs on half-empty links.
+/// Guards against taking all links for as full as the few that report short delivery. With the full fleet,
+/// fronts then placed new viewers at low rungs on half-empty links.
 #[test]
 fn short_delivery_on_one_link_does_not_change_the_estimate_for_links_without_reports() {
     let rung = |short: bool| {
@@ -508,7 +510,8 @@
         }
         front.start_session(9, spec(9, 1.0, 1.0)).1
     };
-    // One rung lower is allowed: the front's own sessions were lowered, and a new viewer's fair rung follows from theirs.
+    // One rung lower is allowed: the front's own sessions were lowered, and a new viewer's fair rung follows
+    // from theirs.
     assert!(
         rung(true) + 1 >= rung(false),
         "rung {} beside a link with short delivery, {} without; at most one lower expected",
@@ -530,9 +533,9 @@
     assert!(rung(0.9) < rung(0.3));
 }
 
-/// Guards against refusals after a shortage is over. A wave of viewers filled all links; for 10 s after it fronts refused
-/// two of three requests, because they assumed the use that short links had reported for all links, while probes found
-/// links a sixth full.
+/// Guards against refusals after a shortage is over. A wave of viewers filled all links; for 10 s after it
+/// fronts refused two of three requests, because they assumed the use that short links had reported for all
+/// links, while probes found links a sixth full.
 #[test]
 fn a_shortage_ends_when_it_is_no_longer_reported() {
     let refused_after = |still_reported: bool| {
@@ -563,7 +566,8 @@
     let (refused, fullest) = refused_after(true);
     assert!(
         refused && fullest > 1.5,
-        "refused {refused}, highest link use {fullest}; expected a refusal and more than 1.5 with a report each second"
+        "refused {refused}, highest link use {fullest}; expected a refusal and more than 1.5 with a report \
+         each second"
     );
     let fullest = refused_after(false).1;
     assert!(
@@ -572,8 +576,8 @@
     );
 }
 
-/// Guards against decisions on late link readings. When a wave of viewers came, fronts placed sessions by the use before
-/// it; after the wave they refused viewers by the use during it.
+/// Guards against decisions on late link readings. When a wave of viewers came, fronts placed sessions by the
+/// use before it; after the wave they refused viewers by the use during it.
 #[test]
 fn the_usual_link_use_follows_own_demand_since_the_reading() {
     let usual_use = |started: u64, ended: u64| {
@@ -598,7 +602,8 @@
     let (fell, steady, grew) = (usual_use(0, 4), usual_use(0, 0), usual_use(6, 0));
     assert!(
         fell + 0.05 < steady && steady + 0.05 < grew,
-        "usual use {fell} after 4 ends, {steady} without changes, {grew} after 6 starts; each should exceed the one before by 0.05"
+        "usual use {fell} after 4 ends, {steady} without changes, {grew} after 6 starts; each should exceed \
+         the one before by 0.05"
     );
     assert!(
         usual_use(60, 0) <= 2.0 * 0.5,
--- a/tests/missing_uplink_gauge.rs
+++ b/tests/missing_uplink_gauge.rs
@@ -1,12 +1,13 @@
-//! Sites whose load reports have no uplink gauge: the demand on an uplink is then estimated from its servers' links.
+//! Sites whose load reports have no uplink gauge: the demand on an uplink is then estimated from its servers'
+//! links.
 
 mod common;
 
 use common::*;
 use pepperhook::*;
 
-/// One rack with `servers` links of 10,000 kB/s each behind an uplink with `uplink_share` of their total capacity. Load
-/// reports have these gauges.
+/// One rack with `servers` links of 10,000 kB/s each behind an uplink with `uplink_share` of their total
+/// capacity. Load reports have these gauges.
 fn site(servers: u32, uplink_share: f64, gauges: Vec<Gauge>) -> Front {
     let links_kb = f64::from(servers) * 10_000.0;
     let settings = Settings {
@@ -34,7 +35,8 @@
             for n in 0..39 {
                 assert!(
                     front.request(n, spec(n, 0.0, 4.0)).is_some(),
-                    "gauges {gauges:?}, uplink share {uplink_share}: request {n} got no set-up although no other session is open"
+                    "gauges {gauges:?}, uplink share {uplink_share}: request {n} got no set-up although no \
+                     other session is open"
                 );
                 front.advance(SECOND);
                 front.handle(Event::Closed(SessionId(n)));
@@ -64,7 +66,8 @@
 
 #[test]
 fn reported_link_use_counts_as_uplink_demand() {
-    // Three links at 0.55 are a demand of 16,500 kB/s on an uplink of 18,000 kB/s, above the limit for admission.
+    // Three links at 0.55 are a demand of 16,500 kB/s on an uplink of 18,000 kB/s, above the limit for
+    // admission.
     for (used, admits) in [(0.2, true), (0.55, false)] {
         let mut front = site(3, 0.6, vec![Gauge::Link]);
         for id in 1..=3 {
--- a/tests/policy/checker.rs
+++ b/tests/policy/checker.rs
@@ -1,5 +1,5 @@
-//! Checks the six rules of a front whose policy changes, from its events and actions alone. It shares no code and no
-//! counters with the module.
+//! Checks the six rules of a front whose policy changes, from its events and actions alone. It shares no code
+//! and no counters with the module.
 //!
 //! 1. Each request gets one answer, and in time.
 //! 2. An attempt that may have run is repeated only where the class allows it, and never beside an open one.
@@ -56,8 +56,8 @@
     request_times: Vec<Time>,
     /// Times of the retries: attempts after a request's first one.
     retry_times: Vec<Time>,
-    /// Retries before this time no longer count: they had already left the window of an earlier policy, which was
-    /// shorter, or empty where that policy had no retry budget.
+    /// Retries before this time no longer count: they had already left the window of an earlier policy, which
+    /// was shorter, or empty where that policy had no retry budget.
     retry_horizon: Time,
 }
 
@@ -171,7 +171,8 @@
                     .ok_or_else(|| format!("rule 1: {action:?} answers a request that is not open"))?;
                 if request.state != RequestState::Waiting {
                     return Err(format!(
-                        "rule 1: {action:?} answers a request in state {:?}; only a waiting one may be answered",
+                        "rule 1: {action:?} answers a request in state {:?}; only a waiting one may be \
+                         answered",
                         request.state
                     ));
                 }
@@ -253,7 +254,8 @@
         let highest = request.highest_at_request.max(request.max_lowest);
         if request.rung < lowest || request.rung > highest {
             return Err(format!(
-                "rule 5: a set-up of {id:?} is sent at rung {}; the bounds since its request allow {lowest} to {highest}",
+                "rule 5: a set-up of {id:?} is sent at rung {}; the bounds since its request allow {lowest} \
+                 to {highest}",
                 request.rung
             ));
         }
@@ -283,8 +285,8 @@
         let same_title = self.requests.values().filter(has_same_title).count();
         if max_sessions > 0 && same_title >= max_sessions {
             return Err(format!(
-                "rule 5: {id:?} is sent beside {same_title} sessions of its class and title; at most {max_sessions} are \
-                 in force"
+                "rule 5: {id:?} is sent beside {same_title} sessions of its class and title; at most \
+                 {max_sessions} are in force"
             ));
         }
         if request.attempts > 0 {
@@ -296,7 +298,8 @@
                 let limit = budget.min_retries + budget.retry_ratio * requests as f64;
                 if retries as f64 > limit {
                     return Err(format!(
-                        "rule 6: {retries} retries beside {requests} requests in a window; at most {limit} allowed"
+                        "rule 6: {retries} retries beside {requests} requests in a window; at most {limit} \
+                         allowed"
                     ));
                 }
             }
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,5 +1,5 @@
-//! Changes of the policy while a front runs: a change to the same policy changes no decision, and the six rules hold
-//! whatever changes at whatever time.
+//! Changes of the policy while a front runs: a change to the same policy changes no decision, and the six
+//! rules hold whatever changes at whatever time.
 
 mod checker;
 #[path = "../common/mod.rs"]
@@ -319,7 +319,8 @@
             }
         }
         world.advance(5 * SECOND);
-        // At each check, every 500 ms, one in five of them is lowered: of less than 100 none is left after 25 checks.
+        // At each check, every 500 ms, one in five of them is lowered: of less than 100 none is left after 25
+        // checks.
         world.advance(13 * SECOND);
         assert_eq!(
             world.checker.sessions_above_highest(),
@@ -331,13 +332,13 @@
     }
     assert!(
         changes > 500 && above_highest > 2_500 && set_ups > 1_500,
-        "{changes} changes, {above_highest} sessions above the highest rung, {set_ups} set-ups; more than 500, 2,500 and \
-         1,500 expected"
+        "{changes} changes, {above_highest} sessions above the highest rung, {set_ups} set-ups; more than \
+         500, 2,500 and 1,500 expected"
     );
 }
 
-/// A checker that knows a ready server 1, a draining server 2 and one waiting request; `edit` changes each class of the
-/// policy.
+/// A checker that knows a ready server 1, a draining server 2 and one waiting request; `edit` changes each
+/// class of the policy.
 fn checker_with_request(edit: impl Fn(&mut Class)) -> (Checker, SessionId) {
     let mut settings = base_policy();
     settings.classes.iter_mut().for_each(edit);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -177,8 +177,8 @@
     }
 }
 
-/// Times of the set-ups that all fronts together send in 10 s to a server that has just started. Each front receives a
-/// request every `gap`.
+/// Times of the set-ups that all fronts together send in 10 s to a server that has just started. Each front
+/// receives a request every `gap`.
 fn cold_set_ups(fronts: u64, gap: Time) -> Vec<Time> {
     let settings = Settings { fronts: fronts as u32, ..settings() };
     let fresh = ServerEntry { started: Some(100 * SECOND), ..server(1, 0) };
--- a/tests/unchanged.rs
+++ b/tests/unchanged.rs
@@ -1,6 +1,7 @@
-//! Guards against an unintended change of decisions. Without reservations the module decides exactly as before
-//! reservations were added: the hash of all actions of a long random run equals the recorded one. The recorded hashes
-//! include one later change of decisions: the assumed usual use follows own demand since a reading.
+//! Guards against an unintended change of decisions. Without reservations the module decides exactly as
+//! before reservations were added: the hash of all actions of a long random run equals the recorded one. The
+//! recorded hashes include one later change of decisions: the assumed usual use follows own demand since a
+//! reading.
 
 mod common;
 
@@ -12,8 +13,8 @@
     bytes.iter().fold(hash, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x0000_0100_0000_01b3))
 }
 
-/// The fixed form of an action that is hashed. It is written by hand so that a renamed type or variant keeps its
-/// hash; it is the text that the derived `Debug` gave when the hashes were taken.
+/// The fixed form of an action that is hashed. It is written by hand so that a renamed type or variant keeps
+/// its hash; it is the text that the derived `Debug` gave when the hashes were taken.
 fn written_out(action: &Action) -> String {
     let retry_after = |after: &Option<Time>| match after {
         Some(after) => format!("Some({after})"),
@@ -34,7 +35,8 @@
     }
 }
 
-/// Runs requests, starts, ends, notifications and list changes drawn from a seed; returns the hash of all actions.
+/// Runs requests, starts, ends, notifications and list changes drawn from a seed; returns the hash of all
+/// actions.
 fn hash_of_run(seed: u64) -> u64 {
     let mut settings = settings();
     (settings.cells, settings.racks, settings.fronts) = (12, 3, 5);
