--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -36,58 +36,60 @@
     })
 }
 
-fn list_entry(r: &mut Reader) -> Result<ServerEntry, Fault> {
-    let server = ServerId(r.u32()?);
-    let zone = ZoneId(r.u16()?);
-    let kind = KindId(r.u16()?);
-    let cell = u32::from(r.u16()?);
-    let state = match r.u8()? {
+fn read_list_entry(reader: &mut Reader) -> Result<ServerEntry, Fault> {
+    let server = ServerId(reader.u32()?);
+    let zone = ZoneId(reader.u16()?);
+    let kind = KindId(reader.u16()?);
+    let cell = u32::from(reader.u16()?);
+    let state = match reader.u8()? {
         wire::server_state::GONE => ServerState::Gone,
         wire::server_state::READY => ServerState::Ready,
         wire::server_state::DRAINING => ServerState::Draining,
         other => {
-            return Err(r.fault(format!("unknown server state {other}; 0 (gone) to 2 (draining) are known")));
+            return Err(
+                reader.fault(format!("unknown server state {other}; 0 (gone) to 2 (draining) are known"))
+            );
         }
     };
-    let weight = f64::from(r.f32()?);
-    let started = Some(r.u64()?).filter(|t| *t > 0);
+    let weight = f64::from(reader.f32()?);
+    let started = Some(reader.u64()?).filter(|t| *t > 0);
     Ok(ServerEntry { server, zone, kind, cell, state, weight, started })
 }
 
 /// The expected length of a session, and whether the viewer reconnects, from the flags of a request.
-fn flagged(flags: u8, length: Time) -> (Option<Time>, bool) {
+fn length_and_reconnect(flags: u8, length: Time) -> (Option<Time>, bool) {
     ((flags & wire::FLAG_HAS_LENGTH > 0).then_some(length), flags & wire::FLAGS_RECONNECT > 0)
 }
 
 impl Host {
-    fn define_list(&mut self, r: &mut Reader) -> Result<(), Fault> {
-        let number = r.u16()?;
-        let count = r.u32()?;
+    fn define_list(&mut self, reader: &mut Reader) -> Result<(), Fault> {
+        let number = reader.u16()?;
+        let count = reader.u32()?;
         let mut entries = Vec::new();
         for _ in 0..count {
-            entries.push(list_entry(r)?);
+            entries.push(read_list_entry(reader)?);
         }
         self.lists.insert(number, entries);
         Ok(())
     }
 
-    fn start_instance(&mut self, r: &mut Reader) -> Result<(), Fault> {
-        let (instance, seed, length) = (r.u16()?, r.u64()?, r.u32()?);
-        let raw = r.take(length as usize)?;
+    fn start_instance(&mut self, reader: &mut Reader) -> Result<(), Fault> {
+        let (instance, seed, length) = (reader.u16()?, reader.u64()?, reader.u32()?);
+        let raw = reader.take(length as usize)?;
         let settings =
-            pepperhook_parameters::parse_decision_settings(raw).map_err(|problem| r.fault(problem))?;
-        let controller = Controller::new(settings, seed).map_err(|e| r.fault(e.to_string()))?;
+            pepperhook_parameters::parse_decision_settings(raw).map_err(|problem| reader.fault(problem))?;
+        let controller = Controller::new(settings, seed).map_err(|e| reader.fault(e.to_string()))?;
         self.controllers.insert(instance, controller);
         Ok(())
     }
 
-    fn list_event(&self, r: &mut Reader) -> Result<Event, Fault> {
-        let (_version, number, scope) = (r.u32()?, r.u16()?, r.u8()?);
+    fn read_list_event(&self, reader: &mut Reader) -> Result<Event, Fault> {
+        let (_version, number, scope) = (reader.u32()?, reader.u16()?, reader.u8()?);
         if scope == wire::scope::FAILED {
             return Ok(Event::ListFailed);
         }
         let entries = self.lists.get(&number).ok_or_else(|| {
-            r.fault(format!(
+            reader.fault(format!(
                 "unknown list number {number}; a record with code {} has to define it first",
                 wire::input::LIST_CONTENT
             ))
@@ -95,21 +97,22 @@
         match scope {
             wire::scope::CHANGES => Ok(Event::ListChanged(entries.clone())),
             wire::scope::COMPLETE | wire::scope::COMPLETE_OTHER => Ok(Event::ListFull(entries.clone())),
-            other => Err(r.fault(format!("unknown scope {other} of a list; 0 to 3 are known"))),
+            other => Err(reader.fault(format!("unknown scope {other} of a list; 0 to 3 are known"))),
         }
     }
 
     /// Reads an event for one instance.
-    fn event(&self, code: u8, r: &mut Reader) -> Result<Event, Fault> {
+    fn read_event(&self, code: u8, reader: &mut Reader) -> Result<Event, Fault> {
         Ok(match code {
-            wire::input::LIST => self.list_event(r)?,
+            wire::input::LIST => self.read_list_event(reader)?,
             wire::input::REQUEST => {
-                let (session, class, tenant) = (SessionId(r.u64()?), ClassId(r.u16()?), TenantId(r.u16()?));
-                let (viewer, title) = (ViewerKey(r.u64()?), TitleId(r.u64()?));
-                let (max_wait, length) = (r.u64()?, r.u64()?);
-                let (first_cell, cell_count) = (f64::from(r.f32()?), f64::from(r.f32()?));
-                let highest_rung = f64::from(r.f32()?);
-                let (expected_length, reconnect) = flagged(r.u8()?, length);
+                let (session, class, tenant) =
+                    (SessionId(reader.u64()?), ClassId(reader.u16()?), TenantId(reader.u16()?));
+                let (viewer, title) = (ViewerKey(reader.u64()?), TitleId(reader.u64()?));
+                let (max_wait, length) = (reader.u64()?, reader.u64()?);
+                let (first_cell, cell_count) = (f64::from(reader.f32()?), f64::from(reader.f32()?));
+                let highest_rung = f64::from(reader.f32()?);
+                let (expected_length, reconnect) = length_and_reconnect(reader.u8()?, length);
                 let spec = SessionSpec {
                     viewer,
                     class,
@@ -125,36 +128,38 @@
                 Event::Request(session, spec)
             }
             wire::input::STARTED => {
-                let (session, _, server, _) = (SessionId(r.u64()?), r.u64()?, ServerId(r.u32()?), r.u16()?);
+                let (session, _, server, _) =
+                    (SessionId(reader.u64()?), reader.u64()?, ServerId(reader.u32()?), reader.u16()?);
                 Event::Started(session, server)
             }
             wire::input::ENDED => {
-                let (session, _, server) = (SessionId(r.u64()?), r.u16()?, ServerId(r.u32()?));
-                let number = r.u16()?;
+                let (session, _, server) = (SessionId(reader.u64()?), reader.u16()?, ServerId(reader.u32()?));
+                let number = reader.u16()?;
                 let outcome = outcome(number).ok_or_else(|| {
-                    r.fault(format!("unknown outcome {number}; 100 and 301 to 307 are known"))
+                    reader.fault(format!("unknown outcome {number}; 100 and 301 to 307 are known"))
                 })?;
-                let (_, is_final, report) = (r.u64()?, r.u8()? > 0, r.values()?);
+                let (_, is_final, report) = (reader.u64()?, reader.u8()? > 0, reader.values()?);
                 Event::Ended { session, server, outcome, is_final, report }
             }
-            wire::input::CLOSED => Event::Closed(SessionId(r.u64()?)),
-            wire::input::TIMER => Event::Timer(r.u64()?),
+            wire::input::CLOSED => Event::Closed(SessionId(reader.u64()?)),
+            wire::input::TIMER => Event::Timer(reader.u64()?),
             wire::input::PROBED => {
-                let (server, number, _, report) = (ServerId(r.u32()?), r.u16()?, r.u64()?, r.values()?);
+                let (server, number, _, report) =
+                    (ServerId(reader.u32()?), reader.u16()?, reader.u64()?, reader.values()?);
                 Event::Probed(server, (number == wire::outcome::SERVED).then_some(report))
             }
             wire::input::MESSAGE => {
-                let (sender, length) = (r.u16()?, r.u16()?);
-                Event::Message(sender, r.take(usize::from(length))?.to_vec())
+                let (sender, length) = (reader.u16()?, reader.u16()?);
+                Event::Message(sender, reader.take(usize::from(length))?.to_vec())
             }
             wire::input::ADOPTED => {
                 let (session, tenant, viewer) =
-                    (SessionId(r.u64()?), TenantId(r.u16()?), ViewerKey(r.u64()?));
-                let (class, first_cell) = (ClassId(r.u16()?), f64::from(r.f32()?));
-                let (highest_rung, flags) = (f64::from(r.f32()?), r.u8()?);
-                let (server, max_wait, length) = (ServerId(r.u32()?), r.u64()?, r.u64()?);
-                let (cell_count, title) = (f64::from(r.f32()?), TitleId(r.u64()?));
-                let (expected_length, reconnect) = flagged(flags, length);
+                    (SessionId(reader.u64()?), TenantId(reader.u16()?), ViewerKey(reader.u64()?));
+                let (class, first_cell) = (ClassId(reader.u16()?), f64::from(reader.f32()?));
+                let (highest_rung, flags) = (f64::from(reader.f32()?), reader.u8()?);
+                let (server, max_wait, length) = (ServerId(reader.u32()?), reader.u64()?, reader.u64()?);
+                let (cell_count, title) = (f64::from(reader.f32()?), TitleId(reader.u64()?));
+                let (expected_length, reconnect) = length_and_reconnect(flags, length);
                 let spec = SessionSpec {
                     viewer,
                     class,
@@ -170,38 +175,38 @@
                 Event::Adopted(session, spec, server)
             }
             wire::input::NOTIFICATION => {
-                let (session, _, server) = (SessionId(r.u64()?), r.u16()?, ServerId(r.u32()?));
-                let kind = match r.u8()? {
+                let (session, _, server) = (SessionId(reader.u64()?), reader.u16()?, ServerId(reader.u32()?));
+                let kind = match reader.u8()? {
                     wire::notification::DELIVERED => NotificationKind::Delivered,
                     wire::notification::RUNG => NotificationKind::Rung,
                     wire::notification::LINK_USE => NotificationKind::LinkUse,
                     wire::notification::UPLINK_USE => NotificationKind::UplinkUse,
                     other => {
                         return Err(
-                            r.fault(format!("unknown kind of notification {other}; 1 to 4 are known"))
+                            reader.fault(format!("unknown kind of notification {other}; 1 to 4 are known"))
                         );
                     }
                 };
-                Event::Notification(session, server, kind, f64::from(r.f32()?))
+                Event::Notification(session, server, kind, f64::from(reader.f32()?))
             }
-            other => return Err(r.fault(format!("unknown code {other} of a record; 1 to 13 are known"))),
+            other => return Err(reader.fault(format!("unknown code {other} of a record; 1 to 13 are known"))),
         })
     }
 
     /// Processes the records of one batch and collects the actions.
-    fn batch(&mut self, now: Time, count: u32, body: &[u8]) -> Result<Writer, Fault> {
-        let (mut r, mut out, mut actions) = (Reader::new(body), Writer::default(), Vec::new());
+    fn process_batch(&mut self, now: Time, count: u32, body: &[u8]) -> Result<Writer, Fault> {
+        let (mut reader, mut out, mut actions) = (Reader::new(body), Writer::default(), Vec::new());
         for record in 0..count {
-            r.record = record;
-            match r.u8()? {
-                wire::input::START => self.start_instance(&mut r)?,
-                wire::input::LIST_CONTENT => self.define_list(&mut r)?,
+            reader.record = record;
+            match reader.u8()? {
+                wire::input::START => self.start_instance(&mut reader)?,
+                wire::input::LIST_CONTENT => self.define_list(&mut reader)?,
                 wire::input::STOP => {
-                    self.controllers.remove(&r.u16()?);
+                    self.controllers.remove(&reader.u16()?);
                 }
                 code => {
-                    let instance = r.u16()?;
-                    let event = self.event(code, &mut r)?;
+                    let instance = reader.u16()?;
+                    let event = self.read_event(code, &mut reader)?;
                     if let Some(controller) = self.controllers.get_mut(&instance) {
                         controller.handle(now, event, &mut actions);
                     }
@@ -211,9 +216,9 @@
                 }
             }
         }
-        match r.remaining() {
+        match reader.remaining() {
             0 => Ok(out),
-            n => Err(r.fault(format!("{n} bytes are left after the last record"))),
+            n => Err(reader.fault(format!("{n} bytes are left after the last record"))),
         }
     }
 }
@@ -282,7 +287,8 @@
         if body.len() < length as usize {
             return Err(format!("batch {batch}: the body ends after {} of {length} bytes", body.len()));
         }
-        let reply = host.batch(now, count, &body).map_err(|fault| format!("batch {batch}: {fault}"))?;
+        let reply =
+            host.process_batch(now, count, &body).map_err(|fault| format!("batch {batch}: {fault}"))?;
         output.write_all(&reply.frame(batch)).and_then(|()| output.flush()).map_err(write_error)?;
     }
 }
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -41,9 +41,9 @@
 /// Fraction of a rack's sessions that one alert moves (one in five, as in the paper), and of the sessions
 /// above their highest rung that one tick lowers.
 const BATCH_FRACTION: f64 = 0.2;
-/// A rung rises after this time without a shortage or a change ...
+/// Time without a shortage or a change of rung after which a rung may rise.
 const RISE_DELAY: Time = 8 * SECOND;
-/// ... or after this fraction of a session's mean length if that is shorter: a session that waits for most of
+/// The delay of a rise is at most this fraction of a session's mean length: a session that waits for most of
 /// its length gains nothing by the rise.
 const RISE_DELAY_LENGTH_SHARE: f64 = 0.4;
 /// Assumed mean length of sessions until some have ended (the paper's 30 s of past measurements).
@@ -167,7 +167,7 @@
     recent_requests: SlidingSum,
     /// What the requests of the last [`AVERAGING_WINDOW`] asked for.
     recent_specs: VecDeque<(Time, SessionSpec)>,
-    /// Further attempts, for the retry budget.
+    /// Retries (attempts after a request's first), for the retry budget.
     recent_retries: SlidingSum,
     /// Number of probes that may be sent.
     probe_credit: f64,
@@ -437,22 +437,26 @@
     /// Updates the typical use of links and uplinks: the mean of the readings, in which newer ones have more
     /// weight. Without readings it follows own demand times the number of fronts.
     fn update_typical_use(&mut self, now: Time) {
-        let own = self.servers.values().map(|s| s.own_kb).sum::<f64>() * f64::from(self.settings.fronts);
+        let assumed_total_kb =
+            self.servers.values().map(|s| s.own_kb).sum::<f64>() * f64::from(self.settings.fronts);
         // Deviates from the paper: own demand is a sample of the demand of all fronts. Readings are late, so
         // the relative change of own demand since a reading is assumed for the other fronts too, up to a
         // factor of 2. Sessions that were adopted at the start are no change.
-        let kb: f64 = self.servers.values().map(|s| s.own_kb).sum();
+        let own_kb: f64 = self.servers.values().map(|s| s.own_kb).sum();
         let mean_rung_kb =
             self.settings.ladder.iter().map(|r| r.kb).sum::<f64>() / self.settings.ladder.len() as f64;
         let settled_since = self.started_at.map_or(0, |t| t.saturating_add(SETTLE_TIME));
         let growth_since = |at: Time| {
             let change: f64 =
                 self.racks.iter().map(|r| r.own_kb_changes.sum_after(at.max(settled_since))).sum();
-            ((kb + mean_rung_kb) / ((kb - change).max(0.0) + mean_rung_kb)).clamp(0.5, 2.0)
+            ((own_kb + mean_rung_kb) / ((own_kb - change).max(0.0) + mean_rung_kb)).clamp(0.5, 2.0)
         };
-        let mean = |readings: &mut dyn Iterator<Item = Reading>, capacity: f64| {
-            let default =
-                if own > 0.0 { (own / capacity).clamp(DEFAULT_USE / 2.0, MARK) } else { DEFAULT_USE };
+        let mean = |readings: &mut dyn Iterator<Item = Reading>, capacity_kb: f64| {
+            let default = if assumed_total_kb > 0.0 {
+                (assumed_total_kb / capacity_kb).clamp(DEFAULT_USE / 2.0, MARK)
+            } else {
+                DEFAULT_USE
+            };
             let sum = readings.fold((default * DEFAULT_USE_WEIGHT, DEFAULT_USE_WEIGHT), |sum, r| {
                 let weight = (-seconds(now.saturating_sub(r.at)) / seconds(AVERAGING_WINDOW)).exp();
                 (sum.0 + weight * r.used * growth_since(r.at), sum.1 + weight)
@@ -468,9 +472,10 @@
                 .filter(|r| r.at + AVERAGING_WINDOW > now)
                 .or_else(|| without_reading(s))
         };
-        let links = if self.settings.all_links_kb > 0.0 { self.settings.all_links_kb } else { f64::INFINITY };
+        let links_kb =
+            if self.settings.all_links_kb > 0.0 { self.settings.all_links_kb } else { f64::INFINITY };
         self.typical_use = TypicalUse {
-            link: mean(&mut self.servers.values().filter_map(link_reading), links),
+            link: mean(&mut self.servers.values().filter_map(link_reading), links_kb),
             uplink: mean(
                 &mut self.racks.iter().filter_map(|r| r.uplink),
                 self.settings.uplink_kb * self.racks.len() as f64,
@@ -932,8 +937,7 @@
 
     /// Frees capacity after a viewer was refused while others play above their lowest rungs: a multiple of
     /// the viewer's entry rate on links and uplinks above the mark, from own sessions that lose less for each
-    /// kB than the viewer would earn. Since all fronts do this, the next request finds room where it is
-    /// short.
+    /// kB than the viewer would earn. Since all fronts do this, the next request finds capacity there.
     fn make_room(&mut self, now: Time, id: SessionId, out: &mut Vec<Action>) {
         let Some(s) = self.sessions.get(&id) else { return };
         let Some(entry) = self.rung_steps[s.class].first().copied() else { return };
@@ -1068,12 +1072,14 @@
         self.probe_credit = (self.probe_credit
             + PROBE_COST_SHARE / self.settings.prices.probe.max(PROBE_COST_SHARE / 4.0))
         .min(MAX_PROBE_CREDIT);
-        let is_stale = |h: &Server| h.link.is_none_or(|r| r.at + FRESH_READING_AGE < now);
-        let storing = self.servers.values().filter(|h| stores_title(&self.settings, h, &s.spec));
+        let is_stale = |server: &Server| server.link.is_none_or(|r| r.at + FRESH_READING_AGE < now);
+        let storing = self.servers.values().filter(|server| stores_title(&self.settings, server, &s.spec));
         // Time of the last reading, and server.
         let mut candidates: Vec<_> = storing
-            .filter(|h| is_stale(h) && self.is_healthy(now, h) && self.may_set_up(now, id, h))
-            .map(|h| (h.link.map_or(0, |r| r.at), h.entry.server))
+            .filter(|server| {
+                is_stale(server) && self.is_healthy(now, server) && self.may_set_up(now, id, server)
+            })
+            .map(|server| (server.link.map_or(0, |r| r.at), server.entry.server))
             .collect();
         self.shuffle(&mut candidates);
         candidates.sort_by_key(|(read_at, _)| *read_at);
@@ -1215,47 +1221,46 @@
     /// server overlaps two windows of a front, so the probability never exceeds the part over
     /// `COLD_PACE_SHARE`, however rare the requests were.
     fn cold_pace_allows(&self, now: Time, server: &Server) -> bool {
-        let (warmth, r) = (self.warmth(now, server), &self.settings.rules);
+        let (warmth, rules) = (self.warmth(now, server), &self.settings.rules);
         if warmth >= 1.0 {
             return true;
         }
         let pace =
-            max_streams(&self.settings, server) / seconds(r.warm_up).max(0.1) * warmth * COLD_PACE_SHARE;
-        let own_part = pace * r.overload_multiple * seconds(r.overload_window) * COLD_PACE_SHARE
+            max_streams(&self.settings, server) / seconds(rules.warm_up).max(0.1) * warmth * COLD_PACE_SHARE;
+        let own_part = pace * rules.overload_multiple * seconds(rules.overload_window) * COLD_PACE_SHARE
             / f64::from(self.settings.fronts).max(1.0);
         let since = ago(now, AVERAGING_WINDOW).max(self.started_at.unwrap_or(now));
         let requests = self.recent_specs.iter().rev().take_while(|(at, _)| *at > since);
         let requests = requests.filter(|(_, spec)| stores_title(&self.settings, server, spec)).count() as f64;
         let requests_per_s = requests.max(1.0) / seconds(now.saturating_sub(since)).max(1.0);
         // The windows of each front have an offset of their own.
-        let window =
-            now.saturating_add(self.instance_seed % r.overload_window.max(1)) / r.overload_window.max(1);
+        let window = now.saturating_add(self.instance_seed % rules.overload_window.max(1))
+            / rules.overload_window.max(1);
         let random_bits =
             mix_bits(self.instance_seed ^ mix_bits(window ^ mix_bits(u64::from(server.entry.server.0))));
-        server.set_ups.sum_after(ago(now, r.overload_window)) + 1.0 <= own_part.max(1.0)
+        server.set_ups.sum_after(ago(now, rules.overload_window)) + 1.0 <= own_part.max(1.0)
             && (own_part >= 1.0
                 || unit_interval(random_bits)
-                    * (requests_per_s * seconds(r.overload_window)).clamp(COLD_PACE_SHARE, 1.0)
+                    * (requests_per_s * seconds(rules.overload_window)).clamp(COLD_PACE_SHARE, 1.0)
                     <= own_part)
     }
 
     /// Share of its capacity that a server has reached since its start; a failed one counts as just started.
     fn warmth(&self, now: Time, server: &Server) -> f64 {
-        let r = &self.settings.rules;
+        let rules = &self.settings.rules;
         let progress = match (server.failed, server.cold_since) {
             (true, _) => 0.0,
             (false, None) => return 1.0,
-            (false, Some(from)) => now.saturating_sub(from) as f64 / r.warm_up.max(1) as f64,
+            (false, Some(from)) => now.saturating_sub(from) as f64 / rules.warm_up.max(1) as f64,
         };
-        (r.cold_share + (1.0 - r.cold_share) * progress).clamp(MIN_WARMTH, 1.0)
+        (rules.cold_share + (1.0 - rules.cold_share) * progress).clamp(MIN_WARMTH, 1.0)
     }
 
-    /// Rule 6: the retry budget. Further attempts in the window, including this one, are limited by the
-    /// requests in it.
+    /// Rule 6: the retry budget. Retries in the window, including this one, are limited by the requests in it.
     fn retry_budget_allows(&self, now: Time) -> bool {
         self.settings.rules.retry_budget.is_none_or(|b| {
             let after = ago(now, b.window);
-            // At the exact start of the window an attempt counts, but a request does not.
+            // At the exact start of the window a retry counts, but a request does not.
             self.recent_retries.sum_after(after.saturating_sub(1)) + 1.0
                 <= b.min_retries + b.retry_ratio * self.recent_requests.sum_after(after)
         })
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -113,14 +113,14 @@
     Other,
 }
 
-/// Retry budget: limits further attempts to a share of the requests.
+/// Retry budget: limits retries, the attempts after a request's first, to a share of the requests.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Further attempts allowed in a window regardless of the number of requests.
+    /// Retries allowed in a window regardless of the number of requests.
     pub min_retries: f64,
-    /// Further attempts allowed for each request in the window.
+    /// Retries allowed for each request in the window.
     pub retry_ratio: f64,
-    /// Length of the window in which attempts and requests are counted.
+    /// Length of the window in which retries and requests are counted.
     pub window: Time,
 }
 
@@ -131,11 +131,13 @@
     pub cold_share: f64,
     /// Time from a server's start until it has its full capacity.
     pub warm_up: Time,
-    /// A cold server fails when set-ups arrive at this multiple of its pace ...
+    /// A cold server fails when set-ups arrive at this multiple of its pace for the time `overload_window`. Its
+    /// pace is its maximum number of streams over `warm_up`, times the share of its capacity that it has
+    /// reached.
     pub overload_multiple: f64,
-    /// ... for this long.
+    /// Length of the window in which set-ups to a cold server are counted.
     pub overload_window: Time,
-    /// Limit on further attempts; `None` means no limit.
+    /// Limit on retries; `None` means no limit.
     pub retry_budget: Option<RetryBudget>,
 }
 
--- a/src/window.rs
+++ b/src/window.rs
@@ -41,13 +41,13 @@
     use super::SlidingSum;
 
     #[test]
-    fn sums_only_what_is_later_and_drops_the_old() {
-        let mut s = SlidingSum::default();
-        s.push(10, 1.0, 100);
-        s.push(20, 2.0, 100);
-        assert_eq!(s.sum_after(10), 2.0);
-        assert_eq!(s.sum_after(9), 3.0);
-        s.push(121, 4.0, 100);
-        assert_eq!(s.sum_after(0), 4.0);
+    fn sums_only_later_values_and_drops_old_ones() {
+        let mut sum = SlidingSum::default();
+        sum.push(10, 1.0, 100);
+        sum.push(20, 2.0, 100);
+        assert_eq!(sum.sum_after(10), 2.0);
+        assert_eq!(sum.sum_after(9), 3.0);
+        sum.push(121, 4.0, 100);
+        assert_eq!(sum.sum_after(0), 4.0);
     }
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -579,8 +579,8 @@
 /// Guards against decisions on late link readings. When a wave of viewers came, fronts placed sessions by the
 /// use before it; after the wave they refused viewers by the use during it.
 #[test]
-fn the_usual_link_use_follows_own_demand_since_the_reading() {
-    let usual_use = |started: u64, ended: u64| {
+fn the_typical_link_use_follows_own_demand_since_the_reading() {
+    let typical_use = |started: u64, ended: u64| {
         let servers: Vec<_> = (0..8).map(|i| server(i + 1, i % 4)).collect();
         let mut front = Front::new(settings(), &servers);
         (0..6).for_each(|n| front.adopt(n, spec(n, 0.0, 1.0), 1, 2));
@@ -599,15 +599,15 @@
             .find(|s| s.entry.server == ServerId(8))
             .map_or(0.0, |s| s.link_use)
     };
-    let (fell, steady, grew) = (usual_use(0, 4), usual_use(0, 0), usual_use(6, 0));
+    let (fell, steady, grew) = (typical_use(0, 4), typical_use(0, 0), typical_use(6, 0));
     assert!(
         fell + 0.05 < steady && steady + 0.05 < grew,
-        "usual use {fell} after 4 ends, {steady} without changes, {grew} after 6 starts; each should exceed \
+        "typical use {fell} after 4 ends, {steady} without changes, {grew} after 6 starts; each should exceed \
          the one before by 0.05"
     );
     assert!(
-        usual_use(60, 0) <= 2.0 * 0.5,
-        "usual use {} after 60 starts on one front; at most twice the reading of 0.5 expected",
-        usual_use(60, 0)
+        typical_use(60, 0) <= 2.0 * 0.5,
+        "typical use {} after 60 starts on one front; at most twice the reading of 0.5 expected",
+        typical_use(60, 0)
     );
 }
--- a/tests/unchanged.rs
+++ b/tests/unchanged.rs
@@ -1,7 +1,7 @@
 //! Guards against an unintended change of decisions. Without reservations the module decides exactly as
 //! before reservations were added: the hash of all actions of a long random run equals the recorded one. The
-//! recorded hashes include one later change of decisions: the assumed usual use follows own demand since a
-//! reading.
+//! recorded hashes include one later change of decisions: the typical use of links follows own demand since
+//! a reading.
 
 mod common;
 
