--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -69,6 +69,7 @@
     configured_fronts: Option<u32>,
 }
 
+/// Ordinary figures; the cases differ from them in a few fields.
 const USUAL: Case = Case {
     name: "usual",
     fronts: 300,
@@ -421,11 +422,12 @@
     }
 }
 
-const MANY: Case = Case { cold_nodes: 12, warm_nodes: 0, retries: 1, ..USUAL };
+/// The ordinary case with cold nodes only, where a refused viewer asks again once.
+const MANY_FRONTS: Case = Case { cold_nodes: 12, warm_nodes: 0, retries: 1, ..USUAL };
 
 #[test]
 fn small_nodes_under_many_fronts() {
-    let c = Case { max_streams: 8.0, ..MANY };
+    let c = Case { max_streams: 8.0, ..MANY_FRONTS };
     assert_no_violations(
         &[
             Case { name: "usual traffic", ..c },
@@ -450,23 +452,29 @@
 fn usual_nodes_under_many_fronts() {
     assert_no_violations(
         &[
-            Case { name: "usual traffic", ..MANY },
-            Case { name: "burst at the start", burst: 6.0, max_list_delay: 50 * MILLISECOND, ..MANY },
-            Case { name: "restarted fronts", restarted_share: 0.7, restart_times: &[0], demand: 2.0, ..MANY },
+            Case { name: "usual traffic", ..MANY_FRONTS },
+            Case { name: "burst at the start", burst: 6.0, max_list_delay: 50 * MILLISECOND, ..MANY_FRONTS },
+            Case {
+                name: "restarted fronts",
+                restarted_share: 0.7,
+                restart_times: &[0],
+                demand: 2.0,
+                ..MANY_FRONTS
+            },
             Case {
                 name: "window of 1 s",
                 window: SECOND,
                 demand: 4.0,
                 max_list_delay: 350 * MILLISECOND,
-                ..MANY
+                ..MANY_FRONTS
             },
-            Case { name: "restarted, list late", start: Start::Restarted, demand: 2.0, ..MANY },
+            Case { name: "restarted, list late", start: Start::Restarted, demand: 2.0, ..MANY_FRONTS },
             Case {
                 name: "restarted, window of 1 s",
                 start: Start::Restarted,
                 window: SECOND,
                 burst: 4.0,
-                ..MANY
+                ..MANY_FRONTS
             },
         ],
         3..5,
@@ -484,7 +492,7 @@
         window: SECOND / 2,
         cold_nodes: 4,
         max_list_delay: 50 * MILLISECOND,
-        ..MANY
+        ..MANY_FRONTS
     };
     assert_no_violations(&[Case { name: "just listed", demand: 4.0, ..c }], 1..3);
 }
@@ -493,17 +501,23 @@
 fn large_nodes_and_few_fronts() {
     assert_no_violations(
         &[
-            Case { name: "large, window of 1 s", max_streams: 250.0, window: SECOND, cold_nodes: 4, ..MANY },
+            Case {
+                name: "large, window of 1 s",
+                max_streams: 250.0,
+                window: SECOND,
+                cold_nodes: 4,
+                ..MANY_FRONTS
+            },
             Case {
                 name: "large, list at once",
                 max_streams: 150.0,
                 burst: 2.0,
                 max_list_delay: 50 * MILLISECOND,
                 cold_nodes: 4,
-                ..MANY
+                ..MANY_FRONTS
             },
-            Case { name: "3 fronts", fronts: 3, demand: 4.0, ..MANY },
-            Case { name: "20 fronts", fronts: 20, demand: 4.0, window: SECOND, ..MANY },
+            Case { name: "3 fronts", fronts: 3, demand: 4.0, ..MANY_FRONTS },
+            Case { name: "20 fronts", fronts: 20, demand: 4.0, window: SECOND, ..MANY_FRONTS },
         ],
         5..7,
     );
@@ -520,7 +534,7 @@
         max_list_delay: 50 * MILLISECOND,
         burst_delay: 3 * SECOND,
         warm_up: 6 * SECOND,
-        ..MANY
+        ..MANY_FRONTS
     };
     let half = Case { window: SECOND / 2, ..c };
     let whole = Case { window: SECOND, ..c };
@@ -555,7 +569,7 @@
         burst_delay: 3 * SECOND,
         warm_up: 6 * SECOND,
         start: Start::Restarted,
-        ..MANY
+        ..MANY_FRONTS
     };
     let half = Case { window: SECOND / 2, ..c };
     assert_no_violations(
@@ -578,7 +592,7 @@
 
 #[test]
 fn twenty_and_thirty_fronts_with_uneven_traffic() {
-    let c = Case { cold_nodes: 4, heavy_front_factor: 9.0, max_list_delay: 4 * SECOND, ..MANY };
+    let c = Case { cold_nodes: 4, heavy_front_factor: 9.0, max_list_delay: 4 * SECOND, ..MANY_FRONTS };
     for fronts in [20, 30] {
         let c = Case { fronts, ..c };
         assert_no_violations(
@@ -606,7 +620,7 @@
 #[test]
 fn fronts_that_restart_during_the_warm_up() {
     let each: &[Time] = &[0, SECOND, 2 * SECOND, 3 * SECOND, 4 * SECOND, 5 * SECOND, 6 * SECOND, 7 * SECOND];
-    let c = Case { cold_nodes: 4, restarted_share: 0.7, restart_times: each, demand: 8.0, ..MANY };
+    let c = Case { cold_nodes: 4, restarted_share: 0.7, restart_times: each, demand: 8.0, ..MANY_FRONTS };
     for fronts in [20, 30, 300] {
         let c = Case { fronts, ..c };
         assert_no_violations(
@@ -635,7 +649,7 @@
 /// the next test).
 #[test]
 fn a_wrong_number_of_fronts_in_the_settings() {
-    let c = Case { cold_nodes: 4, demand: 8.0, configured_fronts: Some(30), ..MANY };
+    let c = Case { cold_nodes: 4, demand: 8.0, configured_fronts: Some(30), ..MANY_FRONTS };
     let rise = Case { demand: 1.0, burst: 6.0, burst_delay: 3 * SECOND, ..c };
     assert_no_violations(
         &[
@@ -654,7 +668,8 @@
 /// all of them.
 #[test]
 fn the_evaluation_detects_ten_times_as_many_fronts_as_configured() {
-    let c = Case { cold_nodes: 4, max_streams: 24.0, demand: 8.0, configured_fronts: Some(30), ..MANY };
+    let c =
+        Case { cold_nodes: 4, max_streams: 24.0, demand: 8.0, configured_fronts: Some(30), ..MANY_FRONTS };
     let violations = run_case(Case { name: "30 configured, 300 run", ..c }, 1..3);
     assert_eq!(violations, 8, "number of warm-ups that violate the rule; each of the 8 must");
 }
