--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,10 +1,11 @@
-//! The limit on set-ups to nodes that have just started, over all fronts: many controllers (300 in most cases) in
-//! one process, each with its own seed, its own share of uneven traffic and its own delay until it receives the list
-//! that names the start. The set-ups that they send together are checked against the load at which a node becomes
-//! overloaded, and against the share of that load that informed fronts (those that have received the list) may cause.
+//! The limit on set-ups to nodes that have just started, over all fronts: many controllers (300 in most
+//! cases) in one process, each with its own seed, its own share of uneven traffic and its own delay until it
+//! receives the list that names the start. The set-ups that they send together are checked against the load
+//! at which a node becomes overloaded, and against the share of that load that informed fronts (those that
+//! have received the list) may cause.
 //!
-//! The checker uses only the figures of the settings: streams over the warm-up time, cold share, multiple and window.
-//! It shares no code and no counters with the module.
+//! The checker uses only the figures of the settings: streams over the warm-up time, cold share, multiple and
+//! window. It shares no code and no counters with the module.
 
 mod common;
 
@@ -59,8 +60,8 @@
     start: Start,
     /// Number of times that a refused viewer asks again, each time shortly after the refusal.
     retries: u32,
-    /// Share of the fronts that is killed at each of `restart_times`. A restarted front begins with the list that
-    /// names the start and has no record of its earlier set-ups.
+    /// Share of the fronts that is killed at each of `restart_times`. A restarted front begins with the list
+    /// that names the start and has no record of its earlier set-ups.
     restarted_share: f64,
     /// Times of the front restarts, from the start of the cold nodes on.
     restart_times: &'static [Time],
@@ -68,6 +69,7 @@
     configured_fronts: Option<u32>,
 }
 
+/// Ordinary figures; the cases differ from them in a few fields.
 const USUAL: Case = Case {
     name: "usual",
     fronts: 300,
@@ -90,8 +92,8 @@
     configured_fronts: None,
 };
 
-/// Set-ups to one cold node, in order of time: the time, whether the front was informed, and the work relative to a
-/// mean set-up.
+/// Set-ups to one cold node, in order of time: the time, whether the front was informed, and the work
+/// relative to a mean set-up.
 type SetUps = Vec<(Time, bool, f64)>;
 
 /// Result of one node's warm-up.
@@ -124,7 +126,8 @@
     allowed + 2.0 * allowed.sqrt() + 2.0
 }
 
-/// Evaluates one node's set-ups: the node becomes overloaded at the first one that takes a window past the bound.
+/// Evaluates one node's set-ups: the node becomes overloaded at the first one that takes a window past the
+/// bound.
 fn evaluate(case: &Case, started: Time, set_ups: &SetUps) -> WarmUp {
     let mut result = WarmUp { set_ups: set_ups.len(), ..WarmUp::default() };
     for (i, (at, ..)) in set_ups.iter().enumerate() {
@@ -238,7 +241,8 @@
             .expect("the settings of the case are valid")
     }
 
-    /// The list as a front has it. Each cold node is in a cell of its own, with at most one warm node beside it.
+    /// The list as a front has it. Each cold node is in a cell of its own, with at most one warm node beside
+    /// it.
     fn list(&self, front: usize, started: bool) -> Vec<ServerEntry> {
         let case = &self.case;
         let warm = (0..case.warm_nodes).map(|i| server(FIRST_WARM_ID + i, i % case.cold_nodes));
@@ -351,7 +355,8 @@
                     let viewer = ViewerKey(self.count);
                     let spec = SessionSpec { viewer, title, ..spec(0, f64::from(cell), 1.0) };
                     let out = self.handle(now, front, Event::Request(id, spec));
-                    // A refused viewer asks a random front again, also where a warm node could have served it.
+                    // A refused viewer asks a random front again, also where a warm node could have served
+                    // it.
                     if refused(&out) && tries < case.retries {
                         let front = self.rng.random_range(0..case.fronts);
                         let after = self.rng.random_range(20..160) * MILLISECOND;
@@ -383,8 +388,8 @@
     }
 }
 
-/// Runs a case for some seeds, prints the distribution of the results and returns the number of warm-ups that violated
-/// the rule.
+/// Runs a case for some seeds, prints the distribution of the results and returns the number of warm-ups that
+/// violated the rule.
 fn run_case(case: Case, seeds: std::ops::Range<u64>) -> usize {
     let all: Vec<WarmUp> = seeds.flat_map(|seed| World::new(case, seed).run()).collect();
     let distribution = |value: fn(&WarmUp) -> f64| {
@@ -417,11 +422,12 @@
     }
 }
 
-const MANY: Case = Case { cold_nodes: 12, warm_nodes: 0, retries: 1, ..USUAL };
+/// The ordinary case with cold nodes only, where a refused viewer asks again once.
+const MANY_FRONTS: Case = Case { cold_nodes: 12, warm_nodes: 0, retries: 1, ..USUAL };
 
 #[test]
 fn small_nodes_under_many_fronts() {
-    let c = Case { max_streams: 8.0, ..MANY };
+    let c = Case { max_streams: 8.0, ..MANY_FRONTS };
     assert_no_violations(
         &[
             Case { name: "usual traffic", ..c },
@@ -446,32 +452,39 @@
 fn usual_nodes_under_many_fronts() {
     assert_no_violations(
         &[
-            Case { name: "usual traffic", ..MANY },
-            Case { name: "burst at the start", burst: 6.0, max_list_delay: 50 * MILLISECOND, ..MANY },
-            Case { name: "restarted fronts", restarted_share: 0.7, restart_times: &[0], demand: 2.0, ..MANY },
+            Case { name: "usual traffic", ..MANY_FRONTS },
+            Case { name: "burst at the start", burst: 6.0, max_list_delay: 50 * MILLISECOND, ..MANY_FRONTS },
+            Case {
+                name: "restarted fronts",
+                restarted_share: 0.7,
+                restart_times: &[0],
+                demand: 2.0,
+                ..MANY_FRONTS
+            },
             Case {
                 name: "window of 1 s",
                 window: SECOND,
                 demand: 4.0,
                 max_list_delay: 350 * MILLISECOND,
-                ..MANY
+                ..MANY_FRONTS
             },
-            Case { name: "restarted, list late", start: Start::Restarted, demand: 2.0, ..MANY },
+            Case { name: "restarted, list late", start: Start::Restarted, demand: 2.0, ..MANY_FRONTS },
             Case {
                 name: "restarted, window of 1 s",
                 start: Start::Restarted,
                 window: SECOND,
                 burst: 4.0,
-                ..MANY
+                ..MANY_FRONTS
             },
         ],
         3..5,
     );
 }
 
-/// Guards against taking a node that has just been listed for one without requests in the last 10 s. Each front's first
-/// request to it then passed the random admission, and 300 fronts together overloaded the node (6 of 8 warm-ups, with a
-/// work of up to 1.11 of the bound). The rate of requests for its titles is known from the time before it was listed.
+/// Guards against taking a node that has just been listed for one without requests in the last 10 s. Each
+/// front's first request to it then passed the random admission, and 300 fronts together overloaded the node
+/// (6 of 8 warm-ups, with a work of up to 1.11 of the bound). The rate of requests for its titles is known
+/// from the time before it was listed.
 #[test]
 fn a_newly_listed_node_does_not_count_as_one_without_demand() {
     let c = Case {
@@ -479,7 +492,7 @@
         window: SECOND / 2,
         cold_nodes: 4,
         max_list_delay: 50 * MILLISECOND,
-        ..MANY
+        ..MANY_FRONTS
     };
     assert_no_violations(&[Case { name: "just listed", demand: 4.0, ..c }], 1..3);
 }
@@ -488,25 +501,32 @@
 fn large_nodes_and_few_fronts() {
     assert_no_violations(
         &[
-            Case { name: "large, window of 1 s", max_streams: 250.0, window: SECOND, cold_nodes: 4, ..MANY },
+            Case {
+                name: "large, window of 1 s",
+                max_streams: 250.0,
+                window: SECOND,
+                cold_nodes: 4,
+                ..MANY_FRONTS
+            },
             Case {
                 name: "large, list at once",
                 max_streams: 150.0,
                 burst: 2.0,
                 max_list_delay: 50 * MILLISECOND,
                 cold_nodes: 4,
-                ..MANY
+                ..MANY_FRONTS
             },
-            Case { name: "3 fronts", fronts: 3, demand: 4.0, ..MANY },
-            Case { name: "20 fronts", fronts: 20, demand: 4.0, window: SECOND, ..MANY },
+            Case { name: "3 fronts", fronts: 3, demand: 4.0, ..MANY_FRONTS },
+            Case { name: "20 fronts", fronts: 20, demand: 4.0, window: SECOND, ..MANY_FRONTS },
         ],
         5..7,
     );
 }
 
-/// Guards against set-ups in excess when demand rises within one window. The random admission follows the requests of the
-/// last 10 s, which do not yet contain such a rise. Without a lower bound on the assumed demand, the first window sent up
-/// to ten seconds' worth of set-ups (1.44 of the bound with a window of 0.5 s, 1.04 with 1 s).
+/// Guards against set-ups in excess when demand rises within one window. The random admission follows the
+/// requests of the last 10 s, which do not yet contain such a rise. Without a lower bound on the assumed
+/// demand, the first window sent up to ten seconds' worth of set-ups (1.44 of the bound with a window of 0.5
+/// s, 1.04 with 1 s).
 #[test]
 fn demand_that_rises_within_a_window() {
     let c = Case {
@@ -514,7 +534,7 @@
         max_list_delay: 50 * MILLISECOND,
         burst_delay: 3 * SECOND,
         warm_up: 6 * SECOND,
-        ..MANY
+        ..MANY_FRONTS
     };
     let half = Case { window: SECOND / 2, ..c };
     let whole = Case { window: SECOND, ..c };
@@ -539,8 +559,8 @@
     );
 }
 
-/// The same at a restarted node, which uninformed fronts take for warm. They may overload it, but informed fronts must
-/// not cause more than two thirds of the work.
+/// The same at a restarted node, which uninformed fronts take for warm. They may overload it, but informed
+/// fronts must not cause more than two thirds of the work.
 #[test]
 fn demand_that_rises_at_a_restarted_node() {
     let c = Case {
@@ -549,7 +569,7 @@
         burst_delay: 3 * SECOND,
         warm_up: 6 * SECOND,
         start: Start::Restarted,
-        ..MANY
+        ..MANY_FRONTS
     };
     let half = Case { window: SECOND / 2, ..c };
     assert_no_violations(
@@ -572,7 +592,7 @@
 
 #[test]
 fn twenty_and_thirty_fronts_with_uneven_traffic() {
-    let c = Case { cold_nodes: 4, heavy_front_factor: 9.0, max_list_delay: 4 * SECOND, ..MANY };
+    let c = Case { cold_nodes: 4, heavy_front_factor: 9.0, max_list_delay: 4 * SECOND, ..MANY_FRONTS };
     for fronts in [20, 30] {
         let c = Case { fronts, ..c };
         assert_no_violations(
@@ -600,7 +620,7 @@
 #[test]
 fn fronts_that_restart_during_the_warm_up() {
     let each: &[Time] = &[0, SECOND, 2 * SECOND, 3 * SECOND, 4 * SECOND, 5 * SECOND, 6 * SECOND, 7 * SECOND];
-    let c = Case { cold_nodes: 4, restarted_share: 0.7, restart_times: each, demand: 8.0, ..MANY };
+    let c = Case { cold_nodes: 4, restarted_share: 0.7, restart_times: each, demand: 8.0, ..MANY_FRONTS };
     for fronts in [20, 30, 300] {
         let c = Case { fronts, ..c };
         assert_no_violations(
@@ -624,11 +644,12 @@
     );
 }
 
-/// A front knows the number of fronts only from its settings. The rule holds when three times as many run, and when twice
-/// as many run and demand rises six-fold as well. It cannot hold with ten times as many (see the next test).
+/// A front knows the number of fronts only from its settings. The rule holds when three times as many run,
+/// and when twice as many run and demand rises six-fold as well. It cannot hold with ten times as many (see
+/// the next test).
 #[test]
 fn a_wrong_number_of_fronts_in_the_settings() {
-    let c = Case { cold_nodes: 4, demand: 8.0, configured_fronts: Some(30), ..MANY };
+    let c = Case { cold_nodes: 4, demand: 8.0, configured_fronts: Some(30), ..MANY_FRONTS };
     let rise = Case { demand: 1.0, burst: 6.0, burst_delay: 3 * SECOND, ..c };
     assert_no_violations(
         &[
@@ -643,16 +664,19 @@
     );
 }
 
-/// A planted violation: 300 fronts with 30 in their settings overload every node, and the evaluation detects all of them.
+/// A planted violation: 300 fronts with 30 in their settings overload every node, and the evaluation detects
+/// all of them.
 #[test]
 fn the_evaluation_detects_ten_times_as_many_fronts_as_configured() {
-    let c = Case { cold_nodes: 4, max_streams: 24.0, demand: 8.0, configured_fronts: Some(30), ..MANY };
+    let c =
+        Case { cold_nodes: 4, max_streams: 24.0, demand: 8.0, configured_fronts: Some(30), ..MANY_FRONTS };
     let violations = run_case(Case { name: "30 configured, 300 run", ..c }, 1..3);
     assert_eq!(violations, 8, "number of warm-ups that violate the rule; each of the 8 must");
 }
 
-/// Tests the evaluation itself: it counts an overload as a violation when informed fronts caused more than two thirds of
-/// it, and not otherwise. At `allowed` = 30 a node takes 42 set-ups of mean work in 3 s and is overloaded by 43.
+/// Tests the evaluation itself: it counts an overload as a violation when informed fronts caused more than
+/// two thirds of it, and not otherwise. At `allowed` = 30 a node takes 42 set-ups of mean work in 3 s and is
+/// overloaded by 43.
 #[test]
 fn the_evaluation_detects_an_overload_and_which_fronts_caused_it() {
     let case = USUAL;
@@ -663,8 +687,8 @@
         let result = evaluate(&case, T0, &set_ups(50, informed_of_ten));
         assert!(
             result.overloaded && result.violated == violated,
-            "50 set-ups, {informed_of_ten} of ten from informed fronts: overloaded {} (expected true), violated {} \
-             (expected {violated})",
+            "50 set-ups, {informed_of_ten} of ten from informed fronts: overloaded {} (expected true), \
+             violated {} (expected {violated})",
             result.overloaded,
             result.violated
         );
@@ -674,8 +698,8 @@
     // The sum of work counts, not the number of set-ups.
     let light = set_ups(80, 10).into_iter().map(|(at, informed, _)| (at, informed, 0.5)).collect();
     assert!(!evaluate(&case, T0, &light).overloaded);
-    // 42 set-ups and another 42 one window later are no overload; one millisecond earlier they are. `allowed` is 41 by
-    // then.
+    // 42 set-ups and another 42 one window later are no overload; one millisecond earlier they are. `allowed`
+    // is 41 by then.
     let twice = |gap: Time| {
         let later = set_ups(42, 10).into_iter().map(|(time, ..)| (time + gap, true, 1.0)).collect();
         [set_ups(42, 10), later]
