--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -92,7 +92,7 @@
     }
 
     #[test]
-    fn it_goes_by_the_clock_that_counts_suspended_time() {
+    fn it_uses_the_clock_that_counts_suspended_time() {
         // CLOCK_BOOTTIME is CLOCK_MONOTONIC plus the time in suspend.
         let monotonic: Duration = clock_gettime(ClockId::CLOCK_MONOTONIC).expect("read").into();
         assert!(boot_time().expect("read") >= monotonic);
--- a/crates/front/src/console.rs
+++ b/crates/front/src/console.rs
@@ -127,7 +127,7 @@
                 false => Err(Problem::new(
                     422,
                     "announcement",
-                    "Not this peak",
+                    "Wrong name",
                     format!("'name' is '{}', but the path names '{name}'", a.name),
                 )),
             }),
@@ -176,7 +176,7 @@
         AnnounceError::Refused(Refused::Room { could }) => {
             let detail =
                 format!("beside the peaks announced already there is room for {could} viewers at the most");
-            Problem::new(409, "room", "Not the room", detail).with("could-hold-viewers", (*could).into())
+            Problem::new(409, "room", "Not enough room", detail).with("could-hold-viewers", (*could).into())
         }
         AnnounceError::Refused(Refused::Many) => {
             Problem::new(409, "many", "Too many peaks", "as many peaks are announced as max-peaks allows")
@@ -184,7 +184,7 @@
         AnnounceError::Exists => Problem::new(
             409,
             "exists",
-            "It stands already",
+            "Already announced",
             "a peak of this name is already announced: amend it",
         ),
         AnnounceError::Unknown => Problem::new(
@@ -196,7 +196,7 @@
         AnnounceError::TooLong => {
             Problem::new(422, "announcement", "Too long", "an announcement may have 900 bytes at the most")
         }
-        AnnounceError::Store(e) => Problem::new(500, "store", "It could not be kept", e.clone()),
+        AnnounceError::Store(e) => Problem::new(500, "store", "Not stored", e.clone()),
     }
 }
 
--- a/crates/front/src/fleet_io.rs
+++ b/crates/front/src/fleet_io.rs
@@ -378,11 +378,17 @@
             received = socket.recv_from(&mut buffer) => {
                 // An ICMP error from a peer that is down is reported by the next call on the socket.
                 let Ok((length, from)) = received else { continue };
-                let rejected = call_fleet(&shell, |fleet, now_ms, out| fleet.receive(now_ms, from, &buffer[..length], out));
+                let datagram = &buffer[..length];
+                let rejected =
+                    call_fleet(&shell, |fleet, now_ms, out| fleet.receive(now_ms, from, datagram, out));
                 if let Err(reason) = rejected {
                     let warnings = shell.fleet_io.warnings.replace(shell.fleet_io.warnings.get() + 1);
                     if warnings % 1_000 == 0 {
-                        warn!(event = "datagram-rejected", why = ?reason, "a datagram was rejected (one warning in 1000)");
+                        warn!(
+                            event = "datagram-rejected",
+                            why = ?reason,
+                            "a datagram was rejected (one warning in 1000)"
+                        );
                     }
                 }
             }
@@ -630,7 +636,7 @@
                 }
                 if let Ok(body) = serde_json::to_vec(&runs) {
                     let id = Id { space: SESSION_COUNT_SPACE, number: duty.target };
-                    // A list with too many runs for a record is not shared; it is once it has fewer.
+                    // `put` rejects a body that is too large. Then each front finds differences when there are fewer runs.
                     call_fleet(&shell, |fleet, now_ms, out| {
                         fleet.put(now_ms, id, now_ms + 10_000, body, out)
                     });
--- a/crates/front/src/http.rs
+++ b/crates/front/src/http.rs
@@ -62,8 +62,8 @@
     r
 }
 
-/// Bytes of a body that are read at most; past the limit they are discarded. A client that sends its whole body before
-/// it reads would otherwise not receive the 413.
+/// Largest request body that is read to its end, bytes. What exceeds the limit of the settings is discarded, not refused
+/// at once: a client that sends its whole body before it reads would otherwise not receive the 413.
 const MAX_DISCARDED_BYTES: usize = 16 << 20;
 
 /// Reads a request body within the limits.
@@ -78,7 +78,7 @@
                 Problem::new(
                     400,
                     "body-broken",
-                    "The body broke off",
+                    "Incomplete body",
                     "the connection ended before the whole body had arrived",
                 )
             })?;
--- a/crates/front/src/shell.rs
+++ b/crates/front/src/shell.rs
@@ -25,7 +25,7 @@
 use tokio::time::Instant;
 use tracing::{info, warn};
 
-/// Capacity of a viewer's event stream, events. Events for a viewer that does not read are dropped while it is full.
+/// Capacity of a viewer's event stream, in events. If the viewer does not read, further events are dropped.
 const MAX_QUEUED_EVENTS: usize = 16;
 /// Time for the last requests to nodes when the front stops.
 const FINAL_REQUESTS_TIMEOUT: Duration = Duration::from_millis(800);
