--- a/crates/front/src/fleet_io.rs
+++ b/crates/front/src/fleet_io.rs
@@ -520,7 +520,11 @@
     if let Err(reason) = kept {
         let warnings = shell.fleet_io.warnings.replace(shell.fleet_io.warnings.get() + 1);
         if warnings % 1_000 == 0 {
-            warn!(event = "session-not-copied", why = %reason, "no other front has a copy of a session (one warning in 1000)");
+            warn!(
+                event = "session-not-copied",
+                why = %reason,
+                "no other front has a copy of a session (one warning in 1000)"
+            );
         }
     }
 }
@@ -532,7 +536,13 @@
             info!(event = "member-up", front = m.front, address = %m.address, run = m.run, "a front has joined");
         }
         Note::View(Change::Down(m)) => {
-            info!(event = "member-down", front = m.front, address = %m.address, run = m.run, "a front has left or failed");
+            info!(
+                event = "member-down",
+                front = m.front,
+                address = %m.address,
+                run = m.run,
+                "a front has left or failed"
+            );
         }
         Note::View(Change::Rejoined(m)) => {
             warn!(
