--- a/crates/front/src/agreement.rs
+++ b/crates/front/src/agreement.rs
@@ -173,7 +173,10 @@
                 let ok = match result {
                     Ok(Ok(())) => true,
                     Ok(Err(e)) => {
-                        error!(event = "agreement-disk", %e, "a write to the voter's store failed: this front does not vote until restart");
+                        error!(
+                            event = "agreement-disk", %e,
+                            "a write to the voter's store failed: this front does not vote until restart"
+                        );
                         false
                     }
                     Err(_) => false,
@@ -192,7 +195,10 @@
                         call_fleet(&shell, |fleet, _, _| fleet.remade(kept));
                     }
                     Ok(Err(e)) => {
-                        error!(event = "agreement-disk", %e, "no new voter's store could be created: this front does not vote");
+                        error!(
+                            event = "agreement-disk", %e,
+                            "no new voter's store could be created: this front does not vote"
+                        );
                         return;
                     }
                     Err(_) => return,
--- a/crates/front/src/session_api.rs
+++ b/crates/front/src/session_api.rs
@@ -335,9 +335,12 @@
         Answer::Published => {
             Problem::new(409, "published", "Published already", "another session publishes this title")
         }
-        Answer::Closed => {
-            Problem::new(409, "class-closed", "Closed", "the policy in force takes nothing new of this class")
-        }
+        Answer::Closed => Problem::new(
+            409,
+            "class-closed",
+            "Closed",
+            "the policy in force accepts no new sessions of this class",
+        ),
         Answer::Unknown => unknown_session(),
         _ => Problem::new(504, "failed", "The set-up failed", "no node set the session up in time"),
     }
