--- a/crates/cli/tests/agreement.rs
+++ b/crates/cli/tests/agreement.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use pepperhook_faults::fleet::{Fleet, Front, Options as FleetOptions, agree};
+use pepperhook_faults::fleet::{Fleet, Front, Options as FleetOptions, same_view};
 use pepperhook_faults::schedule::{Kind, Store};
 use pepperhook_playout::record::Recorder;
 use pepperhook_playout::{Options, Stand, start};
@@ -40,7 +40,7 @@
 }
 
 async fn fleet(dir: &Path, stands: &[Stand], more: impl Fn(&str) -> String) -> Fleet {
-    let front = |n: &&str| Front { name: (*n).to_owned(), text: text(&more(n)) };
+    let front = |n: &&str| Front { name: (*n).to_owned(), settings: text(&more(n)) };
     let options = FleetOptions {
         program: PathBuf::from(env!("CARGO_BIN_EXE_pepperhook")),
         dir: dir.to_owned(),
@@ -48,8 +48,8 @@
         fronts: NAMES.iter().map(front).collect(),
         exchange: "look 200ms\nsuspicion 600ms\n".into(),
         nodes: places(stands),
-        list: |nodes| list(nodes, 0),
-        stores: true,
+        inventory: |nodes| list(nodes, 0),
+        has_state_dirs: true,
     };
     Fleet::start(options).await.unwrap_or_else(|e| panic!("{e}"))
 }
@@ -57,7 +57,7 @@
 /// Five fronts that agree on the policy of their files.
 async fn agreed(dir: &Path, stands: &[Stand]) -> Fleet {
     let fleet = fleet(dir, stands, |_| AGREEMENT.into()).await;
-    until(&fleet, "all go by version 1", |s| s.len() == NAMES.len() && agree(s) && all_by(s, 1)).await;
+    until(&fleet, "all go by version 1", |s| s.len() == NAMES.len() && same_view(s) && all_by(s, 1)).await;
     fleet
 }
 
@@ -66,7 +66,7 @@
 }
 
 async fn until(fleet: &Fleet, what: &str, holds: impl Fn(&[Value]) -> bool) -> Duration {
-    let took = fleet.until(what, SETTLED, shown, holds).await.unwrap_or_else(|e| panic!("{e}"));
+    let took = fleet.wait_until(what, SETTLED, shown, holds).await.unwrap_or_else(|e| panic!("{e}"));
     println!("{what}: after {:.1} s", took.as_secs_f64());
     took
 }
@@ -94,7 +94,7 @@
 
 /// The policy in force at a front, as text.
 async fn policy(fleet: &Fleet, i: usize) -> String {
-    let (status, shown) = operator(fleet.operators(i), "GET", "/policy", "").await;
+    let (status, shown) = operator(fleet.operator_address(i), "GET", "/policy", "").await;
     assert_eq!(status, 200, "{shown}");
     shown["text"].as_str().expect("a policy").to_owned()
 }
@@ -161,7 +161,7 @@
     fn new(fleet: &Fleet) -> Self {
         let (record, stop) = (Rc::<RefCell<Vec<Seen>>>::default(), Rc::new(Cell::new(false)));
         let task = |i: usize| {
-            let (record, stop, at) = (record.clone(), stop.clone(), fleet.viewers(i));
+            let (record, stop, at) = (record.clone(), stop.clone(), fleet.viewer_address(i));
             tokio::task::spawn_local(async move {
                 for n in 0.. {
                     if stop.get() {
@@ -266,21 +266,21 @@
         let mut fleet = agreed(dir.path(), &stands).await;
         let viewers = Viewers::new(&fleet);
         let first = policy(&fleet, 0).await;
-        let told = ask(fleet.operators(3), &with_aim(&first, 700), 1, "ana", 1).await;
+        let told = ask(fleet.operator_address(3), &with_aim(&first, 700), 1, "ana", 1).await;
         assert_eq!(told.0, 200, "{told:?}");
         until(&fleet, "all go by version 2", |s| all_by(s, 2)).await;
 
         // e is cut off from all others, one way only from d: the change waits for its hold to run out, and e refuses.
-        fleet.net().break_now("e", "*", false, Kind::Cut).expect("a link");
+        fleet.net().add_fault_now("e", "*", false, Kind::Cut).expect("a link");
         for other in ["a", "b", "c"] {
-            fleet.net().break_now(other, "e", false, Kind::Cut).expect("a link");
+            fleet.net().add_fault_now(other, "e", false, Kind::Cut).expect("a link");
         }
-        let told = ask(fleet.operators(0), &with_aim(&first, 600), 2, "ana", 2).await;
+        let told = ask(fleet.operator_address(0), &with_aim(&first, 600), 2, "ana", 2).await;
         assert_eq!(told.0, 200, "{told:?}");
         let e = fleet.state(4).await.expect("a state");
         assert!(fenced(&e), "e cannot know: {}", shown(&e));
         fleet.net().heal();
-        until(&fleet, "all go by version 3", |s| all_by(s, 3) && agree(s)).await;
+        until(&fleet, "all go by version 3", |s| all_by(s, 3) && same_view(s)).await;
 
         // Whoever leads dies, and a change is asked for at once.
         let leader = fleet.state(0).await.expect("a state")["agreement"]["leader"].as_u64();
@@ -291,7 +291,7 @@
         };
         let leader = states.iter().position(|s| own(s) == leader).expect("a leader");
         fleet.kill(leader).await.expect("killed");
-        let told = ask(fleet.operators(3), &with_aim(&first, 500), 3, "bob", 3).await;
+        let told = ask(fleet.operator_address(3), &with_aim(&first, 500), 3, "bob", 3).await;
         assert_eq!(told.0, 200, "{told:?}");
         until(&fleet, "the others go by version 4", |s| s.len() == 4 && all_by(s, 4)).await;
         fleet.start_front(leader, Store::Kept).await.expect("started");
@@ -299,9 +299,9 @@
 
         // One stands still, and wakes up after the change.
         fleet.stop(3).expect("stopped");
-        let told = ask(fleet.operators(4), &with_aim(&first, 400), 4, "ana", 4).await;
+        let told = ask(fleet.operator_address(4), &with_aim(&first, 400), 4, "ana", 4).await;
         assert_eq!(told.0, 200, "{told:?}");
-        fleet.cont(3).expect("goes on");
+        fleet.resume(3).expect("goes on");
         until(&fleet, "all go by version 5", |s| s.len() == 5 && all_by(s, 5)).await;
 
         let record = viewers.end().await;
@@ -337,18 +337,20 @@
         let viewers = Viewers::new(&fleet);
         let first = policy(&fleet, 0).await;
         let extra = "section class extra\naim 800ms\npatience 2s\nsection rules";
-        let told = ask(fleet.operators(0), &first.replacen("section rules", extra, 1), 1, "ana", 1).await;
+        let told =
+            ask(fleet.operator_address(0), &first.replacen("section rules", extra, 1), 1, "ana", 1).await;
         assert_eq!(told.0, 409, "{told:?}");
         assert!(told.1.contains("undone") && told.1.contains("extra"), "{told:?}");
         // The same call again has the same answer, and nothing is tried anew.
-        let again = ask(fleet.operators(0), &first.replacen("section rules", extra, 1), 1, "ana", 1).await;
+        let again =
+            ask(fleet.operator_address(0), &first.replacen("section rules", extra, 1), 1, "ana", 1).await;
         assert_eq!(again, told);
         until(&fleet, "all go by version 1 as before", |s| all_by(s, 1)).await;
         for i in 0..NAMES.len() {
             assert_eq!(policy(&fleet, i).await, first);
         }
         // The next change goes through.
-        let told = ask(fleet.operators(2), &with_aim(&first, 700), 1, "bob", 2).await;
+        let told = ask(fleet.operator_address(2), &with_aim(&first, 700), 1, "bob", 2).await;
         assert_eq!(told.0, 200, "{told:?}");
         let record = viewers.end().await;
         assert!(record.iter().all(|s| s.kind != "fenced"), "nobody was cut off");
@@ -364,23 +366,23 @@
         let stands = nodes().await;
         let mut fleet = agreed(dir.path(), &stands).await;
         let first = policy(&fleet, 0).await;
-        let playing = post_kept(fleet.viewers(3), 1).await;
+        let playing = post_kept(fleet.viewer_address(3), 1).await;
         fleet.kill(0).await.expect("killed");
         fleet.kill(1).await.expect("killed");
         let path = "/policy?against=1&by=ana&key=7";
-        let (status, told) = operator(fleet.operators(3), "POST", path, &with_aim(&first, 700)).await;
+        let (status, told) = operator(fleet.operator_address(3), "POST", path, &with_aim(&first, 700)).await;
         assert_eq!(status, 504, "{told}");
         until(&fleet, "those that are left are fenced", |s| s.len() == 3 && s.iter().all(fenced)).await;
-        let refused = post(fleet.viewers(4), 4, 99).await.expect("an answer");
+        let refused = post(fleet.viewer_address(4), 4, 99).await.expect("an answer");
         assert_eq!((refused.status, refused.kind.as_str()), (503, "fenced"));
         // Who plays, plays on, and can leave.
         assert_eq!(fleet.state(3).await.expect("a state")["playing"], 1);
-        let mut c = Connection::open(fleet.viewers(3)).await.expect("a connection");
+        let mut c = Connection::open(fleet.viewer_address(3)).await.expect("a connection");
         let left = c.exchange("DELETE", &playing, &[], b"", SECOND).await.expect("an answer");
         assert_eq!(left.status, 200);
         fleet.start_front(0, Store::Kept).await.expect("started");
         fleet.start_front(1, Store::Kept).await.expect("started");
-        let told = ask(fleet.operators(3), &with_aim(&first, 700), 1, "ana", 7).await;
+        let told = ask(fleet.operator_address(3), &with_aim(&first, 700), 1, "ana", 7).await;
         assert_eq!(told.0, 200, "the same call again: {told:?}");
         until(&fleet, "all go by version 2", |s| s.len() == 5 && all_by(s, 2)).await;
     });
@@ -405,7 +407,7 @@
         let mut fleet = agreed(dir.path(), &stands).await;
         fleet.save(1).expect("saved");
         let first = policy(&fleet, 0).await;
-        let told = ask(fleet.operators(3), &with_aim(&first, 700), 1, "ana", 1).await;
+        let told = ask(fleet.operator_address(3), &with_aim(&first, 700), 1, "ana", 1).await;
         assert_eq!(told.0, 200, "{told:?}");
         let voters = |s: &[Value]| s.iter().filter(|s| s["agreement"]["votes"] == true).count();
         let config =
@@ -432,7 +434,7 @@
             dir.path().join("a.state").join("agreement.away-1").exists(),
             "the torn store is kept beside"
         );
-        let told = ask(fleet.operators(4), &with_aim(&first, 600), 2, "ana", 2).await;
+        let told = ask(fleet.operator_address(4), &with_aim(&first, 600), 2, "ana", 2).await;
         assert_eq!(told.0, 200, "{told:?}");
     });
 }
@@ -443,13 +445,13 @@
         let dir = tempfile::tempdir().expect("a folder");
         let stands = nodes().await;
         let fleet = fleet(dir.path(), &stands, |_| String::new()).await;
-        until(&fleet, "all know each other", |s| s.len() == NAMES.len() && agree(s)).await;
-        let s = post(fleet.viewers(0), 0, 1).await.expect("an answer");
+        until(&fleet, "all know each other", |s| s.len() == NAMES.len() && same_view(s)).await;
+        let s = post(fleet.viewer_address(0), 0, 1).await.expect("an answer");
         assert_eq!((s.status, s.entry), (201, None));
         let state = fleet.state(0).await.expect("a state");
         assert!(state.get("agreement").is_none() && state.get("policy").is_none(), "{state}");
         assert!(!dir.path().join("a.state").join("agreement.redb").exists());
-        assert_eq!(operator(fleet.operators(0), "GET", "/policy", "").await.0, 404);
+        assert_eq!(operator(fleet.operator_address(0), "GET", "/policy", "").await.0, 404);
         let exchange = "section exchange\nlisten 127.0.0.1:0\nkey secret\npeer 127.0.0.1:9\n";
         for (before, bad, told) in [
             (exchange, "section agreement\nvoter a\nvoter b\n", "1, 3, 5 or 7"),
--- a/crates/cli/tests/faults.rs
+++ b/crates/cli/tests/faults.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::*;
-use pepperhook_faults::fleet::{Fleet, Front, Options as FleetOptions, agree};
-use pepperhook_faults::schedule::{Again, Bounds, Kind, Schedule, Store, given};
+use pepperhook_faults::fleet::{Fleet, Front, Options as FleetOptions, same_view};
+use pepperhook_faults::schedule::{Bounds, Kind, RerunHint, Schedule, Store, from_environment};
 use pepperhook_playout::record::Recorder;
 use pepperhook_playout::{Options, Stand, start};
 use pepperhook_rehearse::viewers::offer;
@@ -88,18 +88,18 @@
 }
 
 fn settled(states: &[Value]) -> bool {
-    agree(states) && once_each(states) && copied(states)
+    same_view(states) && once_each(states) && copied(states)
 }
 
 async fn until(fleet: &Fleet, what: &str, limit: Duration, holds: impl Fn(&[Value]) -> bool) {
-    let took = fleet.until(what, limit, shown, holds).await.unwrap_or_else(|e| panic!("{e}"));
+    let took = fleet.wait_until(what, limit, shown, holds).await.unwrap_or_else(|e| panic!("{e}"));
     println!("{what}: after {:.1} s", took.as_secs_f64());
 }
 
 /// Faults are over: fronts agree, then each session, the very ones of before, has one front, nobody is fenced, and all copies
 /// are there.
 async fn healed(fleet: &Fleet, what: &str, keys: u64) {
-    until(fleet, &format!("{what}: all know each other again"), AGREED, agree).await;
+    until(fleet, &format!("{what}: all know each other again"), AGREED, same_view).await;
     until(fleet, &format!("{what}: each session has one front"), SETTLED, |s| {
         settled(s) && digest(s) == keys
     })
@@ -112,14 +112,14 @@
         program: PathBuf::from(env!("CARGO_BIN_EXE_pepperhook")),
         dir: dir.to_owned(),
         seed: 7,
-        fronts: NAMES.iter().map(|n| Front { name: (*n).to_owned(), text: text() }).collect(),
+        fronts: NAMES.iter().map(|n| Front { name: (*n).to_owned(), settings: text() }).collect(),
         exchange: "look 200ms\nsuspicion 600ms\n".into(),
         nodes: places(stands),
-        list: |nodes| list(nodes, 0),
-        stores: true,
+        inventory: |nodes| list(nodes, 0),
+        has_state_dirs: true,
     };
     let fleet = Fleet::start(options).await.unwrap_or_else(|e| panic!("{e}"));
-    until(&fleet, "all know each other", SETTLED, agree).await;
+    until(&fleet, "all know each other", SETTLED, same_view).await;
     for i in 0..NAMES.len() {
         for n in 0..EACH {
             // Fronts that share nodes may refuse at first: the next viewer is another one.
@@ -136,13 +136,13 @@
 }
 
 async fn ask(fleet: &Fleet, i: usize, n: u64) -> u16 {
-    let mut c = Connection::open(fleet.viewers(i)).await.expect("a connection");
+    let mut c = Connection::open(fleet.viewer_address(i)).await.expect("a connection");
     let path = format!("/whep/t?viewer=v{n}");
     let reply = c.exchange("POST", &path, &[SDP], offer(n).as_bytes(), PATIENCE).await;
     reply.expect("an answer").status
 }
 
-/// Many troubles at once on links alone, from a seed; or those of a file, see `pepperhook_faults::schedule::VARIABLE`.
+/// Many troubles at once on links alone, from a seed; or those of a file, see `pepperhook_faults::schedule::SCHEDULE_VARIABLE`.
 #[test]
 fn a_schedule_from_a_seed_leaves_each_session_with_one_front() {
     local(async {
@@ -153,14 +153,14 @@
             fronts: NAMES.map(String::from).to_vec(),
             length_ms: 8_000,
             quiet_ms: 0,
-            faults: 12,
-            at_once: 3,
-            down_at_once: 0,
+            max_faults: 12,
+            max_concurrent: 3,
+            max_down: 0,
         };
-        let schedule = given().unwrap_or_else(|e| panic!("{e}"));
+        let schedule = from_environment().unwrap_or_else(|e| panic!("{e}"));
         let schedule = schedule.unwrap_or_else(|| Schedule::random(11, &bounds));
-        let _again = Again::new(&schedule, COMMAND);
-        fleet.play(&schedule).await.unwrap_or_else(|e| panic!("{e}"));
+        let _again = RerunHint::new(&schedule, COMMAND);
+        fleet.run_schedule(&schedule).await.unwrap_or_else(|e| panic!("{e}"));
         healed(&fleet, "after the schedule", keys).await;
     });
 }
@@ -184,7 +184,7 @@
         let stands = nodes().await;
         let (mut fleet, keys) = filled(dir.path(), &stands).await;
         let schedule = Schedule::parse("stops.json", STOPS).unwrap_or_else(|e| panic!("{e}"));
-        fleet.play(&schedule).await.unwrap_or_else(|e| panic!("{e}"));
+        fleet.run_schedule(&schedule).await.unwrap_or_else(|e| panic!("{e}"));
         healed(&fleet, "after the stops", keys).await;
         assert_eq!(ask(&fleet, 2, 9_000).await, 201, "it serves");
         assert!(!fleet.log(2).unwrap_or_else(|e| panic!("{e}")).contains("panicked"));
@@ -201,7 +201,7 @@
 
         // One way between two: the others look at both for them, and nobody is given up for long.
         let net = fleet.net();
-        net.break_now("a", "b", false, Kind::Cut).expect(fit);
+        net.add_fault_now("a", "b", false, Kind::Cut).expect(fit);
         sleep(Duration::from_secs(3)).await;
         let cut = net.counters("a", "b").expect(fit);
         assert!(cut.cut > 0 && net.counters("b", "a").expect(fit).cut == 0, "{cut:?}");
@@ -214,7 +214,7 @@
 
         // Three in ten of all that fronts say is lost, and one of them is killed and comes back.
         for x in NAMES {
-            net.break_now(x, "*", false, Kind::Lose { p: 0.3 }).expect(fit);
+            net.add_fault_now(x, "*", false, Kind::Lose { p: 0.3 }).expect(fit);
         }
         fleet.kill(3).await.unwrap_or_else(|e| panic!("{e}"));
         until(&fleet, "lossy: the killed one's sessions are gone on with", SETTLED, |states| {
@@ -222,8 +222,10 @@
         })
         .await;
         fleet.start_front(3, Store::Kept).await.unwrap_or_else(|e| panic!("{e}"));
-        until(&fleet, "lossy: it is back", SETTLED, |s| agree(s) && acting(s) == ALL && digest(s) == keys)
-            .await;
+        until(&fleet, "lossy: it is back", SETTLED, |s| {
+            same_view(s) && acting(s) == ALL && digest(s) == keys
+        })
+        .await;
         let net = fleet.net();
         let lost = net.counters("a", "b").expect(fit);
         assert!(lost.lost > 0, "{lost:?}");
@@ -239,7 +241,7 @@
 async fn halves(fleet: &Fleet) {
     let net = fleet.net();
     for (x, y) in [("a", "c"), ("a", "d"), ("b", "c"), ("b", "d")] {
-        net.break_now(x, y, true, Kind::Cut).expect("a link");
+        net.add_fault_now(x, y, true, Kind::Cut).expect("a link");
     }
     let half = |s: &Value| s["members"].as_array().map(Vec::len) == Some(2);
     until(fleet, "each half sees itself alone", SETTLED, |states| states.iter().all(half)).await;
--- a/crates/cli/tests/transcripts/members.rs
+++ b/crates/cli/tests/transcripts/members.rs
@@ -4,7 +4,7 @@
 use crate::operators::{fleet, nodes, script, until};
 use crate::script::{Transcript, approved};
 use crate::tap::{message, shown, status};
-use pepperhook_faults::fleet::{Fleet, agree};
+use pepperhook_faults::fleet::{Fleet, same_view};
 use pepperhook_faults::schedule::Store;
 use pepperhook_rehearse::viewers::offer;
 use pepperhook_rehearse::wire::Connection;
@@ -51,19 +51,19 @@
         let (dir, names) = (tempfile::tempdir().expect("a folder"), ["a", "b", "c"]);
         let stands = nodes().await;
         let mut fleet = fleet(dir.path(), &stands, &names, |_| String::new()).await;
-        until(&fleet, "all know each other", |s| s.len() == 3 && agree(s)).await;
+        until(&fleet, "all know each other", |s| s.len() == 3 && same_view(s)).await;
         let script = script("Three fronts know each other. Front c is killed, and comes back.", &names);
         let ups = [lines(&fleet, 0, "member-up"), lines(&fleet, 1, "member-up")];
         script.step("Front c is killed. The others hear nothing of it any more, and give it up after the suspicion (3 s).");
         fleet.kill(2).await.expect("killed");
         logs(&fleet, &script, 0, "a", "member-down", 0).await;
         logs(&fleet, &script, 1, "b", "member-down", 0).await;
-        until(&fleet, "two are left", |s| s.len() == 2 && agree(s)).await;
+        until(&fleet, "two are left", |s| s.len() == 2 && same_view(s)).await;
         script.step("It is started again, and is there at once, in a run of its own.");
         fleet.start_front(2, Store::Kept).await.expect("started");
         logs(&fleet, &script, 0, "a", "member-up", ups[0]).await;
         logs(&fleet, &script, 1, "b", "member-up", ups[1]).await;
-        until(&fleet, "all know each other again", |s| s.len() == 3 && agree(s)).await;
+        until(&fleet, "all know each other again", |s| s.len() == 3 && same_view(s)).await;
         approved("members_go_and_come", &script.text());
     });
 }
@@ -75,7 +75,7 @@
         let stands = nodes().await;
         let more = |_: &str| "section replica\ncopies 2\nguards 3\nlease 5s\nlook 250ms\n".to_owned();
         let mut fleet = fleet(dir.path(), &stands, &names, more).await;
-        until(&fleet, "all know each other", |s| s.len() == 4 && agree(s)).await;
+        until(&fleet, "all know each other", |s| s.len() == 4 && same_view(s)).await;
         let script = script(
             "Each session is copied to two other fronts. Front a dies, and one of them goes on with its session.",
             &names,
@@ -83,7 +83,7 @@
         let path = "/whep/t?viewer=anna";
         let headers = [("content-type".to_owned(), "application/sdp".to_owned())];
         script.says("viewer", "front a", &message(&format!("POST {path}"), &headers, offer(1).as_bytes()));
-        let mut c = Connection::open(fleet.viewers(0)).await.expect("a connection");
+        let mut c = Connection::open(fleet.viewer_address(0)).await.expect("a connection");
         let reply = c.exchange("POST", path, &[SDP], offer(1).as_bytes(), PATIENCE).await.expect("an answer");
         script.says("front a", "viewer", &message(&status(reply.status), &reply.headers, &reply.body));
         let session = reply.header("location").expect("a location").to_owned();
@@ -116,7 +116,7 @@
         logs(&fleet, &script, heir, "(the one that goes on)", "sessions-adopted", 0).await;
         script.step("The front knows the session; it does not act upon it yet (docs/replication.md).");
         script.says("viewer", "front (the one that goes on)", &format!("DELETE {session}"));
-        let mut c = Connection::open(fleet.viewers(heir)).await.expect("a connection");
+        let mut c = Connection::open(fleet.viewer_address(heir)).await.expect("a connection");
         let reply = c.exchange("DELETE", &session, &[], b"", PATIENCE).await.expect("an answer");
         let words = message(&status(reply.status), &reply.headers, &reply.body);
         script.says("front (the one that goes on)", "viewer", &words);
--- a/crates/cli/tests/transcripts/operators.rs
+++ b/crates/cli/tests/transcripts/operators.rs
@@ -4,7 +4,7 @@
 use crate::common::{PATIENCE, SDP, list, local, places, settings};
 use crate::script::{Transcript, approved};
 use crate::tap::{message, status};
-use pepperhook_faults::fleet::{Fault, Fleet, Front, Options as FleetOptions, agree};
+use pepperhook_faults::fleet::{Fleet, FleetError, Front, Options as FleetOptions, same_view};
 use pepperhook_faults::schedule::Kind;
 use pepperhook_playout::record::Recorder;
 use pepperhook_playout::{Options, Stand, start};
@@ -35,7 +35,7 @@
         .replace("kb-per-weight 12000", "kb-per-weight 1200000")
         .replace("all-links-kb 48000", "all-links-kb 4800000")
         .replace("patience 4s", "patience 2s");
-    let front = |n: &&str| Front { name: (*n).to_owned(), text: format!("{text}{}", more(n)) };
+    let front = |n: &&str| Front { name: (*n).to_owned(), settings: format!("{text}{}", more(n)) };
     let options = FleetOptions {
         program: PathBuf::from(env!("CARGO_BIN_EXE_pepperhook")),
         dir: dir.to_owned(),
@@ -43,8 +43,8 @@
         fronts: names.iter().map(front).collect(),
         exchange: "look 200ms\nsuspicion 3s\n".into(),
         nodes: places(stands),
-        list: |nodes| list(nodes, 0),
-        stores: true,
+        inventory: |nodes| list(nodes, 0),
+        has_state_dirs: true,
     };
     Fleet::start(options).await.unwrap_or_else(|e| panic!("{e}"))
 }
@@ -53,10 +53,10 @@
     let shown = |s: &Value| format!("\n{} {} {}", s["front"], s["agreement"], s["replica"]);
     let end = Instant::now() + SETTLED;
     loop {
-        match fleet.until(what, end.saturating_duration_since(Instant::now()), shown, &holds).await {
+        match fleet.wait_until(what, end.saturating_duration_since(Instant::now()), shown, &holds).await {
             Ok(_) => return,
             // A console that is late, on a machine that is busy.
-            Err(Fault::Io(..)) if Instant::now() < end => sleep(Duration::from_millis(100)).await,
+            Err(FleetError::Io(..)) if Instant::now() < end => sleep(Duration::from_millis(100)).await,
             Err(e) => panic!("{e}"),
         }
     }
@@ -99,7 +99,7 @@
         let stands = nodes().await;
         let more = |n: &str| format!("{AGREEMENT}{}", if n == "d" { EXTRA } else { "" });
         let fleet = fleet(dir.path(), &stands, &NAMES, more).await;
-        until(&fleet, "all go by version 1", |s| s.len() == NAMES.len() && agree(s) && by(s, 1)).await;
+        until(&fleet, "all go by version 1", |s| s.len() == NAMES.len() && same_view(s) && by(s, 1)).await;
         Self { fleet, script: script(title, &NAMES), _stands: stands, _dir: dir }
     }
 
@@ -122,7 +122,7 @@
         let body = if words.is_empty() { String::new() } else { format!("\n| {words}") };
         let front = format!("front {}", NAMES[i]);
         self.script.says(who, &front, &format!("{request}{key}{body}"));
-        let mut c = Connection::open(self.fleet.operators(i)).await.expect("a connection");
+        let mut c = Connection::open(self.fleet.operator_address(i)).await.expect("a connection");
         let reply = c.exchange(method, path, headers, text.as_bytes(), SETTLED).await.expect("an answer");
         let answer: Value = serde_json::from_slice(&reply.body).expect("JSON");
         let mut told = answer.clone();
@@ -200,7 +200,7 @@
 fn policies_that_are_not_taken() {
     local(async {
         let s = Scene::new("Requests for policies that are not taken. Front d has a class of its own, extra, that the others do not have.").await;
-        let mut c = Connection::open(s.fleet.operators(0)).await.expect("a connection");
+        let mut c = Connection::open(s.fleet.operator_address(0)).await.expect("a connection");
         let reply = c.exchange("GET", "/policy", &[("authorization", "Bearer key")], b"", SETTLED).await;
         let shown: Value = serde_json::from_slice(&reply.expect("an answer").body).expect("JSON");
         let first = shown["text"].as_str().expect("a policy").to_owned();
@@ -239,8 +239,8 @@
     local(async {
         let s = Scene::new("Front c is cut off from the others. It cannot know what they agree on, and refuses new viewers until it can.").await;
         for other in ["a", "b", "d"] {
-            s.fleet.net().break_now("c", other, false, Kind::Cut).expect("a link");
-            s.fleet.net().break_now(other, "c", false, Kind::Cut).expect("a link");
+            s.fleet.net().add_fault_now("c", other, false, Kind::Cut).expect("a link");
+            s.fleet.net().add_fault_now(other, "c", false, Kind::Cut).expect("a link");
         }
         // Whoever led: one of those that are left does now.
         let others = |s: &[Value]| {
@@ -251,7 +251,7 @@
         s.script.step(
             "Ana asks for a change; it waits until c's word of going by the old one has run out (8 s).",
         );
-        let mut c = Connection::open(s.fleet.operators(0)).await.expect("a connection");
+        let mut c = Connection::open(s.fleet.operator_address(0)).await.expect("a connection");
         let reply = c.exchange("GET", "/policy", &[("authorization", "Bearer key")], b"", SETTLED).await;
         let shown: Value = serde_json::from_slice(&reply.expect("an answer").body).expect("JSON");
         let first = shown["text"].as_str().expect("a policy").to_owned();
@@ -279,7 +279,7 @@
             let headers = [("content-type".to_owned(), "application/sdp".to_owned())];
             let path = "/whep/t?viewer=anna";
             s.script.says("viewer", front, &message(&format!("POST {path}"), &headers, offer(1).as_bytes()));
-            let mut c = Connection::open(s.fleet.viewers(i)).await.expect("a connection");
+            let mut c = Connection::open(s.fleet.viewer_address(i)).await.expect("a connection");
             let reply =
                 c.exchange("POST", path, &[SDP], offer(1).as_bytes(), PATIENCE).await.expect("an answer");
             // The number of the entry by which it was decided differs from run to run.
--- a/crates/faults/src/datagrams.rs
+++ b/crates/faults/src/datagrams.rs
@@ -1,5 +1,5 @@
-//! What one way of a link does with datagrams: which of them come out, when and in which order. No I/O; the same seed and
-//! the same datagrams at the same times give the same.
+//! Applies faults to the datagrams of one direction of a link: which are delivered, when and in which order. No I/O; the
+//! result is determined by the seed, the datagrams and their times.
 
 use crate::link::Windows;
 use crate::schedule::Kind;
@@ -7,67 +7,67 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// Datagrams under way on one way at most, and their bytes; more are thrown away, as a full queue would.
-pub const MOST: usize = 4_096;
-/// See [`MOST`].
-pub const MOST_BYTES: usize = 4 << 20;
+/// Maximum number of datagrams in the queue of one direction; more are dropped.
+pub const MAX_DATAGRAMS: usize = 4_096;
+/// Maximum number of bytes in the queue of one direction; more are dropped.
+pub const MAX_QUEUED_BYTES: usize = 4 << 20;
 
-/// What became of datagrams.
+/// Numbers of datagrams by what happened to them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// They came in.
+    /// Received.
     pub offered: u64,
-    /// They came out, doubles too.
-    pub passed: u64,
-    /// Thrown away by a cut.
+    /// Delivered, duplicates included.
+    pub delivered: u64,
+    /// Dropped by a cut.
     pub cut: u64,
-    /// Thrown away by chance.
+    /// Dropped by random loss.
     pub lost: u64,
-    /// Came out once more.
-    pub doubled: u64,
-    /// Held back so that later ones overtook them.
-    pub held: u64,
-    /// Thrown away since the queue was full.
+    /// Duplicated.
+    pub duplicated: u64,
+    /// Held back, which lets later ones overtake.
+    pub held_back: u64,
+    /// Dropped because the queue was full.
     pub overflowed: u64,
 }
 
-/// One way of a link.
+/// Datagrams of one direction of a link.
 pub struct Datagrams {
     rng: StdRng,
-    /// What is under way, by when it comes out; equal times come out in the order of their numbers.
+    /// Queued datagrams by delivery time and sequence number.
     queue: BTreeMap<(u64, u64), Vec<u8>>,
     bytes: usize,
-    number: u64,
-    /// When the last one comes out that was not held back: a delay alone changes no order.
-    last_us: u64,
+    sequence: u64,
+    /// Delivery time of the last datagram that was not held back. A delay alone must not reorder datagrams.
+    last_delivery_us: u64,
     counters: Counters,
 }
 
 impl Datagrams {
-    /// A way with nothing on it.
+    /// An empty queue.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
             rng: StdRng::seed_from_u64(seed),
             queue: BTreeMap::new(),
             bytes: 0,
-            number: 0,
-            last_us: 0,
+            sequence: 0,
+            last_delivery_us: 0,
             counters: Counters::default(),
         }
     }
 
-    /// What became of datagrams.
+    /// The counters.
     #[must_use]
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// A datagram comes in.
+    /// Receives a datagram.
     pub fn offer(&mut self, now_us: u64, windows: &Windows, datagram: Vec<u8>) {
         self.counters.offered += 1;
-        let (mut after_us, mut held_us, mut twice) = (0u64, 0u64, false);
-        for kind in windows.at(now_us) {
+        let (mut delay_us, mut hold_us, mut duplicate) = (0u64, 0u64, false);
+        for kind in windows.active(now_us) {
             match kind {
                 Kind::Cut => {
                     self.counters.cut += 1;
@@ -79,44 +79,44 @@
                 }
                 Kind::Delay { ms, jitter_ms } => {
                     let jitter = self.rng.random_range(0..=jitter_ms.saturating_mul(1_000));
-                    after_us = after_us.saturating_add(ms.saturating_mul(1_000)).saturating_add(jitter);
+                    delay_us = delay_us.saturating_add(ms.saturating_mul(1_000)).saturating_add(jitter);
                 }
                 Kind::Reorder { p, ms } if self.rng.random_bool(p) => {
-                    held_us = held_us.max(ms.saturating_mul(1_000));
+                    hold_us = hold_us.max(ms.saturating_mul(1_000));
                 }
-                Kind::Double { p } => twice |= self.rng.random_bool(p),
-                // A stall is looked at when they come out; the rest is of streams.
+                Kind::Double { p } => duplicate |= self.rng.random_bool(p),
+                // A stall takes effect at delivery; the other kinds apply to streams only.
                 _ => {}
             }
         }
-        let in_order = now_us.saturating_add(after_us).max(self.last_us);
-        if held_us == 0 {
-            self.last_us = in_order;
+        let in_order = now_us.saturating_add(delay_us).max(self.last_delivery_us);
+        if hold_us == 0 {
+            self.last_delivery_us = in_order;
         }
-        let at_us = in_order.saturating_add(held_us);
-        let copy = twice.then(|| datagram.clone());
+        let at_us = in_order.saturating_add(hold_us);
+        let copy = duplicate.then(|| datagram.clone());
         if self.push(at_us, datagram) {
-            self.counters.held += u64::from(held_us > 0);
+            self.counters.held_back += u64::from(hold_us > 0);
             if let Some(copy) = copy {
-                self.counters.doubled += u64::from(self.push(at_us, copy));
+                self.counters.duplicated += u64::from(self.push(at_us, copy));
             }
         }
     }
 
     fn push(&mut self, at_us: u64, datagram: Vec<u8>) -> bool {
-        if self.queue.len() >= MOST || self.bytes + datagram.len() > MOST_BYTES {
+        if self.queue.len() >= MAX_DATAGRAMS || self.bytes + datagram.len() > MAX_QUEUED_BYTES {
             self.counters.overflowed += 1;
             return false;
         }
         self.bytes += datagram.len();
-        self.number += 1;
-        self.queue.insert((at_us, self.number), datagram);
+        self.sequence += 1;
+        self.queue.insert((at_us, self.sequence), datagram);
         true
     }
 
-    /// The next datagram that comes out now. What would come out while the way is cut is gone.
+    /// The next datagram to deliver now. A datagram that becomes due during a cut is dropped.
     pub fn due(&mut self, now_us: u64, windows: &Windows) -> Option<Vec<u8>> {
-        if windows.held_until(now_us, |k| k == Kind::Stall).is_some() {
+        if windows.blocked_until(now_us, |k| k == Kind::Stall).is_some() {
             return None;
         }
         while let Some(first) = self.queue.first_entry().filter(|e| e.key().0 <= now_us) {
@@ -126,17 +126,17 @@
                 self.counters.cut += 1;
                 continue;
             }
-            self.counters.passed += 1;
+            self.counters.delivered += 1;
             return Some(datagram);
         }
         None
     }
 
-    /// When the next one comes out, if nothing else changes.
+    /// Delivery time of the next datagram, if no fault is added or removed.
     #[must_use]
-    pub fn next(&self, windows: &Windows) -> Option<u64> {
+    pub fn next_due_us(&self, windows: &Windows) -> Option<u64> {
         let ((at_us, _), _) = self.queue.first_key_value()?;
-        Some(windows.held_until(*at_us, |k| k == Kind::Stall).unwrap_or(*at_us))
+        Some(windows.blocked_until(*at_us, |k| k == Kind::Stall).unwrap_or(*at_us))
     }
 }
 
@@ -154,11 +154,11 @@
         w
     }
 
-    /// One datagram each millisecond; what comes out, with its time.
+    /// Sends one datagram per millisecond; returns the delivered ones with their times.
     fn run(seed: u64, n: u64, w: &Windows) -> (Vec<(u64, u64)>, Counters) {
         let (mut link, mut out) = (Datagrams::new(seed), Vec::new());
         let mut drain = |link: &mut Datagrams, to: u64| {
-            while let Some(at) = link.next(w).filter(|at| *at <= to) {
+            while let Some(at) = link.next_due_us(w).filter(|at| *at <= to) {
                 let before = out.len();
                 while let Some(d) = link.due(at, w) {
                     out.push((at, u64::from_be_bytes(d.try_into().expect("eight bytes"))));
@@ -189,22 +189,22 @@
         #![proptest_config(ProptestConfig { cases: 64, ..ProptestConfig::default() })]
 
         #[test]
-        fn the_same_seed_gives_the_same_and_all_is_accounted_for(
+        fn the_same_seed_gives_the_same_result_and_every_datagram_is_counted(
             seed: u64, kinds in prop::collection::vec(kind(), 0..4),
         ) {
             let w = windows(&kinds);
             let (first, c) = run(seed, 300, &w);
             prop_assert_eq!(&first, &run(seed, 300, &w).0);
-            prop_assert_eq!(c.passed, first.len() as u64);
-            prop_assert_eq!(c.offered + c.doubled, c.passed + c.lost + c.cut + c.overflowed);
+            prop_assert_eq!(c.delivered, first.len() as u64);
+            prop_assert_eq!(c.offered + c.duplicated, c.delivered + c.lost + c.cut + c.overflowed);
         }
 
         #[test]
-        fn loss_is_as_often_as_asked(seed: u64, p in 0.05..0.95f64) {
+        fn loss_has_the_given_probability(seed: u64, p in 0.05..0.95f64) {
             let n = 4_000;
             let (out, _) = run(seed, n, &windows(&[Kind::Lose { p }]));
             let lost = 1.0 - out.len() as f64 / n as f64;
-            // Five deviations: one case in two million is off by chance.
+            // Five standard deviations: a correct implementation fails one case in two million.
             prop_assert!((lost - p).abs() < 5.0 * (p * (1.0 - p) / n as f64).sqrt(), "{} for {}", lost, p);
         }
 
@@ -220,25 +220,25 @@
         }
 
         #[test]
-        fn reordered_ones_come_late_and_the_others_in_order(seed: u64, p in 0.1..0.9f64, ms in 2..30u64) {
+        fn reordered_datagrams_are_late_and_the_others_in_order(seed: u64, p in 0.1..0.9f64, ms in 2..30u64) {
             let (out, c) = run(seed, 500, &windows(&[Kind::Reorder { p, ms }]));
             let late: Vec<&(u64, u64)> = out.iter().filter(|(at, n)| *at != n * 1_000).collect();
-            prop_assert_eq!(late.len() as u64, c.held);
+            prop_assert_eq!(late.len() as u64, c.held_back);
             prop_assert!(late.iter().all(|(at, n)| *at == (n + ms) * 1_000));
-            prop_assert!(out.windows(2).any(|w| w[0].1 > w[1].1), "something was overtaken");
+            prop_assert!(out.windows(2).any(|w| w[0].1 > w[1].1), "some datagram was overtaken");
         }
 
         #[test]
-        fn doubles_come_twice(seed: u64, p in 0.1..0.9f64) {
+        fn duplicates_are_delivered_twice(seed: u64, p in 0.1..0.9f64) {
             let (out, c) = run(seed, 2_000, &windows(&[Kind::Double { p }]));
-            let share = c.doubled as f64 / 2_000.0;
+            let share = c.duplicated as f64 / 2_000.0;
             prop_assert!((share - p).abs() < 5.0 * (p * (1.0 - p) / 2_000.0).sqrt());
-            prop_assert_eq!(out.len() as u64, 2_000 + c.doubled);
+            prop_assert_eq!(out.len() as u64, 2_000 + c.duplicated);
         }
     }
 
     #[test]
-    fn nothing_comes_out_of_a_cut_not_even_what_was_under_way() {
+    fn a_cut_also_drops_queued_datagrams() {
         let mut w = windows(&[Kind::Delay { ms: 10, jitter_ms: 0 }]);
         assert!(w.add(Window { from_us: 5_000, until_us: 20_000, kind: Kind::Cut }));
         let (out, c) = run(1, 30, &w);
@@ -247,7 +247,7 @@
     }
 
     #[test]
-    fn a_stall_holds_all_back_and_then_lets_them_go_in_order() {
+    fn a_stall_delays_all_datagrams_and_keeps_their_order() {
         let mut w = Windows::default();
         assert!(w.add(Window { from_us: 5_000, until_us: 20_500, kind: Kind::Stall }));
         let (out, _) = run(1, 30, &w);
@@ -259,10 +259,10 @@
     fn the_queue_is_bounded_by_count_and_by_bytes() {
         let w = windows(&[Kind::Stall]);
         let mut link = Datagrams::new(1);
-        (0..MOST + 7).for_each(|_| link.offer(0, &w, vec![1]));
+        (0..MAX_DATAGRAMS + 7).for_each(|_| link.offer(0, &w, vec![1]));
         assert_eq!(link.counters().overflowed, 7);
         let mut link = Datagrams::new(1);
-        (0..MOST_BYTES / 60_000 + 3).for_each(|_| link.offer(0, &w, vec![0; 60_000]));
+        (0..MAX_QUEUED_BYTES / 60_000 + 3).for_each(|_| link.offer(0, &w, vec![0; 60_000]));
         assert_eq!(link.counters().overflowed, 3);
     }
 }
--- a/crates/faults/src/fleet.rs
+++ b/crates/faults/src/fleet.rs
@@ -1,8 +1,8 @@
-//! Fronts behind relays: their settings, their processes, and what their consoles show.
+//! Fronts behind relays: their settings, their processes, and the state that their consoles show.
 
-use crate::net::{Entrance, Net, Place, Unfit};
+use crate::net::{FrontAddresses, Net, StreamRelay, Unfit};
 use crate::process::Process;
-use crate::schedule::{Act, Bad, Do, Schedule, Store};
+use crate::schedule::{ProcessAction, ProcessEvent, Schedule, ScheduleError, Store};
 use nix::sys::signal::Signal;
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -15,72 +15,73 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Party of schedules: who connects to fronts as viewers do.
+/// Party of schedules: those that connect to fronts as viewers.
 pub const VIEWERS: &str = "viewers";
-/// Party of schedules: who connects to fronts' consoles.
+/// Party of schedules: those that connect to the fronts' consoles.
 pub const OPERATORS: &str = "operators";
-/// Key of the consoles.
-const KEY: &str = "key";
-/// A console has so long to answer ...
-const CONSOLE: Duration = Duration::from_secs(3);
-/// ... with so many bytes at most.
-const MOST_STATE: u64 = 16 << 20;
-/// Consoles are looked at so often while something is awaited.
-const LOOK: Duration = Duration::from_millis(50);
-/// Lines of the caller's that this writes itself.
-const OWN: [&str; 7] = ["name", "listen", "admin", "admin-key", "inventory", "fronts", "state-dir"];
-
-/// What went wrong with a fleet.
+/// Admin key of the consoles.
+const ADMIN_KEY: &str = "key";
+/// A console must answer within this time.
+const CONSOLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum size of a console's answer, in bytes.
+const MAX_STATE_BYTES: u64 = 16 << 20;
+/// Interval of the queries to consoles while a condition is awaited.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Settings that the fleet generates; the caller's lines with these keywords are left out.
+const GENERATED_SETTINGS: [&str; 7] =
+    ["name", "listen", "admin", "admin-key", "inventory", "fronts", "state-dir"];
+
+/// Error of a fleet.
 #[derive(Debug, Error)]
-pub enum Fault {
-    /// A process, a file or a socket.
+pub enum FleetError {
+    /// Error of a process, a file or a socket.
     #[error("{0}: {1}")]
     Io(String, io::Error),
     /// The schedule cannot be played.
     #[error(transparent)]
-    Schedule(#[from] Bad),
-    /// One of its faults fits no link.
+    Schedule(#[from] ScheduleError),
+    /// A fault of the schedule applies to no link.
     #[error(transparent)]
     Unfit(#[from] Unfit),
-    /// Something did not come about in its time; with what consoles showed last.
-    #[error("never, in {1:?}: {0}: {2}")]
-    Never(String, Duration, String),
+    /// A condition was not met in time; with the last states of the consoles.
+    #[error("not reached within {1:?}: {0}: {2}")]
+    TimedOut(String, Duration, String),
 }
 
-/// A front to be.
+/// Configuration of a front.
 #[derive(Clone, Debug)]
 pub struct Front {
-    /// Its name, by which schedules call it.
+    /// Its name in schedules.
     pub name: String,
-    /// Its settings, without `section exchange`. What is written of a front's own addresses, name, list and number of
-    /// fronts is put in its place here.
-    pub text: String,
+    /// Its settings, without `section exchange`. The fleet replaces the front's own addresses, its name, inventory, state
+    /// directory and number of fronts.
+    pub settings: String,
 }
 
-/// A fleet to be.
+/// Configuration of a fleet.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The command.
+    /// Path of the command.
     pub program: PathBuf,
-    /// Where settings, lists, stores and logs are written.
+    /// Directory for settings, inventories, stores and logs.
     pub dir: PathBuf,
-    /// Seed of what chance does on links.
+    /// Seed of the random effects on links.
     pub seed: u64,
     /// The fronts.
     pub fronts: Vec<Front>,
-    /// More lines of `section exchange`.
+    /// Additional lines of `section exchange`.
     pub exchange: String,
-    /// The nodes, as they stand.
+    /// Names and addresses of the nodes.
     pub nodes: Vec<(String, SocketAddr)>,
-    /// The list of nodes for fronts, of names and addresses.
-    pub list: fn(&[(String, SocketAddr)]) -> String,
-    /// Fronts have a `state-dir`.
-    pub stores: bool,
+    /// Writes the inventory of the given names and addresses of nodes.
+    pub inventory: fn(&[(String, SocketAddr)]) -> String,
+    /// Whether fronts have a `state-dir`.
+    pub has_state_dirs: bool,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Life {
-    Runs,
+enum ProcessState {
+    Running,
     Stopped,
     Down,
 }
@@ -88,27 +89,28 @@
 struct Member {
     name: String,
     process: Option<Process>,
-    life: Life,
-    viewers: Entrance,
-    operators: Entrance,
-    /// A copy of its store.
-    saved: bool,
+    state: ProcessState,
+    viewers: StreamRelay,
+    operators: StreamRelay,
+    /// Whether there is a saved copy of its store.
+    has_saved_store: bool,
 }
 
-/// Fronts that run, and all that lies between. They are killed when this is dropped.
+/// Running fronts and their relays. The processes are killed when this is dropped.
 pub struct Fleet {
     options: Options,
     net: Net,
     members: Vec<Member>,
 }
 
-fn io(what: impl Into<String>) -> impl FnOnce(io::Error) -> Fault {
+/// Adds to an error what it concerns.
+fn io(what: impl Into<String>) -> impl FnOnce(io::Error) -> FleetError {
     let what = what.into();
-    move |e| Fault::Io(what, e)
+    move |e| FleetError::Io(what, e)
 }
 
-/// Copies a folder of files.
-fn copy(from: &Path, to: &Path) -> io::Result<()> {
+/// Replaces the directory `to` by a copy of the files of `from`.
+fn copy_dir(from: &Path, to: &Path) -> io::Result<()> {
     match std::fs::remove_dir_all(to) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
         _ => std::fs::create_dir_all(to)?,
@@ -123,31 +125,38 @@
 }
 
 impl Fleet {
-    /// Starts relays and fronts, one after the other; each is waited for until it says that it serves.
+    /// Starts relays and fronts, one after the other. Each front must report that it serves before the next one starts.
     ///
     /// # Errors
-    /// Where one does not come up.
-    pub async fn start(options: Options) -> Result<Self, Fault> {
+    /// If a relay or a front does not start.
+    pub async fn start(options: Options) -> Result<Self, FleetError> {
         let net = Net::new(options.seed);
         let names: Vec<String> = options.fronts.iter().map(|f| f.name.clone()).collect();
-        let places = net.fronts(&names).await.map_err(io("relays"))?;
+        let addresses = net.fronts(&names).await.map_err(io("relays"))?;
         let mut members = Vec::new();
         for (i, front) in options.fronts.iter().enumerate() {
             let mut nodes = Vec::new();
-            for (node, at) in &options.nodes {
-                let entrance = net.stream(&front.name, node, Some(*at)).await.map_err(io(node))?;
-                nodes.push((node.clone(), entrance.address));
+            for (node, address) in &options.nodes {
+                let relay = net.stream(&front.name, node, Some(*address)).await.map_err(io(node))?;
+                nodes.push((node.clone(), relay.address));
             }
             let write = |ending: &str, text: String| {
                 let path = options.dir.join(format!("{}.{ending}", front.name));
                 std::fs::write(path, text).map_err(io(format!("{}.{ending}", front.name)))
             };
-            write("csv", (options.list)(&nodes))?;
-            write("conf", settings(&options, front, i, &places))?;
+            write("csv", (options.inventory)(&nodes))?;
+            write("conf", settings(&options, front, i, &addresses))?;
             let viewers = net.stream(VIEWERS, &front.name, None).await.map_err(io(VIEWERS))?;
             let operators = net.stream(OPERATORS, &front.name, None).await.map_err(io(OPERATORS))?;
             let name = front.name.clone();
-            members.push(Member { name, process: None, life: Life::Down, viewers, operators, saved: false });
+            members.push(Member {
+                name,
+                process: None,
+                state: ProcessState::Down,
+                viewers,
+                operators,
+                has_saved_store: false,
+            });
         }
         let mut fleet = Self { options, net, members };
         for i in 0..fleet.members.len() {
@@ -156,36 +165,36 @@
         Ok(fleet)
     }
 
-    /// The links, to put faults on.
+    /// The links, to which faults can be added.
     #[must_use]
     pub fn net(&self) -> &Net {
         &self.net
     }
 
-    /// Where viewers connect to front `i`, through their relay.
+    /// Address at which viewers connect to front `i`, through their relay.
     #[must_use]
-    pub fn viewers(&self, i: usize) -> SocketAddr {
+    pub fn viewer_address(&self, i: usize) -> SocketAddr {
         self.members[i].viewers.address
     }
 
-    /// Where operators connect to front `i`, through their relay.
+    /// Address at which operators connect to front `i`, through their relay.
     #[must_use]
-    pub fn operators(&self, i: usize) -> SocketAddr {
+    pub fn operator_address(&self, i: usize) -> SocketAddr {
         self.members[i].operators.address
     }
 
-    /// What front `i` logged, over all its runs.
+    /// The log of front `i` over all its runs.
     ///
     /// # Errors
-    /// Where that cannot be read.
-    pub fn log(&self, i: usize) -> Result<String, Fault> {
+    /// If it cannot be read.
+    pub fn log(&self, i: usize) -> Result<String, FleetError> {
         std::fs::read_to_string(self.path(i, "log")).map_err(io(self.members[i].name.as_str()))
     }
 
-    /// Numbers of the fronts that run.
+    /// Indices of the running fronts.
     #[must_use]
     pub fn running(&self) -> Vec<usize> {
-        (0..self.members.len()).filter(|i| self.members[*i].life == Life::Runs).collect()
+        (0..self.members.len()).filter(|i| self.members[*i].state == ProcessState::Running).collect()
     }
 
     fn path(&self, i: usize, ending: &str) -> PathBuf {
@@ -197,21 +206,23 @@
     /// Starts a front that is down.
     ///
     /// # Errors
-    /// Where it does not come up, or there is no older store.
-    pub async fn start_front(&mut self, i: usize, store: Store) -> Result<(), Fault> {
+    /// If it does not start, or if there is no saved store.
+    pub async fn start_front(&mut self, i: usize, store: Store) -> Result<(), FleetError> {
         let name = self.members[i].name.clone();
-        if self.options.stores {
+        if self.options.has_state_dirs {
             let state = self.path(i, "state");
             match store {
                 Store::Kept => {}
                 Store::None => match std::fs::remove_dir_all(&state) {
-                    Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(Fault::Io(name, e)),
+                    Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(FleetError::Io(name, e)),
                     _ => {}
                 },
-                Store::Older if self.members[i].saved => {
-                    copy(&self.path(i, "saved"), &state).map_err(io(name.as_str()))?;
+                Store::Older if self.members[i].has_saved_store => {
+                    copy_dir(&self.path(i, "saved"), &state).map_err(io(name.as_str()))?;
+                }
+                Store::Older => {
+                    return Err(FleetError::Io(name, io::Error::other("no copy of its store was saved")));
                 }
-                Store::Older => return Err(Fault::Io(name, io::Error::other("no store was saved"))),
             }
             std::fs::create_dir_all(&state).map_err(io(name.as_str()))?;
         }
@@ -220,116 +231,118 @@
         let arguments = ["serve", "-c", &*conf];
         let process = Process::start(&self.options.program, &arguments, &self.options.dir, &log).await;
         let process = process.map_err(io(name.as_str()))?;
-        let at = |field: &str| process.ready[field].as_str().and_then(|a| a.parse().ok());
+        let address = |field: &str| process.ready[field].as_str().and_then(|a| a.parse().ok());
         let m = &mut self.members[i];
-        m.viewers.lead(at("address"));
-        m.operators.lead(at("admin"));
-        (m.process, m.life) = (Some(process), Life::Runs);
+        m.viewers.set_target(address("address"));
+        m.operators.set_target(address("admin"));
+        (m.process, m.state) = (Some(process), ProcessState::Running);
         Ok(())
     }
 
     /// Kills a front (SIGKILL), also one that is stopped.
     ///
     /// # Errors
-    /// Where its end cannot be waited for.
-    pub async fn kill(&mut self, i: usize) -> Result<(), Fault> {
+    /// If its end cannot be waited for.
+    pub async fn kill(&mut self, i: usize) -> Result<(), FleetError> {
         let m = &mut self.members[i];
-        m.viewers.lead(None);
-        m.operators.lead(None);
-        m.life = Life::Down;
+        m.viewers.set_target(None);
+        m.operators.set_target(None);
+        m.state = ProcessState::Down;
         match m.process.take() {
             Some(mut process) => process.kill().await.map_err(io(m.name.as_str())),
             None => Ok(()),
         }
     }
 
-    fn signal(&mut self, i: usize, signal: Signal, life: Life) -> Result<(), Fault> {
+    fn signal(&mut self, i: usize, signal: Signal, state: ProcessState) -> Result<(), FleetError> {
         let m = &mut self.members[i];
-        let down = || io::Error::other("it is down");
+        let down = || io::Error::other("the front is down");
         let sent = m.process.as_ref().ok_or_else(down).and_then(|p| p.signal(signal));
         sent.map_err(io(m.name.as_str()))?;
-        m.life = life;
+        m.state = state;
         Ok(())
     }
 
     /// Stops a front's process (SIGSTOP).
     ///
     /// # Errors
-    /// Where it is down.
-    pub fn stop(&mut self, i: usize) -> Result<(), Fault> {
-        self.signal(i, Signal::SIGSTOP, Life::Stopped)
+    /// If it is down.
+    pub fn stop(&mut self, i: usize) -> Result<(), FleetError> {
+        self.signal(i, Signal::SIGSTOP, ProcessState::Stopped)
     }
 
-    /// Lets it go on (SIGCONT).
+    /// Resumes a stopped front (SIGCONT).
     ///
     /// # Errors
-    /// Where it is down.
-    pub fn cont(&mut self, i: usize) -> Result<(), Fault> {
-        self.signal(i, Signal::SIGCONT, Life::Runs)
+    /// If it is down.
+    pub fn resume(&mut self, i: usize) -> Result<(), FleetError> {
+        self.signal(i, Signal::SIGCONT, ProcessState::Running)
     }
 
-    /// Copies a front's store as it is now.
+    /// Saves a copy of a front's store.
     ///
     /// # Errors
-    /// Where it has none.
-    pub fn save(&mut self, i: usize) -> Result<(), Fault> {
-        copy(&self.path(i, "state"), &self.path(i, "saved")).map_err(io(self.members[i].name.as_str()))?;
-        self.members[i].saved = true;
+    /// If it has no store.
+    pub fn save(&mut self, i: usize) -> Result<(), FleetError> {
+        copy_dir(&self.path(i, "state"), &self.path(i, "saved"))
+            .map_err(io(self.members[i].name.as_str()))?;
+        self.members[i].has_saved_store = true;
         Ok(())
     }
 
-    /// Plays a schedule from now to its end.
+    /// Runs a schedule from now to its end.
     ///
     /// # Errors
-    /// Where it does not fit this fleet (nothing has happened then), or a front does not come up.
-    pub async fn play(&mut self, schedule: &Schedule) -> Result<(), Fault> {
+    /// If it is not valid for this fleet, in which case nothing has happened, or if a front does not start.
+    pub async fn run_schedule(&mut self, schedule: &Schedule) -> Result<(), FleetError> {
         let fronts: Vec<&str> = self.members.iter().map(|m| m.name.as_str()).collect();
         let nodes = self.options.nodes.iter().map(|n| n.0.as_str());
         let others: Vec<&str> = nodes.chain([VIEWERS, OPERATORS]).collect();
         schedule.check(&fronts, &others)?;
-        let (begin, base_us) = (Instant::now(), self.net.now_us());
+        let (started, base_us) = (Instant::now(), self.net.now_us());
         for fault in &schedule.faults {
-            self.net.fault(fault, base_us)?;
+            self.net.add_fault(fault, base_us)?;
         }
-        let mut acts: Vec<&Act> = schedule.processes.iter().collect();
-        acts.sort_by_key(|a| a.at_ms);
-        for act in acts {
-            sleep_until(begin + Duration::from_millis(act.at_ms)).await;
-            let Some(i) = self.members.iter().position(|m| m.name == act.who) else { continue };
-            match act.what {
-                Do::Kill => self.kill(i).await?,
-                Do::Stop => self.stop(i)?,
-                Do::Cont => self.cont(i)?,
-                Do::Save => self.save(i)?,
-                Do::Start => {
+        let mut events: Vec<&ProcessEvent> = schedule.processes.iter().collect();
+        events.sort_by_key(|event| event.at_ms);
+        for event in events {
+            sleep_until(started + Duration::from_millis(event.at_ms)).await;
+            let Some(i) = self.members.iter().position(|m| m.name == event.front) else { continue };
+            match event.action {
+                ProcessAction::Kill => self.kill(i).await?,
+                ProcessAction::Stop => self.stop(i)?,
+                ProcessAction::Cont => self.resume(i)?,
+                ProcessAction::Save => self.save(i)?,
+                ProcessAction::Start => {
                     self.kill(i).await?;
-                    self.start_front(i, act.store).await?;
+                    self.start_front(i, event.store).await?;
                 }
             }
         }
-        sleep_until(begin + Duration::from_millis(schedule.length_ms())).await;
+        sleep_until(started + Duration::from_millis(schedule.length_ms())).await;
         Ok(())
     }
 
-    // ---- what they show ------------------------------------------------------------------------
+    // ---- state of the consoles ------------------------------------------------------------------------
 
-    /// What a front's console shows; past its relay, since who judges is no party.
+    /// The state that a front's console shows. Queried directly, not through the relay, since faults must not affect checks.
     ///
     /// # Errors
-    /// Where it does not answer.
-    pub async fn state(&self, i: usize) -> Result<Value, Fault> {
+    /// If it does not answer.
+    pub async fn state(&self, i: usize) -> Result<Value, FleetError> {
         let m = &self.members[i];
         let admin = m.process.as_ref().and_then(|p| p.ready["admin"].as_str()?.parse().ok());
-        let admin: SocketAddr = admin.ok_or_else(|| io(&*m.name)(io::Error::other("it is down")))?;
-        let body = timeout(CONSOLE, get(admin, "/state")).await.map_err(|e| io(&*m.name)(e.into()))?;
+        let admin: SocketAddr = admin.ok_or_else(|| io(&*m.name)(io::Error::other("the front is down")))?;
+        let body =
+            timeout(CONSOLE_TIMEOUT, get(admin, "/state")).await.map_err(|e| io(&*m.name)(e.into()))?;
         serde_json::from_slice(&body.map_err(io(&*m.name))?).map_err(|e| io(&*m.name)(e.into()))
     }
 
-    /// What the fronts that run show.
+    /// The states of the running fronts.
     ///
     /// # Errors
-    /// Where one does not answer.
-    pub async fn states(&self) -> Result<Vec<Value>, Fault> {
+    /// If one does not answer.
+    pub async fn states(&self) -> Result<Vec<Value>, FleetError> {
         let mut states = Vec::new();
         for i in self.running() {
             states.push(self.state(i).await?);
@@ -337,35 +350,35 @@
         Ok(states)
     }
 
-    /// Waits until the states of the fronts that run are so; tells how long that took. `shown` is what is told of a state
-    /// if they never are.
+    /// Waits until `condition` holds for the states of the running fronts; returns how long that took. `what` names the
+    /// condition and `summary` describes a state in the error.
     ///
     /// # Errors
-    /// Where they are not in time, or one does not answer.
-    pub async fn until(
+    /// If the condition does not hold within `limit`, or a front does not answer.
+    pub async fn wait_until(
         &self,
         what: &str,
         limit: Duration,
-        shown: impl Fn(&Value) -> String,
-        holds: impl Fn(&[Value]) -> bool,
-    ) -> Result<Duration, Fault> {
-        let begin = Instant::now();
+        summary: impl Fn(&Value) -> String,
+        condition: impl Fn(&[Value]) -> bool,
+    ) -> Result<Duration, FleetError> {
+        let started = Instant::now();
         loop {
             let states = self.states().await?;
-            if holds(&states) {
-                return Ok(begin.elapsed());
+            if condition(&states) {
+                return Ok(started.elapsed());
             }
-            if begin.elapsed() > limit {
-                return Err(Fault::Never(what.into(), limit, states.iter().map(shown).collect()));
+            if started.elapsed() > limit {
+                return Err(FleetError::TimedOut(what.into(), limit, states.iter().map(summary).collect()));
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-/// Whether all these fronts have the same view, and it is they.
+/// Whether the membership view of each of these fronts consists of exactly these fronts.
 #[must_use]
-pub fn agree(states: &[Value]) -> bool {
+pub fn same_view(states: &[Value]) -> bool {
     let view = |s: &Value| -> BTreeSet<u64> {
         s["members"].as_array().into_iter().flatten().filter_map(|m| m["front"].as_u64()).collect()
     };
@@ -373,55 +386,55 @@
         let rows = s["members"].as_array()?;
         rows.iter().find(|m| m["own"] == Value::Bool(true))?["front"].as_u64()
     };
-    let there: BTreeSet<u64> = states.iter().filter_map(own).collect();
-    there.len() == states.len() && states.iter().all(|s| view(s) == there)
+    let fronts: BTreeSet<u64> = states.iter().filter_map(own).collect();
+    fronts.len() == states.len() && states.iter().all(|s| view(s) == fronts)
 }
 
-/// A front's settings.
-fn settings(options: &Options, front: &Front, i: usize, places: &[Place]) -> String {
+/// The complete settings of front `i`.
+fn settings(options: &Options, front: &Front, i: usize, addresses: &[FrontAddresses]) -> String {
     let dir = options.dir.display();
     let name = &front.name;
     let mut text = format!(
-        "name {name}\nlisten 127.0.0.1:0\nadmin 127.0.0.1:0\nadmin-key {KEY}\ninventory {dir}/{name}.csv\nfronts {}\n",
+        "name {name}\nlisten 127.0.0.1:0\nadmin 127.0.0.1:0\nadmin-key {ADMIN_KEY}\ninventory {dir}/{name}.csv\nfronts {}\n",
         options.fronts.len()
     );
-    if options.stores {
+    if options.has_state_dirs {
         text += &format!("state-dir {dir}/{name}.state\n");
     }
-    let mut head = true;
-    for line in front.text.lines() {
-        let word = line.split_whitespace().next().unwrap_or_default();
-        head &= word != "section";
-        if !(head && OWN.contains(&word)) {
+    let mut before_sections = true;
+    for line in front.settings.lines() {
+        let keyword = line.split_whitespace().next().unwrap_or_default();
+        before_sections &= keyword != "section";
+        if !(before_sections && GENERATED_SETTINGS.contains(&keyword)) {
             text += line;
             text.push('\n');
         }
     }
     text += "section exchange\nkey faults\n";
-    for (j, place) in places.iter().enumerate() {
+    for (j, of_front) in addresses.iter().enumerate() {
         if i == j {
-            text += &format!("listen {}\nadvertise {}\n", place.listen, place.advertise);
+            text += &format!("listen {}\nadvertise {}\n", of_front.listen, of_front.advertise);
         } else {
-            text += &format!("peer {}\n", place.advertise);
+            text += &format!("peer {}\n", of_front.advertise);
         }
     }
     text + &options.exchange
 }
 
-/// One GET with the console's key.
-async fn get(at: SocketAddr, path: &str) -> io::Result<Vec<u8>> {
-    let mut stream = TcpStream::connect(at).await?;
+/// Sends one GET request with the console's key and returns the body.
+async fn get(address: SocketAddr, path: &str) -> io::Result<Vec<u8>> {
+    let mut stream = TcpStream::connect(address).await?;
     let head = format!(
-        "GET {path} HTTP/1.1\r\nhost: {at}\r\nauthorization: Bearer {KEY}\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"
+        "GET {path} HTTP/1.1\r\nhost: {address}\r\nauthorization: Bearer {ADMIN_KEY}\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"
     );
     stream.write_all(head.as_bytes()).await?;
     let mut all = Vec::new();
-    stream.take(MOST_STATE).read_to_end(&mut all).await?;
+    stream.take(MAX_STATE_BYTES).read_to_end(&mut all).await?;
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut reply = httparse::Response::new(&mut headers);
     let parsed = reply.parse(&all).map_err(io::Error::other)?;
     match (parsed, reply.code) {
         (httparse::Status::Complete(n), Some(200)) => Ok(all.split_off(n)),
-        (_, code) => Err(io::Error::other(format!("{path}: answered {code:?}"))),
+        (_, code) => Err(io::Error::other(format!("{path}: status {code:?}, expected 200"))),
     }
 }
--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -1,10 +1,10 @@
-//! Faults between processes on loopback. Fronts run as they are; relays stand between them, and between them and their
-//! nodes, viewers and operators, and do to what passes what a schedule says (`docs/rehearsals.md`).
+//! Injects faults between processes on loopback. Fronts run unmodified. Relays carry the traffic between fronts, and between
+//! fronts and their nodes, viewers and operators, and apply the faults of a schedule to it (`docs/rehearsals.md`).
 //!
-//! - [`schedule`]: what goes wrong when, as a file and from a seed.
-//! - [`link`], [`datagrams`], [`stream`]: what a link does with what comes at a moment; no I/O.
-//! - [`net`]: the relays: sockets and tasks that carry this out.
-//! - [`process`]: a process of the command: its signals, its log.
+//! - [`schedule`]: schedules of faults, read from a file or drawn from a seed.
+//! - [`link`], [`datagrams`], [`stream`]: effect of faults on the traffic of a link; no I/O.
+//! - [`net`]: the relays, with their sockets and tasks.
+//! - [`process`]: a process of the command, with its signals and its log.
 //! - [`fleet`]: fronts behind relays, for tests.
 
 pub mod datagrams;
--- a/crates/faults/src/process.rs
+++ b/crates/faults/src/process.rs
@@ -1,4 +1,4 @@
-//! A process of the command.
+//! A running process of the command.
 
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -12,24 +12,24 @@
 use tokio::process::{Child, Command};
 use tokio::time::timeout;
 
-/// A process must say that it serves within this time.
-pub const READY: Duration = Duration::from_secs(15);
-/// Bytes of the line that says so, at most.
-const MOST_LINE: u64 = 64 << 10;
+/// A process must report that it serves within this time.
+pub const READY_TIMEOUT: Duration = Duration::from_secs(15);
+/// Maximum length of the line that reports it, in bytes.
+const MAX_READY_LINE_BYTES: u64 = 64 << 10;
 
-/// A process that has said that it serves. It is killed when this is dropped.
+/// A process that has reported that it serves. It is killed when this is dropped.
 pub struct Process {
     child: Child,
     log: PathBuf,
-    /// What it said.
+    /// The line with which it reported that it serves.
     pub ready: Value,
 }
 
 impl Process {
-    /// Starts a process and waits for its line. What it writes to standard error is added to `log`.
+    /// Starts a process and waits until it reports that it serves. Its standard error is appended to `log`.
     ///
     /// # Errors
-    /// Where it does not come up, with the end of its log.
+    /// If it does not start to serve; the error has the end of its log.
     pub async fn start(program: &Path, arguments: &[&str], dir: &Path, log: &Path) -> io::Result<Self> {
         let file = OpenOptions::new().create(true).append(true).open(log)?;
         let mut child = Command::new(program)
@@ -42,22 +42,25 @@
             .spawn()?;
         let out = child.stdout.take().ok_or_else(|| io::Error::other("no standard output"))?;
         let (mut reader, mut line) = (BufReader::new(out), String::new());
-        let read = async { (&mut reader).take(MOST_LINE).read_line(&mut line).await };
-        let read = timeout(READY, read).await;
+        let read = async { (&mut reader).take(MAX_READY_LINE_BYTES).read_line(&mut line).await };
+        let read = timeout(READY_TIMEOUT, read).await;
         let ready = serde_json::from_str(&line);
         let (Ok(Ok(_)), Ok(ready)) = (read, ready) else {
             let _ = child.kill().await;
-            let said = std::fs::read_to_string(log).unwrap_or_default();
-            let end: Vec<&str> = said.lines().rev().take(10).collect();
+            let logged = std::fs::read_to_string(log).unwrap_or_default();
+            let end: Vec<&str> = logged.lines().rev().take(10).collect();
             let end: Vec<&str> = end.into_iter().rev().collect();
-            return Err(io::Error::other(format!("it did not come up: {line:?}, {}", end.join("\n"))));
+            return Err(io::Error::other(format!(
+                "the process did not report that it serves: first line {line:?}, end of its log: {}",
+                end.join("\n")
+            )));
         };
-        // What it says later is of no interest, but must be read lest it stand still.
+        // Later output is discarded, but must be read: a full pipe would block the process.
         tokio::spawn(async move { tokio::io::copy(&mut reader, &mut tokio::io::sink()).await });
         Ok(Self { child, log: log.to_owned(), ready })
     }
 
-    /// Its id, while it has not ended.
+    /// Its process id; `None` once it has ended.
     #[must_use]
     pub fn id(&self) -> Option<u32> {
         self.child.id()
@@ -66,25 +69,25 @@
     /// Sends it a signal.
     ///
     /// # Errors
-    /// Where it has ended.
+    /// If it has ended.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         let id = self.id().and_then(|id| i32::try_from(id).ok());
         let id = id.ok_or_else(|| io::Error::other("the process has ended"))?;
         kill(Pid::from_raw(id), signal).map_err(io::Error::from)
     }
 
-    /// Kills it (SIGKILL) and waits for its end.
+    /// Kills it (SIGKILL) and waits until it has ended.
     ///
     /// # Errors
-    /// Where it cannot be waited for.
+    /// If its end cannot be waited for.
     pub async fn kill(&mut self) -> io::Result<()> {
         self.child.kill().await
     }
 
-    /// What it wrote to standard error so far.
+    /// What it has written to standard error so far.
     ///
     /// # Errors
-    /// Where that cannot be read.
+    /// If the log cannot be read.
     pub fn log(&self) -> io::Result<String> {
         std::fs::read_to_string(&self.log)
     }
--- a/crates/faults/src/schedule.rs
+++ b/crates/faults/src/schedule.rs
@@ -1,4 +1,4 @@
-//! What goes wrong when, as a file (`docs/rehearsals.md`) and from a seed.
+//! Schedules of faults, read from a file (`docs/rehearsals.md`) or drawn from a seed.
 
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
@@ -10,61 +10,61 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// A schedule lasts so long at most, milliseconds.
-pub const MOST_MS: u64 = 600_000;
-/// Faults of links, and acts on processes, at most.
-pub const MOST_FAULTS: usize = 512;
-/// Stands for every party.
+/// Maximum length of a schedule, in milliseconds.
+pub const MAX_SCHEDULE_MS: u64 = 600_000;
+/// Maximum number of link faults, and of process events, in a schedule.
+pub const MAX_FAULTS: usize = 512;
+/// Matches every party.
 pub const ANY: &str = "*";
 
-/// What a link does to what passes one way.
+/// Effect of a fault on the traffic of a link in one direction.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Kind {
-    /// Nothing passes. Datagrams are gone; bytes of connections wait, and no connection is made.
+    /// Nothing passes. Datagrams are dropped, bytes of connections wait, and no connection is established.
     Cut,
     /// Datagrams are lost with this probability.
     Lose {
         /// 0 to 1.
         p: f64,
     },
-    /// What passes comes later by `ms` and up to `jitter_ms`, in its order.
+    /// Traffic is delayed by `ms` plus up to `jitter_ms` and keeps its order.
     Delay {
-        /// Milliseconds.
+        /// Constant delay, in milliseconds.
         ms: u64,
-        /// Milliseconds, spread evenly.
+        /// Maximum additional delay, in milliseconds, uniformly distributed.
         jitter_ms: u64,
     },
-    /// Datagrams are held back with this probability, and later ones overtake them.
+    /// Datagrams are held back with this probability, which lets later ones overtake them.
     Reorder {
         /// 0 to 1.
         p: f64,
-        /// Held back for so long, milliseconds.
+        /// Time for which they are held back, in milliseconds.
         ms: u64,
     },
-    /// Datagrams come twice with this probability.
+    /// Datagrams are duplicated with this probability.
     Double {
         /// 0 to 1.
         p: f64,
     },
-    /// All is held back, and comes in its order at the end. Connections stay open, and new ones are made.
+    /// All traffic is held back and delivered in order at the end. Connections stay open, and new ones are established.
     Stall,
-    /// Bytes of a connection come one by one.
+    /// Bytes of a connection are delivered one by one.
     Drip {
-        /// Time between two of them, milliseconds.
+        /// Interval between two bytes, in milliseconds.
         every_ms: u64,
     },
-    /// Connections are reset at the beginning, and new ones at once as long as it lasts.
+    /// Connections are reset at the start, and new ones immediately while the fault lasts.
     Reset,
 }
 
 impl Kind {
-    /// It can be done to datagrams.
+    /// Whether it applies to datagrams.
     #[must_use]
     pub fn fits_datagrams(self) -> bool {
         !matches!(self, Self::Drip { .. } | Self::Reset)
     }
 
-    /// It can be done to connections: TCP shows no loss, no doubles and no other order.
+    /// Whether it applies to connections. TCP hides loss, duplication and reordering.
     #[must_use]
     pub fn fits_streams(self) -> bool {
         !matches!(self, Self::Lose { .. } | Self::Reorder { .. } | Self::Double { .. })
@@ -73,26 +73,26 @@
 
 /// A fault of a link.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-#[serde(into = "Written")]
+#[serde(into = "FaultRecord")]
 pub struct Fault {
-    /// Its beginning, milliseconds from that of the schedule.
+    /// Start, in milliseconds from the start of the schedule.
     pub at_ms: u64,
-    /// It lasts so long, milliseconds.
+    /// Duration, in milliseconds.
     pub for_ms: u64,
-    /// What this party sends; [`ANY`] for each.
+    /// Sending party; [`ANY`] for every party.
     pub from: String,
-    /// To this one.
+    /// Receiving party; [`ANY`] for every party.
     pub to: String,
-    /// The other way too.
+    /// Whether it also applies in the other direction.
     pub both: bool,
-    /// What happens to it.
+    /// Effect on the traffic.
     pub kind: Kind,
 }
 
-/// A fault as it is written down.
+/// A fault as it is serialized.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Written {
+struct FaultRecord {
     at_ms: u64,
     for_ms: u64,
     from: String,
@@ -112,7 +112,7 @@
 
 impl<'de> Deserialize<'de> for Fault {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        /// Checked before the reader goes on, so that an error is told with the entry's own line.
+        /// Checks an entry before the parser continues, which gives an error the line of its entry.
         struct Entry;
         impl<'de> Visitor<'de> for Entry {
             type Value = Fault;
@@ -122,43 +122,45 @@
             }
 
             fn visit_map<A: MapAccess<'de>>(self, map: A) -> Result<Fault, A::Error> {
-                Written::deserialize(MapAccessDeserializer::new(map))?.try_into().map_err(A::Error::custom)
+                FaultRecord::deserialize(MapAccessDeserializer::new(map))?
+                    .try_into()
+                    .map_err(A::Error::custom)
             }
         }
         d.deserialize_map(Entry)
     }
 }
 
-impl TryFrom<Written> for Fault {
+impl TryFrom<FaultRecord> for Fault {
     type Error = String;
 
-    fn try_from(mut w: Written) -> Result<Self, String> {
+    fn try_from(mut w: FaultRecord) -> Result<Self, String> {
         let name = w.kind.clone();
-        let needs = |field: &str| format!("a `{name}` needs `{field}`");
+        let missing = |field: &str| format!("a `{name}` fault requires `{field}`");
         let time = |field: &str, ms: u64| match ms {
-            0..=MOST_MS => Ok(ms),
-            _ => Err(format!("`{field}` is above {MOST_MS}")),
+            0..=MAX_SCHEDULE_MS => Ok(ms),
+            _ => Err(format!("`{field}` is {ms}, expected at most {MAX_SCHEDULE_MS}")),
         };
-        let part = |p: Option<f64>| match p {
+        let probability = |p: Option<f64>| match p {
             Some(p) if (0.0..=1.0).contains(&p) => Ok(p),
-            Some(_) => Err("`p` is from 0 to 1".to_owned()),
-            None => Err(needs("p")),
+            Some(p) => Err(format!("`p` is {p}, expected 0 to 1")),
+            None => Err(missing("p")),
         };
         let kind = match name.as_str() {
             "cut" => Kind::Cut,
-            "lose" => Kind::Lose { p: part(w.p.take())? },
+            "lose" => Kind::Lose { p: probability(w.p.take())? },
             "delay" => Kind::Delay {
-                ms: time("ms", w.ms.take().ok_or_else(|| needs("ms"))?)?,
+                ms: time("ms", w.ms.take().ok_or_else(|| missing("ms"))?)?,
                 jitter_ms: time("jitter_ms", w.jitter_ms.take().unwrap_or(0))?,
             },
             "reorder" => Kind::Reorder {
-                p: part(w.p.take())?,
-                ms: time("ms", w.ms.take().ok_or_else(|| needs("ms"))?)?,
+                p: probability(w.p.take())?,
+                ms: time("ms", w.ms.take().ok_or_else(|| missing("ms"))?)?,
             },
-            "double" => Kind::Double { p: part(w.p.take())? },
+            "double" => Kind::Double { p: probability(w.p.take())? },
             "stall" => Kind::Stall,
             "drip" => Kind::Drip {
-                every_ms: time("every_ms", w.every_ms.take().ok_or_else(|| needs("every_ms"))?)?,
+                every_ms: time("every_ms", w.every_ms.take().ok_or_else(|| missing("every_ms"))?)?,
             },
             "reset" => Kind::Reset,
             other => {
@@ -167,21 +169,21 @@
                 ));
             }
         };
-        let left = [
+        let unused = [
             ("p", w.p.is_some()),
             ("ms", w.ms.is_some()),
             ("jitter_ms", w.jitter_ms.is_some()),
             ("every_ms", w.every_ms.is_some()),
         ];
-        if let Some((field, _)) = left.iter().find(|l| l.1) {
-            return Err(format!("`{field}` means nothing to a `{name}`"));
+        if let Some((field, _)) = unused.iter().find(|(_, is_present)| *is_present) {
+            return Err(format!("a `{name}` fault has no `{field}`"));
         }
         let (at_ms, for_ms) = (time("at_ms", w.at_ms)?, time("for_ms", w.for_ms)?);
         Ok(Self { at_ms, for_ms, from: w.from, to: w.to, both: w.both, kind })
     }
 }
 
-impl From<Fault> for Written {
+impl From<Fault> for FaultRecord {
     fn from(f: Fault) -> Self {
         let (name, p, ms, jitter_ms, every_ms) = match f.kind {
             Kind::Cut => ("cut", None, None, None, None),
@@ -210,47 +212,48 @@
     }
 }
 
-/// With what a front starts again.
+/// Store with which a front starts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Store {
-    /// What it had.
+    /// Its present store.
     #[default]
     Kept,
     /// The copy that was saved last.
     Older,
-    /// Nothing.
+    /// No store.
     None,
 }
 
-/// What is done to a process.
+/// Action on a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Do {
-    /// SIGKILL.
+pub enum ProcessAction {
+    /// Kills it (SIGKILL).
     Kill,
-    /// SIGSTOP.
+    /// Stops it (SIGSTOP).
     Stop,
-    /// SIGCONT.
+    /// Resumes it (SIGCONT).
     Cont,
-    /// Its store is copied as it is; it should be stopped or killed then.
+    /// Saves a copy of its store. It should be stopped or killed at that time.
     Save,
-    /// It starts again.
+    /// Starts it again.
     Start,
 }
 
-/// Something that is done to a front's process.
+/// An action on a front's process at a time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Act {
-    /// When, milliseconds.
+pub struct ProcessEvent {
+    /// Time, in milliseconds from the start of the schedule.
     pub at_ms: u64,
-    /// To whom.
-    pub who: String,
-    /// What.
+    /// Name of the front.
+    #[serde(rename = "who")]
+    pub front: String,
+    /// The action.
     #[serde(rename = "do")]
-    pub what: Do,
-    /// Of a start: with what.
+    pub action: ProcessAction,
+    /// For a start: the store that it starts with.
     #[serde(default, skip_serializing_if = "is_kept")]
     pub store: Store,
 }
@@ -259,142 +262,171 @@
     *store == Store::Kept
 }
 
-/// What goes wrong when.
+/// A schedule of faults.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Schedule {
-    /// Seed of what chance does on links.
+    /// Seed of the random effects on links.
     pub seed: u64,
     /// Faults of links.
     #[serde(default)]
     pub faults: Vec<Fault>,
-    /// Acts on processes.
+    /// Actions on processes.
     #[serde(default)]
-    pub processes: Vec<Act>,
+    pub processes: Vec<ProcessEvent>,
 }
 
-/// Why a schedule cannot be played.
+/// Why a schedule cannot be run.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Bad {
-    /// It cannot be read: file, line, column, and what is wrong there.
+pub enum ScheduleError {
+    /// It cannot be read: file, line, column and error.
     #[error("{0}:{1}:{2}: {3}")]
     Text(String, usize, usize, String),
-    /// An entry (`faults[2]`) does not fit the parties or the bounds.
+    /// An entry (such as `faults[2]`) is not valid for the parties or the bounds.
     #[error("{0}: {1}")]
     Entry(String, String),
 }
 
 impl Schedule {
-    /// Reads a schedule; `name` is told in errors.
+    /// Parses a schedule; `name` is used in errors.
     ///
     /// # Errors
-    /// Where it is not of the form, with line and field.
-    pub fn parse(name: &str, text: &str) -> Result<Self, Bad> {
+    /// If it is malformed; the error has the line and the field.
+    pub fn parse(name: &str, text: &str) -> Result<Self, ScheduleError> {
         serde_json::from_str(text).map_err(|e| {
-            let said = e.to_string();
-            let what = said.split(" at line ").next().unwrap_or(&said).to_owned();
-            Bad::Text(name.to_owned(), e.line(), e.column(), what)
+            let message = e.to_string();
+            let message = message.split(" at line ").next().unwrap_or(&message).to_owned();
+            ScheduleError::Text(name.to_owned(), e.line(), e.column(), message)
         })
     }
 
-    /// Reads a file.
+    /// Reads a schedule from a file.
     ///
     /// # Errors
-    /// As [`Schedule::parse`], and where it cannot be read.
-    pub fn load(path: &Path) -> Result<Self, Bad> {
+    /// As [`Schedule::parse`], and if the file cannot be read.
+    pub fn load(path: &Path) -> Result<Self, ScheduleError> {
         let name = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|e| Bad::Text(name.clone(), 0, 0, e.to_string()))?;
+        let text = std::fs::read_to_string(path)
+            .map_err(|e| ScheduleError::Text(name.clone(), 0, 0, e.to_string()))?;
         Self::parse(&name, &text)
     }
 
-    /// Checks it against the fronts there are and the other parties of their links (nodes, viewers, operators).
+    /// Checks it against the fronts and the other parties of their links (nodes, viewers, operators).
     ///
     /// # Errors
-    /// The first entry that names nobody, or cannot be done.
-    pub fn check(&self, fronts: &[&str], others: &[&str]) -> Result<(), Bad> {
-        let bad = |list: &str, i: usize, what: String| Err(Bad::Entry(format!("{list}[{i}]"), what));
-        if self.faults.len() > MOST_FAULTS || self.processes.len() > MOST_FAULTS {
-            return bad("faults", MOST_FAULTS, format!("there are more than {MOST_FAULTS}"));
+    /// The first entry that names an unknown party or is not possible.
+    pub fn check(&self, fronts: &[&str], others: &[&str]) -> Result<(), ScheduleError> {
+        let invalid =
+            |list: &str, i: usize, what: String| Err(ScheduleError::Entry(format!("{list}[{i}]"), what));
+        if self.faults.len() > MAX_FAULTS || self.processes.len() > MAX_FAULTS {
+            return invalid(
+                "faults",
+                MAX_FAULTS,
+                format!(
+                    "the schedule has {} faults and {} processes, expected at most {MAX_FAULTS} of each",
+                    self.faults.len(),
+                    self.processes.len()
+                ),
+            );
         }
         for (i, f) in self.faults.iter().enumerate() {
             for (field, name) in [("from", &f.from), ("to", &f.to)] {
-                let known = name == ANY || fronts.contains(&name.as_str()) || others.contains(&name.as_str());
-                if !known {
-                    return bad("faults", i, format!("`{field}` is `{name}`, who is not there"));
+                let is_known =
+                    name == ANY || fronts.contains(&name.as_str()) || others.contains(&name.as_str());
+                if !is_known {
+                    let known = [&[ANY], fronts, others].concat().join(", ");
+                    return invalid("faults", i, format!("`{field}` is `{name}`, expected one of {known}"));
                 }
             }
             if f.from == f.to && f.from != ANY {
-                return bad("faults", i, "`from` and `to` are the same".into());
+                return invalid(
+                    "faults",
+                    i,
+                    format!("`from` and `to` are both `{}`, expected two parties", f.from),
+                );
             }
         }
-        let mut acts: Vec<(usize, &Act)> = self.processes.iter().enumerate().collect();
-        acts.sort_by_key(|(_, a)| a.at_ms);
+        let mut events: Vec<(usize, &ProcessEvent)> = self.processes.iter().enumerate().collect();
+        events.sort_by_key(|(_, event)| event.at_ms);
         let mut saved = Vec::new();
-        for (i, a) in acts {
-            if !fronts.contains(&a.who.as_str()) {
-                return bad("processes", i, format!("`who` is `{}`, who is no front", a.who));
+        for (i, event) in events {
+            if !fronts.contains(&event.front.as_str()) {
+                let known = fronts.join(", ");
+                return invalid(
+                    "processes",
+                    i,
+                    format!("`who` is `{}`, expected one of {known}", event.front),
+                );
             }
-            if a.at_ms > MOST_MS {
-                return bad("processes", i, format!("`at_ms` is above {MOST_MS}"));
+            if event.at_ms > MAX_SCHEDULE_MS {
+                return invalid(
+                    "processes",
+                    i,
+                    format!("`at_ms` is {}, expected at most {MAX_SCHEDULE_MS}", event.at_ms),
+                );
             }
-            if a.what == Do::Save {
-                saved.push(a.who.as_str());
+            if event.action == ProcessAction::Save {
+                saved.push(event.front.as_str());
             }
-            if a.store != Store::Kept && a.what != Do::Start {
-                return bad("processes", i, "`store` is of a `start`".into());
+            if event.store != Store::Kept && event.action != ProcessAction::Start {
+                return invalid("processes", i, "`store` is only allowed where `do` is `start`".into());
             }
-            if a.store == Store::Older && !saved.contains(&a.who.as_str()) {
-                return bad("processes", i, "`store` is `older`, and nothing was saved before".into());
+            if event.store == Store::Older && !saved.contains(&event.front.as_str()) {
+                return invalid(
+                    "processes",
+                    i,
+                    format!("`store` is `older`, expected an earlier `save` of `{}`", event.front),
+                );
             }
         }
         Ok(())
     }
 
-    /// When the last fault is over and the last act done, milliseconds.
+    /// Time at which the last fault has ended and the last action is done, in milliseconds.
     #[must_use]
     pub fn length_ms(&self) -> u64 {
         let faults = self.faults.iter().map(|f| f.at_ms.saturating_add(f.for_ms));
         faults.chain(self.processes.iter().map(|a| a.at_ms)).max().unwrap_or(0)
     }
 
-    /// The same as text, an entry a line.
+    /// The schedule as text, one entry per line.
     #[must_use]
     pub fn text(&self) -> String {
         let line = |v: &dyn Fn() -> Result<String, serde_json::Error>| v().unwrap_or_default();
         let faults: Vec<String> = self.faults.iter().map(|f| line(&|| serde_json::to_string(f))).collect();
-        let acts: Vec<String> = self.processes.iter().map(|a| line(&|| serde_json::to_string(a))).collect();
+        let events: Vec<String> = self.processes.iter().map(|a| line(&|| serde_json::to_string(a))).collect();
         format!(
             "{{\"seed\": {},\n \"faults\": [\n  {}],\n \"processes\": [\n  {}]}}\n",
             self.seed,
             faults.join(",\n  "),
-            acts.join(",\n  ")
+            events.join(",\n  ")
         )
     }
 
-    /// A random schedule; the same seed and bounds give the same.
+    /// Draws a random schedule, which is determined by the seed and the bounds.
     #[must_use]
     pub fn random(seed: u64, bounds: &Bounds) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut made = Self { seed, ..Self::default() };
-        let end = bounds.length_ms.min(MOST_MS).saturating_sub(bounds.quiet_ms);
-        // When each trouble begins and ends, and whose process it holds down.
-        let mut taken: Vec<(u64, u64, Option<String>)> = Vec::new();
-        let shortest = 300.min(end);
-        // Troubles that would be too many at once are drawn again, so often at most.
-        for _ in 0..bounds.faults.min(MOST_FAULTS) * 20 {
-            if taken.len() >= bounds.faults || bounds.fronts.len() < 2 || end == 0 {
+        let mut schedule = Self { seed, ..Self::default() };
+        let end = bounds.length_ms.min(MAX_SCHEDULE_MS).saturating_sub(bounds.quiet_ms);
+        // Start and end of each drawn fault, and the front whose process is down.
+        let mut drawn: Vec<(u64, u64, Option<String>)> = Vec::new();
+        let shortest_ms = 300.min(end);
+        // A fault that would exceed the bounds is drawn again, up to a limit.
+        for _ in 0..bounds.max_faults.min(MAX_FAULTS) * 20 {
+            if drawn.len() >= bounds.max_faults || bounds.fronts.len() < 2 || end == 0 {
                 break;
             }
-            let for_ms = rng.random_range(shortest..=end.min(4_000));
+            let for_ms = rng.random_range(shortest_ms..=end.min(4_000));
             let at_ms = rng.random_range(0..=end - for_ms);
             let until = at_ms + for_ms;
-            let beside: Vec<&(u64, u64, Option<String>)> =
-                taken.iter().filter(|t| t.0 < until && at_ms < t.1).collect();
+            let concurrent: Vec<&(u64, u64, Option<String>)> =
+                drawn.iter().filter(|t| t.0 < until && at_ms < t.1).collect();
             let pair: Vec<&String> = bounds.fronts.choose_multiple(&mut rng, 2).collect();
             let [from, to] = pair[..] else { break };
             let (draw, p) = (rng.random_range(0..8), f64::from(rng.random_range(5..=60)) / 100.0);
             let (ms, both) = (rng.random_range(1..=150), rng.random_bool(0.5));
-            if beside.len() >= bounds.at_once {
+            if concurrent.len() >= bounds.max_concurrent {
                 continue;
             }
             let kind = match draw {
@@ -405,25 +437,34 @@
                 5 => Kind::Double { p },
                 6 => Kind::Stall,
                 _ => {
-                    let down = beside.iter().filter(|t| t.2.is_some()).count();
-                    let again =
-                        taken.iter().any(|t| t.2.as_ref() == Some(from) && t.0 <= until && at_ms <= t.1);
-                    if down >= bounds.down_at_once || again {
+                    let down = concurrent.iter().filter(|t| t.2.is_some()).count();
+                    let overlaps =
+                        drawn.iter().any(|t| t.2.as_ref() == Some(from) && t.0 <= until && at_ms <= t.1);
+                    if down >= bounds.max_down || overlaps {
                         continue;
                     }
-                    let acts = if both { (Do::Stop, Do::Cont) } else { (Do::Kill, Do::Start) };
-                    let act = |at_ms, what| Act { at_ms, who: from.clone(), what, store: Store::Kept };
-                    made.processes.extend([act(at_ms, acts.0), act(until, acts.1)]);
-                    taken.push((at_ms, until, Some(from.clone())));
+                    let (down, up) = if both {
+                        (ProcessAction::Stop, ProcessAction::Cont)
+                    } else {
+                        (ProcessAction::Kill, ProcessAction::Start)
+                    };
+                    let event = |at_ms, action| ProcessEvent {
+                        at_ms,
+                        front: from.clone(),
+                        action,
+                        store: Store::Kept,
+                    };
+                    schedule.processes.extend([event(at_ms, down), event(until, up)]);
+                    drawn.push((at_ms, until, Some(from.clone())));
                     continue;
                 }
             };
-            taken.push((at_ms, until, None));
-            made.faults.push(Fault { at_ms, for_ms, from: from.clone(), to: to.clone(), both, kind });
+            drawn.push((at_ms, until, None));
+            schedule.faults.push(Fault { at_ms, for_ms, from: from.clone(), to: to.clone(), both, kind });
         }
-        made.faults.sort_by_key(|f| f.at_ms);
-        made.processes.sort_by_key(|a| a.at_ms);
-        made
+        schedule.faults.sort_by_key(|f| f.at_ms);
+        schedule.processes.sort_by_key(|a| a.at_ms);
+        schedule
     }
 }
 
@@ -432,68 +473,68 @@
 pub struct Bounds {
     /// Names of the fronts.
     pub fronts: Vec<String>,
-    /// A schedule lasts so long, milliseconds,
+    /// Length of a schedule, in milliseconds.
     pub length_ms: u64,
-    /// of which the end is quiet for so long: all links whole, all processes running.
+    /// Time at the end without faults, in milliseconds: all links work and all processes run.
     pub quiet_ms: u64,
-    /// Troubles in all, at most.
-    pub faults: usize,
-    /// Troubles at once, at most.
-    pub at_once: usize,
-    /// Processes killed or stopped at once, at most.
-    pub down_at_once: usize,
+    /// Maximum number of faults.
+    pub max_faults: usize,
+    /// Maximum number of faults at the same time.
+    pub max_concurrent: usize,
+    /// Maximum number of processes that are killed or stopped at the same time.
+    pub max_down: usize,
 }
 
-/// Tells how a schedule is played again if the test that holds this fails.
-pub struct Again<'a> {
+/// Prints how to run a schedule again if it is dropped while the test panics.
+pub struct RerunHint<'a> {
     schedule: &'a Schedule,
     command: &'a str,
 }
 
-/// Variable of the environment that names a schedule's file to be played instead of a test's own.
-pub const VARIABLE: &str = "PEPPERHOOK_FAULTS";
+/// Environment variable with the path of a schedule that replaces the test's own.
+pub const SCHEDULE_VARIABLE: &str = "PEPPERHOOK_FAULTS";
 
-impl<'a> Again<'a> {
-    /// `command` runs the test; see [`given`].
+impl<'a> RerunHint<'a> {
+    /// `command` runs the test; see [`from_environment`].
     #[must_use]
     pub fn new(schedule: &'a Schedule, command: &'a str) -> Self {
         Self { schedule, command }
     }
 
-    /// Writes the schedule to a file and says with what command it is played.
+    /// Writes the schedule to a file and returns the command that runs it.
     ///
     /// # Errors
-    /// Where the file cannot be written.
+    /// If the file cannot be written.
     pub fn write(&self) -> std::io::Result<String> {
         let path = std::env::temp_dir().join(format!("faults-seed-{}.json", self.schedule.seed));
         std::fs::write(&path, self.schedule.text())?;
-        Ok(format!("{VARIABLE}={} {}", path.display(), self.command))
+        Ok(format!("{SCHEDULE_VARIABLE}={} {}", path.display(), self.command))
     }
 }
 
-impl Drop for Again<'_> {
+impl Drop for RerunHint<'_> {
     fn drop(&mut self) {
         if std::thread::panicking() {
             match self.write() {
-                Ok(command) => eprintln!("seed {} failed; again: {command}", self.schedule.seed),
+                Ok(command) => eprintln!("seed {} failed; to run it again: {command}", self.schedule.seed),
                 Err(e) => eprintln!("seed {} failed: {self} ({e})", self.schedule.seed),
             }
         }
     }
 }
 
-impl fmt::Display for Again<'_> {
+impl fmt::Display for RerunHint<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.schedule.text())
     }
 }
 
-/// The schedule of [`VARIABLE`], if that is set.
+/// The schedule that [`SCHEDULE_VARIABLE`] names, if the variable is set.
 ///
 /// # Errors
-/// Where it cannot be read.
-pub fn given() -> Result<Option<Schedule>, Bad> {
-    std::env::var_os(VARIABLE).map(|path| Schedule::load(Path::new(&path))).transpose()
+/// If it cannot be read.
+pub fn from_environment() -> Result<Option<Schedule>, ScheduleError> {
+    std::env::var_os(SCHEDULE_VARIABLE).map(|path| Schedule::load(Path::new(&path))).transpose()
 }
 
 #[cfg(test)]
@@ -517,40 +558,40 @@
         assert_eq!((s.faults[0].kind, s.length_ms()), (Kind::Cut, 5_000));
         assert_eq!(Schedule::parse("y.json", &s.text()), Ok(s.clone()));
         assert_eq!(Schedule::parse("z", "{\"seed\": 3}").map(|s| s.length_ms()), Ok(0));
-        let told = Again::new(&s, "cargo test").write().expect("written");
-        let path = told.split(['=', ' ']).nth(1).expect("a path");
+        let command = RerunHint::new(&s, "cargo test").write().expect("written");
+        let path = command.split(['=', ' ']).nth(1).expect("a path");
         assert_eq!(Schedule::load(Path::new(path)), Ok(s));
     }
 
     #[test]
     fn errors_name_the_line_and_the_field() {
-        for (from, to, line, told) in [
+        for (from, to, line, message) in [
             ("\"kind\": \"cut\"", "\"kind\": \"cutt\"", 3, "unknown `kind` `cutt`"),
             ("\"from\": \"a\"", "\"form\": \"a\"", 3, "unknown field `form`"),
-            ("\"kind\": \"cut\"", "\"kind\": \"cut\", \"p\": 1", 3, "`p` means nothing to a `cut`"),
-            ("\"kind\": \"cut\"", "\"kind\": \"lose\"", 3, "a `lose` needs `p`"),
-            ("\"kind\": \"cut\"", "\"kind\": \"lose\", \"p\": 1.5", 3, "`p` is from 0 to 1"),
+            ("\"kind\": \"cut\"", "\"kind\": \"cut\", \"p\": 1", 3, "a `cut` fault has no `p`"),
+            ("\"kind\": \"cut\"", "\"kind\": \"lose\"", 3, "a `lose` fault requires `p`"),
+            ("\"kind\": \"cut\"", "\"kind\": \"lose\", \"p\": 1.5", 3, "`p` is 1.5, expected 0 to 1"),
             ("\"ms\": 20", "\"ms\": -20", 4, "invalid value"),
-            ("\"for_ms\": 10", "\"for_ms\": 9000000", 4, "`for_ms` is above"),
+            ("\"for_ms\": 10", "\"for_ms\": 9000000", 4, "`for_ms` is 9000000, expected at most 600000"),
             ("\"do\": \"kill\"", "\"do\": \"kil\"", 7, "unknown variant `kil`"),
         ] {
             let text = EXAMPLE.replace(from, to);
-            let bad = Schedule::parse("x.json", &text).expect_err(to).to_string();
-            assert!(bad.starts_with(&format!("x.json:{line}:")) && bad.contains(told), "{bad}");
+            let error = Schedule::parse("x.json", &text).expect_err(to).to_string();
+            assert!(error.starts_with(&format!("x.json:{line}:")) && error.contains(message), "{error}");
         }
-        for (from, to, told) in [
-            ("\"to\": \"b\"", "\"to\": \"x\"", "faults[0]: `to` is `x`, who is not there"),
-            ("\"to\": \"b\"", "\"to\": \"a\"", "faults[0]: `from` and `to` are the same"),
+        for (from, to, message) in [
+            ("\"to\": \"b\"", "\"to\": \"x\"", "faults[0]: `to` is `x`, expected one of *, a, b, c, n0"),
+            ("\"to\": \"b\"", "\"to\": \"a\"", "faults[0]: `from` and `to` are both `a`"),
             (
                 "\"do\": \"save\"",
                 "\"do\": \"stop\"",
-                "processes[2]: `store` is `older`, and nothing was saved",
+                "processes[2]: `store` is `older`, expected an earlier `save` of `c`",
             ),
             ("\"who\": \"c\", \"do\": \"kill\"", "\"who\": \"n0\", \"do\": \"kill\"", "processes[1]: `who`"),
         ] {
             let s = Schedule::parse("x.json", &EXAMPLE.replace(from, to)).expect("a schedule");
-            let bad = s.check(&["a", "b", "c"], &["n0"]).expect_err(to).to_string();
-            assert!(bad.starts_with(told), "{bad}");
+            let error = s.check(&["a", "b", "c"], &["n0"]).expect_err(to).to_string();
+            assert!(error.starts_with(message), "{error}");
         }
     }
 
@@ -559,30 +600,30 @@
 
         #[test]
         fn random_schedules_keep_their_bounds(
-            seed: u64, n in 2..7usize, at_once in 1..5usize, down_at_once in 0..2usize, faults in 0..30usize,
+            seed: u64, n in 2..7usize, max_concurrent in 1..5usize, max_down in 0..2usize, max_faults in 0..30usize,
         ) {
             let fronts: Vec<String> = (0..n).map(|i| format!("f{i}")).collect();
             let bounds =
-                Bounds { fronts, length_ms: 20_000, quiet_ms: 5_000, faults, at_once, down_at_once };
+                Bounds { fronts, length_ms: 20_000, quiet_ms: 5_000, max_faults, max_concurrent, max_down };
             let s = Schedule::random(seed, &bounds);
             prop_assert_eq!(&s, &Schedule::random(seed, &bounds));
             let names: Vec<&str> = bounds.fronts.iter().map(String::as_str).collect();
             prop_assert_eq!(s.check(&names, &[]), Ok(()));
             prop_assert_eq!(Schedule::parse("x", &s.text()), Ok(s.clone()));
             prop_assert!(s.length_ms() <= 15_000);
-            prop_assert!(s.faults.len() + s.processes.len() / 2 <= faults);
+            prop_assert!(s.faults.len() + s.processes.len() / 2 <= max_faults);
             for t in 0..15_000u64 {
-                let on = s.faults.iter().filter(|f| (f.at_ms..f.at_ms + f.for_ms).contains(&t)).count();
+                let active = s.faults.iter().filter(|f| (f.at_ms..f.at_ms + f.for_ms).contains(&t)).count();
                 let (mut down, mut up) = (0usize, 0usize);
                 for a in s.processes.iter().filter(|a| a.at_ms <= t) {
-                    if matches!(a.what, Do::Kill | Do::Stop) { down += 1 } else { up += 1 }
+                    if matches!(a.action, ProcessAction::Kill | ProcessAction::Stop) { down += 1 } else { up += 1 }
                 }
-                prop_assert!(down - up <= down_at_once && on + down - up <= at_once);
+                prop_assert!(down - up <= max_down && active + down - up <= max_concurrent);
             }
-            // Who goes down comes up again, in the way that fits, before it goes down once more.
+            // A front that is killed is started, and one that is stopped is resumed, before it goes down again.
             for f in &bounds.fronts {
-                let acts: Vec<Do> = s.processes.iter().filter(|a| a.who == *f).map(|a| a.what).collect();
-                prop_assert!(acts.chunks(2).all(|c| matches!(c, [Do::Kill, Do::Start] | [Do::Stop, Do::Cont])));
+                let actions: Vec<ProcessAction> = s.processes.iter().filter(|a| a.front == *f).map(|a| a.action).collect();
+                prop_assert!(actions.chunks(2).all(|c| matches!(c, [ProcessAction::Kill, ProcessAction::Start] | [ProcessAction::Stop, ProcessAction::Cont])));
             }
         }
     }
--- a/crates/faults/src/stream.rs
+++ b/crates/faults/src/stream.rs
@@ -1,5 +1,5 @@
-//! What one way of a connection does with its bytes: when they come out, and how many at once. No byte is lost, doubled or
-//! put in another order, since TCP would not let that be seen. No I/O.
+//! Applies faults to the bytes of one direction of a connection: when they are delivered, and how many at once. No byte is
+//! lost, duplicated or reordered, since TCP hides that from its users. No I/O.
 
 use crate::link::Windows;
 use crate::schedule::Kind;
@@ -7,99 +7,100 @@
 use rand::{Rng, SeedableRng};
 use std::collections::VecDeque;
 
-/// Bytes under way on one way of a connection at most; the rest waits with its sender.
-pub const MOST_BYTES: usize = 64 << 10;
-/// Pieces under way at most.
-const MOST_PIECES: usize = 1_024;
+/// Maximum number of buffered bytes of one direction of a connection; more wait at the sender.
+pub const MAX_BUFFERED_BYTES: usize = 64 << 10;
+/// Maximum number of buffered chunks.
+const MAX_CHUNKS: usize = 1_024;
 
-/// What is to be done now.
+/// Next action of the relay.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Write these bytes.
     Write(Vec<u8>),
-    /// All has been written and the sender has ended: shut the sending side.
+    /// All bytes are written and the sender has ended: shut down the sending side.
     End,
-    /// Nothing before this moment, if no more bytes come and no fault is added.
+    /// Nothing to do until this time, unless more bytes arrive or the faults change.
     Wait(Option<u64>),
 }
 
-/// One way of a connection.
+/// Bytes of one direction of a connection.
 pub struct Stream {
     rng: StdRng,
-    pieces: VecDeque<(u64, Vec<u8>)>,
+    /// Delivery time and bytes.
+    chunks: VecDeque<(u64, Vec<u8>)>,
     bytes: usize,
     ended: bool,
-    /// A later byte does not come out before an earlier one.
-    last_us: u64,
-    /// The next byte of a drip.
-    drip_us: u64,
+    /// Delivery time of the last chunk: a later byte is not delivered before an earlier one.
+    last_delivery_us: u64,
+    /// Time of the next byte during a drip.
+    next_drip_us: u64,
 }
 
 impl Stream {
-    /// A connection of which nothing was sent.
+    /// A connection without bytes.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         let rng = StdRng::seed_from_u64(seed);
-        Self { rng, pieces: VecDeque::new(), bytes: 0, ended: false, last_us: 0, drip_us: 0 }
+        Self { rng, chunks: VecDeque::new(), bytes: 0, ended: false, last_delivery_us: 0, next_drip_us: 0 }
     }
 
-    /// Bytes that may be taken in now.
+    /// Number of bytes that the buffer can take now.
     #[must_use]
     pub fn room(&self) -> usize {
-        let open = !self.ended && self.pieces.len() < MOST_PIECES;
-        if open { MOST_BYTES.saturating_sub(self.bytes) } else { 0 }
+        let accepts = !self.ended && self.chunks.len() < MAX_CHUNKS;
+        if accepts { MAX_BUFFERED_BYTES.saturating_sub(self.bytes) } else { 0 }
     }
 
-    /// Bytes come in, [`Stream::room`] at most.
-    pub fn take(&mut self, now_us: u64, windows: &Windows, bytes: &[u8]) {
+    /// Adds received bytes, at most [`Stream::room`].
+    pub fn receive(&mut self, now_us: u64, windows: &Windows, bytes: &[u8]) {
         if bytes.is_empty() {
             return;
         }
-        let mut after_us = 0u64;
-        for kind in windows.at(now_us) {
+        let mut delay_us = 0u64;
+        for kind in windows.active(now_us) {
             if let Kind::Delay { ms, jitter_ms } = kind {
                 let jitter = self.rng.random_range(0..=jitter_ms.saturating_mul(1_000));
-                after_us = after_us.saturating_add(ms.saturating_mul(1_000)).saturating_add(jitter);
+                delay_us = delay_us.saturating_add(ms.saturating_mul(1_000)).saturating_add(jitter);
             }
         }
-        self.last_us = now_us.saturating_add(after_us).max(self.last_us);
+        self.last_delivery_us = now_us.saturating_add(delay_us).max(self.last_delivery_us);
         self.bytes += bytes.len();
-        self.pieces.push_back((self.last_us, bytes.to_vec()));
+        self.chunks.push_back((self.last_delivery_us, bytes.to_vec()));
     }
 
-    /// The sender shut its side; that comes out after its last byte.
+    /// The sender has shut down its side; the end is delivered after its last byte.
     pub fn end(&mut self) {
         self.ended = true;
     }
 
-    /// What is to be done at a moment.
+    /// The next action at a time.
     pub fn step(&mut self, now_us: u64, windows: &Windows) -> Step {
-        if let Some(until) = windows.held_until(now_us, |k| matches!(k, Kind::Cut | Kind::Stall)) {
+        if let Some(until) = windows.blocked_until(now_us, |k| matches!(k, Kind::Cut | Kind::Stall)) {
             return Step::Wait(Some(until));
         }
-        let Some((at_us, piece)) = self.pieces.front_mut() else {
+        let Some((at_us, chunk)) = self.chunks.front_mut() else {
             return if self.ended { Step::End } else { Step::Wait(None) };
         };
-        // A fault that begins meanwhile changes what is to be done.
-        let until = |at: u64| Step::Wait(Some(windows.next_change(now_us).map_or(at, |c| c.min(at))));
+        // A fault that starts or ends before then may change the action.
+        let wait_until = |at: u64| Step::Wait(Some(windows.next_change(now_us).map_or(at, |c| c.min(at))));
         if *at_us > now_us {
-            return until(*at_us);
+            return wait_until(*at_us);
         }
-        let drip = windows.at(now_us).find_map(|k| match k {
+        let drip = windows.active(now_us).find_map(|k| match k {
             Kind::Drip { every_ms } => Some(every_ms.max(1).saturating_mul(1_000)),
             _ => None,
         });
         let bytes = match drip {
-            Some(_) if self.drip_us > now_us => return until(self.drip_us),
+            Some(_) if self.next_drip_us > now_us => return wait_until(self.next_drip_us),
             Some(every_us) => {
-                self.drip_us = now_us.saturating_add(every_us);
-                let rest = piece.split_off(1);
-                std::mem::replace(piece, rest)
+                self.next_drip_us = now_us.saturating_add(every_us);
+                let rest = chunk.split_off(1);
+                std::mem::replace(chunk, rest)
             }
-            _ => std::mem::take(piece),
+            _ => std::mem::take(chunk),
         };
-        if piece.is_empty() {
-            self.pieces.pop_front();
+        if chunk.is_empty() {
+            self.chunks.pop_front();
         }
         self.bytes -= bytes.len();
         Step::Write(bytes)
@@ -112,23 +113,23 @@
     use crate::link::Window;
     use proptest::prelude::*;
 
-    /// Pieces at their times; what comes out with its time, to the end.
-    fn run(seed: u64, pieces: &[(u64, Vec<u8>)], w: &Windows) -> Vec<(u64, Vec<u8>)> {
+    /// Sends chunks at their times; returns the delivered ones with their times, up to the end.
+    fn run(seed: u64, chunks: &[(u64, Vec<u8>)], w: &Windows) -> Vec<(u64, Vec<u8>)> {
         let (mut s, mut out, mut now) = (Stream::new(seed), Vec::new(), 0);
-        let mut coming = pieces.iter().peekable();
+        let mut remaining = chunks.iter().peekable();
         loop {
-            while let Some((_, piece)) = coming.next_if(|(at, p)| *at <= now && p.len() <= s.room()) {
-                s.take(now, w, piece);
+            while let Some((_, chunk)) = remaining.next_if(|(at, p)| *at <= now && p.len() <= s.room()) {
+                s.receive(now, w, chunk);
             }
-            if coming.peek().is_none() {
+            if remaining.peek().is_none() {
                 s.end();
             }
             match s.step(now, w) {
                 Step::Write(bytes) => out.push((now, bytes)),
                 Step::End => return out,
                 Step::Wait(until) => {
-                    let next = coming.peek().map(|(at, _)| *at).filter(|at| *at > now);
-                    now = until.into_iter().chain(next).min().expect("something to wait for");
+                    let next = remaining.peek().map(|(at, _)| *at).filter(|at| *at > now);
+                    now = until.into_iter().chain(next).min().expect("a time to wait for");
                 }
             }
         }
@@ -147,10 +148,10 @@
         #![proptest_config(ProptestConfig { cases: 64, ..ProptestConfig::default() })]
 
         #[test]
-        fn every_byte_comes_out_once_in_order_and_none_out_of_a_cut(
+        fn every_byte_is_delivered_once_in_order_and_none_during_a_cut(
             seed: u64,
             faults in prop::collection::vec((0..300u64, 1..200u64, kind()), 0..5),
-            mut pieces in prop::collection::vec((0..400_000u64, prop::collection::vec(any::<u8>(), 1..60)), 1..20),
+            mut chunks in prop::collection::vec((0..400_000u64, prop::collection::vec(any::<u8>(), 1..60)), 1..20),
         ) {
             let mut w = Windows::default();
             for (from, ms, kind) in &faults {
@@ -158,41 +159,41 @@
                 let window = Window { from_us, until_us: from_us + ms * 1_000, kind: *kind };
                 prop_assert!(w.add(window));
             }
-            pieces.sort_by_key(|p| p.0);
-            let out = run(seed, &pieces, &w);
-            prop_assert_eq!(&out, &run(seed, &pieces, &w));
-            let came: Vec<u8> = out.iter().flat_map(|o| o.1.clone()).collect();
-            let sent: Vec<u8> = pieces.iter().flat_map(|p| p.1.clone()).collect();
-            prop_assert_eq!(came, sent);
+            chunks.sort_by_key(|p| p.0);
+            let out = run(seed, &chunks, &w);
+            prop_assert_eq!(&out, &run(seed, &chunks, &w));
+            let received: Vec<u8> = out.iter().flat_map(|o| o.1.clone()).collect();
+            let sent: Vec<u8> = chunks.iter().flat_map(|p| p.1.clone()).collect();
+            prop_assert_eq!(received, sent);
             for (at, bytes) in &out {
-                prop_assert!(w.held_until(*at, |k| matches!(k, Kind::Cut | Kind::Stall)).is_none());
-                let drips = w.at(*at).any(|k| matches!(k, Kind::Drip { .. }));
+                prop_assert!(w.blocked_until(*at, |k| matches!(k, Kind::Cut | Kind::Stall)).is_none());
+                let drips = w.active(*at).any(|k| matches!(k, Kind::Drip { .. }));
                 prop_assert!(!drips || bytes.len() == 1);
             }
         }
     }
 
     #[test]
-    fn a_drip_is_a_byte_at_a_time_and_a_delay_is_kept() {
+    fn a_drip_delivers_single_bytes_and_a_delay_applies() {
         let mut w = Windows::default();
         assert!(w.add(Window { from_us: 0, until_us: 3_000, kind: Kind::Drip { every_ms: 1 } }));
         let out = run(1, &[(0, b"abcdef".to_vec())], &w);
-        let word = |t: u64, s: &[u8]| (t, s.to_vec());
-        assert_eq!(out, [word(0, b"a"), word(1_000, b"b"), word(2_000, b"c"), word(3_000, b"def")]);
+        let chunk = |t: u64, s: &[u8]| (t, s.to_vec());
+        assert_eq!(out, [chunk(0, b"a"), chunk(1_000, b"b"), chunk(2_000, b"c"), chunk(3_000, b"def")]);
         let mut w = Windows::default();
         let kind = Kind::Delay { ms: 5, jitter_ms: 0 };
         assert!(w.add(Window { from_us: 0, until_us: 2_000, kind }));
         let out = run(1, &[(0, b"a".to_vec()), (2_500, b"b".to_vec())], &w);
-        assert_eq!(out, [word(5_000, b"a"), word(5_000, b"b")]);
+        assert_eq!(out, [chunk(5_000, b"a"), chunk(5_000, b"b")]);
     }
 
     #[test]
-    fn what_is_under_way_is_bounded() {
+    fn the_buffer_is_bounded() {
         let (mut s, w) = (Stream::new(1), Windows::default());
-        s.take(0, &w, &[0; MOST_BYTES]);
+        s.receive(0, &w, &[0; MAX_BUFFERED_BYTES]);
         assert_eq!(s.room(), 0);
-        assert_eq!(s.step(0, &w), Step::Write(vec![0; MOST_BYTES]));
-        assert_eq!(s.room(), MOST_BYTES);
+        assert_eq!(s.step(0, &w), Step::Write(vec![0; MAX_BUFFERED_BYTES]));
+        assert_eq!(s.room(), MAX_BUFFERED_BYTES);
         s.end();
         assert_eq!((s.room(), s.step(0, &w)), (0, Step::End));
     }
--- a/crates/rehearse/src/agreement/plan.rs
+++ b/crates/rehearse/src/agreement/plan.rs
@@ -1,6 +1,6 @@
 //! What is asked and what goes wrong when, as a file and from a seed.
 
-use pepperhook_faults::schedule::{Act, Do, Fault, Kind, Schedule, Store};
+use pepperhook_faults::schedule::{Fault, Kind, ProcessAction, ProcessEvent, Schedule, Store};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
@@ -243,18 +243,18 @@
 fn schedule(rng: &mut StdRng, v: &Variation, calm_ms: u64, end_ms: u64) -> Schedule {
     let mut out = Schedule { seed: v.seed, ..Schedule::default() };
     let last = v.fronts - 1;
-    let act = |at_ms, who: u32, what, store| Act { at_ms, who: name(who), what, store };
+    let act = |at_ms, who: u32, what, store| ProcessEvent { at_ms, front: name(who), action: what, store };
     match v.trouble {
         Trouble::None => {}
         Trouble::Dead => {
-            out.processes.push(act(calm_ms, last, Do::Kill, Store::Kept));
-            out.processes.push(act(end_ms, last, Do::Start, Store::Kept));
+            out.processes.push(act(calm_ms, last, ProcessAction::Kill, Store::Kept));
+            out.processes.push(act(end_ms, last, ProcessAction::Start, Store::Kept));
         }
         Trouble::Stopped => {
             let mut at = calm_ms;
             while at + 10_000 <= end_ms {
-                out.processes.push(act(at, last, Do::Stop, Store::Kept));
-                out.processes.push(act(at + 10_000, last, Do::Cont, Store::Kept));
+                out.processes.push(act(at, last, ProcessAction::Stop, Store::Kept));
+                out.processes.push(act(at + 10_000, last, ProcessAction::Cont, Store::Kept));
                 at += 12_000;
             }
         }
@@ -275,7 +275,7 @@
 /// Troubles one after the other, two at once at most; the first ones are one of each kind. The last front is spared: it is the
 /// one that objects to a policy that it cannot go by, and who is away meanwhile finds the change past it.
 fn random(rng: &mut StdRng, v: &Variation, calm_ms: u64, end_ms: u64, out: &mut Schedule) {
-    let act = |at_ms, who: u32, what, store| Act { at_ms, who: name(who), what, store };
+    let act = |at_ms, who: u32, what, store| ProcessEvent { at_ms, front: name(who), action: what, store };
     let mut taken: Vec<(u64, u64, u32)> = Vec::new();
     // Who loses what it promised must be replaced before another does.
     let mut lost = 0;
@@ -291,13 +291,14 @@
         let mut until = at + for_ms;
         match kind % 6 {
             0 => out.processes.extend([
-                act(at, who, Do::Kill, Store::Kept),
-                act(at + 1, who, Do::Save, Store::Kept),
-                act(until, who, Do::Start, if lost == 1 { Store::None } else { Store::Kept }),
+                act(at, who, ProcessAction::Kill, Store::Kept),
+                act(at + 1, who, ProcessAction::Save, Store::Kept),
+                act(until, who, ProcessAction::Start, if lost == 1 { Store::None } else { Store::Kept }),
+            ]),
+            1 => out.processes.extend([
+                act(at, who, ProcessAction::Stop, Store::Kept),
+                act(until, who, ProcessAction::Cont, Store::Kept),
             ]),
-            1 => out
-                .processes
-                .extend([act(at, who, Do::Stop, Store::Kept), act(until, who, Do::Cont, Store::Kept)]),
             2 => cut(out, v.fronts, &[who], (at, for_ms), (true, true)),
             3 => cut(
                 out,
@@ -310,11 +311,11 @@
                 // Saved, used on, and started with what it had before.
                 until = (at + 4_000).min(end_ms);
                 out.processes.extend([
-                    act(at, who, Do::Kill, Store::Kept),
-                    act(at + 1, who, Do::Save, Store::Kept),
-                    act(at + 300, who, Do::Start, Store::Kept),
-                    act(until.saturating_sub(500).max(at + 600), who, Do::Kill, Store::Kept),
-                    act(until, who, Do::Start, if lost == 0 { Store::Older } else { Store::Kept }),
+                    act(at, who, ProcessAction::Kill, Store::Kept),
+                    act(at + 1, who, ProcessAction::Save, Store::Kept),
+                    act(at + 300, who, ProcessAction::Start, Store::Kept),
+                    act(until.saturating_sub(500).max(at + 600), who, ProcessAction::Kill, Store::Kept),
+                    act(until, who, ProcessAction::Start, if lost == 0 { Store::Older } else { Store::Kept }),
                 ]);
                 lost += 1;
             }
@@ -351,8 +352,13 @@
             plan.schedule.check(&names, &[]).expect("it fits");
             assert!(plan.schedule.length_ms() <= plan.length_ms * 7 / 8);
             assert!(plan.wishes.iter().any(|w| w.kill_leader) && plan.wishes.iter().any(|w| w.flood > 0));
-            let whats: Vec<Do> = plan.schedule.processes.iter().map(|a| a.what).collect();
-            assert!([Do::Kill, Do::Stop, Do::Save, Do::Start].iter().all(|d| whats.contains(d)), "{whats:?}");
+            let whats: Vec<ProcessAction> = plan.schedule.processes.iter().map(|a| a.action).collect();
+            assert!(
+                [ProcessAction::Kill, ProcessAction::Stop, ProcessAction::Save, ProcessAction::Start]
+                    .iter()
+                    .all(|d| whats.contains(d)),
+                "{whats:?}"
+            );
         }
     }
 
--- a/crates/rehearse/src/agreement/run.rs
+++ b/crates/rehearse/src/agreement/run.rs
@@ -7,8 +7,8 @@
 use crate::checker;
 use crate::day::Crowd;
 use crate::viewers::{Audience, FrontAt};
-use pepperhook_faults::fleet::{Fault, Fleet, Front, Options};
-use pepperhook_faults::schedule::{Act, Do, Kind, Store};
+use pepperhook_faults::fleet::{Fleet, FleetError, Front, Options};
+use pepperhook_faults::schedule::{Kind, ProcessAction, ProcessEvent, Store};
 use pepperhook_playout::record::{Line, Recorder, What, now};
 use pepperhook_playout::{Options as NodeOptions, Stand, start};
 use rand::rngs::StdRng;
@@ -143,7 +143,7 @@
 
 impl Stage {
     fn address(&self, i: usize, up: bool) {
-        self.audience.fronts.borrow_mut()[i].address = up.then(|| self.fleet.viewers(i));
+        self.audience.fronts.borrow_mut()[i].address = up.then(|| self.fleet.viewer_address(i));
     }
 
     /// Something begins for a front, or ends.
@@ -159,39 +159,39 @@
         }
     }
 
-    async fn act(&mut self, act: &Act) -> Result<(), Fault> {
-        let Some(i) = (0..self.life.len()).find(|i| name(*i as u32) == act.who) else { return Ok(()) };
+    async fn act(&mut self, act: &ProcessEvent) -> Result<(), FleetError> {
+        let Some(i) = (0..self.life.len()).find(|i| name(*i as u32) == act.front) else { return Ok(()) };
         let (up, stopped) = self.life[i];
-        match act.what {
-            Do::Kill if up => {
+        match act.action {
+            ProcessAction::Kill if up => {
                 self.address(i, false);
-                self.recorder.write(What::FrontDown { front: act.who.clone() });
+                self.recorder.write(What::FrontDown { front: act.front.clone() });
                 self.mark(i, "starting", true);
                 self.fleet.kill(i).await?;
-                self.recorder.write(What::FrontDown { front: act.who.clone() });
+                self.recorder.write(What::FrontDown { front: act.front.clone() });
                 self.life[i] = (false, false);
             }
-            Do::Start if !up => {
+            ProcessAction::Start if !up => {
                 self.fleet.start_front(i, act.store).await?;
                 self.mark(i, "starting", false);
-                self.recorder.write(What::FrontStart { front: act.who.clone() });
+                self.recorder.write(What::FrontStart { front: act.front.clone() });
                 self.life[i] = (true, false);
                 self.address(i, true);
             }
-            Do::Stop if up && !stopped => {
+            ProcessAction::Stop if up && !stopped => {
                 self.mark(i, "stopped", true);
                 self.fleet.stop(i)?;
                 self.life[i] = (true, true);
             }
-            Do::Cont if up && stopped => {
-                self.fleet.cont(i)?;
+            ProcessAction::Cont if up && stopped => {
+                self.fleet.resume(i)?;
                 self.mark(i, "stopped", false);
                 let all = self.impaired.borrow();
-                let last = all.iter().rev().find(|p| p.front == act.who && p.cause == "stopped");
+                let last = all.iter().rev().find(|p| p.front == act.front && p.cause == "stopped");
                 // Written down at its end, when its length is known; the checker reads times, not the order of lines.
                 if let Some(p) = last {
                     let ms = (p.to - p.from) / 1_000_000 + 1;
-                    let stall = What::FrontStall { front: act.who.clone(), ms };
+                    let stall = What::FrontStall { front: act.front.clone(), ms };
                     self.recorder
                         .write(What::Fault { kind: "stall-from".into(), detail: p.from.to_string() });
                     self.recorder.write(stall);
@@ -199,16 +199,16 @@
                 drop(all);
                 self.life[i] = (true, false);
             }
-            Do::Save if !up || stopped => self.fleet.save(i)?,
+            ProcessAction::Save if !up || stopped => self.fleet.save(i)?,
             _ => {}
         }
         Ok(())
     }
 
     /// Kills who leads the voters, by what consoles show; returns who that was.
-    async fn kill_leader(&mut self, numbers: &BTreeMap<u64, usize>) -> Result<Option<String>, Fault> {
+    async fn kill_leader(&mut self, numbers: &BTreeMap<u64, usize>) -> Result<Option<String>, FleetError> {
         for i in self.fleet.running() {
-            let Some(shown) = show(self.fleet.operators(i)).await else { continue };
+            let Some(shown) = show(self.fleet.operator_address(i)).await else { continue };
             let Some(leader) = shown["agreement"]["leader"].as_u64().and_then(|n| numbers.get(&n)) else {
                 continue;
             };
@@ -218,7 +218,13 @@
                 return Ok(None);
             }
             let who = name(*leader as u32);
-            self.act(&Act { at_ms: 0, who: who.clone(), what: Do::Kill, store: Store::Kept }).await?;
+            self.act(&ProcessEvent {
+                at_ms: 0,
+                front: who.clone(),
+                action: ProcessAction::Kill,
+                store: Store::Kept,
+            })
+            .await?;
             return Ok(Some(who));
         }
         Ok(None)
@@ -339,10 +345,10 @@
     program: &Path,
     dir: &Path,
     tell: impl Fn(String) + 'static,
-) -> Result<AgreementReport, Fault> {
+) -> Result<AgreementReport, FleetError> {
     let io = |what: &str| {
         let what = what.to_owned();
-        move |e| Fault::Io(what, e)
+        move |e| FleetError::Io(what, e)
     };
     // Fronts run in this folder themselves.
     let dir = &dir.canonicalize().map_err(io("the folder"))?;
@@ -363,20 +369,20 @@
         program: program.to_owned(),
         dir: dir.to_owned(),
         seed: plan.seed,
-        fronts: (0..plan.fronts).map(|i| Front { name: name(i), text: settings(&plan, i) }).collect(),
+        fronts: (0..plan.fronts).map(|i| Front { name: name(i), settings: settings(&plan, i) }).collect(),
         exchange: "look 200ms\nsuspicion 1500ms\n".into(),
         nodes: stands.iter().map(|s| (s.name.clone(), s.address)).collect(),
-        list,
-        stores: true,
+        inventory: list,
+        has_state_dirs: true,
     })
     .await?;
     let fronts = plan.fronts as usize;
     if plan.loss > 0.0 {
-        fleet.net().break_now("*", "*", false, Kind::Lose { p: plan.loss })?;
+        fleet.net().add_fault_now("*", "*", false, Kind::Lose { p: plan.loss })?;
     }
     let settled = if plan.loss > 0.34 { SETTLED * 2 } else { SETTLED };
     let shown_of = |s: &serde_json::Value| format!("\n{} {}", s["front"], s["agreement"]);
-    fleet.until("all go by version 1", settled, shown_of, |s| all_stand(s, fronts)).await?;
+    fleet.wait_until("all go by version 1", settled, shown_of, |s| all_stand(s, fronts)).await?;
     let mut numbers = BTreeMap::new();
     for i in 0..fronts {
         let state = fleet.state(i).await?;
@@ -393,10 +399,10 @@
         copies: 6,
         ..Crowd::default()
     };
-    let at = |i: usize| FrontAt { name: name(i as u32), address: Some(fleet.viewers(i)) };
+    let at = |i: usize| FrontAt { name: name(i as u32), address: Some(fleet.viewer_address(i)) };
     let audience = Audience::new(crowd.clone(), MARKED, (0..fronts).map(at).collect(), recorder.clone());
     let shown: Rc<RefCell<Vec<Shown>>> = Rc::default();
-    let consoles: Vec<SocketAddr> = (0..fronts).map(|i| fleet.operators(i)).collect();
+    let consoles: Vec<SocketAddr> = (0..fronts).map(|i| fleet.operator_address(i)).collect();
     let mut watches: Vec<JoinHandle<()>> =
         (0..fronts).map(|i| watch(name(i as u32), consoles[i], shown.clone())).collect();
     let (kill, mut killed) = mpsc::unbounded_channel();
@@ -413,7 +419,7 @@
     };
     let base_us = stage.fleet.net().now_us();
     for fault in &plan.schedule.faults {
-        stage.fleet.net().fault(fault, base_us)?;
+        stage.fleet.net().add_fault(fault, base_us)?;
     }
     stage.impaired.borrow_mut().extend(cut_off(&plan, began));
     let arrivals = spawn_local(arrive(plan.clone(), audience.clone(), begin));
@@ -440,7 +446,7 @@
     watches.push(spawn_local(lateness(late.clone(), recorder.under("conductor"), fronts)));
 
     // The schedule, and what is done to whoever leads.
-    let mut acts: Vec<Act> = plan.schedule.processes.clone();
+    let mut acts: Vec<ProcessEvent> = plan.schedule.processes.clone();
     acts.sort_by_key(|a| a.at_ms);
     let quiet = begin + Duration::from_millis(plan.length_ms * 7 / 8);
     loop {
@@ -456,7 +462,7 @@
             Some(()) = killed.recv() => {
                 if let Some(who) = stage.kill_leader(&numbers).await? {
                     let at_ms = (begin.elapsed() + BACK).as_millis() as u64;
-                    acts.push(Act { at_ms, who, what: Do::Start, store: Store::Kept });
+                    acts.push(ProcessEvent { at_ms, front: who, action: ProcessAction::Start, store: Store::Kept });
                     acts.sort_by_key(|a| a.at_ms);
                 }
             }
