--- a/crates/agreement/tests/fleet.rs
+++ b/crates/agreement/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Complete fronts under random faults, checked by an independent model. A seed that fails prints the command that runs
-//! it again.
+//! Complete fronts under random faults, checked by an independent model. A seed that fails prints the command
+//! that runs it again.
 
 mod sim;
 
@@ -10,8 +10,8 @@
 use std::ops::Range;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The fleet has recovered this long after the last fault, in milliseconds: abandoned leases have expired, and voters have
-/// been admitted, have caught up and have replaced former voters.
+/// The fleet has recovered this long after the last fault, in milliseconds: abandoned leases have expired,
+/// and voters have been admitted, have caught up and have replaced former voters.
 const RECOVERY_LIMIT_MS: u64 = 40_000;
 
 fn random_faults(world: &mut World, rounds: usize) {
@@ -23,8 +23,8 @@
         let is_up = |w: &World, f: u64| w.fronts[&f].node.is_some();
         let config = world.config();
         let voters: Vec<_> = config.map_or(Vec::new(), |c| c.voters);
-        // Voters that run with the store of the configuration and have been admitted: only their stores are remembered by
-        // the other voters.
+        // Voters that run with the store of the configuration and have been admitted: only their stores are
+        // remembered by the other voters.
         let admitted = voters.iter().filter(|v| {
             let f = &world.fronts[&v.front];
             f.node.as_ref().is_some_and(|n| n.view(0).votes) && f.disk.store == v.store
@@ -184,7 +184,8 @@
 #[test]
 fn nine_fronts_agree_under_random_faults() {
     let notes = run_seeds(1..37, 9, 5, 25);
-    // The faults did occur: voters were admitted and replaced, disks failed, stores were lost or were older copies.
+    // The faults did occur: voters were admitted and replaced, disks failed, stores were lost or were older
+    // copies.
     for kind in ["Votes", "Left", "Disk", "Replaces", "OldStore"] {
         assert!(notes.get(kind).is_some_and(|n| *n > 0), "{kind}: {notes:?}");
     }
@@ -230,8 +231,8 @@
     assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
-/// An older copy of a store lacks promises that its voter has made. It is refused and replaced by an empty store, and its
-/// front votes again as another voter.
+/// An older copy of a store lacks promises that its voter has made. It is refused and replaced by an empty
+/// store, and its front votes again as another voter.
 #[test]
 fn an_older_copy_of_a_store_does_not_vote() {
     let mut world = World::new(9, 5, 4, 0.0);
@@ -257,7 +258,8 @@
     );
 }
 
-/// Without a majority nothing is decided and leases expire. Once a majority is back, decisions and leases resume.
+/// Without a majority nothing is decided and leases expire. Once a majority is back, decisions and leases
+/// resume.
 #[test]
 fn without_a_majority_decisions_stop_and_leases_expire() {
     let mut world = World::new(9, 5, 2, 0.0);
@@ -273,8 +275,8 @@
     assert_eq!(world.checker.len(), 1);
 }
 
-/// Tests the checks themselves. They detect a clock that almost stands still, as on a suspended machine, and an entry that
-/// differs between fronts. The design does not tolerate such a clock, which is documented.
+/// Tests the checks themselves. They detect a clock that almost stands still, as on a suspended machine, and
+/// an entry that differs between fronts. The design does not tolerate such a clock, which is documented.
 #[test]
 fn planted_violations_are_found() {
     let mut world = World::new(9, 5, 3, 0.0);
--- a/crates/agreement/tests/lease_model.rs
+++ b/crates/agreement/tests/lease_model.rs
@@ -1,11 +1,12 @@
-//! Checks the lease protocol with a model checker: no entry becomes stable while a front holds a lease and has confirmed
-//! less, whatever messages are lost, late or duplicated, whoever restarts, and whichever voters replace the former ones.
+//! Checks the lease protocol with a model checker: no entry becomes stable while a front holds a lease and
+//! has confirmed less, whatever messages are lost, late or duplicated, whoever restarts, and whichever voters
+//! replace the former ones.
 //!
-//! The model has three voters, two fronts, and one voter that replaces the three: a majority of one set does not have to
-//! intersect a majority of the other. Clocks count ticks: a lease of 2 ticks counts as 1 at the front and as 3 at the
-//! voter. A front's clock may be one tick slow and a voter's one tick fast, which is all that these margins cover. Replies
-//! arrive at once: a late reply only makes a front learn later that it holds the lease. An observer sees every voter's
-//! watermark at any time, which is more than any front sees.
+//! The model has three voters, two fronts, and one voter that replaces the three: a majority of one set does
+//! not have to intersect a majority of the other. Clocks count ticks: a lease of 2 ticks counts as 1 at the
+//! front and as 3 at the voter. A front's clock may be one tick slow and a voter's one tick fast, which is
+//! all that these margins cover. Replies arrive at once: a late reply only makes a front learn later that it
+//! holds the lease. An observer sees every voter's watermark at any time, which is more than any front sees.
 
 use pepperhook_agreement::VoterId;
 use pepperhook_agreement::lease::{GrantReply, Grants, Lease};
@@ -79,8 +80,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
     Tick,
-    /// A front sends its request to the voters: those of the mask receive it at once, one more (or one of them again)
-    /// later, the others never.
+    /// A front sends its request to the voters: those of the mask receive it at once, one more (or one of
+    /// them again) later, the others never.
     Request(usize, u8, Option<usize>),
     /// The late request arrives.
     Deliver,
@@ -199,7 +200,8 @@
         }
         let voters = if self.replace_voters { 4 } else { 3 };
         if w.requests_sent < self.max_requests && w.requests.is_empty() {
-            // The first front asks first. The other one asks once, and only to have grants that hold back watermarks.
+            // The first front asks first. The other one asks once, and only to have grants that hold back
+            // watermarks.
             let second = w.requests_sent > 0 && w.fronts[1].request == 0 && w.fronts[1].run == 1;
             for f in if second { 0..2 } else { 0..1 } {
                 let masks: &[u8] = if self.replace_voters { &[3, 5, 6, 8] } else { &[3, 5, 6, 7] };
--- a/crates/agreement/tests/malformed_messages.rs
+++ b/crates/agreement/tests/malformed_messages.rs
@@ -1,7 +1,8 @@
-//! Feeds arbitrary bytes and corrupted messages to a front: it must not panic, and its memory and output stay bounded.
+//! Feeds arbitrary bytes and corrupted messages to a front: it must not panic, and its memory and output stay
+//! bounded.
 //!
-//! The exchange authenticates messages between fronts, so a forged message may change a front's state; it must not crash
-//! the front.
+//! The exchange authenticates messages between fronts, so a forged message may change a front's state; it
+//! must not crash the front.
 
 mod sim;
 
@@ -12,8 +13,8 @@
 use sim::World;
 use std::sync::OnceLock;
 
-/// Messages of a simulated fleet that cover the first configuration, short and long entries, loss, catch-up and a change of
-/// voters.
+/// Messages of a simulated fleet that cover the first configuration, short and long entries, loss, catch-up
+/// and a change of voters.
 fn recorded_messages() -> &'static [Vec<u8>] {
     static MESSAGES: OnceLock<Vec<Vec<u8>>> = OnceLock::new();
     MESSAGES.get_or_init(|| {
@@ -140,12 +141,17 @@
 
     #[test]
     fn corrupted_messages_do_not_crash_a_front(
-        deliveries in prop::collection::vec((0..5u64, 0..3u64, any::<prop::sample::Index>(), mutations()), 1..300)
+        deliveries in prop::collection::vec(
+            (0..5u64, 0..3u64, any::<prop::sample::Index>(), mutations()),
+            1..300,
+        )
     ) {
         let recorded = recorded_messages();
         let messages: Vec<_> = deliveries
             .iter()
-            .map(|(from, run, index, mutation)| (*from, *run, mutate(index.get::<Vec<u8>>(recorded), mutation)))
+            .map(|(from, run, index, mutation)| {
+                (*from, *run, mutate(index.get::<Vec<u8>>(recorded), mutation))
+            })
             .collect();
         for mut node in nodes() {
             feed(&mut node, &messages);
@@ -161,7 +167,8 @@
     }
 }
 
-/// A long sequence of messages, so that the front's state builds up, with random bytes changed in many of them.
+/// A long sequence of messages, so that the front's state builds up, with random bytes changed in many of
+/// them.
 #[test]
 fn a_long_sequence_of_corrupted_messages_does_not_crash_a_front() {
     use rand::rngs::StdRng;
--- a/crates/agreement/tests/measure.rs
+++ b/crates/agreement/tests/measure.rs
@@ -1,5 +1,5 @@
-//! Measures latency, traffic and disk syncs of the agreement in one process: `cargo test --release -p pepperhook-agreement --test measure -- --ignored
-//! --nocapture`.
+//! Measures latency, traffic and disk syncs of the agreement in one process: `cargo test --release -p
+//! pepperhook-agreement --test measure -- --ignored --nocapture`.
 
 mod sim;
 
--- a/crates/agreement/tests/sim/checker.rs
+++ b/crates/agreement/tests/sim/checker.rs
@@ -1,5 +1,5 @@
-//! Checks the outputs of fronts against a model of its own. It shares the command types with the code under test, but
-//! no logic.
+//! Checks the outputs of fronts against a model of its own. It shares the command types with the code under
+//! test, but no logic.
 
 use pepperhook_agreement::{Command, Entry, Operation, Subject};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -21,9 +21,9 @@
     pub violations: Vec<String>,
 }
 
-fn digest<'a>(of: impl Iterator<Item = (&'a Subject, u64, &'a [u8])>) -> u64 {
+fn digest<'a>(registers: impl Iterator<Item = (&'a Subject, u64, &'a [u8])>) -> u64 {
     let mut h = DefaultHasher::new();
-    for (subject, number, body) in of {
+    for (subject, number, body) in registers {
         (subject.space, subject.number, number, body).hash(&mut h);
     }
     h.finish()
@@ -36,6 +36,7 @@
         new
     }
 
+    /// Records a violation, up to five.
     fn report(&mut self, violation: String) {
         if self.violations.len() < 5 {
             self.violations.push(violation);
@@ -64,6 +65,7 @@
         }
     }
 
+    /// Applies a command to the model.
     fn apply(&mut self, command: &Command) {
         let number = self.log.len() as u64;
         if !self.applied_keys.insert(command.key.0) {
--- a/crates/agreement/tests/sim/mod.rs
+++ b/crates/agreement/tests/sim/mod.rs
@@ -12,10 +12,13 @@
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
-/// Length of a simulation step.
+/// Length of a simulation step, in milliseconds.
 pub const STEP_MS: u64 = 10;
+/// Length of a lease, in milliseconds.
 pub const LEASE_MS: u64 = 4_000;
+/// Interval at which fronts renew their leases, in milliseconds.
 pub const RENEW_MS: u64 = 500;
+/// Time for which a proposal is sent again, in milliseconds.
 pub const PROPOSAL_TIMEOUT_MS: u64 = 120_000;
 /// Datagrams per second that the exchange accepts from one front.
 const EXCHANGE_DATAGRAMS_PER_S: f64 = 128.0;
@@ -91,7 +94,7 @@
     /// Confirmations to come, by time: the application acts on an entry some time after it was applied.
     pending_confirms: VecDeque<(u64, u64)>,
     confirmed: u64,
-    /// Time from applying an entry to confirming it.
+    /// Time from applying an entry to confirming it, in milliseconds.
     pub confirm_delay_ms: u64,
     /// Keys that it proposed in this run, with their results.
     pub proposed: BTreeMap<u128, Option<ProposalResult>>,
@@ -520,7 +523,8 @@
         self.leaseholders() == self.fronts.len()
     }
 
-    /// All fronts have all entries, report them as stable, hold leases and have the results of their proposals.
+    /// All fronts have all entries, report them as stable, hold leases and have the results of their
+    /// proposals.
     pub fn converged(&self) -> bool {
         let last = self.checker.len();
         let all = self.fronts.values().map(|f| f.node.as_ref().map(|n| (n.registers().number(), n.stable())));
--- a/crates/agreement/tests/store.rs
+++ b/crates/agreement/tests/store.rs
@@ -119,7 +119,8 @@
     assert!(matches!(Store::open(&path, 1), Err(StoreError::Invalid(_))));
 }
 
-/// A truncated or corrupted store is either refused or has its complete content; it never opens with part of it.
+/// A truncated or corrupted store is either refused or has its complete content; it never opens with part of
+/// it.
 #[test]
 fn a_damaged_store_never_opens_with_part_of_its_content() {
     let (_dir, path) = store_path();
--- a/crates/agreement/tests/voter.rs
+++ b/crates/agreement/tests/voter.rs
@@ -11,8 +11,8 @@
 /// Once all voters are connected, every voter decides a proposed command within this many ticks (10 s).
 const RECOVERY_LIMIT_TICKS: u64 = 200;
 
-/// Runs a seed: 40 s with faults, then without. Returns the violations, the ticks without faults until every voter had
-/// decided a new command, and the number of decided entries.
+/// Runs a seed: 40 s with faults, then without. Returns the violations, the ticks without faults until every
+/// voter had decided a new command, and the number of decided entries.
 fn run_seed(seed: u64, disks_lose_writes: bool) -> (Vec<String>, u64, u64) {
     let mut rng = StdRng::seed_from_u64(!seed);
     let count = [3, 5, 3, 5, 3, 5, 2, 4, 7][rng.random_range(0..9)];
@@ -127,8 +127,8 @@
     assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
-/// Proposes at each of the given voters every half second until a majority has decided one of the commands. Returns the
-/// ticks that this took.
+/// Proposes at each of the given voters every half second until a majority has decided one of the commands.
+/// Returns the ticks that this took.
 fn progress(world: &mut World, proposers: &[usize]) -> Option<u64> {
     let mut keys = Vec::new();
     for tick in 0..RECOVERY_LIMIT_TICKS {
@@ -146,7 +146,8 @@
     None
 }
 
-/// All voters are connected through one that does not lead: only this one reaches a majority, so it must become leader.
+/// All voters are connected through one that does not lead: only this one reaches a majority, so it must
+/// become leader.
 #[test]
 fn a_majority_that_is_connected_through_one_voter_makes_progress() {
     for seed in 0..10 {
--- a/crates/agreement/tests/voter_limits.rs
+++ b/crates/agreement/tests/voter_limits.rs
@@ -1,4 +1,5 @@
-//! Limits of a voter: invalid arguments, bounds on its log, failing and hanging disks, and what a restart resumes from.
+//! Limits of a voter: invalid arguments, bounds on its log, failing and hanging disks, and what a restart
+//! resumes from.
 
 #[allow(dead_code)]
 mod voters;
@@ -151,8 +152,8 @@
     assert_eq!(accepted, 64);
 }
 
-/// A leader whose disk hangs stops sending, and another voter becomes leader. Once the disk works again, the former leader
-/// follows.
+/// A leader whose disk hangs stops sending, and another voter becomes leader. Once the disk works again, the
+/// former leader follows.
 #[test]
 fn a_leader_whose_disk_hangs_is_replaced() {
     for seed in 0..8 {
@@ -178,14 +179,14 @@
     }
 }
 
-/// Prints a measurement with `--nocapture`: computing time of three voters per entry, from append to decided by all,
-/// without the delays of links and disks.
+/// Prints a measurement with `--nocapture`: computing time of three voters per entry, from append to decided
+/// by all, without the delays of links and disks.
 #[test]
 fn computing_time_per_entry() {
     let mut world = World::new(3, 1, voters::Faults { max_delay_ms: 1, max_write_ms: 0, ..FAULTLESS });
     world.run(40);
     let leader = world.leader().expect("a leader");
-    let began = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let mut count = 0;
     let mut key = None;
     while count < 500 {
@@ -193,7 +194,7 @@
         world.step();
         count += 1;
     }
-    println!("{:?} per entry for all three voters, with a fifth of their ticks", began.elapsed() / count);
+    println!("{:?} per entry for all three voters, with a fifth of their ticks", started.elapsed() / count);
     world.run(20);
     assert!((0..3).all(|i| world.has(i, key.expect("accepted"))));
 }
--- a/crates/agreement/tests/voter_malformed_messages.rs
+++ b/crates/agreement/tests/voter_malformed_messages.rs
@@ -15,7 +15,8 @@
 use rand::{Rng, SeedableRng};
 use voters::{FAULTLESS, World, config};
 
-/// Number and digest of the configuration, boots of the sender and of the receiver, sequence number, decided, accepted.
+/// Number and digest of the configuration, boots of the sender and of the receiver, sequence number, decided,
+/// accepted.
 type Head = (u32, [u8; 8], u64, u64, u64, u64, u64);
 
 fn voter_of_three() -> Voter {
@@ -90,8 +91,8 @@
     }
 }
 
-/// Replays all messages of a leader in order to a follower that has restarted since. omnipaxos would take the first log that
-/// it was sent as the current one, and lose entries that it has acknowledged to the leader.
+/// Replays all messages of a leader in order to a follower that has restarted since. omnipaxos would take the
+/// first log that it was sent as the current one, and lose entries that it has acknowledged to the leader.
 #[test]
 fn messages_to_an_earlier_run_are_refused() {
     let mut world = World::new(3, 1, FAULTLESS);
@@ -216,7 +217,8 @@
     }
 }
 
-/// Real messages with a valid head and changed fields: a voter must not panic, though its state may become wrong.
+/// Real messages with a valid head and changed fields: a voter must not panic, though its state may become
+/// wrong.
 #[test]
 fn messages_with_changed_fields_do_not_panic() {
     let mut rng = StdRng::seed_from_u64(6);
--- a/crates/agreement/tests/voters/mod.rs
+++ b/crates/agreement/tests/voters/mod.rs
@@ -1,5 +1,6 @@
-//! Simulates voters in one process. The network loses, delays, duplicates and blocks messages, and disks are slow or lose
-//! writes, all drawn from one seed. A checker that shares no logic with the voters verifies what they decide.
+//! Simulates voters in one process. The network loses, delays, duplicates and blocks messages, and disks are
+//! slow or lose writes, all drawn from one seed. A checker that shares no logic with the voters verifies what
+//! they decide.
 
 use pepperhook_agreement::store::{StoreOp, StoredLog};
 use pepperhook_agreement::voter::{ReceiveError, StopReason, Voter, VoterOutput};
@@ -203,7 +204,8 @@
         self.process_outputs(i);
     }
 
-    /// Kills a voter, which restarts after `down_ms`. As on any disk, some of the unconfirmed writes may survive.
+    /// Kills a voter, which restarts after `down_ms`. As on any disk, some of the unconfirmed writes may
+    /// survive.
     pub fn kill(&mut self, i: usize, down_ms: u64) {
         self.kills += 1;
         let disks_lose_writes = self.faults.disks_lose_writes;
@@ -430,8 +432,8 @@
         self.nodes.iter().filter_map(line).collect()
     }
 
-    /// Ends all faults and waits until a command that is proposed then is decided by every voter. Returns the ticks that
-    /// this took, or `None` after `limit` ticks.
+    /// Ends all faults and waits until a command that is proposed then is decided by every voter. Returns the
+    /// ticks that this took, or `None` after `limit` ticks.
     pub fn recover(&mut self, limit: u64) -> Option<u64> {
         self.faults = Faults { disks_lose_writes: self.faults.disks_lose_writes, ..FAULTLESS };
         self.cut_links.clear();
--- a/crates/faults/src/datagrams.rs
+++ b/crates/faults/src/datagrams.rs
@@ -1,5 +1,5 @@
-//! Applies faults to the datagrams of one direction of a link: which are delivered, when and in which order. No I/O; the
-//! result is determined by the seed, the datagrams and their times.
+//! Applies faults to the datagrams of one direction of a link: which are delivered, when and in which order.
+//! No I/O; the result is determined by the seed, the datagrams and their times.
 
 use crate::link::Windows;
 use crate::schedule::Kind;
--- a/crates/faults/src/fleet.rs
+++ b/crates/faults/src/fleet.rs
@@ -53,8 +53,8 @@
 pub struct Front {
     /// Its name in schedules.
     pub name: String,
-    /// Its settings, without `section exchange`. The fleet replaces the front's own addresses, its name, inventory, state
-    /// directory and number of fronts.
+    /// Its settings, without `section exchange`. The fleet replaces the front's own addresses, its name,
+    /// inventory, state directory and number of fronts.
     pub settings: String,
 }
 
@@ -125,7 +125,8 @@
 }
 
 impl Fleet {
-    /// Starts relays and fronts, one after the other. Each front must report that it serves before the next one starts.
+    /// Starts relays and fronts, one after the other. Each front must report that it serves before the next
+    /// one starts.
     ///
     /// # Errors
     /// If a relay or a front does not start.
@@ -325,7 +326,8 @@
 
     // ---- state of the consoles ------------------------------------------------------------------------
 
-    /// The state that a front's console shows. Queried directly, not through the relay, since faults must not affect checks.
+    /// The state that a front's console shows. Queried directly, not through the relay, since faults must not
+    /// affect checks.
     ///
     /// # Errors
     /// If it does not answer.
@@ -350,8 +352,8 @@
         Ok(states)
     }
 
-    /// Waits until `condition` holds for the states of the running fronts; returns how long that took. `what` names the
-    /// condition and `summary` describes a state in the error.
+    /// Waits until `condition` holds for the states of the running fronts; returns how long that took. `what`
+    /// names the condition and `summary` describes a state in the error.
     ///
     /// # Errors
     /// If the condition does not hold within `limit`, or a front does not answer.
--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -1,5 +1,6 @@
-//! Injects faults between processes on loopback. Fronts run unmodified. Relays carry the traffic between fronts, and between
-//! fronts and their nodes, viewers and operators, and apply the faults of a schedule to it (`docs/rehearsals.md`).
+//! Injects faults between processes on loopback. Fronts run unmodified. Relays carry the traffic between
+//! fronts, and between fronts and their nodes, viewers and operators, and apply the faults of a schedule to
+//! it (`docs/rehearsals.md`).
 //!
 //! - [`schedule`]: schedules of faults, read from a file or drawn from a seed.
 //! - [`link`], [`datagrams`], [`stream`]: effect of faults on the traffic of a link; no I/O.
--- a/crates/faults/src/link.rs
+++ b/crates/faults/src/link.rs
@@ -5,7 +5,8 @@
 /// Maximum number of current and future faults of one direction; more are refused.
 pub const MAX_WINDOWS: usize = 1_024;
 
-/// A fault and the time during which it is active, in microseconds of the relays' clock. The end is exclusive.
+/// A fault and the time during which it is active, in microseconds of the relays' clock. The end is
+/// exclusive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Window {
     /// Start of the fault.
@@ -57,7 +58,8 @@
         self.active(now_us).any(|k| k == Kind::Reset)
     }
 
-    /// The time from which no fault of the given kinds is active; `None` if none is active now. Overlapping faults count as one.
+    /// The time from which no fault of the given kinds is active; `None` if none is active now. Overlapping
+    /// faults count as one.
     #[must_use]
     pub fn blocked_until(&self, now_us: u64, blocks: impl Fn(Kind) -> bool) -> Option<u64> {
         let mut until = now_us;
--- a/crates/faults/src/net.rs
+++ b/crates/faults/src/net.rs
@@ -1,9 +1,10 @@
 //! The relays: sockets and tasks that apply [`crate::datagrams`] and [`crate::stream`] to real traffic.
 //!
-//! Datagrams of fronts: each front listens at its own address of 127.0.0.0/8 and is configured to advertise its relay's
-//! address, which is the only one that the others know. A datagram that arrives at the relay of front `x` from the address of
-//! front `y` is on the link from `y` to `x`. It is forwarded from the relay of `y`, because `x` knows `y` by that address. A
-//! relay learns a front's port from the datagrams that the front sends, also after the front has restarted.
+//! Datagrams of fronts: each front listens at its own address of 127.0.0.0/8 and is configured to advertise
+//! its relay's address, which is the only one that the others know. A datagram that arrives at the relay of
+//! front `x` from the address of front `y` is on the link from `y` to `x`. It is forwarded from the relay of
+//! `y`, because `x` knows `y` by that address. A relay learns a front's port from the datagrams that the
+//! front sends, also after the front has restarted.
 //!
 //! Connections: each pair of a connecting and a listening party has its own listener.
 
@@ -58,7 +59,7 @@
 }
 
 struct Shared {
-    begin: Instant,
+    started: Instant,
     seed: u64,
     /// By sender and receiver.
     directions: Mutex<BTreeMap<(String, String), Arc<Direction>>>,
@@ -79,16 +80,18 @@
 
 impl Shared {
     fn now_us(&self) -> u64 {
-        u64::try_from(self.begin.elapsed().as_micros()).unwrap_or(u64::MAX)
+        u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
 
-    async fn until(&self, at_us: Option<u64>) {
+    /// Sleeps until a time; forever with `None`.
+    async fn sleep_until_us(&self, at_us: Option<u64>) {
         match at_us {
-            Some(at) => sleep_until(self.begin + Duration::from_micros(at.min(1 << 45))).await,
+            Some(at) => sleep_until(self.started + Duration::from_micros(at.min(1 << 45))).await,
             None => std::future::pending().await,
         }
     }
 
+    /// Registers one direction of a link.
     fn add_direction(&self, from: &str, to: &str, datagrams: bool) -> Arc<Direction> {
         let seed = self.seed ^ pair_hash(from, to);
         let datagrams = datagrams.then(|| Mutex::new(Datagrams::new(seed)));
@@ -134,8 +137,8 @@
     }
 }
 
-/// A new address of 127.64.0.0/10 for each front of each net of this process. A port that one front has closed is therefore
-/// never reused at the address of another.
+/// A new address of 127.64.0.0/10 for each front of each net of this process. A port that one front has
+/// closed is therefore never reused at the address of another.
 fn new_address() -> Ipv4Addr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let n = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -148,7 +151,7 @@
     #[must_use]
     pub fn new(seed: u64) -> Self {
         let changed = watch::Sender::new(0);
-        let shared = Shared { begin: Instant::now(), seed, directions: Mutex::default(), changed };
+        let shared = Shared { started: Instant::now(), seed, directions: Mutex::default(), changed };
         Self { shared: Arc::new(shared), tasks: Mutex::default() }
     }
 
@@ -204,7 +207,8 @@
         self.shared.now_us()
     }
 
-    /// Adds a fault to its links; its times count from `base_us`. With [`ANY`] it is added to all links that it applies to.
+    /// Adds a fault to its links; its times count from `base_us`. With [`ANY`] it is added to all links that
+    /// it applies to.
     ///
     /// # Errors
     /// If it applies to no link, in which case nothing has changed, or if a link has too many faults.
@@ -308,7 +312,7 @@
                     lock(d).offer(shared.now_us(), &lock(&direction.windows), datagram.to_vec());
                 }
             }
-            () = shared.until(next) => {}
+            () = shared.sleep_until_us(next) => {}
             result = changed.changed() => if result.is_err() { return },
         }
     }
@@ -435,7 +439,7 @@
         let cut = |d: &Direction| lock(&d.windows).blocked_until(now, |k| k == Kind::Cut);
         let Some(until) = cut(forward).into_iter().chain(cut(backward)).max() else { return };
         tokio::select! {
-            () = shared.until(Some(until)) => {}
+            () = shared.sleep_until_us(Some(until)) => {}
             result = changed.changed() => if result.is_err() { return },
         }
     }
@@ -452,7 +456,7 @@
         let next = |d: &Direction| lock(&d.windows).next_change(now);
         let until = next(forward).into_iter().chain(next(backward)).min();
         tokio::select! {
-            () = shared.until(until) => {}
+            () = shared.sleep_until_us(until) => {}
             result = changed.changed() => if result.is_err() { return },
         }
     }
@@ -484,9 +488,12 @@
                 tokio::select! {
                     got = from.read(free), if room > 0 => match got? {
                         0 => stream.end(),
-                        n => stream.receive(shared.now_us(), &lock(&direction.windows), buffer.get(..n).unwrap_or_default()),
+                        n => {
+                            let bytes = buffer.get(..n).unwrap_or_default();
+                            stream.receive(shared.now_us(), &lock(&direction.windows), bytes);
+                        }
                     },
-                    () = shared.until(until) => {}
+                    () = shared.sleep_until_us(until) => {}
                     result = changed.changed() => if result.is_err() { return Ok(()) },
                 }
             }
--- a/crates/faults/src/schedule.rs
+++ b/crates/faults/src/schedule.rs
@@ -46,7 +46,8 @@
         /// 0 to 1.
         p: f64,
     },
-    /// All traffic is held back and delivered in order at the end. Connections stay open, and new ones are established.
+    /// All traffic is held back and delivered in order at the end. Connections stay open, and new ones are
+    /// established.
     Stall,
     /// Bytes of a connection are delivered one by one.
     Drip {
@@ -600,7 +601,11 @@
 
         #[test]
         fn random_schedules_keep_their_bounds(
-            seed: u64, n in 2..7usize, max_concurrent in 1..5usize, max_down in 0..2usize, max_faults in 0..30usize,
+            seed: u64,
+            n in 2..7usize,
+            max_concurrent in 1..5usize,
+            max_down in 0..2usize,
+            max_faults in 0..30usize,
         ) {
             let fronts: Vec<String> = (0..n).map(|i| format!("f{i}")).collect();
             let bounds =
@@ -616,14 +621,20 @@
                 let active = s.faults.iter().filter(|f| (f.at_ms..f.at_ms + f.for_ms).contains(&t)).count();
                 let (mut down, mut up) = (0usize, 0usize);
                 for a in s.processes.iter().filter(|a| a.at_ms <= t) {
-                    if matches!(a.action, ProcessAction::Kill | ProcessAction::Stop) { down += 1 } else { up += 1 }
+                    let goes_down = matches!(a.action, ProcessAction::Kill | ProcessAction::Stop);
+                    if goes_down { down += 1 } else { up += 1 }
                 }
                 prop_assert!(down - up <= max_down && active + down - up <= max_concurrent);
             }
-            // A front that is killed is started, and one that is stopped is resumed, before it goes down again.
+            // A front that is killed is started, and one that is stopped is resumed, before it goes down
+            // again.
             for f in &bounds.fronts {
-                let actions: Vec<ProcessAction> = s.processes.iter().filter(|a| a.front == *f).map(|a| a.action).collect();
-                prop_assert!(actions.chunks(2).all(|c| matches!(c, [ProcessAction::Kill, ProcessAction::Start] | [ProcessAction::Stop, ProcessAction::Cont])));
+                let events = s.processes.iter().filter(|a| a.front == *f);
+                let actions: Vec<ProcessAction> = events.map(|a| a.action).collect();
+                prop_assert!(actions.chunks(2).all(|c| matches!(
+                    c,
+                    [ProcessAction::Kill, ProcessAction::Start] | [ProcessAction::Stop, ProcessAction::Cont]
+                )));
             }
         }
     }
--- a/crates/faults/src/stream.rs
+++ b/crates/faults/src/stream.rs
@@ -1,5 +1,5 @@
-//! Applies faults to the bytes of one direction of a connection: when they are delivered, and how many at once. No byte is
-//! lost, duplicated or reordered, since TCP hides that from its users. No I/O.
+//! Applies faults to the bytes of one direction of a connection: when they are delivered, and how many at
+//! once. No byte is lost, duplicated or reordered, since TCP hides that from its users. No I/O.
 
 use crate::link::Windows;
 use crate::schedule::Kind;
--- a/crates/faults/tests/relays.rs
+++ b/crates/faults/tests/relays.rs
@@ -59,7 +59,8 @@
         (u32::from_be_bytes(buffer[..n].try_into().expect("four bytes")), from)
     }
 
-    /// Sends `n` datagrams with a pause of `gap` after each; returns those that are delivered, once the link has handled all.
+    /// Sends `n` datagrams with a pause of `gap` after each; returns those that are delivered, once the link
+    /// has handled all.
     async fn send_all(&self, from: usize, to: usize, n: u32, gap: Duration) -> Vec<u32> {
         let send = async {
             for i in 1..=n {
@@ -406,7 +407,7 @@
         }
         for (i, (_, c, s)) in pairs.iter_mut().enumerate() {
             let started = std::time::Instant::now();
-            c.write_all(b"data").expect("sent");
+            c.write_all(b"word").expect("sent");
             s.read_exact(&mut buffer[..4]).expect("received");
             times_us[2 + i].push(us(started));
         }
