--- a/crates/front/benches/engine.rs
+++ b/crates/front/benches/engine.rs
@@ -58,17 +58,17 @@
         self.next += 1;
         self.now += MS;
         let (n, home) = (self.next, (self.next * 7 % u64::from(self.nodes)) as u32);
-        let ask = Ask {
+        let ask = SessionRequest {
             offer: Bytes::from_static(b"v=0"),
             offer_hash: n,
-            name: format!("title-{home}"),
+            title_name: format!("title-{home}"),
             title: TitleId(u64::from(home)),
-            home,
-            copies: 4,
+            first_cell: home,
+            cell_count: 4,
             class: 0,
             tenant: 0,
             viewer: ViewerKey(n),
-            top: 4,
+            highest_rung: 4,
             publish: false,
         };
         self.effects.clear();
@@ -92,7 +92,7 @@
         self.effects.clear();
         self.engine.handle(
             self.now,
-            Input::Attempt(attempt, node, AttemptEnd::Created(made)),
+            Input::AttemptEnded(attempt, node, AttemptEnd::Created(made)),
             &mut self.effects,
         );
         self.effects.iter().find_map(|e| match e {
--- a/crates/front/src/agreed.rs
+++ b/crates/front/src/agreed.rs
@@ -230,11 +230,11 @@
     fn fits(&self, policy: &Policy) -> Result<(), String> {
         let Some(shell) = self.0.upgrade() else { return Ok(()) };
         let (settings, classes, tenants) = terms(&shell.config, policy)?;
-        shell.engine(|e, _| e.can_go_by(&settings, &classes, &tenants)).map_err(|e| e.0)
+        shell.engine(|e, _| e.check_policy(&settings, &classes, &tenants)).map_err(|e| e.0)
     }
 
     fn decides_by(&self) -> Option<u64> {
-        self.0.upgrade().and_then(|shell| shell.engine(|e, _| e.decides_by()))
+        self.0.upgrade().and_then(|shell| shell.engine(|e, _| e.earliest_policy_version()))
     }
 }
 
--- a/crates/front/src/console.rs
+++ b/crates/front/src/console.rs
@@ -88,7 +88,7 @@
 
 /// Announcements and what is held for them here.
 fn peaks(shell: &Shell) -> String {
-    let holds = shell.engine(|e, now| e.hold_rows(now));
+    let holds = shell.engine(|e, now| e.reservation_rows(now));
     serde_json::json!({"announced": shell.spread.announcements(), "holds": holds}).to_string()
 }
 
--- a/crates/front/src/engine/mod.rs
+++ b/crates/front/src/engine/mod.rs
@@ -28,17 +28,17 @@
 use pepperhook_peaks::Holds;
 use pepperhook_settings::Config;
 use pepperhook_signalling::{Direction, EVENT_MOVE, LoadReport, Offer};
-pub use policy::PolicyShown;
+pub use policy::PolicyStatus;
 use policy::{Policies, Promise};
 use rand::rngs::StdRng;
 use rand::{RngCore, SeedableRng};
-pub use readings::life;
+pub use readings::incarnation;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::num::NonZeroUsize;
 use std::rc::Rc;
 pub use tally::Tally;
 use types::*;
-pub use view::{DutyShown, NodeRow, RackRow, ReplicaShown, Snapshot};
+pub use view::{DutyStatus, NodeRow, RackRow, ReplicaStatus, Snapshot};
 
 /// What is due at some time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -57,7 +57,7 @@
 
 /// A session as long as the front holds it.
 struct Live {
-    ask: Ask,
+    ask: SessionRequest,
     tickets: Vec<Ticket>,
     attempts: u32,
     rung: u8,
@@ -91,7 +91,7 @@
 /// A request that waits for the closing of an earlier attempt of its viewer.
 struct Parked {
     ticket: Ticket,
-    ask: Ask,
+    ask: SessionRequest,
     taken: Time,
     /// The viewer's, by the policy of then.
     patience: Time,
@@ -180,27 +180,27 @@
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Effect>) {
         match input {
             Input::Post(ticket, ask) => self.post(now, ticket, ask, out),
-            Input::Left(ticket) => self.left(now, ticket, out),
+            Input::Disconnected(ticket) => self.left(now, ticket, out),
             Input::Delete(ticket, resource) => self.delete(ticket, &resource, out),
-            Input::Attempt(id, node, end) => self.attempt_ended(now, id, node, end, out),
+            Input::AttemptEnded(id, node, end) => self.attempt_ended(now, id, node, end, out),
             Input::Undelivered(resource) => {
                 if let Some(id) = self.resources.get(&resource).copied() {
                     self.end_playing(id, Outcome::Cancelled, true, None, out);
                 }
             }
             Input::Nodes(nodes) => self.list(nodes),
-            Input::News(node, news) => self.news(now, node, news, out),
+            Input::NodeEvent(node, news) => self.news(now, node, news, out),
             Input::StreamEnded(node, how) => self.stream_ended(node, how, out),
             Input::Peak(peak) => self.take_peak(now, peak),
-            Input::Restarted(resource, ufrag, etag) => {
+            Input::IceRestarted(resource, ufrag, etag) => {
                 let live = self.resources.get(&resource).and_then(|id| self.live.get_mut(id));
                 if let Some(p) = live.and_then(|l| l.playing.as_mut()) {
                     p.restarted = Some((ufrag, etag));
                 }
             }
-            Input::Sessions(node, listed) => self.reconcile(node, &listed, out),
+            Input::SessionList(node, listed) => self.reconcile(node, &listed, out),
             Input::Probed(node, load) => self.probed(now, node, load),
-            Input::Seen(node, life, age, load) => self.seen(now, node, life, age, &load),
+            Input::PeerReport(node, incarnation, age, load) => self.seen(now, node, incarnation, age, &load),
             Input::Policy { version, settings, classes, tenants } => {
                 self.take_policy(now, version, *settings, (&classes, &tenants), out);
             }
@@ -296,7 +296,7 @@
 
     // ---- requests ------------------------------------------------------------------------------
 
-    fn post(&mut self, now: Time, ticket: Ticket, ask: Ask, out: &mut Vec<Effect>) {
+    fn post(&mut self, now: Time, ticket: Ticket, ask: SessionRequest, out: &mut Vec<Effect>) {
         let limits = self.config.limits;
         let advice = self.config.decisions.send_retry_after.then_some(self.config.decisions.max_retry_after);
         let full =
@@ -344,24 +344,24 @@
                 }
             }
             Verdict::Park => self.park(now, ticket, ask, out),
-            Verdict::Refuse => self.answer(ticket, Answer::Refused(advice, Refusal::Copies), out),
+            Verdict::Refuse => self.answer(ticket, Answer::Refused(advice, Refusal::TooManyCopies), out),
         }
     }
 
     /// A live title is watched while somebody publishes it, and published by one.
-    fn at_odds_with_publisher(&self, ask: &Ask) -> Option<Answer> {
+    fn at_odds_with_publisher(&self, ask: &SessionRequest) -> Option<Answer> {
         let publisher = self.published.get(&ask.title).and_then(|id| self.live.get(id));
         let ours = publisher.is_some_and(|p| p.ask.viewer == ask.viewer);
         let ingest = self.config.classes.iter().any(|c| c.ingest);
         let live = self.config.decisions.classes.get(usize::from(ask.class)).is_some_and(|c| c.live);
         match (ask.publish, publisher) {
-            (true, Some(_)) if !ours => Some(Answer::Published),
-            (false, None) if live && ingest => Some(Answer::Unpublished),
+            (true, Some(_)) if !ours => Some(Answer::AlreadyPublished),
+            (false, None) if live && ingest => Some(Answer::NotPublished),
             _ => None,
         }
     }
 
-    fn park(&mut self, now: Time, ticket: Ticket, ask: Ask, out: &mut Vec<Effect>) {
+    fn park(&mut self, now: Time, ticket: Ticket, ask: SessionRequest, out: &mut Vec<Effect>) {
         let patience = self.patience(ask.class);
         self.backstop_at(now, ticket, patience);
         if let Some(older) = self.parked.insert(ask.viewer, Parked { ticket, ask, taken: now, patience }) {
@@ -392,7 +392,7 @@
         now: Time,
         taken: Time,
         ticket: Ticket,
-        ask: Ask,
+        ask: SessionRequest,
         patience: Time,
         out: &mut Vec<Effect>,
     ) {
@@ -405,9 +405,9 @@
             class: ClassId(ask.class),
             tenant: TenantId(ask.tenant),
             title: ask.title,
-            first_cell: f64::from(ask.home),
-            cell_count: f64::from(ask.copies),
-            highest_rung: f64::from(ask.top),
+            first_cell: f64::from(ask.first_cell),
+            cell_count: f64::from(ask.cell_count),
+            highest_rung: f64::from(ask.highest_rung),
             max_wait: patience.saturating_sub(now.saturating_sub(taken)),
             expected_length: None,
             reconnect: again,
@@ -489,7 +489,8 @@
 
     fn delete(&mut self, ticket: Ticket, resource: &str, out: &mut Vec<Effect>) {
         let Some(id) = self.resources.get(resource).copied() else {
-            let answer = if self.moved.pop(resource).is_some() { Answer::Ended } else { Answer::Unknown };
+            let answer =
+                if self.moved.pop(resource).is_some() { Answer::Ended } else { Answer::UnknownSession };
             return out.push(Effect::Answer(ticket, answer, None));
         };
         self.end_playing(id, Outcome::Served, true, None, out);
@@ -503,7 +504,7 @@
         let attempt = AttemptId { session: id, number: live.attempts };
         live.attempts += 1;
         live.out = Some(attempt);
-        let (title, publish, offer) = (live.ask.name.clone(), live.ask.publish, live.ask.offer.clone());
+        let (title, publish, offer) = (live.ask.title_name.clone(), live.ask.publish, live.ask.offer.clone());
         self.attempts.insert(attempt, Attempt { node, viewer: live.ask.viewer, closing: None });
         self.timers.set(now.saturating_add(wait), Wake::AttemptTime(attempt));
         self.tally.attempts += 1;
@@ -569,7 +570,7 @@
             if let Some(p) = self.parked.remove(&attempt.viewer) {
                 self.run(now, out);
                 if self.policies.closed.contains(&p.ask.class) {
-                    return self.answer(p.ticket, Answer::Closed, out);
+                    return self.answer(p.ticket, Answer::ClassClosed, out);
                 }
                 let patience = p.patience.min(self.patience(p.ask.class));
                 self.begin(now, p.taken, p.ticket, p.ask, patience, out);
@@ -662,7 +663,7 @@
     fn copy(&self, id: SessionId, out: &mut Vec<Effect>) {
         let Some(live) = self.live.get(&id).filter(|_| self.config.replica.is_some()) else { return };
         let Some(p) = &live.playing else { return };
-        let copied = Copied {
+        let copied = SessionCopy {
             viewer: live.ask.viewer.0,
             class: live.ask.class,
             title: live.ask.title.0,
@@ -672,7 +673,7 @@
             path: p.path.clone(),
             resource: p.resource.clone(),
         };
-        out.push(Effect::Copy(id.0, Some(copied)));
+        out.push(Effect::Replicate(id.0, Some(copied)));
     }
 
     /// Ends a session that plays. `delete`: the node is told; `tell`: so is the viewer.
@@ -687,7 +688,7 @@
         let Some(live) = self.live.remove(&id) else { return };
         let Some(p) = live.playing else { return };
         if self.config.replica.is_some() {
-            out.push(Effect::Copy(id.0, None));
+            out.push(Effect::Replicate(id.0, None));
         }
         self.claims.end(live.ask.viewer, id);
         self.holds.ended(id.0);
@@ -696,9 +697,9 @@
             state.playing.remove(&p.path);
         }
         if let Some((event, why)) = tell {
-            out.push(Effect::Tell(p.resource.clone(), event, format!("{{\"reason\":\"{why}\"}}")));
+            out.push(Effect::NotifyViewer(p.resource.clone(), event, format!("{{\"reason\":\"{why}\"}}")));
         }
-        out.push(Effect::Drop(p.resource));
+        out.push(Effect::CloseEventStream(p.resource));
         if delete {
             out.push(Effect::DeleteUpstream(p.node, p.path));
         }
@@ -714,7 +715,7 @@
             let watchers = self.live.values().filter(|l| l.ask.title == live.ask.title);
             for p in watchers.filter_map(|l| l.playing.as_ref()) {
                 let why = "{\"reason\":\"unpublished\"}".to_owned();
-                out.push(Effect::Tell(p.resource.clone(), "inactive", why));
+                out.push(Effect::NotifyViewer(p.resource.clone(), "inactive", why));
             }
         }
         self.tally.ended(outcome);
@@ -772,26 +773,26 @@
         });
         if let Some((path, events)) = offered {
             state.subscribed = Some(path);
-            out.push(Effect::Subscribe(node, events));
+            out.push(Effect::OpenNodeEvents(node, events));
         }
     }
 
-    fn news(&mut self, now: Time, node: ServerId, news: NodeNews, out: &mut Vec<Effect>) {
-        if matches!(news, NodeNews::Link(_)) {
+    fn news(&mut self, now: Time, node: ServerId, news: NodeEvent, out: &mut Vec<Effect>) {
+        if matches!(news, NodeEvent::Link(_)) {
             // Such news is as late as the settings say.
             self.read_at(node, now.saturating_sub(self.config.decisions.notification_delay));
         }
         let Some(state) = self.nodes.get(&node) else { return };
         let (kind, value) = match news {
-            NodeNews::Inactive(path) => {
+            NodeEvent::Inactive(path) => {
                 if let Some(id) = state.playing.get(&path).copied() {
                     self.end_playing(id, Outcome::Served, false, Some(("inactive", "ended")), out);
                 }
                 return;
             }
-            NodeNews::Delivered(v) => (NotificationKind::Delivered, v),
-            NodeNews::Link(v) => (NotificationKind::LinkUse, v),
-            NodeNews::Uplink(v) => (NotificationKind::UplinkUse, v),
+            NodeEvent::Delivered(v) => (NotificationKind::Delivered, v),
+            NodeEvent::Link(v) => (NotificationKind::LinkUse, v),
+            NodeEvent::Uplink(v) => (NotificationKind::UplinkUse, v),
         };
         if let Some(id) = state.playing.values().next() {
             self.pending.push_back(Event::Notification(*id, node, kind, value));
@@ -803,7 +804,7 @@
         let Some(path) = state.subscribed.take() else { return };
         match how {
             StreamEnd::Closed => {}
-            StreamEnd::Unknown => {
+            StreamEnd::SessionUnknown => {
                 if let Some(id) = state.playing.get(&path).copied() {
                     self.end_playing(id, Outcome::Broken, false, Some(("inactive", "lost")), out);
                 }
--- a/crates/front/src/engine/peaks.rs
+++ b/crates/front/src/engine/peaks.rs
@@ -50,14 +50,14 @@
     ///
     /// # Errors
     /// As `admit_peak`.
-    pub fn heard_peak(&self, now: Time, said: &Announcement) -> Result<Peak, Refused> {
+    pub fn check_peer_peak(&self, now: Time, said: &Announcement) -> Result<Peak, Refused> {
         said.check(now / MS, name_hash(&said.name), &Settled(&self.config, &self.policies.closed))
             .map_err(Refused::Fields)
     }
 
     /// Holds for the console.
     #[must_use]
-    pub fn hold_rows(&self, now: Time) -> Vec<HoldRow> {
+    pub fn reservation_rows(&self, now: Time) -> Vec<HoldRow> {
         self.holds.rows(now / MS)
     }
 
--- a/crates/front/src/engine/policy.rs
+++ b/crates/front/src/engine/policy.rs
@@ -13,7 +13,7 @@
 //! version it was taken under, and sessions play.
 
 use super::Engine;
-use super::types::{Answer, Ask, Effect, Refusal};
+use super::types::{Answer, Effect, Refusal, SessionRequest};
 use pepperhook::{Class, Settings, SettingsError, Tenant, Time};
 use pepperhook_settings::{ClassSettings, Config};
 use serde::Serialize;
@@ -46,7 +46,7 @@
 
 /// Agreed policies, as the console shows them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct PolicyShown {
+pub struct PolicyStatus {
     /// Version in force; none before the first.
     pub version: Option<u64>,
     /// The front cannot know what the fleet agreed, and takes no set-ups.
@@ -145,7 +145,7 @@
     ///
     /// # Errors
     /// Why not: then the front is to object rather than to vouch.
-    pub fn can_go_by(
+    pub fn check_policy(
         &self,
         settings: &Settings,
         classes: &[ClassSettings],
@@ -157,26 +157,26 @@
     /// The earliest version by which anything is still decided here: that in force, or that of an open set-up. None
     /// while something goes by what settings said before any policy.
     #[must_use]
-    pub fn decides_by(&self) -> Option<u64> {
+    pub fn earliest_policy_version(&self) -> Option<u64> {
         let open = self.tickets.values().filter_map(|id| self.live.get(id)).map(|l| l.promise.version);
         open.min().map_or(self.policies.version, |v| v.min(self.policies.version))
     }
 
     /// The longest time that a request which is taken now or was taken before can wait.
     #[must_use]
-    pub fn longest_wait(&self) -> Time {
+    pub fn longest_patience(&self) -> Time {
         let now = self.config.classes.iter().map(|c| c.patience).max().unwrap_or(0);
         let open = self.tickets.values().filter_map(|id| self.live.get(id)).map(|l| l.promise.patience);
         open.max().unwrap_or(0).max(now)
     }
 
     /// For the console; none where nothing was ever agreed.
-    pub(super) fn policy_shown(&self) -> Option<PolicyShown> {
+    pub(super) fn policy_shown(&self) -> Option<PolicyStatus> {
         let p = &self.policies;
         let before = |l: &&super::Live| l.promise.version < p.version;
         let open: std::collections::BTreeSet<_> = self.tickets.values().collect();
         let named = |i: &u16| self.config.classes.get(usize::from(*i)).map(|c| c.name.clone());
-        p.used.then(|| PolicyShown {
+        p.used.then(|| PolicyStatus {
             version: p.version,
             fenced: p.fenced,
             open_before: open.into_iter().filter_map(|id| self.live.get(id)).filter(before).count(),
@@ -241,14 +241,14 @@
     }
 
     /// Why nothing new may begin here, if so. A copy of a request that was taken begins nothing.
-    pub(super) fn bars(&self, ask: &Ask) -> Option<Answer> {
+    pub(super) fn bars(&self, ask: &SessionRequest) -> Option<Answer> {
         if !self.policies.fenced && self.policies.closed.is_empty() {
             return None;
         }
         match (self.claims.knows(ask.viewer, ask.offer_hash), self.policies.fenced) {
             (true, _) => None,
             (false, true) => Some(Answer::Refused(None, Refusal::Fenced)),
-            (false, false) => self.policies.closed.contains(&ask.class).then_some(Answer::Closed),
+            (false, false) => self.policies.closed.contains(&ask.class).then_some(Answer::ClassClosed),
         }
     }
 }
--- a/crates/front/src/engine/readings.rs
+++ b/crates/front/src/engine/readings.rs
@@ -9,7 +9,7 @@
 
 /// Which life of a node an entry of the list is: what was seen in another one says nothing of this.
 #[must_use]
-pub fn life(node: &Node) -> u64 {
+pub fn incarnation(node: &Node) -> u64 {
     node.entry.started.unwrap_or(0) / 1_000_000
 }
 
@@ -24,8 +24,8 @@
     }
 
     /// Another front saw this.
-    pub(super) fn seen(&mut self, now: Time, node: ServerId, of: u64, age: Time, load: &LoadReport) {
-        if self.nodes.get(&node).is_none_or(|n| life(&n.node) != of) {
+    pub(super) fn seen(&mut self, now: Time, node: ServerId, seen: u64, age: Time, load: &LoadReport) {
+        if self.nodes.get(&node).is_none_or(|n| incarnation(&n.node) != seen) {
             return;
         }
         self.read_at(node, now.saturating_sub(age));
--- a/crates/front/src/engine/reconcile.rs
+++ b/crates/front/src/engine/reconcile.rs
@@ -20,7 +20,7 @@
 impl Engine {
     /// Sessions that this front holds at a node.
     #[must_use]
-    pub fn sessions_at(&self, node: ServerId) -> usize {
+    pub fn session_count_at(&self, node: ServerId) -> usize {
         self.nodes.get(&node).map_or(0, |n| n.playing.len())
     }
 
--- a/crates/front/src/engine/tally.rs
+++ b/crates/front/src/engine/tally.rs
@@ -138,14 +138,14 @@
         let kind = match answer {
             Answer::Created { .. } => "playing",
             Answer::Refused(_, Refusal::NoRoom) => "refused",
-            Answer::Refused(_, Refusal::Overload | Refusal::Copies) => "overload",
+            Answer::Refused(_, Refusal::Overload | Refusal::TooManyCopies) => "overload",
             Answer::Refused(_, Refusal::Stopping) => "stopping",
             Answer::Refused(_, Refusal::Fenced) => "fenced",
-            Answer::Closed => "closed",
+            Answer::ClassClosed => "closed",
             Answer::Failed => "failed",
             Answer::Superseded => "superseded",
-            Answer::Unpublished | Answer::Published => "conflict",
-            Answer::Ended | Answer::Unknown => return,
+            Answer::NotPublished | Answer::AlreadyPublished => "conflict",
+            Answer::Ended | Answer::UnknownSession => return,
         };
         *self.answers.entry(kind).or_default() += 1;
     }
--- a/crates/front/src/engine/tests.rs
+++ b/crates/front/src/engine/tests.rs
@@ -28,18 +28,18 @@
     engine
 }
 
-fn ask(viewer: u64, offer: u64) -> Ask {
-    Ask {
+fn ask(viewer: u64, offer: u64) -> SessionRequest {
+    SessionRequest {
         offer: Bytes::from_static(b"offer"),
         offer_hash: offer,
-        name: "t".into(),
+        title_name: "t".into(),
         title: TitleId(1),
-        home: 0,
-        copies: 4,
+        first_cell: 0,
+        cell_count: 4,
         class: 0,
         tenant: 0,
         viewer: ViewerKey(viewer),
-        top: 1,
+        highest_rung: 1,
         publish: false,
     }
 }
@@ -94,7 +94,7 @@
                     self.by.insert(*t, *by);
                 }
                 Effect::DeleteUpstream(_, path) => self.deleted.push(path.clone()),
-                Effect::Tell(resource, event, _) => self.told.push((resource.clone(), event)),
+                Effect::NotifyViewer(resource, event, _) => self.told.push((resource.clone(), event)),
                 _ => {}
             }
             self.seen.push(effect);
@@ -121,7 +121,7 @@
 
     fn end(&mut self, id: AttemptId, end: AttemptEnd) {
         let node = self.out.remove(&id).expect("an attempt that is out");
-        self.put(Input::Attempt(id, node, end));
+        self.put(Input::AttemptEnded(id, node, end));
     }
 
     fn only(&self) -> AttemptId {
@@ -159,7 +159,7 @@
     b.put(Input::Delete(Ticket(2), resource.clone()));
     assert_eq!((b.answer(2), b.deleted.as_slice()), (Some(&Answer::Ended), &["/s/1".to_owned()][..]));
     b.put(Input::Delete(Ticket(3), resource));
-    assert_eq!(b.answer(3), Some(&Answer::Unknown), "a second DELETE finds nothing");
+    assert_eq!(b.answer(3), Some(&Answer::UnknownSession), "a second DELETE finds nothing");
     assert_eq!(b.deleted.len(), 1);
 }
 
@@ -189,7 +189,7 @@
     b.end(second, created("/s/good"));
     assert!(matches!(b.engine.route(&b.resource(1)), Route::Node(_, p) if p == "/s/good"));
     // One that comes even after the reset is deleted too.
-    b.put(Input::Attempt(first, ServerId(1), created("/s/later")));
+    b.put(Input::AttemptEnded(first, ServerId(1), created("/s/later")));
     assert_eq!(b.deleted, ["/s/late", "/s/later"]);
 }
 
@@ -238,7 +238,7 @@
     let mut b = Bench::new(4);
     b.put(Input::Post(Ticket(1), ask(1, 1)));
     let id = b.only();
-    b.put(Input::Left(Ticket(1)));
+    b.put(Input::Disconnected(Ticket(1)));
     assert!(b.seen.iter().any(|e| matches!(e, Effect::CloseAttempt(a) if *a == id)));
     b.end(id, created("/s/1"));
     assert_eq!(b.deleted, ["/s/1"]);
@@ -262,12 +262,12 @@
     let first = b.play(1, 1);
     b.play(2, 2);
     let node = *b.engine.nodes.keys().next().expect("a node");
-    let streams = |b: &Bench| b.seen.iter().filter(|e| matches!(e, Effect::Subscribe(..))).count();
+    let streams = |b: &Bench| b.seen.iter().filter(|e| matches!(e, Effect::OpenNodeEvents(..))).count();
     assert_eq!(streams(&b), 1, "one stream a node, not one a session");
     b.put(Input::Delete(Ticket(3), first));
     b.put(Input::StreamEnded(node, StreamEnd::Closed));
     assert_eq!(streams(&b), 2);
-    b.put(Input::StreamEnded(node, StreamEnd::Unknown));
+    b.put(Input::StreamEnded(node, StreamEnd::SessionUnknown));
     assert_eq!(b.told.len(), 1, "the node knows the session no longer: its viewer is told");
 }
 
@@ -293,15 +293,15 @@
 #[test]
 fn a_live_title_is_watched_while_it_is_published_by_one() {
     let mut b = Bench::new(4);
-    let watch = |viewer| Ask { class: 1, ..ask(viewer, viewer) };
-    let publish = |viewer| Ask { class: 2, publish: true, ..ask(viewer, viewer) };
+    let watch = |viewer| SessionRequest { class: 1, ..ask(viewer, viewer) };
+    let publish = |viewer| SessionRequest { class: 2, publish: true, ..ask(viewer, viewer) };
     b.put(Input::Post(Ticket(1), watch(1)));
-    assert_eq!(b.answer(1), Some(&Answer::Unpublished));
+    assert_eq!(b.answer(1), Some(&Answer::NotPublished));
     b.put(Input::Post(Ticket(2), publish(2)));
     let id = b.only();
     b.end(id, created("/s/p"));
     b.put(Input::Post(Ticket(3), publish(3)));
-    assert_eq!(b.answer(3), Some(&Answer::Published));
+    assert_eq!(b.answer(3), Some(&Answer::AlreadyPublished));
     b.put(Input::Post(Ticket(4), watch(1)));
     let id = b.only();
     b.end(id, created("/s/w"));
@@ -309,7 +309,7 @@
     b.put(Input::Delete(Ticket(5), publisher));
     assert_eq!(b.told, [(watcher, "inactive")]);
     b.put(Input::Post(Ticket(6), watch(7)));
-    assert_eq!(b.answer(6), Some(&Answer::Unpublished));
+    assert_eq!(b.answer(6), Some(&Answer::NotPublished));
 }
 
 #[test]
@@ -397,7 +397,7 @@
                 Step::Left(i) if !open.is_empty() => {
                     let ticket = open[i % open.len()];
                     left.insert(ticket);
-                    b.put(Input::Left(ticket));
+                    b.put(Input::Disconnected(ticket));
                 }
                 Step::Delete(i) if !b.engine.resources.is_empty() => {
                     let mut all: Vec<String> = b.engine.resources.keys().cloned().collect();
@@ -423,17 +423,17 @@
                 }
                 Step::Pass(ms) => b.pass(ms * MS),
                 Step::StreamEnd(i, how) => {
-                    let how = [StreamEnd::Closed, StreamEnd::Unknown, StreamEnd::Refused, StreamEnd::NoConnection][usize::from(how)];
+                    let how = [StreamEnd::Closed, StreamEnd::SessionUnknown, StreamEnd::Refused, StreamEnd::NoConnection][usize::from(how)];
                     b.put(Input::StreamEnded(servers[i % servers.len()], how));
                 }
                 Step::News(i, how) => {
                     let news = match how {
-                        0 => NodeNews::Delivered(0.5),
-                        1 => NodeNews::Link(1.4),
-                        2 => NodeNews::Uplink(1.2),
-                        _ => NodeNews::Inactive(format!("/s/{paths}")),
+                        0 => NodeEvent::Delivered(0.5),
+                        1 => NodeEvent::Link(1.4),
+                        2 => NodeEvent::Uplink(1.2),
+                        _ => NodeEvent::Inactive(format!("/s/{paths}")),
                     };
-                    b.put(Input::News(servers[i % servers.len()], news));
+                    b.put(Input::NodeEvent(servers[i % servers.len()], news));
                 }
                 Step::Policy(draw) => {
                     version = Some(version.unwrap_or(0) + 1);
@@ -460,7 +460,7 @@
                 let by = *promised.entry(*id).or_insert(version);
                 prop_assert_eq!(by, live.promise.version);
             }
-            prop_assert!(b.engine.decides_by() <= version);
+            prop_assert!(b.engine.earliest_policy_version() <= version);
             waits.extend(b.engine.tickets.iter().map(|(ticket, id)| (*ticket, *id)));
             for (ticket, at) in &asked {
                 let late = !left.contains(ticket) && !b.answers.contains_key(ticket) && at + 4 * S <= b.now;
--- a/crates/front/src/engine/tests/policy.rs
+++ b/crates/front/src/engine/tests/policy.rs
@@ -40,7 +40,7 @@
         self.put(input(version, terms));
     }
 
-    fn post(&mut self, ticket: u64, ask: Ask) {
+    fn post(&mut self, ticket: u64, ask: SessionRequest) {
         self.put(Input::Post(Ticket(ticket), ask));
     }
 
@@ -69,7 +69,7 @@
     b.play(1, 1);
     assert_eq!(b.by(1), None);
     assert!(b.state().get("policy").is_none());
-    assert_eq!(b.engine.decides_by(), None);
+    assert_eq!(b.engine.earliest_policy_version(), None);
     b.put(Input::Fenced(false));
     assert!(b.state().get("policy").is_none());
 }
@@ -81,7 +81,10 @@
     b.post(1, ask(1, 1));
     let first = b.only();
     b.policy(2, |(s, c, _)| (s.classes[0].set_up_target, c[0].patience) = (100 * MS, 900 * MS));
-    assert_eq!((b.engine.decides_by(), b.state()["policy"]["open_before"].as_u64()), (Some(1), Some(1)));
+    assert_eq!(
+        (b.engine.earliest_policy_version(), b.state()["policy"]["open_before"].as_u64()),
+        (Some(1), Some(1))
+    );
     b.pass(390 * MS);
     assert_eq!(b.only(), first, "half of the aim that it was taken with");
     b.post(2, ask(1, 1));
@@ -90,7 +93,7 @@
     let id = b.only();
     b.end(id, created("/s/1"));
     assert_eq!((b.resource(1), b.by(1), b.by(2)), (b.resource(2), Some(1), Some(1)));
-    assert_eq!(b.engine.decides_by(), Some(2));
+    assert_eq!(b.engine.earliest_policy_version(), Some(2));
     b.post(3, ask(1, 1));
     assert_eq!(b.by(3), Some(1), "the answer given once more");
     b.post(4, ask(2, 2));
@@ -115,7 +118,7 @@
     b.post(4, ask(3, 2));
     b.policy(3, |(s, c, _)| drop((s.classes.remove(0), c.remove(0))));
     b.end(first, AttemptEnd::Closed);
-    assert_eq!(b.answer(4), Some(&Answer::Closed), "its class takes nothing new");
+    assert_eq!(b.answer(4), Some(&Answer::ClassClosed), "its class takes nothing new");
     assert!(b.engine.is_idle() && b.out.is_empty());
     assert_eq!(b.engine.tally().backstops, 0);
 }
@@ -151,10 +154,10 @@
     b.post(2, ask(1, 1));
     assert_eq!(b.resource(2), resource, "and its answer is given once more");
     b.post(3, ask(2, 2));
-    assert_eq!((b.answer(3), b.by(3)), (Some(&Answer::Closed), Some(7)));
+    assert_eq!((b.answer(3), b.by(3)), (Some(&Answer::ClassClosed), Some(7)));
     assert_eq!(b.state()["policy"]["closed"], serde_json::json!(["replay"]));
     assert_eq!(b.state()["classes"][3]["name"], "extra");
-    b.post(4, Ask { class: 3, top: 0, ..ask(4, 4) });
+    b.post(4, SessionRequest { class: 3, highest_rung: 0, ..ask(4, 4) });
     let id = b.only();
     b.end(id, created("/s/4"));
     assert!(b.layers().contains(&("/s/4/layer".into(), 1)), "the new class's floor");
@@ -167,10 +170,10 @@
 #[test]
 fn a_session_below_a_new_floor_is_raised_at_its_node_at_once() {
     let mut b = Bench::new(4);
-    b.post(1, Ask { top: 0, ..ask(1, 1) });
+    b.post(1, SessionRequest { highest_rung: 0, ..ask(1, 1) });
     let id = b.only();
     b.end(id, created("/s/1"));
-    b.post(2, Ask { top: 0, ..ask(2, 2) });
+    b.post(2, SessionRequest { highest_rung: 0, ..ask(2, 2) });
     assert_eq!(b.layers(), []);
     b.policy(1, |(s, _, _)| s.classes[0].lowest_rung = 1);
     assert_eq!(b.layers(), [("/s/1/layer".to_owned(), 1)]);
@@ -195,7 +198,7 @@
     for (n, change) in wrong.iter().enumerate() {
         let mut terms = terms(&b.engine);
         change(&mut terms);
-        assert!(b.engine.can_go_by(&terms.0, &terms.1, &terms.2).is_err(), "{n}");
+        assert!(b.engine.check_policy(&terms.0, &terms.1, &terms.2).is_err(), "{n}");
         b.put(input(9, terms));
     }
     let state = b.state()["policy"].clone();
@@ -227,7 +230,7 @@
     b.post(7, ask(2, 99));
     assert_eq!(b.answer(7), Some(&FENCED));
     assert!(b.answer(2).is_none(), "nor a set-up");
-    b.post(8, Ask { class: 1, ..ask(8, 8) });
+    b.post(8, SessionRequest { class: 1, ..ask(8, 8) });
     assert_eq!(b.answer(8), Some(&FENCED), "what a class is, is agreed too");
     b.post(9, ask(1, 1));
     assert_eq!(b.resource(9), plays, "a copy of what plays");
@@ -241,7 +244,7 @@
     b.end(id, created("/s/4"));
     assert_eq!(b.by(4), Some(1), "taken before, though it began later");
     let node = *b.engine.nodes.keys().next().expect("a node");
-    b.put(Input::News(node, NodeNews::Delivered(0.9)));
+    b.put(Input::NodeEvent(node, NodeEvent::Delivered(0.9)));
     b.put(Input::Delete(Ticket(11), plays));
     assert_eq!((b.answer(11), b.deleted.len()), (Some(&Answer::Ended), 1));
     assert_eq!(b.state()["policy"]["fenced"], true);
--- a/crates/front/src/engine/types.rs
+++ b/crates/front/src/engine/types.rs
@@ -23,19 +23,19 @@
 
 /// A checked POST of a viewer or a publisher.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct SessionRequest {
     /// The offer as it came.
     pub offer: Bytes,
     /// Hash of the offer, by which a request sent again is known.
     pub offer_hash: u64,
     /// The title's name, as it stands in the node's path too.
-    pub name: String,
+    pub title_name: String,
     /// The title's id.
     pub title: TitleId,
     /// First cell that holds it.
-    pub home: u32,
+    pub first_cell: u32,
     /// Cells in a row that hold it.
-    pub copies: u32,
+    pub cell_count: u32,
     /// Index of the class.
     pub class: u16,
     /// Index of the tenant.
@@ -43,7 +43,7 @@
     /// The viewer.
     pub viewer: ViewerKey,
     /// Highest rung that the viewer can use.
-    pub top: u8,
+    pub highest_rung: u8,
     /// It publishes (WHIP).
     pub publish: bool,
 }
@@ -84,7 +84,7 @@
 
 /// What a node tells on its event stream.
 #[derive(Clone, Debug, PartialEq)]
-pub enum NodeNews {
+pub enum NodeEvent {
     /// Share of their rates that its sessions get.
     Delivered(f64),
     /// What is asked of its link over what it gives.
@@ -99,27 +99,27 @@
 #[derive(Debug)]
 pub enum Input {
     /// A viewer or publisher asks.
-    Post(Ticket, Ask),
+    Post(Ticket, SessionRequest),
     /// The connection of a waiting request closed.
-    Left(Ticket),
+    Disconnected(Ticket),
     /// DELETE on a session.
     Delete(Ticket, String),
     /// An attempt on this node ended.
-    Attempt(AttemptId, ServerId, AttemptEnd),
+    AttemptEnded(AttemptId, ServerId, AttemptEnd),
     /// A 201 could not be given to its viewer: the session of this resource is nobody's.
     Undelivered(String),
     /// The list of nodes is this.
     Nodes(Vec<Node>),
     /// News of a node.
-    News(ServerId, NodeNews),
+    NodeEvent(ServerId, NodeEvent),
     /// A node that was asked for its load answered, or did not.
     Probed(ServerId, Option<LoadReport>),
     /// What another front saw of this life of a node so long ago.
-    Seen(ServerId, u64, Time, LoadReport),
+    PeerReport(ServerId, u64, Time, LoadReport),
     /// Paths of the sessions that this run of the front has at a node, by the node's own list.
-    Sessions(ServerId, std::collections::BTreeSet<String>),
+    SessionList(ServerId, std::collections::BTreeSet<String>),
     /// The ICE session of a session was restarted: the viewer's new user fragment, and the new entity tag.
-    Restarted(String, String, Option<String>),
+    IceRestarted(String, String, Option<String>),
     /// A peak was announced, amended or called off, here or at another front.
     Peak(Peak),
     /// The policy of this version, which the fleet agreed on, comes into force.
@@ -145,7 +145,7 @@
     /// It was there, and closed or broke.
     Closed,
     /// The node knows the session no longer.
-    Unknown,
+    SessionUnknown,
     /// The node does not offer events, or refused them.
     Refused,
     /// No connection to the node.
@@ -173,15 +173,15 @@
     /// A newer request of the same viewer took its place.
     Superseded,
     /// The title is live and nobody publishes it, or somebody else does.
-    Unpublished,
+    NotPublished,
     /// Another session publishes the title.
-    Published,
+    AlreadyPublished,
     /// The policy in force takes nothing new of this class.
-    Closed,
+    ClassClosed,
     /// DELETE: done.
     Ended,
     /// No such session.
-    Unknown,
+    UnknownSession,
 }
 
 /// Why a request was refused.
@@ -194,7 +194,7 @@
     /// The front is stopping.
     Stopping,
     /// As many copies of the request wait as may.
-    Copies,
+    TooManyCopies,
     /// The front cannot know what the fleet agreed.
     Fenced,
 }
@@ -229,20 +229,20 @@
     /// Choose the rung of a session at its node.
     SetLayer(ServerId, String, u8),
     /// Open the node's event stream on one of its sessions.
-    Subscribe(ServerId, String),
+    OpenNodeEvents(ServerId, String),
     /// Tell a viewer's event stream; the name and the data.
-    Tell(String, &'static str, String),
+    NotifyViewer(String, &'static str, String),
     /// The resource is no more: its event stream ends.
-    Drop(String),
+    CloseEventStream(String),
     /// Other fronts are to have a copy of this session, or none any more. Only where settings name copies.
-    Copy(u64, Option<Copied>),
+    Replicate(u64, Option<SessionCopy>),
     /// A line for the log.
     Log(String),
 }
 
 /// What other fronts are told of a session that plays.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Copied {
+pub struct SessionCopy {
     /// The viewer's key.
     pub viewer: u64,
     /// Index of the class.
--- a/crates/front/src/engine/view.rs
+++ b/crates/front/src/engine/view.rs
@@ -1,7 +1,7 @@
 //! What the console shows, as plain data.
 
 use super::Engine;
-use super::policy::PolicyShown;
+use super::policy::PolicyStatus;
 use super::tally::{AgeRow, ClassRow};
 use pepperhook::{ServerState, Time};
 use pepperhook_duties::{Counters as DutyCounters, DutyRow};
@@ -13,7 +13,7 @@
 
 /// Copies, as the console shows them.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct ReplicaShown {
+pub struct ReplicaStatus {
     /// Sessions of this front that others are to have copies of.
     pub own: usize,
     /// Sessions that this front went on with after their front had died.
@@ -75,10 +75,10 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub agreement: Option<pepperhook_fleet::AgreedShown>,
     /// Copies on other fronts and of other fronts, where there are any.
-    pub replica: Option<ReplicaShown>,
+    pub replica: Option<ReplicaStatus>,
     /// Agreed policies, where one ever came or the front was fenced.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub policy: Option<PolicyShown>,
+    pub policy: Option<PolicyStatus>,
     /// Sessions found at nodes that nobody held, deleted there.
     pub strays: u64,
     /// Sessions held here that their nodes had not, ended.
@@ -90,7 +90,7 @@
     /// The fronts that are there by this one's view.
     pub members: Vec<MemberRow>,
     /// Duties, who has them and why.
-    pub duties: Vec<DutyShown>,
+    pub duties: Vec<DutyStatus>,
     /// What became of duties here.
     pub duty_counters: Option<DutyCounters>,
     /// What is added to this front's clock to get the fleet's, milliseconds.
@@ -99,7 +99,7 @@
 
 /// A duty with its target's name.
 #[derive(Clone, Debug, Serialize)]
-pub struct DutyShown {
+pub struct DutyStatus {
     /// The node.
     pub node: String,
     /// The duty.
@@ -201,7 +201,7 @@
                 })
                 .collect(),
             nodes,
-            holds: self.hold_rows(now),
+            holds: self.reservation_rows(now),
             agreement: None,
             replica: None,
             policy: self.policy_shown(),
--- a/crates/front/src/listener.rs
+++ b/crates/front/src/listener.rs
@@ -174,7 +174,7 @@
     title: &str,
     request: &Request<Incoming>,
     token: Option<&Token>,
-) -> Result<Ask, Problem> {
+) -> Result<SessionRequest, Problem> {
     // The classes and tenants in force: an agreed policy may have brought some.
     let config = shell.engine(|e, _| e.config().clone());
     let bad = |what: String| Problem::new(400, "query", "Bad query", what);
@@ -213,17 +213,17 @@
         Some(v) => name_hash(&format!("{}\n{v}\n{name}\n{publish}", token.map_or("", |t| &t.name))),
         None => rand::random(),
     };
-    Ok(Ask {
+    Ok(SessionRequest {
         offer: Bytes::new(),
         offer_hash: 0,
-        name: title.to_owned(),
+        title_name: title.to_owned(),
         title: place.id,
-        home: place.home,
-        copies: place.copies,
+        first_cell: place.home,
+        cell_count: place.copies,
         class: class as u16,
         tenant: tenant as u16,
         viewer: ViewerKey(viewer),
-        top,
+        highest_rung: top,
         publish,
     })
 }
@@ -280,11 +280,11 @@
         Answer::Refused(..) => "refused",
         Answer::Failed => "failed",
         Answer::Superseded => "superseded",
-        Answer::Unpublished => "unpublished",
-        Answer::Published => "published",
-        Answer::Closed => "closed",
+        Answer::NotPublished => "unpublished",
+        Answer::AlreadyPublished => "published",
+        Answer::ClassClosed => "closed",
         Answer::Ended => "ended",
-        Answer::Unknown => "unknown",
+        Answer::UnknownSession => "unknown",
     }
 }
 
@@ -296,7 +296,7 @@
                 Refusal::NoRoom => ("refused", "no holder of the title has room now; a new try does no harm"),
                 Refusal::Overload => ("overload", "the front holds as many requests or sessions as it may"),
                 Refusal::Stopping => ("stopping", "the front is stopping; another one takes the request"),
-                Refusal::Copies => ("copies", "copies of this request wait for its answer already"),
+                Refusal::TooManyCopies => ("copies", "copies of this request wait for its answer already"),
                 Refusal::Fenced => {
                     ("fenced", "this front cannot know what the fleet agreed; trying elsewhere is harmless")
                 }
@@ -309,17 +309,17 @@
         Answer::Superseded => {
             Problem::new(409, "superseded", "Superseded", "a newer request of the same viewer took its place")
         }
-        Answer::Unpublished => {
+        Answer::NotPublished => {
             Problem::new(409, "unpublished", "Not published", "nobody publishes this title now")
                 .with_retry_after_ms(UNPUBLISHED_MS)
         }
-        Answer::Published => {
+        Answer::AlreadyPublished => {
             Problem::new(409, "published", "Published already", "another session publishes this title")
         }
-        Answer::Closed => {
+        Answer::ClassClosed => {
             Problem::new(409, "class-closed", "Closed", "the policy in force takes nothing new of this class")
         }
-        Answer::Unknown => unknown_session(),
+        Answer::UnknownSession => unknown_session(),
         _ => Problem::new(504, "failed", "The set-up failed", "no node set the session up in time"),
     }
 }
@@ -365,7 +365,7 @@
         Problem::new(504, "node", "The node did not answer", "the change may or may not be in force")
     })?;
     if let (200, Some(ufrag)) = (status, fragment.and_then(|f| f.ufrag)) {
-        shell.drive(Input::Restarted(id.to_owned(), ufrag, etag.clone()));
+        shell.drive(Input::IceRestarted(id.to_owned(), ufrag, etag.clone()));
     }
     let mut r = response(status, kind.as_deref().unwrap_or(""), bytes);
     if let Some(etag) = etag {
@@ -408,7 +408,7 @@
         assert!(p.detail.contains("cannot know what the fleet agreed") && p.detail.contains("is harmless"));
         let named = p.with("policy", 7.into());
         assert!(String::from_utf8(named.to_json()).expect("text").contains("\"policy\":7"));
-        assert_eq!(problem_of(&Answer::Closed).status, 409);
+        assert_eq!(problem_of(&Answer::ClassClosed).status, 409);
         let full = problem_of(&Answer::Refused(Some(500_000_000), Refusal::NoRoom));
         assert_eq!((full.title.as_str(), full.retry_after_ms), ("Refused", Some(500)));
     }
--- a/crates/front/src/shell.rs
+++ b/crates/front/src/shell.rs
@@ -74,7 +74,7 @@
 impl Drop for Waiting {
     fn drop(&mut self) {
         if !self.answered && self.shell.waiting.borrow_mut().remove(&self.ticket).is_some() {
-            self.shell.drive(Input::Left(self.ticket));
+            self.shell.drive(Input::Disconnected(self.ticket));
         }
     }
 }
@@ -159,17 +159,17 @@
                 }
                 Effect::Probe(node) => spread::ask(self, node),
                 Effect::SetLayer(node, path, rung) => self.set_layer(node, path, rung),
-                Effect::Subscribe(node, path) => self.follow(node, path),
-                Effect::Tell(resource, event, data) => {
+                Effect::OpenNodeEvents(node, path) => self.follow(node, path),
+                Effect::NotifyViewer(resource, event, data) => {
                     if let Some(stream) = self.streams.borrow().get(&resource) {
                         // A full stream belongs to a viewer who does not read it.
                         let _ = stream.try_send(pepperhook_signalling::write_event(event, &data));
                     }
                 }
-                Effect::Drop(resource) => {
+                Effect::CloseEventStream(resource) => {
                     self.streams.borrow_mut().remove(&resource);
                 }
-                Effect::Copy(key, copied) => spread::copy(self, key, copied.as_ref()),
+                Effect::Replicate(key, copied) => spread::copy(self, key, copied.as_ref()),
                 Effect::Log(line) => info!(event = "decision", "{line}"),
             }
         }
@@ -225,7 +225,7 @@
                 None => AttemptEnd::NoConnection,
             };
             shell.attempts.borrow_mut().remove(&id);
-            shell.drive(Input::Attempt(id, node, end));
+            shell.drive(Input::AttemptEnded(id, node, end));
         });
         self.attempts.borrow_mut().insert(id, (hold, task));
     }
@@ -260,7 +260,7 @@
         spawn_local(async move {
             let end = match address {
                 Some(address) => {
-                    let each = |news| shell.drive(Input::News(node, news));
+                    let each = |news| shell.drive(Input::NodeEvent(node, news));
                     shell.upstream.follow(address, &path, each).await
                 }
                 None => StreamEnd::NoConnection,
@@ -412,7 +412,7 @@
         shell.engine.borrow_mut().stop();
         spread::leave(shell);
         let _ = self.phase.send(Phase::Stopping);
-        let longest = shell.engine(|e, _| e.longest_wait());
+        let longest = shell.engine(|e, _| e.longest_patience());
         let idle = async {
             while !shell.engine.borrow().is_idle() {
                 shell.idle.notified().await;
--- a/crates/front/src/spread.rs
+++ b/crates/front/src/spread.rs
@@ -2,8 +2,8 @@
 //! carries out what [`Fleet`] says; it decides nothing.
 
 use crate::agreed::{self, Agreed, Disk, EngineMeans, Job};
-use crate::engine::types::{Copied, Input};
-use crate::engine::{DutyShown, ReplicaShown, Snapshot, life};
+use crate::engine::types::{Input, SessionCopy};
+use crate::engine::{DutyStatus, ReplicaStatus, Snapshot, incarnation};
 use crate::shell::Shell;
 use pepperhook::{ServerId, ServerState};
 use pepperhook_duties::{Duty, DutyKind, Target, TargetState};
@@ -49,7 +49,7 @@
     /// Duties that are being done here.
     running: RefCell<HashMap<(Duty, u64), JoinHandle<()>>>,
     /// Sessions that this front goes on with after their front had died, by their key.
-    adopted: RefCell<BTreeMap<u64, Copied>>,
+    adopted: RefCell<BTreeMap<u64, SessionCopy>>,
     /// What the fleet agrees on, as this front carries it out.
     pub agreed: Agreed,
     /// The voter's disk and its queue, until they run.
@@ -160,7 +160,7 @@
             .iter()
             .map(|n| (u64::from(pepperhook_inventory::node_id(&n.name).0), n.name.as_str()))
             .collect();
-        let shown = |row: pepperhook_duties::DutyRow| DutyShown {
+        let shown = |row: pepperhook_duties::DutyRow| DutyStatus {
             node: names.get(&row.target).map_or_else(String::new, |n| (*n).to_owned()),
             row,
         };
@@ -186,7 +186,7 @@
     }
 
     /// Copies for the console.
-    fn show_copies(&self, now_ms: u64) -> Option<ReplicaShown> {
+    fn show_copies(&self, now_ms: u64) -> Option<ReplicaStatus> {
         let fleet = self.fleet.borrow();
         let (streams, counters) = fleet.copies(now_ms)?;
         let adopted = self.adopted.borrow().len();
@@ -194,7 +194,7 @@
         let written: usize = keys(&|r| r.writable || r.fenced);
         let (kept, fenced) = (keys(&|r| !r.writable && !r.fenced), keys(&|r| r.fenced));
         let own = written.saturating_sub(adopted);
-        Some(ReplicaShown { own, adopted, kept, fenced, streams, counters: counters.clone() })
+        Some(ReplicaStatus { own, adopted, kept, fenced, streams, counters: counters.clone() })
     }
 
     /// Announcements that are known, calls-off included.
@@ -263,7 +263,7 @@
     let said: Result<Announcement, _> = serde_json::from_slice(&record.body);
     let peak = match &said {
         Ok(said) if id(&said.name) == record.id => {
-            shell.engine(|e, now| e.heard_peak(now, said)).map_err(|e| format!("{e:?}"))
+            shell.engine(|e, now| e.check_peer_peak(now, said)).map_err(|e| format!("{e:?}"))
         }
         Ok(_) => Err("its number is not its name's".to_owned()),
         Err(e) => Err(e.to_string()),
@@ -387,7 +387,8 @@
             Out::Seen(reading, age_ms) => {
                 if shell.config.duties.as_ref().is_some_and(|d| d.share_readings) {
                     let load = load(&reading.values);
-                    let input = Input::Seen(server(reading.node), reading.life, age_ms * 1_000_000, load);
+                    let input =
+                        Input::PeerReport(server(reading.node), reading.life, age_ms * 1_000_000, load);
                     shell.drive(input);
                 }
             }
@@ -464,7 +465,7 @@
 }
 
 /// Other fronts get a copy of a session, or let go of it.
-pub fn copy(shell: &Rc<Shell>, key: u64, copied: Option<&Copied>) {
+pub fn copy(shell: &Rc<Shell>, key: u64, copied: Option<&SessionCopy>) {
     // What cannot be written must not be taken for a session that ended.
     let Ok(body) = copied.map(postcard::to_stdvec).transpose() else { return };
     let kept = shell.spread.fleet.borrow_mut().keep(shell.fleet_time.now_ms(), key, body);
@@ -515,7 +516,7 @@
 /// Asks a node for its load, as a duty.
 fn probe(shell: &Rc<Shell>, duty: Duty, round: u64, limit: Duration) {
     let node = server(duty.target);
-    let (address, of) = shell.engine(|e, _| (e.node(node).map(|n| n.address), e.node(node).map(life)));
+    let (address, of) = shell.engine(|e, _| (e.node(node).map(|n| n.address), e.node(node).map(incarnation)));
     let task = {
         let shell = shell.clone();
         spawn_local(async move {
@@ -556,7 +557,7 @@
             ServerState::Draining => TargetState::Draining,
             ServerState::Gone => return None,
         };
-        Some(Target { id: u64::from(n.entry.server.0), state, incarnation: life(n) })
+        Some(Target { id: u64::from(n.entry.server.0), state, incarnation: incarnation(n) })
     };
     let targets: Vec<Target> = shell.engine(|e, _| e.nodes().filter_map(target).collect());
     for kind in [READS, SESSIONS] {
@@ -601,7 +602,9 @@
 fn listed(shell: &Rc<Shell>, node: ServerId, body: &[u8]) {
     let Ok(runs) = serde_json::from_slice::<BTreeMap<u64, usize>>(body) else { return };
     let there = runs.get(&name_hash(shell.upstream().via())).copied().unwrap_or(0);
-    if there == shell.engine(|e, _| e.sessions_at(node)) || !shell.spread.checking.borrow_mut().insert(node) {
+    if there == shell.engine(|e, _| e.session_count_at(node))
+        || !shell.spread.checking.borrow_mut().insert(node)
+    {
         return;
     }
     let shell = shell.clone();
@@ -611,7 +614,7 @@
             let Some(list) = sessions(&shell, node, TWICE).await else { break };
             let own = list.into_iter().filter(|(_, via)| via == shell.upstream().via());
             let paths: BTreeSet<String> = own.map(|(path, _)| path).collect();
-            shell.drive(Input::Sessions(node, paths));
+            shell.drive(Input::SessionList(node, paths));
         }
         shell.spread.checking.borrow_mut().remove(&node);
     });
--- a/crates/front/src/upstream.rs
+++ b/crates/front/src/upstream.rs
@@ -1,6 +1,6 @@
 //! The client of the nodes: WHIP and WHEP over HTTP/1.1, keep-alive connections pooled a node.
 
-use crate::engine::types::{AttemptEnd, Created, NodeNews, StreamEnd};
+use crate::engine::types::{AttemptEnd, Created, NodeEvent, StreamEnd};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -436,7 +436,7 @@
     }
 
     /// Follows a node's events until they end.
-    pub async fn follow(&self, node: SocketAddr, path: &str, mut each: impl FnMut(NodeNews)) -> StreamEnd {
+    pub async fn follow(&self, node: SocketAddr, path: &str, mut each: impl FnMut(NodeEvent)) -> StreamEnd {
         let wanted = serde_json::json!(["inactive", EVENT_DELIVERED, EVENT_LINK, EVENT_UPLINK]).to_string();
         let Some(post) = self.build(node, Method::POST, path, "application/json", wanted.into()) else {
             return StreamEnd::Refused;
@@ -459,7 +459,7 @@
         });
         let (response, _idle) = match opened.await {
             Ok(Ok(Ok(open))) => open,
-            Ok(Ok(Err(404 | 410))) => return StreamEnd::Unknown,
+            Ok(Ok(Err(404 | 410))) => return StreamEnd::SessionUnknown,
             Ok(Ok(Err(_))) => return StreamEnd::Refused,
             Ok(Err(NoResponse::NoConnection)) => return StreamEnd::NoConnection,
             Ok(Err(NoResponse::Broken)) | Err(_) => return StreamEnd::Closed,
@@ -475,15 +475,15 @@
     }
 }
 
-fn each_news(event: &ServerEvent, each: &mut impl FnMut(NodeNews)) {
+fn each_news(event: &ServerEvent, each: &mut impl FnMut(NodeEvent)) {
     let Ok(data) = serde_json::from_str::<serde_json::Value>(&event.data) else { return };
     let value = data.get("value").and_then(serde_json::Value::as_f64);
     let news = match (event.name.as_str(), value) {
-        (EVENT_DELIVERED, Some(v)) => NodeNews::Delivered(v),
-        (EVENT_LINK, Some(v)) => NodeNews::Link(v),
-        (EVENT_UPLINK, Some(v)) => NodeNews::Uplink(v),
+        (EVENT_DELIVERED, Some(v)) => NodeEvent::Delivered(v),
+        (EVENT_LINK, Some(v)) => NodeEvent::Link(v),
+        (EVENT_UPLINK, Some(v)) => NodeEvent::Uplink(v),
         ("inactive", _) => match data.get("session").and_then(serde_json::Value::as_str) {
-            Some(path) => NodeNews::Inactive(path.to_owned()),
+            Some(path) => NodeEvent::Inactive(path.to_owned()),
             None => return,
         },
         _ => return,
