--- a/crates/front/src/engine/mod.rs
+++ b/crates/front/src/engine/mod.rs
@@ -9,16 +9,17 @@
 //! is heard out for a short grace (a late 201 is deleted there), then the connection is reset. Only after
 //! that does the module hear of the time-out, so that no further attempt can go out beside it.
 
-pub mod claims;
+mod load_reports;
+mod metrics;
 mod peaks;
 mod policy;
-mod readings;
 mod reconcile;
-mod tally;
 pub mod types;
 mod view;
+pub mod viewers;
 
-use claims::{Claims, Returning, Stand, Verdict};
+pub use load_reports::incarnation;
+pub use metrics::Tally;
 use pepperhook::{
     Action, ClassId, Controller, Event, Gauge, NotificationKind, Outcome, ServerId, ServerState, SessionId,
     SessionSpec, SettingsError, TenantId, Time, TitleId, ViewerKey,
@@ -32,13 +33,12 @@
 use policy::{Policies, Promise};
 use rand::rngs::StdRng;
 use rand::{RngCore, SeedableRng};
-pub use readings::incarnation;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::num::NonZeroUsize;
 use std::rc::Rc;
-pub use tally::Tally;
 use types::*;
 pub use view::{DutyStatus, NodeRow, RackRow, ReplicaStatus, Snapshot};
+use viewers::{Claims, Returning, Stand, Verdict};
 
 /// What is due at some time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/front/src/engine/view.rs
+++ b/crates/front/src/engine/view.rs
@@ -1,8 +1,8 @@
 //! What the console shows, as plain data.
 
 use super::Engine;
+use super::metrics::{AgeRow, ClassRow};
 use super::policy::PolicyStatus;
-use super::tally::{AgeRow, ClassRow};
 use pepperhook::{ServerState, Time};
 use pepperhook_duties::{Counters as DutyCounters, DutyRow};
 use pepperhook_exchange::Counters;
