--- a/crates/front/src/engine/mod.rs
+++ b/crates/front/src/engine/mod.rs
@@ -38,7 +38,7 @@
 use std::rc::Rc;
 use types::*;
 pub use view::{DutyStatus, NodeRow, RackRow, ReplicaStatus, Snapshot};
-use viewers::{Claims, Returning, Stand, Verdict};
+use viewers::{Admission, Phase, ReturningViewers, ViewerSessions};
 
 /// What is due at some time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -124,11 +124,11 @@
     moved: lru::LruCache<String, ()>,
     published: BTreeMap<TitleId, SessionId>,
     nodes: BTreeMap<ServerId, NodeState>,
-    claims: Claims,
+    viewers: ViewerSessions,
     holds: Holds,
     /// A timer for the next plan is set.
     planned: bool,
-    returning: Returning,
+    returning: ReturningViewers,
     policies: Policies,
     timers: Timers<Wake>,
     pending: VecDeque<Event>,
@@ -161,10 +161,10 @@
             moved: lru::LruCache::new(MOVED_KEPT),
             published: BTreeMap::new(),
             nodes: BTreeMap::new(),
-            claims: Claims::default(),
+            viewers: ViewerSessions::default(),
             holds: peaks::holds(&config),
             planned: false,
-            returning: Returning::new(RETURNING_KEPT),
+            returning: ReturningViewers::new(RETURNING_KEPT),
             policies: Policies::default(),
             timers: Timers::default(),
             pending: VecDeque::new(),
@@ -314,9 +314,9 @@
         if let Some(answer) = self.bars(&ask).or_else(|| self.at_odds_with_publisher(&ask)) {
             return self.answer(ticket, answer, out);
         }
-        match self.claims.ask(ask.viewer, ask.offer_hash) {
-            Verdict::Begin => self.begin(now, now, ticket, ask, patience, out),
-            Verdict::Join(id) => {
+        match self.viewers.admit(ask.viewer, ask.offer_hash) {
+            Admission::Start => self.begin(now, now, ticket, ask, patience, out),
+            Admission::Join(id) => {
                 if let Some(live) = self.live.get_mut(&id) {
                     live.tickets.push(ticket);
                     let patience = live.promise.patience;
@@ -324,27 +324,29 @@
                     self.backstop_at(now, ticket, patience);
                 }
             }
-            Verdict::Repeat(id) => {
+            Admission::RepeatAnswer(id) => {
                 let answer = self.live.get(&id).and_then(|l| l.playing.as_ref()).map(|p| p.answer.clone());
                 self.tickets.insert(ticket, id);
                 self.answer(ticket, answer.unwrap_or(Answer::Failed), out);
             }
-            Verdict::Replace(id, Stand::Playing) => {
+            Admission::Replace(id, Phase::Playing) => {
                 self.end_playing(id, Outcome::Cancelled, true, None, out);
                 self.run(now, out);
                 self.begin(now, now, ticket, ask, patience, out);
             }
-            Verdict::Replace(id, Stand::Waiting) => {
+            Admission::Replace(id, Phase::SettingUp) => {
                 self.give_up(now, id, Answer::Superseded, out);
                 self.run(now, out);
                 // If an attempt was out it is now being closed, and the newer request waits for that.
-                match self.claims.ask(ask.viewer, ask.offer_hash) {
-                    Verdict::Park => self.park(now, ticket, ask, out),
+                match self.viewers.admit(ask.viewer, ask.offer_hash) {
+                    Admission::Park => self.park(now, ticket, ask, out),
                     _ => self.begin(now, now, ticket, ask, patience, out),
                 }
             }
-            Verdict::Park => self.park(now, ticket, ask, out),
-            Verdict::Refuse => self.answer(ticket, Answer::Refused(advice, Refusal::TooManyCopies), out),
+            Admission::Park => self.park(now, ticket, ask, out),
+            Admission::TooManyWaiting => {
+                self.answer(ticket, Answer::Refused(advice, Refusal::TooManyCopies), out)
+            }
         }
     }
 
@@ -399,7 +401,7 @@
         // Session numbers stay below 2^52 and away from the module's own timer token.
         self.next_session = (self.next_session + 1) & 0x000f_ffff_ffff_ffff;
         let id = SessionId(self.next_session);
-        let again = self.returning.came_again(now, ask.viewer);
+        let again = self.returning.take_reconnect(now, ask.viewer);
         let wish = SessionSpec {
             viewer: ask.viewer,
             class: ClassId(ask.class),
@@ -415,7 +417,7 @@
         if taken == now {
             self.backstop_at(now, ticket, patience);
         }
-        self.claims.begin(ask.viewer, id, ask.offer_hash);
+        self.viewers.start(ask.viewer, id, ask.offer_hash);
         self.tickets.insert(ticket, id);
         let promise = Promise { patience, ..self.promise(ask.class) };
         let tickets = vec![ticket];
@@ -434,7 +436,7 @@
         let Some(id) = self.tickets.remove(&ticket) else { return };
         let Some(live) = self.live.get_mut(&id) else { return };
         live.tickets.retain(|t| *t != ticket);
-        if self.claims.left(live.ask.viewer, id) && live.playing.is_none() {
+        if self.viewers.remove_waiter(live.ask.viewer, id) && live.playing.is_none() {
             self.call_off(now, id, out);
         }
     }
@@ -451,7 +453,7 @@
         live.tickets.retain(|t| *t != ticket);
         let viewer = live.ask.viewer;
         self.answer(ticket, Answer::Failed, out);
-        if self.claims.left(viewer, id) {
+        if self.viewers.remove_waiter(viewer, id) {
             self.call_off(now, id, out);
         }
     }
@@ -468,7 +470,7 @@
     /// Nobody waits for the session any more: the module forgets it, an attempt that is out is closed.
     fn call_off(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
         let Some(live) = self.live.remove(&id) else { return };
-        self.claims.end(live.ask.viewer, id);
+        self.viewers.release(live.ask.viewer, id);
         self.pending.push_back(Event::Closed(id));
         if let Some(attempt) = live.out {
             self.close_attempt(now, attempt, Outcome::Cancelled, out);
@@ -516,7 +518,7 @@
     fn close_attempt(&mut self, now: Time, id: AttemptId, how: Outcome, out: &mut Vec<Effect>) {
         let Some(attempt) = self.attempts.get_mut(&id).filter(|a| a.closing.is_none()) else { return };
         attempt.closing = Some(how);
-        self.claims.closing(attempt.viewer);
+        self.viewers.attempt_closing(attempt.viewer);
         self.timers.set(now.saturating_add(self.config.close_grace), Wake::AttemptReset(id));
         out.push(Effect::CloseAttempt(id));
     }
@@ -566,7 +568,7 @@
         let Some(attempt) = self.attempts.remove(&id) else { return };
         let report = self.gauges(&load);
         self.attempt_failed(id, attempt.node, attempt.closing.unwrap_or(Outcome::Cancelled), report);
-        if self.claims.closed(attempt.viewer) {
+        if self.viewers.attempt_closed(attempt.viewer) {
             if let Some(p) = self.parked.remove(&attempt.viewer) {
                 self.run(now, out);
                 if self.policies.closed.contains(&p.ask.class) {
@@ -630,7 +632,7 @@
             answer: answer.clone(),
             restarted: None,
         });
-        self.claims.plays(viewer, session);
+        self.viewers.set_playing(viewer, session);
         self.resources.insert(resource, session);
         if publish {
             self.published.insert(title, session);
@@ -690,7 +692,7 @@
         if self.config.replica.is_some() {
             out.push(Effect::Replicate(id.0, None));
         }
-        self.claims.end(live.ask.viewer, id);
+        self.viewers.release(live.ask.viewer, id);
         self.holds.ended(id.0);
         self.resources.remove(&p.resource);
         if let Some(state) = self.nodes.get_mut(&p.node) {
@@ -728,7 +730,7 @@
             return;
         };
         self.moved.put(resource, ());
-        self.returning.note(now, viewer);
+        self.returning.record(now, viewer);
         self.tally.moves += 1;
         self.end_playing(id, Outcome::Cancelled, true, Some((EVENT_MOVE, "rack")), out);
     }
@@ -866,8 +868,8 @@
     fn end_unplaced(&mut self, now: Time, id: SessionId, answer: &Answer, out: &mut Vec<Effect>) {
         let Some(live) = self.live.get_mut(&id) else { return };
         let (viewer, tickets) = (live.ask.viewer, std::mem::take(&mut live.tickets));
-        self.claims.end(viewer, id);
-        self.returning.note(now, viewer);
+        self.viewers.release(viewer, id);
+        self.returning.record(now, viewer);
         for ticket in tickets {
             self.answer(ticket, answer.clone(), out);
         }
--- a/crates/front/src/engine/policy.rs
+++ b/crates/front/src/engine/policy.rs
@@ -245,7 +245,7 @@
         if !self.policies.fenced && self.policies.closed.is_empty() {
             return None;
         }
-        match (self.claims.knows(ask.viewer, ask.offer_hash), self.policies.fenced) {
+        match (self.viewers.is_duplicate(ask.viewer, ask.offer_hash), self.policies.fenced) {
             (true, _) => None,
             (false, true) => Some(Answer::Refused(None, Refusal::Fenced)),
             (false, false) => self.policies.closed.contains(&ask.class).then_some(Answer::ClassClosed),
--- a/crates/front/src/engine/tests.rs
+++ b/crates/front/src/engine/tests.rs
@@ -389,7 +389,7 @@
                 Step::Post { viewer, offer } => {
                     next += 1;
                     asked.insert(Ticket(next), b.now);
-                    let copy = b.engine.claims.knows(ViewerKey(viewer), offer);
+                    let copy = b.engine.viewers.is_duplicate(ViewerKey(viewer), offer);
                     b.put(Input::Post(Ticket(next), ask(viewer, offer)));
                     let refused = b.answer(next) == Some(&Answer::Refused(None, Refusal::Fenced));
                     prop_assert_eq!(refused, fenced && !copy);
--- a/crates/front/src/engine/viewers.rs
+++ b/crates/front/src/engine/viewers.rs
@@ -1,117 +1,118 @@
-//! Which request of a viewer counts: the claims that viewers hold by their keys.
+//! The session of each viewer key, and how a further request under the same key is admitted.
 //!
-//! A viewer is one key. A second request under a key may be the same one sent again, a newer one that
-//! replaces it, or one that finds the session playing. What each of them gets is decided here, without I/O;
-//! the engine carries it out. Two things always hold: a key has one session at most, and no set-up of a key
-//! begins while an earlier attempt of that key is still being closed.
+//! A further request may be a duplicate of the first, a newer one that replaces it, or one that arrives while the
+//! session plays. The admission is decided here, without I/O; the engine carries it out. Two invariants hold: a key
+//! has at most one session, and no set-up for a key starts while an earlier attempt for that key is being closed.
 
 use pepperhook::{SessionId, Time, ViewerKey};
 use std::collections::BTreeMap;
 
-/// How far a claim has come.
+/// The phase of a viewer's session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stand {
+pub enum Phase {
     /// Its set-up is under way.
-    Waiting,
+    SettingUp,
     /// It plays.
     Playing,
 }
 
-/// A viewer's claim: one session, and the offer that it was asked with.
+/// The session of one viewer key, and the offer that it was requested with.
 #[derive(Clone, Copy, Debug)]
-struct Claim {
+struct ViewerSession {
     session: SessionId,
-    offer: u64,
-    stand: Stand,
-    /// Requests that wait for its answer.
-    waiting: u32,
+    offer_hash: u64,
+    phase: Phase,
+    /// Number of requests that wait for the answer.
+    waiters: u32,
 }
 
-/// What a request gets.
+/// How a request under a viewer key is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// A session of its own, now.
-    Begin,
-    /// The same offer again while its set-up is under way: it waits for the same answer.
+pub enum Admission {
+    /// Start a new session now.
+    Start,
+    /// Duplicate of a request whose set-up is under way: wait for the same answer.
     Join(SessionId),
-    /// The same offer again, and it plays: the answer is given once more.
-    Repeat(SessionId),
-    /// Another offer: the session ends, this one takes its place.
-    Replace(SessionId, Stand),
-    /// An earlier attempt of this key is being closed: it waits for that, then begins.
+    /// Duplicate of a request whose session plays: repeat its answer.
+    RepeatAnswer(SessionId),
+    /// Another offer: end the existing session and start a new one.
+    Replace(SessionId, Phase),
+    /// An earlier attempt for this key is being closed: start once it is closed.
     Park,
-    /// As many copies of one request wait as may.
-    Refuse,
+    /// Too many duplicates of the request already wait.
+    TooManyWaiting,
 }
 
-/// Copies of one request that may wait at once: a client's own repeats, not a flood.
-const MOST_WAITING: u32 = 4;
+/// Most requests that may wait for one answer. Enough for a client's retries; bounds a flood of duplicates.
+const MAX_WAITERS: u32 = 4;
 
-/// All claims.
+/// The sessions of all viewer keys, and the attempts that are being closed for them.
 #[derive(Debug, Default)]
-pub struct Claims {
-    held: BTreeMap<ViewerKey, Claim>,
-    /// Attempts that are being closed, by key.
+pub struct ViewerSessions {
+    sessions: BTreeMap<ViewerKey, ViewerSession>,
+    /// Number of attempts being closed, by key.
     closing: BTreeMap<ViewerKey, u32>,
 }
 
-impl Claims {
-    /// What a request under this key gets. For `Join` the wait is counted at once.
-    pub fn ask(&mut self, key: ViewerKey, offer: u64) -> Verdict {
+impl ViewerSessions {
+    /// Decides how a request under this key is handled. `Join` counts the new waiter.
+    pub fn admit(&mut self, key: ViewerKey, offer_hash: u64) -> Admission {
         let closing = self.closing.contains_key(&key);
-        match self.held.get_mut(&key) {
-            Some(c) if c.offer == offer && c.stand == Stand::Playing => Verdict::Repeat(c.session),
-            Some(c) if c.offer == offer && c.waiting >= MOST_WAITING => Verdict::Refuse,
-            Some(c) if c.offer == offer => {
-                c.waiting += 1;
-                Verdict::Join(c.session)
+        match self.sessions.get_mut(&key) {
+            Some(v) if v.offer_hash == offer_hash && v.phase == Phase::Playing => {
+                Admission::RepeatAnswer(v.session)
             }
-            Some(c) => Verdict::Replace(c.session, c.stand),
-            None if closing => Verdict::Park,
-            None => Verdict::Begin,
+            Some(v) if v.offer_hash == offer_hash && v.waiters >= MAX_WAITERS => Admission::TooManyWaiting,
+            Some(v) if v.offer_hash == offer_hash => {
+                v.waiters += 1;
+                Admission::Join(v.session)
+            }
+            Some(v) => Admission::Replace(v.session, v.phase),
+            None if closing => Admission::Park,
+            None => Admission::Start,
         }
     }
 
-    /// Is this a copy of the request that holds the key?
+    /// Whether this is a duplicate of the request that the key's session was started for.
     #[must_use]
-    pub fn knows(&self, key: ViewerKey, offer: u64) -> bool {
-        self.held.get(&key).is_some_and(|c| c.offer == offer)
+    pub fn is_duplicate(&self, key: ViewerKey, offer_hash: u64) -> bool {
+        self.sessions.get(&key).is_some_and(|v| v.offer_hash == offer_hash)
     }
 
-    /// A session begins under the key.
-    pub fn begin(&mut self, key: ViewerKey, session: SessionId, offer: u64) {
-        self.held.insert(key, Claim { session, offer, stand: Stand::Waiting, waiting: 1 });
+    /// Records a session that starts under the key, with one waiter.
+    pub fn start(&mut self, key: ViewerKey, session: SessionId, offer_hash: u64) {
+        self.sessions.insert(key, ViewerSession { session, offer_hash, phase: Phase::SettingUp, waiters: 1 });
     }
 
-    /// It plays.
-    pub fn plays(&mut self, key: ViewerKey, session: SessionId) {
-        if let Some(c) = self.held.get_mut(&key).filter(|c| c.session == session) {
-            (c.stand, c.waiting) = (Stand::Playing, 0);
+    /// Records that the session plays; all its waiters have their answer.
+    pub fn set_playing(&mut self, key: ViewerKey, session: SessionId) {
+        if let Some(v) = self.sessions.get_mut(&key).filter(|v| v.session == session) {
+            (v.phase, v.waiters) = (Phase::Playing, 0);
         }
     }
 
-    /// One of those who wait for it left; true if none is left.
-    pub fn left(&mut self, key: ViewerKey, session: SessionId) -> bool {
-        self.held.get_mut(&key).filter(|c| c.session == session).is_none_or(|c| {
-            c.waiting = c.waiting.saturating_sub(1);
-            c.waiting == 0
+    /// Removes one waiter; returns true if none is left.
+    pub fn remove_waiter(&mut self, key: ViewerKey, session: SessionId) -> bool {
+        self.sessions.get_mut(&key).filter(|v| v.session == session).is_none_or(|v| {
+            v.waiters = v.waiters.saturating_sub(1);
+            v.waiters == 0
         })
     }
 
-    /// The session ended, or never came to be.
-    pub fn end(&mut self, key: ViewerKey, session: SessionId) {
-        if self.held.get(&key).is_some_and(|c| c.session == session) {
-            self.held.remove(&key);
+    /// Frees the key when its session has ended or its set-up has failed. Ignored if the key has a newer session.
+    pub fn release(&mut self, key: ViewerKey, session: SessionId) {
+        if self.sessions.get(&key).is_some_and(|v| v.session == session) {
+            self.sessions.remove(&key);
         }
     }
 
-    /// An attempt of the key is being closed.
-    pub fn closing(&mut self, key: ViewerKey) {
+    /// Records that an attempt for the key is being closed.
+    pub fn attempt_closing(&mut self, key: ViewerKey) {
         *self.closing.entry(key).or_default() += 1;
     }
 
-    /// It is closed; true if the key is free of such attempts now.
-    pub fn closed(&mut self, key: ViewerKey) -> bool {
+    /// Records that such an attempt is closed; returns true if no other one of the key is being closed.
+    pub fn attempt_closed(&mut self, key: ViewerKey) -> bool {
         match self.closing.get_mut(&key) {
             Some(n) if *n > 1 => {
                 *n -= 1;
@@ -126,28 +127,28 @@
     }
 }
 
-/// Viewers who were refused, moved or cut off, for as long as they may count as coming again.
+/// Viewers who were refused, moved or disconnected recently: their next request counts as a reconnect.
 #[derive(Debug)]
-pub struct Returning(lru::LruCache<ViewerKey, Time>);
+pub struct ReturningViewers(lru::LruCache<ViewerKey, Time>);
 
-/// A viewer who comes later than this after a refusal or a break comes anew.
-const RETURNS_WITHIN: Time = 10_000_000_000;
+/// A request within this time after a refusal, move or disconnect counts as a reconnect. Nanoseconds (10 s).
+const RECONNECT_WINDOW: Time = 10_000_000_000;
 
-impl Returning {
-    /// Remembers so many viewers at most; the longest unseen are forgotten first.
+impl ReturningViewers {
+    /// Remembers at most `capacity` viewers; the least recently recorded are evicted first.
     #[must_use]
-    pub fn new(most: std::num::NonZeroUsize) -> Self {
-        Self(lru::LruCache::new(most))
+    pub fn new(capacity: std::num::NonZeroUsize) -> Self {
+        Self(lru::LruCache::new(capacity))
     }
 
-    /// The viewer was sent away or cut off.
-    pub fn note(&mut self, now: Time, key: ViewerKey) {
+    /// Records that the viewer was refused, moved or disconnected.
+    pub fn record(&mut self, now: Time, key: ViewerKey) {
         self.0.put(key, now);
     }
 
-    /// Does the viewer come again? Asked once for each request.
-    pub fn came_again(&mut self, now: Time, key: ViewerKey) -> bool {
-        self.0.pop(&key).is_some_and(|at| at.saturating_add(RETURNS_WITHIN) >= now)
+    /// Whether the viewer reconnects. Forgets the viewer, so it is called once for each request.
+    pub fn take_reconnect(&mut self, now: Time, key: ViewerKey) -> bool {
+        self.0.pop(&key).is_some_and(|at| at.saturating_add(RECONNECT_WINDOW) >= now)
     }
 }
 
@@ -155,61 +156,61 @@
 mod tests {
     use super::*;
 
-    const K: ViewerKey = ViewerKey(1);
-    const S1: SessionId = SessionId(1);
+    const KEY: ViewerKey = ViewerKey(1);
+    const SESSION: SessionId = SessionId(1);
 
     #[test]
-    fn the_same_offer_joins_and_later_repeats_the_answer() {
-        let mut c = Claims::default();
-        assert_eq!(c.ask(K, 7), Verdict::Begin);
-        c.begin(K, S1, 7);
-        assert_eq!(c.ask(K, 7), Verdict::Join(S1));
-        assert!(!c.left(K, S1), "another one waits still");
-        assert!(c.left(K, S1));
-        c.plays(K, S1);
-        assert_eq!(c.ask(K, 7), Verdict::Repeat(S1));
-        assert_eq!(c.ask(K, 8), Verdict::Replace(S1, Stand::Playing));
-        c.end(K, S1);
-        assert_eq!(c.ask(K, 8), Verdict::Begin);
+    fn a_duplicate_joins_the_set_up_and_later_repeats_the_answer() {
+        let mut viewers = ViewerSessions::default();
+        assert_eq!(viewers.admit(KEY, 7), Admission::Start);
+        viewers.start(KEY, SESSION, 7);
+        assert_eq!(viewers.admit(KEY, 7), Admission::Join(SESSION));
+        assert!(!viewers.remove_waiter(KEY, SESSION), "another request still waits");
+        assert!(viewers.remove_waiter(KEY, SESSION));
+        viewers.set_playing(KEY, SESSION);
+        assert_eq!(viewers.admit(KEY, 7), Admission::RepeatAnswer(SESSION));
+        assert_eq!(viewers.admit(KEY, 8), Admission::Replace(SESSION, Phase::Playing));
+        viewers.release(KEY, SESSION);
+        assert_eq!(viewers.admit(KEY, 8), Admission::Start);
     }
 
     #[test]
-    fn a_flood_of_copies_is_refused() {
-        let mut c = Claims::default();
-        c.begin(K, S1, 7);
-        let joined = (0..20).filter(|_| c.ask(K, 7) == Verdict::Join(S1)).count();
-        assert_eq!(joined as u32, MOST_WAITING - 1);
+    fn a_flood_of_duplicates_is_refused() {
+        let mut viewers = ViewerSessions::default();
+        viewers.start(KEY, SESSION, 7);
+        let joined = (0..20).filter(|_| viewers.admit(KEY, 7) == Admission::Join(SESSION)).count();
+        assert_eq!(joined as u32, MAX_WAITERS - 1);
     }
 
     #[test]
-    fn nothing_begins_while_an_attempt_is_being_closed() {
-        let mut c = Claims::default();
-        c.begin(K, S1, 7);
-        c.closing(K);
-        c.closing(K);
-        c.end(K, S1);
-        assert_eq!(c.ask(K, 9), Verdict::Park);
-        assert!(!c.closed(K));
-        assert_eq!(c.ask(K, 9), Verdict::Park);
-        assert!(c.closed(K));
-        assert_eq!(c.ask(K, 9), Verdict::Begin);
+    fn no_session_starts_while_an_attempt_is_being_closed() {
+        let mut viewers = ViewerSessions::default();
+        viewers.start(KEY, SESSION, 7);
+        viewers.attempt_closing(KEY);
+        viewers.attempt_closing(KEY);
+        viewers.release(KEY, SESSION);
+        assert_eq!(viewers.admit(KEY, 9), Admission::Park);
+        assert!(!viewers.attempt_closed(KEY));
+        assert_eq!(viewers.admit(KEY, 9), Admission::Park);
+        assert!(viewers.attempt_closed(KEY));
+        assert_eq!(viewers.admit(KEY, 9), Admission::Start);
     }
 
     #[test]
-    fn a_late_end_does_not_touch_a_newer_session() {
-        let mut c = Claims::default();
-        c.begin(K, SessionId(2), 7);
-        c.end(K, S1);
-        c.plays(K, S1);
-        assert_eq!(c.ask(K, 7), Verdict::Join(SessionId(2)));
+    fn a_late_release_does_not_affect_a_newer_session() {
+        let mut viewers = ViewerSessions::default();
+        viewers.start(KEY, SessionId(2), 7);
+        viewers.release(KEY, SESSION);
+        viewers.set_playing(KEY, SESSION);
+        assert_eq!(viewers.admit(KEY, 7), Admission::Join(SessionId(2)));
     }
 
     #[test]
-    fn who_comes_again_is_known_for_a_time_and_within_a_bound() {
-        let mut r = Returning::new(std::num::NonZeroUsize::new(2).expect("two"));
-        (1..=3).for_each(|k| r.note(0, ViewerKey(k)));
-        assert!(!r.came_again(1, ViewerKey(1)), "forgotten for want of room");
-        assert!(r.came_again(1, ViewerKey(3)) && !r.came_again(1, ViewerKey(3)));
-        assert!(!r.came_again(RETURNS_WITHIN + 1, ViewerKey(2)));
+    fn returning_viewers_are_remembered_for_a_time_and_within_a_bound() {
+        let mut returning = ReturningViewers::new(std::num::NonZeroUsize::new(2).expect("two"));
+        (1..=3).for_each(|k| returning.record(0, ViewerKey(k)));
+        assert!(!returning.take_reconnect(1, ViewerKey(1)), "evicted: the capacity is 2");
+        assert!(returning.take_reconnect(1, ViewerKey(3)) && !returning.take_reconnect(1, ViewerKey(3)));
+        assert!(!returning.take_reconnect(RECONNECT_WINDOW + 1, ViewerKey(2)));
     }
 }
