--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -106,7 +106,7 @@
             println!(
                 "{:4.0} s  asked {:5}  playing {:4}  refused {:4}  failed {:3}  within aim {:5.1} %  p99 {:6.1} ms  alerts {}",
                 begin.elapsed().as_secs_f64(),
-                s.asked,
+                s.requests,
                 s.playing,
                 s.answers.get("refused").copied().unwrap_or(0),
                 s.answers.get("failed").copied().unwrap_or(0),
--- a/crates/cli/tests/duties.rs
+++ b/crates/cli/tests/duties.rs
@@ -208,12 +208,13 @@
         let reply =
             c.exchange("POST", "/whep/t", &headers, offer.as_bytes(), PATIENCE).await.expect("an answer");
         assert_eq!((reply.status, there(&fleet)), (201, 7));
-        until("the stray one is deleted", || there(&fleet) == 6 && front.snapshot().strays == 1).await;
+        until("the stray one is deleted", || there(&fleet) == 6 && front.snapshot().orphans_deleted == 1)
+            .await;
         assert_eq!(held(&fleet), 6, "and nothing else");
         // And one that its node lost without a word.
         let reply = c.exchange("DELETE", path, &[], b"", PATIENCE).await.expect("an answer");
         assert_eq!(reply.status, 200);
-        until("the lost one is ended", || held(&fleet) == 5 && front.snapshot().missing == 1).await;
+        until("the lost one is ended", || held(&fleet) == 5 && front.snapshot().sessions_missing == 1).await;
         assert_eq!(there(&fleet), 5);
         let lists = fleet.recorder.lines().iter().filter(|l| matches!(l.what, What::Listed { .. })).count();
         assert!(lists > 0);
--- a/crates/cli/tests/set_up.rs
+++ b/crates/cli/tests/set_up.rs
@@ -164,7 +164,7 @@
         let reply = reply.expect("an answer");
         assert!(matches!(reply.status, 503 | 504), "{}", reply.status);
         assert!(begin.elapsed() < PATIENCE);
-        assert_eq!(rig.front.snapshot().backstops, 0);
+        assert_eq!(rig.front.snapshot().overdue_answers, 0);
         rig.assert_one_out();
     });
 }
@@ -244,11 +244,11 @@
         // Who got its answer before it hung up may DELETE or come again; this test's did neither, and the
         // front cannot tell such a viewer from one that plays: only those whose answer was unread are ended.
         until("nothing waits", || {
-            rig.front.snapshot().waiting == 0 && rig.front.snapshot().attempts_out == 0
+            rig.front.snapshot().waiting == 0 && rig.front.snapshot().attempts_open == 0
         })
         .await;
         until("both agree", || rig.sessions() == rig.front.snapshot().playing).await;
-        assert!(rig.front.snapshot().left > 0, "some left in time");
+        assert!(rig.front.snapshot().disconnected > 0, "some left in time");
         rig.assert_one_out();
     });
 }
@@ -264,7 +264,7 @@
         drop(c);
         until("it is closed", || rig.lines().iter().any(|l| matches!(l.what, What::Closed { .. }))).await;
         assert_eq!((rig.sessions(), rig.attempts()), (0, 1));
-        assert_eq!(rig.front.snapshot().left, 1);
+        assert_eq!(rig.front.snapshot().disconnected, 1);
     });
 }
 
--- a/crates/front/src/engine/load_reports.rs
+++ b/crates/front/src/engine/load_reports.rs
@@ -55,6 +55,6 @@
     /// A session goes to a node: how old is what is known of it?
     pub(super) fn note_age(&mut self, now: Time, node: ServerId) {
         let read = self.nodes.get(&node).and_then(|n| n.read);
-        self.tally.placed(read.map(|at| now.saturating_sub(at)));
+        self.metrics.record_placement(read.map(|at| now.saturating_sub(at)));
     }
 }
--- a/crates/front/src/engine/metrics.rs
+++ b/crates/front/src/engine/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and times of one front, for console and reports.
+//! Counters and histograms of one front since its start, for the console and for reports.
 
 use super::types::{Answer, Refusal};
 use hdrhistogram::Histogram;
@@ -6,24 +6,24 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What a front has done since its start.
+/// Counters and histograms of one front since its start.
 #[derive(Clone, Debug)]
-pub struct Tally {
+pub struct Metrics {
     /// Requests for sessions.
-    pub asked: u64,
-    /// Waiting requests whose connection closed.
-    pub left: u64,
-    /// Attempts sent.
+    pub requests: u64,
+    /// Requests whose connection closed before their answer.
+    pub disconnected: u64,
+    /// Set-up attempts sent to nodes.
     pub attempts: u64,
-    /// 201s that came after the time-out, deleted at their nodes.
+    /// 201s that arrived after their attempt had timed out or been cancelled; their sessions are deleted at the nodes.
     pub late_answers: u64,
-    /// Requests that only the last guard answered; each is a fault worth tracing.
-    pub backstops: u64,
-    /// Sessions moved.
+    /// Requests that were answered only by the answer deadline. Always 0 in a correct engine: each one is a bug.
+    pub overdue_answers: u64,
+    /// Sessions moved off their node.
     pub moves: u64,
     /// Changes of rung while playing.
-    pub rungs: u64,
-    /// Nodes found dead with sessions on them.
+    pub rung_changes: u64,
+    /// Times that the event stream of a node could not connect and the sessions there were ended.
     pub nodes_lost: u64,
     /// Answers by kind.
     pub answers: BTreeMap<&'static str, u64>,
@@ -31,55 +31,56 @@
     pub failures: BTreeMap<&'static str, u64>,
     /// Sessions ended by outcome.
     pub ends: BTreeMap<&'static str, u64>,
-    /// Set-ups sent to a node of which nothing had been seen.
-    pub blind: u64,
-    /// Sessions found at nodes that nobody held any more, deleted there.
-    pub strays: u64,
-    /// Sessions held here that their nodes had not, ended.
-    pub missing: u64,
-    ages_ms: Histogram<u64>,
-    classes: Vec<PerClass>,
+    /// Set-ups sent to a node without any load reading.
+    pub placed_without_reading: u64,
+    /// Sessions listed by a node that this front does not know, deleted there.
+    pub orphans_deleted: u64,
+    /// Sessions of this front that their node no longer listed, ended.
+    pub sessions_missing: u64,
+    reading_ages_ms: Histogram<u64>,
+    classes: Vec<ClassMetrics>,
 }
 
-/// How old readings were when sessions were placed by them.
+/// Ages of the load readings that sessions were placed by.
 #[derive(Clone, Debug, Serialize)]
-pub struct AgeRow {
-    /// Set-ups by a reading.
+pub struct ReadingAges {
+    /// Set-ups placed with a load reading.
     pub placed: u64,
-    /// Set-ups to a node of which nothing had been seen.
-    pub blind: u64,
-    /// Half of the readings were younger, milliseconds.
+    /// Set-ups sent to a node without any load reading.
+    #[serde(rename = "blind")]
+    pub placed_without_reading: u64,
+    /// Median age, milliseconds.
     pub p50_ms: u64,
-    /// 9 in 10 were younger.
+    /// 90th percentile, milliseconds.
     pub p90_ms: u64,
-    /// 99 in 100 were younger.
+    /// 99th percentile, milliseconds.
     pub p99_ms: u64,
 }
 
-/// Set-ups of one class.
+/// Set-up times of one class.
 #[derive(Clone, Debug)]
-struct PerClass {
+struct ClassMetrics {
     name: String,
     within_aim: u64,
-    times_us: Histogram<u64>,
+    set_up_times_us: Histogram<u64>,
 }
 
-/// Set-up times of one class, for a person.
+/// Set-up times of one class, as shown.
 #[derive(Clone, Debug, Serialize)]
 pub struct ClassRow {
     /// Its name.
     pub name: String,
-    /// Set-ups that played.
+    /// Set-ups that led to a playing session.
     pub set_ups: u64,
-    /// Those within the class's aim.
+    /// Set-ups within the class's aim.
     pub within_aim: u64,
-    /// Median, milliseconds.
+    /// Median set-up time, milliseconds.
     pub p50_ms: f64,
-    /// 99 in 100 took less, milliseconds.
+    /// 99th percentile, milliseconds.
     pub p99_ms: f64,
 }
 
-fn name(outcome: Outcome) -> &'static str {
+fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Served => "served",
         Outcome::Error => "error",
@@ -93,48 +94,51 @@
     }
 }
 
-/// Three digits up to an hour; the bounds are constants, so that this cannot fail.
+/// Histogram with 3 significant digits up to 3,600,000,000 (one hour in microseconds). The bounds are constants, so
+/// creating it cannot fail.
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(3_600_000_000, 3).unwrap_or_else(|_| Histogram::new(1).expect("digits"))
+    Histogram::new_with_max(3_600_000_000, 3)
+        .unwrap_or_else(|_| Histogram::new(1).expect("1 significant digit is valid"))
 }
 
-impl PerClass {
+impl ClassMetrics {
     fn new(name: String) -> Self {
-        Self { name, within_aim: 0, times_us: histogram() }
+        Self { name, within_aim: 0, set_up_times_us: histogram() }
     }
 }
 
-impl Tally {
-    /// Nothing done yet, for classes of these names.
+impl Metrics {
+    /// All counters at 0, for classes of these names.
     #[must_use]
     pub fn new(classes: Vec<String>) -> Self {
         Self {
-            asked: 0,
-            left: 0,
+            requests: 0,
+            disconnected: 0,
             attempts: 0,
             late_answers: 0,
-            backstops: 0,
+            overdue_answers: 0,
             moves: 0,
-            rungs: 0,
+            rung_changes: 0,
             nodes_lost: 0,
             answers: BTreeMap::new(),
             failures: BTreeMap::new(),
             ends: BTreeMap::new(),
-            blind: 0,
-            strays: 0,
-            missing: 0,
-            ages_ms: histogram(),
-            classes: classes.into_iter().map(PerClass::new).collect(),
+            placed_without_reading: 0,
+            orphans_deleted: 0,
+            sessions_missing: 0,
+            reading_ages_ms: histogram(),
+            classes: classes.into_iter().map(ClassMetrics::new).collect(),
         }
     }
 
-    /// Classes of these names, in their order: those that are new are counted from now on.
-    pub(super) fn named<'a>(&mut self, classes: impl Iterator<Item = &'a str>) {
+    /// Takes the names of all classes in order; those beyond the known ones are added with empty counters.
+    pub(super) fn add_classes<'a>(&mut self, classes: impl Iterator<Item = &'a str>) {
         let known = self.classes.len();
-        self.classes.extend(classes.skip(known).map(|name| PerClass::new(name.to_owned())));
+        self.classes.extend(classes.skip(known).map(|name| ClassMetrics::new(name.to_owned())));
     }
 
-    pub(super) fn answered(&mut self, answer: &Answer) {
+    /// Counts an answer to a request for a session.
+    pub(super) fn count_answer(&mut self, answer: &Answer) {
         let kind = match answer {
             Answer::Created { .. } => "playing",
             Answer::Refused(_, Refusal::NoRoom) => "refused",
@@ -150,47 +154,56 @@
         *self.answers.entry(kind).or_default() += 1;
     }
 
-    pub(super) fn failed(&mut self, outcome: Outcome) {
-        *self.failures.entry(name(outcome)).or_default() += 1;
+    /// Counts an attempt that failed.
+    pub(super) fn count_failure(&mut self, outcome: Outcome) {
+        *self.failures.entry(outcome_name(outcome)).or_default() += 1;
     }
 
-    pub(super) fn ended(&mut self, outcome: Outcome) {
-        *self.ends.entry(name(outcome)).or_default() += 1;
+    /// Counts a playing session that ended.
+    pub(super) fn count_end(&mut self, outcome: Outcome) {
+        *self.ends.entry(outcome_name(outcome)).or_default() += 1;
     }
 
-    pub(super) fn set_up(&mut self, class: u16, took: Time, aim: Time) {
+    /// Records the time that a successful set-up took, and whether it was within the aim.
+    pub(super) fn record_set_up(&mut self, class: u16, elapsed: Time, aim: Time) {
         if let Some(c) = self.classes.get_mut(usize::from(class)) {
-            c.within_aim += u64::from(took <= aim);
-            c.times_us.saturating_record(took / 1_000);
+            c.within_aim += u64::from(elapsed <= aim);
+            c.set_up_times_us.saturating_record(elapsed / 1_000);
         }
     }
 
-    /// A set-up goes to a node that was seen so long ago, or never.
-    pub(super) fn placed(&mut self, age: Option<Time>) {
-        match age {
-            Some(age) => self.ages_ms.saturating_record(age / 1_000_000),
-            None => self.blind += 1,
+    /// Records the age of the load reading that a set-up was placed by; `None` if its node has none.
+    pub(super) fn record_placement(&mut self, reading_age: Option<Time>) {
+        match reading_age {
+            Some(age) => self.reading_ages_ms.saturating_record(age / 1_000_000),
+            None => self.placed_without_reading += 1,
         }
     }
 
-    /// Ages of readings.
+    /// Ages of the load readings that sessions were placed by.
     #[must_use]
-    pub fn ages(&self) -> AgeRow {
-        let at = |q| self.ages_ms.value_at_quantile(q);
+    pub fn reading_ages(&self) -> ReadingAges {
+        let at = |q| self.reading_ages_ms.value_at_quantile(q);
         let (p50_ms, p90_ms, p99_ms) = (at(0.5), at(0.9), at(0.99));
-        AgeRow { placed: self.ages_ms.len(), blind: self.blind, p50_ms, p90_ms, p99_ms }
+        ReadingAges {
+            placed: self.reading_ages_ms.len(),
+            placed_without_reading: self.placed_without_reading,
+            p50_ms,
+            p90_ms,
+            p99_ms,
+        }
     }
 
     /// Set-up times by class.
     #[must_use]
-    pub fn classes(&self) -> Vec<ClassRow> {
+    pub fn class_rows(&self) -> Vec<ClassRow> {
         let ms = |h: &Histogram<u64>, q| h.value_at_quantile(q) as f64 / 1_000.0;
-        let row = |c: &PerClass| ClassRow {
+        let row = |c: &ClassMetrics| ClassRow {
             name: c.name.clone(),
-            set_ups: c.times_us.len(),
+            set_ups: c.set_up_times_us.len(),
             within_aim: c.within_aim,
-            p50_ms: ms(&c.times_us, 0.5),
-            p99_ms: ms(&c.times_us, 0.99),
+            p50_ms: ms(&c.set_up_times_us, 0.5),
+            p99_ms: ms(&c.set_up_times_us, 0.99),
         };
         self.classes.iter().map(row).collect()
     }
--- a/crates/front/src/engine/mod.rs
+++ b/crates/front/src/engine/mod.rs
@@ -19,7 +19,7 @@
 pub mod viewers;
 
 pub use load_reports::incarnation;
-pub use metrics::Tally;
+pub use metrics::Metrics;
 use pepperhook::{
     Action, ClassId, Controller, Event, Gauge, NotificationKind, Outcome, ServerId, ServerState, SessionId,
     SessionSpec, SettingsError, TenantId, Time, TitleId, ViewerKey,
@@ -133,7 +133,7 @@
     timers: Timers<Wake>,
     pending: VecDeque<Event>,
     stopping: bool,
-    tally: Tally,
+    metrics: Metrics,
 }
 
 /// Resources of moved sessions that are remembered, to tell their viewers so.
@@ -169,7 +169,7 @@
             timers: Timers::default(),
             pending: VecDeque::new(),
             stopping: false,
-            tally: Tally::new(config.classes.iter().map(|c| c.name.clone()).collect()),
+            metrics: Metrics::new(config.classes.iter().map(|c| c.name.clone()).collect()),
             config,
         })
     }
@@ -289,9 +289,9 @@
         self.nodes.get(&id).map(|n| &n.node)
     }
 
-    /// Counters and times.
-    pub fn tally(&mut self) -> &mut Tally {
-        &mut self.tally
+    /// Counters and histograms since the start.
+    pub fn metrics(&mut self) -> &mut Metrics {
+        &mut self.metrics
     }
 
     // ---- requests ------------------------------------------------------------------------------
@@ -306,7 +306,7 @@
             (_, true) => Some(Refusal::Overload),
             _ => None,
         };
-        self.tally.asked += 1;
+        self.metrics.requests += 1;
         if let Some(why) = refusal {
             return self.answer(ticket, Answer::Refused(advice, why), out);
         }
@@ -429,7 +429,7 @@
 
     /// The connection of a waiting request closed: when nobody waits any more, the set-up is called off.
     fn left(&mut self, now: Time, ticket: Ticket, out: &mut Vec<Effect>) {
-        self.tally.left += 1;
+        self.metrics.disconnected += 1;
         if self.unpark(ticket) {
             return;
         }
@@ -444,11 +444,11 @@
     /// Rule 1's last guard: whatever happened to a request, it is answered before its viewer gives up.
     fn backstop(&mut self, now: Time, ticket: Ticket, out: &mut Vec<Effect>) {
         if self.unpark(ticket) {
-            self.tally.backstops += 1;
+            self.metrics.overdue_answers += 1;
             return self.answer(ticket, Answer::Failed, out);
         }
         let Some(id) = self.tickets.get(&ticket).copied() else { return };
-        self.tally.backstops += 1;
+        self.metrics.overdue_answers += 1;
         let Some(live) = self.live.get_mut(&id) else { return };
         live.tickets.retain(|t| *t != ticket);
         let viewer = live.ask.viewer;
@@ -485,7 +485,7 @@
             (_, Some(live)) => live.promise.version,
             _ => self.policies.version,
         };
-        self.tally.answered(&answer);
+        self.metrics.count_answer(&answer);
         out.push(Effect::Answer(ticket, answer, by));
     }
 
@@ -509,7 +509,7 @@
         let (title, publish, offer) = (live.ask.title_name.clone(), live.ask.publish, live.ask.offer.clone());
         self.attempts.insert(attempt, Attempt { node, viewer: live.ask.viewer, closing: None });
         self.timers.set(now.saturating_add(wait), Wake::AttemptTime(attempt));
-        self.tally.attempts += 1;
+        self.metrics.attempts += 1;
         self.note_age(now, node);
         out.push(Effect::SetUp { attempt, node, title, publish, offer });
     }
@@ -534,7 +534,7 @@
         let Some(attempt) = self.attempts.get(&id) else {
             // Closed and reset before: whatever was set up must not stay at the node.
             if let AttemptEnd::Created(created) = end {
-                self.tally.late_answers += 1;
+                self.metrics.late_answers += 1;
                 out.push(Effect::DeleteUpstream(node, created.path));
             }
             return;
@@ -544,7 +544,7 @@
         if closing.is_some() {
             let mut load = LoadReport::default();
             if let AttemptEnd::Created(created) = end {
-                self.tally.late_answers += 1;
+                self.metrics.late_answers += 1;
                 load = created.load;
                 out.push(Effect::DeleteUpstream(node, created.path));
             }
@@ -583,7 +583,7 @@
     fn attempt_failed(&mut self, id: AttemptId, server: ServerId, outcome: Outcome, report: Vec<f64>) {
         let live = self.live.get_mut(&id.session).filter(|l| l.out == Some(id));
         let settled = live.map(|l| l.out = None).is_none();
-        self.tally.failed(outcome);
+        self.metrics.count_failure(outcome);
         self.pending.push_back(Event::Ended {
             session: id.session,
             server,
@@ -640,7 +640,7 @@
         if let Some(state) = self.nodes.get_mut(&node) {
             state.playing.insert(c.path, session);
         }
-        self.tally.set_up(class, took, aim);
+        self.metrics.record_set_up(class, took, aim);
         for ticket in tickets {
             self.answer(ticket, answer.clone(), out);
         }
@@ -720,7 +720,7 @@
                 out.push(Effect::NotifyViewer(p.resource.clone(), "inactive", why));
             }
         }
-        self.tally.ended(outcome);
+        self.metrics.count_end(outcome);
     }
 
     fn move_away(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
@@ -731,7 +731,7 @@
         };
         self.moved.put(resource, ());
         self.returning.record(now, viewer);
-        self.tally.moves += 1;
+        self.metrics.moves += 1;
         self.end_playing(id, Outcome::Cancelled, true, Some((EVENT_MOVE, "rack")), out);
     }
 
@@ -815,7 +815,7 @@
             StreamEnd::Refused => return,
             StreamEnd::NoConnection => {
                 let lost: Vec<SessionId> = state.playing.values().copied().collect();
-                self.tally.nodes_lost += 1;
+                self.metrics.nodes_lost += 1;
                 for id in lost {
                     self.end_playing(id, Outcome::Broken, false, Some(("inactive", "lost")), out);
                 }
@@ -844,7 +844,7 @@
                 let Some(live) = self.live.get_mut(&id) else { return };
                 live.rung = rung;
                 if let Some(p) = &live.playing {
-                    self.tally.rungs += 1;
+                    self.metrics.rung_changes += 1;
                     out.extend(p.layer.clone().map(|layer| Effect::SetLayer(p.node, layer, rung)));
                     self.copy(id, out);
                 }
--- a/crates/front/src/engine/policy.rs
+++ b/crates/front/src/engine/policy.rs
@@ -215,7 +215,7 @@
         self.policies.version = Some(version);
         self.policies.changes += 1;
         self.policies.closed = f.closed;
-        self.tally.named(f.classes.iter().map(|c| c.name.as_str()));
+        self.metrics.add_classes(f.classes.iter().map(|c| c.name.as_str()));
         let (decisions, classes, tenants) = (f.settings, f.classes, f.tenants);
         let config = Config { decisions, classes, tenants, ..(*self.config).clone() };
         self.config = Rc::new(config);
--- a/crates/front/src/engine/reconcile.rs
+++ b/crates/front/src/engine/reconcile.rs
@@ -33,13 +33,13 @@
         let odds = Odds { stray, missing: &held - listed };
         let before = std::mem::replace(&mut state.odds, odds.clone());
         for path in odds.stray.intersection(&before.stray) {
-            self.tally.strays += 1;
+            self.metrics.orphans_deleted += 1;
             out.push(Effect::DeleteUpstream(node, path.clone()));
         }
         for path in odds.missing.intersection(&before.missing) {
             let id = self.nodes.get(&node).and_then(|n| n.playing.get(path)).copied();
             if let Some(id) = id {
-                self.tally.missing += 1;
+                self.metrics.sessions_missing += 1;
                 self.end_playing(id, Outcome::Broken, false, Some(("inactive", "lost")), out);
             }
         }
--- a/crates/front/src/engine/tests.rs
+++ b/crates/front/src/engine/tests.rs
@@ -203,7 +203,7 @@
     assert_eq!(b.resource(1), b.resource(2));
     b.put(Input::Post(Ticket(3), ask(1, 1)));
     assert_eq!(b.resource(3), b.resource(1), "and once more when it plays");
-    assert_eq!(b.engine.tally().attempts, 1);
+    assert_eq!(b.engine.metrics().attempts, 1);
 }
 
 #[test]
@@ -469,13 +469,13 @@
         }
         b.pass(5 * S);
         prop_assert!(b.engine.is_idle() && b.out.is_empty());
-        prop_assert_eq!(b.engine.tally().backstops, 0, "the last guard is for what nobody thought of");
+        prop_assert_eq!(b.engine.metrics().overdue_answers, 0, "the last guard is for what nobody thought of");
         let unanswered = asked.keys().filter(|t| !left.contains(t) && !b.answers.contains_key(t)).count();
         prop_assert_eq!(unanswered, 0);
         // What was set up either plays, was deleted, or ended by the node's own word.
         let held: BTreeSet<String> =
             b.engine.live.values().filter_map(|l| l.playing.as_ref().map(|p| p.path.clone())).collect();
-        let ended_by_node = b.engine.tally().ends.values().sum::<u64>();
+        let ended_by_node = b.engine.metrics().ends.values().sum::<u64>();
         let lost = made.iter().filter(|p| !held.contains(*p) && !b.deleted.contains(p)).count() as u64;
         prop_assert!(lost <= ended_by_node, "{lost} sessions are nobody's");
         prop_assert_eq!(b.engine.resources.len(), held.len());
--- a/crates/front/src/engine/tests/policy.rs
+++ b/crates/front/src/engine/tests/policy.rs
@@ -99,7 +99,7 @@
     b.post(4, ask(2, 2));
     b.pass(900 * MS);
     assert_eq!((b.answer(4), b.by(4)), (Some(&Answer::Failed), Some(2)), "newer ones by the newer");
-    assert_eq!(b.engine.tally().backstops, 0);
+    assert_eq!(b.engine.metrics().overdue_answers, 0);
 }
 
 #[test]
@@ -120,7 +120,7 @@
     b.end(first, AttemptEnd::Closed);
     assert_eq!(b.answer(4), Some(&Answer::ClassClosed), "its class takes nothing new");
     assert!(b.engine.is_idle() && b.out.is_empty());
-    assert_eq!(b.engine.tally().backstops, 0);
+    assert_eq!(b.engine.metrics().overdue_answers, 0);
 }
 
 #[test]
@@ -248,7 +248,7 @@
     b.put(Input::Delete(Ticket(11), plays));
     assert_eq!((b.answer(11), b.deleted.len()), (Some(&Answer::Ended), 1));
     assert_eq!(b.state()["policy"]["fenced"], true);
-    assert_eq!((b.engine.tally().answers["fenced"], b.state()["answers"]["fenced"].as_u64()), (4, Some(4)));
+    assert_eq!((b.engine.metrics().answers["fenced"], b.state()["answers"]["fenced"].as_u64()), (4, Some(4)));
     b.put(Input::Fenced(false));
     b.play(12, 12);
     assert_eq!(b.by(12), Some(1));
--- a/crates/front/src/engine/view.rs
+++ b/crates/front/src/engine/view.rs
@@ -1,7 +1,7 @@
-//! What the console shows, as plain data.
+//! State of a front as the console and `/state` show it, as plain data.
 
 use super::Engine;
-use super::metrics::{AgeRow, ClassRow};
+use super::metrics::{ClassRow, ReadingAges};
 use super::policy::PolicyStatus;
 use pepperhook::{ServerState, Time};
 use pepperhook_duties::{Counters as DutyCounters, DutyRow};
@@ -11,20 +11,20 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Copies, as the console shows them.
+/// State of the replication of sessions between fronts.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ReplicaStatus {
-    /// Sessions of this front that others are to have copies of.
+    /// Sessions of this front that are replicated to others.
     pub own: usize,
-    /// Sessions that this front went on with after their front had died.
+    /// Sessions that this front took over from a front that died.
     pub adopted: usize,
-    /// Sessions in copies of other fronts' streams.
+    /// Copies of other fronts' sessions kept here.
     pub kept: usize,
-    /// Sessions that this front may not act on now, since its lease ran out.
+    /// Sessions that this front may not act on because its lease has expired.
     pub fenced: usize,
-    /// Streams, written here and kept.
+    /// Streams that this front writes, and those of other fronts that it keeps.
     pub streams: Vec<pepperhook_replica::StreamRow>,
-    /// What was done.
+    /// Counters since the start.
     pub counters: pepperhook_replica::Counters,
 }
 
@@ -33,96 +33,105 @@
 pub struct Snapshot {
     /// The front's name.
     pub front: String,
-    /// It is stopping.
+    /// Whether it is stopping.
     pub stopping: bool,
-    /// Requests that wait for their answer.
+    /// Requests that wait for an answer.
     pub waiting: usize,
     /// Sessions that play.
     pub playing: usize,
-    /// Attempts that are out, and those of them that are being closed.
-    pub attempts_out: usize,
+    /// Set-up attempts that have not ended, including those being closed.
+    #[serde(rename = "attempts_out")]
+    pub attempts_open: usize,
     /// Attempts that are being closed.
     pub attempts_closing: usize,
     /// Requests since the start.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub requests: u64,
     /// Answers by kind.
     pub answers: BTreeMap<&'static str, u64>,
     /// Failed attempts by outcome.
     pub failures: BTreeMap<&'static str, u64>,
     /// Ended sessions by outcome.
     pub ends: BTreeMap<&'static str, u64>,
-    /// Waiting requests whose viewer left.
-    pub left: u64,
-    /// Attempts since the start.
+    /// Requests whose connection closed before their answer.
+    #[serde(rename = "left")]
+    pub disconnected: u64,
+    /// Set-up attempts since the start.
     pub attempts: u64,
-    /// 201s after the time-out.
+    /// 201s that arrived after their attempt had timed out or been cancelled.
     pub late_answers: u64,
-    /// Requests answered only by the last guard.
-    pub backstops: u64,
-    /// Sessions moved.
+    /// Requests answered only by the answer deadline.
+    #[serde(rename = "backstops")]
+    pub overdue_answers: u64,
+    /// Sessions moved off their node.
     pub moves: u64,
-    /// Changes of rung.
-    pub rungs: u64,
+    /// Changes of rung while playing.
+    #[serde(rename = "rungs")]
+    pub rung_changes: u64,
     /// Set-up times by class.
     pub classes: Vec<ClassRow>,
     /// Racks.
     pub racks: Vec<RackRow>,
     /// Nodes.
     pub nodes: Vec<NodeRow>,
-    /// Announced peaks and what is held for them.
-    pub holds: Vec<HoldRow>,
-    /// What the fleet agrees on, where it does.
+    /// Announced peaks and the capacity reserved for them.
+    #[serde(rename = "holds")]
+    pub reservations: Vec<HoldRow>,
+    /// State of the agreement in the fleet; `None` if the settings configure no agreement.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub agreement: Option<pepperhook_fleet::AgreedShown>,
-    /// Copies on other fronts and of other fronts, where there are any.
+    /// State of the replication; `None` if the settings configure none.
     pub replica: Option<ReplicaStatus>,
-    /// Agreed policies, where one ever came or the front was fenced.
+    /// Agreed policies; `None` until a policy arrives or the front is fenced.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub policy: Option<PolicyStatus>,
-    /// Sessions found at nodes that nobody held, deleted there.
-    pub strays: u64,
-    /// Sessions held here that their nodes had not, ended.
-    pub missing: u64,
-    /// How old readings were when sessions were placed by them.
-    pub ages: AgeRow,
-    /// What the exchange sent, took and threw away.
+    /// Sessions listed by a node that this front does not know, deleted there.
+    #[serde(rename = "strays")]
+    pub orphans_deleted: u64,
+    /// Sessions of this front that their node no longer listed, ended.
+    #[serde(rename = "missing")]
+    pub sessions_missing: u64,
+    /// Ages of the load readings that sessions were placed by.
+    #[serde(rename = "ages")]
+    pub reading_ages: ReadingAges,
+    /// Counters of the exchange between fronts.
     pub exchange: Option<Counters>,
-    /// The fronts that are there by this one's view.
+    /// Live fronts, as this front sees them.
     pub members: Vec<MemberRow>,
-    /// Duties, who has them and why.
+    /// Duties with their owners.
     pub duties: Vec<DutyStatus>,
-    /// What became of duties here.
+    /// Counters of duties at this front.
     pub duty_counters: Option<DutyCounters>,
-    /// What is added to this front's clock to get the fleet's, milliseconds.
+    /// Offset of the fleet's clock from this front's, milliseconds.
     pub clock_offset_ms: i64,
 }
 
-/// A duty with its target's name.
+/// A duty with the name of its target node.
 #[derive(Clone, Debug, Serialize)]
 pub struct DutyStatus {
-    /// The node.
+    /// Name of the target node.
     pub node: String,
     /// The duty.
     #[serde(flatten)]
     pub row: DutyRow,
 }
 
-/// A rack.
+/// State of one rack.
 #[derive(Clone, Debug, Serialize)]
 pub struct RackRow {
     /// Its number.
     pub rack: u32,
-    /// Forecast demand over the uplink.
+    /// Forecast demand as a share of the uplink's capacity.
     pub forecast: f64,
-    /// Use of the uplink as estimated.
+    /// Estimated use of the uplink, as a share of its capacity.
     pub uplink: f64,
-    /// The mark.
+    /// The mark in force.
     pub mark: f64,
-    /// An alert is in force.
+    /// Whether an alert is in force.
     pub alerted: bool,
 }
 
-/// A node.
+/// State of one node.
 #[derive(Clone, Debug, Serialize)]
 pub struct NodeRow {
     /// Its name.
@@ -131,83 +140,83 @@
     pub zone: String,
     /// Its rack.
     pub rack: u32,
-    /// As listed: ready, draining or gone.
+    /// State in the list of nodes: `ready`, `draining` or `gone`.
     pub state: &'static str,
-    /// Passed over while another is sound.
+    /// Whether it is ejected as an outlier: it gets sessions only if no sound node is available.
     pub barred: bool,
-    /// Share of its capacity that it is held to have reached.
+    /// Share of its capacity that it is assumed to have reached after its start (slow start).
     pub warmth: f64,
-    /// Use of its link as estimated.
+    /// Estimated use of its link, as a share of its capacity.
     pub link: f64,
-    /// This front's sessions there.
+    /// Sessions of this front there.
     pub sessions: usize,
-    /// Their rates, kB a second.
+    /// Sum of the rates of these sessions, kB/s.
     pub own_kb: f64,
 }
 
 impl Engine {
-    /// What the front holds now.
+    /// The present state. Fields that other parts of the front know are left empty for them to fill in.
     #[must_use]
     pub fn snapshot(&self, now: Time) -> Snapshot {
         let (servers, racks) = self.controller.view(now);
         let zones = &self.config.names.zones;
-        let row = |v: &pepperhook::ServerView| {
-            let state = self.nodes.get(&v.entry.server)?;
+        let node_row = |view: &pepperhook::ServerView| {
+            let state = self.nodes.get(&view.entry.server)?;
             Some(NodeRow {
                 name: state.node.name.clone(),
-                zone: zones.get(usize::from(v.entry.zone.0)).cloned().unwrap_or_default(),
-                rack: v.rack,
-                state: match v.entry.state {
+                zone: zones.get(usize::from(view.entry.zone.0)).cloned().unwrap_or_default(),
+                rack: view.rack,
+                state: match view.entry.state {
                     ServerState::Ready => "ready",
                     ServerState::Draining => "draining",
                     ServerState::Gone => "gone",
                 },
-                barred: v.barred,
-                warmth: v.warmth,
-                link: v.link_use,
-                sessions: v.sessions,
-                own_kb: v.own_kb,
+                barred: view.barred,
+                warmth: view.warmth,
+                link: view.link_use,
+                sessions: view.sessions,
+                own_kb: view.own_kb,
             })
         };
-        let mut nodes: Vec<NodeRow> = servers.iter().filter_map(row).collect();
+        let mut nodes: Vec<NodeRow> = servers.iter().filter_map(node_row).collect();
         nodes.sort_by(|a, b| a.name.cmp(&b.name));
-        let t = &self.tally;
+        let metrics = &self.metrics;
         Snapshot {
             front: self.config.name.clone(),
             stopping: self.stopping,
             waiting: self.tickets.len() + self.parked.len(),
             playing: self.resources.len(),
-            attempts_out: self.attempts.len(),
+            attempts_open: self.attempts.len(),
             attempts_closing: self.attempts.values().filter(|a| a.closing.is_some()).count(),
-            asked: t.asked,
-            answers: t.answers.clone(),
-            failures: t.failures.clone(),
-            ends: t.ends.clone(),
-            left: t.left,
-            attempts: t.attempts,
-            late_answers: t.late_answers,
-            backstops: t.backstops,
-            moves: t.moves,
-            rungs: t.rungs,
-            classes: t.classes(),
+            requests: metrics.requests,
+            answers: metrics.answers.clone(),
+            failures: metrics.failures.clone(),
+            ends: metrics.ends.clone(),
+            disconnected: metrics.disconnected,
+            attempts: metrics.attempts,
+            late_answers: metrics.late_answers,
+            overdue_answers: metrics.overdue_answers,
+            moves: metrics.moves,
+            rung_changes: metrics.rung_changes,
+            classes: metrics.class_rows(),
             racks: racks
                 .iter()
-                .map(|r| RackRow {
-                    rack: r.rack,
-                    forecast: r.forecast,
-                    uplink: r.uplink_use,
-                    mark: r.mark,
-                    alerted: r.alerted,
+                .map(|rack| RackRow {
+                    rack: rack.rack,
+                    forecast: rack.forecast,
+                    uplink: rack.uplink_use,
+                    mark: rack.mark,
+                    alerted: rack.alerted,
                 })
                 .collect(),
             nodes,
-            holds: self.reservation_rows(now),
+            reservations: self.reservation_rows(now),
             agreement: None,
             replica: None,
             policy: self.policy_shown(),
-            strays: t.strays,
-            missing: t.missing,
-            ages: t.ages(),
+            orphans_deleted: metrics.orphans_deleted,
+            sessions_missing: metrics.sessions_missing,
+            reading_ages: metrics.reading_ages(),
             exchange: None,
             members: Vec::new(),
             duties: Vec::new(),
