--- a/crates/front/src/engine/load_reports.rs
+++ b/crates/front/src/engine/load_reports.rs
@@ -1,5 +1,5 @@
-//! What is seen of nodes besides answers and event streams: by duties of this front and of others. And how old it is
-//! when a session is placed by it.
+//! Load reports of nodes from probes, from other fronts and from answers, and how old the latest report of a node is
+//! when a session is placed there.
 
 use super::Engine;
 use super::types::AttemptEnd;
@@ -7,54 +7,61 @@
 use pepperhook_inventory::Node;
 use pepperhook_signalling::LoadReport;
 
-/// Which life of a node an entry of the list is: what was seen in another one says nothing of this.
+/// The incarnation of a node: its start time in milliseconds. Readings of another incarnation are not valid for it.
 #[must_use]
 pub fn incarnation(node: &Node) -> u64 {
     node.entry.started.unwrap_or(0) / 1_000_000
 }
 
 impl Engine {
-    /// A node that was asked for its load answered, or did not.
-    pub(super) fn probed(&mut self, now: Time, node: ServerId, load: Option<LoadReport>) {
+    /// Takes the result of a probe; `None` if the node did not answer.
+    pub(super) fn probe_ended(&mut self, now: Time, node: ServerId, load: Option<LoadReport>) {
         let report = load.map(|load| self.gauges(&load));
         if report.as_ref().is_some_and(|r| !r.is_empty()) {
-            self.read_at(node, now);
+            self.note_report(node, now);
         }
-        self.pending.push_back(Event::Probed(node, report));
+        self.pending_events.push_back(Event::Probed(node, report));
     }
 
-    /// Another front saw this.
-    pub(super) fn seen(&mut self, now: Time, node: ServerId, seen: u64, age: Time, load: &LoadReport) {
-        if self.nodes.get(&node).is_none_or(|n| incarnation(&n.node) != seen) {
+    /// Takes a load report that another front read `age` ago; ignored unless it is of the node's present incarnation.
+    pub(super) fn peer_report(
+        &mut self,
+        now: Time,
+        node: ServerId,
+        reported: u64,
+        age: Time,
+        load: &LoadReport,
+    ) {
+        if self.nodes.get(&node).is_none_or(|n| incarnation(&n.node) != reported) {
             return;
         }
-        self.read_at(node, now.saturating_sub(age));
+        self.note_report(node, now.saturating_sub(age));
         let report = self.gauges(load);
-        self.pending.push_back(Event::PeerReport(node, age, report));
+        self.pending_events.push_back(Event::PeerReport(node, age, report));
     }
 
-    /// It was seen at this time how full a node is.
-    pub(super) fn read_at(&mut self, node: ServerId, at: Time) {
+    /// Records that the load of a node was read at this time.
+    pub(super) fn note_report(&mut self, node: ServerId, at: Time) {
         if let Some(state) = self.nodes.get_mut(&node) {
-            state.read = state.read.max(Some(at));
+            state.last_report_at = state.last_report_at.max(Some(at));
         }
     }
 
-    /// An answer brought a load report along.
-    pub(super) fn note_read(&mut self, now: Time, node: ServerId, end: &AttemptEnd) {
-        let told = match end {
+    /// Records the time of the load report in the answer to an attempt, if there is one.
+    pub(super) fn note_answer_report(&mut self, now: Time, node: ServerId, end: &AttemptEnd) {
+        let has_report = match end {
             AttemptEnd::Created(c) => !c.load.0.is_empty(),
             AttemptEnd::Answered(_, load) => !load.0.is_empty(),
             _ => false,
         };
-        if told {
-            self.read_at(node, now);
+        if has_report {
+            self.note_report(node, now);
         }
     }
 
-    /// A session goes to a node: how old is what is known of it?
-    pub(super) fn note_age(&mut self, now: Time, node: ServerId) {
-        let read = self.nodes.get(&node).and_then(|n| n.read);
-        self.metrics.record_placement(read.map(|at| now.saturating_sub(at)));
+    /// Records how old the latest load report of a node is when a set-up is sent there.
+    pub(super) fn record_report_age(&mut self, now: Time, node: ServerId) {
+        let reported_at = self.nodes.get(&node).and_then(|n| n.last_report_at);
+        self.metrics.record_placement(reported_at.map(|at| now.saturating_sub(at)));
     }
 }
--- a/crates/front/src/engine/mod.rs
+++ b/crates/front/src/engine/mod.rs
@@ -1,13 +1,13 @@
 //! The engine: one state machine around the decision module, without I/O.
 //!
 //! [`Input`]s go in with the time, [`Effect`]s come out. The same code runs on sockets (`shell`) and under a
-//! test's clock. It decides nothing of placement: that is the [`Controller`]'s. Its own are the accounts:
-//! one answer a ticket, one session a viewer, and attempts that are out until the node or the connection
-//! says otherwise.
+//! test's clock. Placement is decided by the [`Controller`]. The engine itself guarantees one answer for each
+//! ticket, one session for each viewer, and that each attempt stays open until the node or the connection has
+//! ended it.
 //!
-//! An attempt that times out is closed in three steps: the sending side of its connection is shut, the node
-//! is heard out for a short grace (a late 201 is deleted there), then the connection is reset. Only after
-//! that does the module hear of the time-out, so that no further attempt can go out beside it.
+//! An attempt that times out is closed in three steps: half-close of its connection, a short grace period in
+//! which the node may still answer (a session from a late 201 is deleted there), then a reset. The module gets
+//! the time-out only after that; otherwise it could start another attempt while this one is open.
 
 mod load_reports;
 mod metrics;
@@ -30,7 +30,7 @@
 use pepperhook_settings::Config;
 use pepperhook_signalling::{Direction, EVENT_MOVE, LoadReport, Offer};
 pub use policy::PolicyStatus;
-use policy::{Policies, Promise};
+use policy::{PolicyState, RequestTerms};
 use rand::rngs::StdRng;
 use rand::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -40,31 +40,33 @@
 pub use view::{DutyStatus, NodeRow, RackRow, ReplicaStatus, Snapshot};
 use viewers::{Admission, Phase, ReturningViewers, ViewerSessions};
 
-/// What is due at some time.
+/// What a timer triggers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Wake {
+enum Timer {
     /// A timer of the module.
     Module(u64),
-    /// The attempt's time is up.
-    AttemptTime(AttemptId),
-    /// The node was heard out long enough.
+    /// The attempt times out.
+    AttemptTimeout(AttemptId),
+    /// The grace period of a closing attempt ends: its connection is reset.
     AttemptReset(AttemptId),
-    /// Holds are planned anew.
-    Holds,
-    /// The last moment at which a ticket can be answered in time.
-    Backstop(Ticket),
+    /// Reservations for announced peaks are planned again.
+    Replan,
+    /// Latest time at which a ticket can be answered within its viewer's patience.
+    AnswerDeadline(Ticket),
 }
 
-/// A session as long as the front holds it.
-struct Live {
-    ask: SessionRequest,
+/// A session that is being set up or plays.
+struct Session {
+    request: SessionRequest,
+    /// Requests that wait for its answer.
     tickets: Vec<Ticket>,
+    /// Number of attempts so far.
     attempts: u32,
     rung: u8,
-    taken: Time,
-    promise: Promise,
-    /// The attempt that is out.
-    out: Option<AttemptId>,
+    received_at: Time,
+    terms: RequestTerms,
+    /// The attempt under way.
+    open_attempt: Option<AttemptId>,
     playing: Option<Playing>,
 }
 
@@ -72,42 +74,45 @@
 struct Playing {
     node: ServerId,
     path: String,
+    /// Path of its event stream at the node.
     events: Option<String>,
+    /// Path of its layer selection at the node.
     layer: Option<String>,
     resource: String,
+    /// The answer, repeated for duplicates of the request.
     answer: Answer,
-    /// The ICE session after a restart: the viewer's user fragment and the entity tag.
-    restarted: Option<(String, Option<String>)>,
+    /// The ICE session after the latest restart: the viewer's user fragment and the entity tag.
+    restarted_ice: Option<(String, Option<String>)>,
 }
 
-/// An attempt until the node or the connection has said how it ended.
+/// An attempt that the node or the connection has not ended yet.
 struct Attempt {
     node: ServerId,
     viewer: ViewerKey,
-    /// Being closed, and how it counts then.
+    /// Set while the attempt is being closed: the outcome that it is counted with.
     closing: Option<Outcome>,
 }
 
-/// A request that waits for the closing of an earlier attempt of its viewer.
-struct Parked {
+/// A request that waits until an earlier attempt of its viewer is closed.
+struct ParkedRequest {
     ticket: Ticket,
-    ask: SessionRequest,
-    taken: Time,
-    /// The viewer's, by the policy of then.
+    request: SessionRequest,
+    received_at: Time,
+    /// Patience of the viewer by the policy in force when the request was received, less the answer margin.
     patience: Time,
 }
 
-/// A node as the front knows it.
+/// A node as this front knows it.
 struct NodeState {
     node: Node,
     /// Sessions that play there, by their path at the node.
     playing: BTreeMap<String, SessionId>,
-    /// The session whose event stream is open or being opened.
-    subscribed: Option<String>,
-    /// When it was last seen how full it is.
-    read: Option<Time>,
-    /// Where its last list of sessions and this front differ.
-    odds: reconcile::Odds,
+    /// Path of the session whose event stream is open or being opened.
+    event_stream_of: Option<String>,
+    /// Time of its latest load report.
+    last_report_at: Option<Time>,
+    /// How its last list of sessions differs from those known here.
+    list_differences: reconcile::Differences,
 }
 
 /// The state machine of one front.
@@ -116,166 +121,174 @@
     controller: Controller,
     rng: StdRng,
     next_session: u64,
-    live: BTreeMap<SessionId, Live>,
+    sessions: BTreeMap<SessionId, Session>,
     attempts: BTreeMap<AttemptId, Attempt>,
     tickets: BTreeMap<Ticket, SessionId>,
-    parked: BTreeMap<ViewerKey, Parked>,
+    parked: BTreeMap<ViewerKey, ParkedRequest>,
+    /// Playing sessions by their resource.
     resources: HashMap<String, SessionId>,
-    moved: lru::LruCache<String, ()>,
-    published: BTreeMap<TitleId, SessionId>,
+    moved_resources: lru::LruCache<String, ()>,
+    /// Sessions that publish, by title.
+    publishers: BTreeMap<TitleId, SessionId>,
     nodes: BTreeMap<ServerId, NodeState>,
     viewers: ViewerSessions,
-    holds: Holds,
-    /// A timer for the next plan is set.
-    planned: bool,
-    returning: ReturningViewers,
-    policies: Policies,
-    timers: Timers<Wake>,
-    pending: VecDeque<Event>,
+    reservations: Holds,
+    /// Whether the timer for the next plan is set.
+    replan_scheduled: bool,
+    returning_viewers: ReturningViewers,
+    policy: PolicyState,
+    timers: Timers<Timer>,
+    /// Events not yet handed to the decision module.
+    pending_events: VecDeque<Event>,
     stopping: bool,
     metrics: Metrics,
 }
 
-/// Resources of moved sessions that are remembered, to tell their viewers so.
-const MOVED_KEPT: NonZeroUsize = NonZeroUsize::new(4_096).unwrap();
-/// Viewers who may come again that are remembered.
-const RETURNING_KEPT: NonZeroUsize = NonZeroUsize::new(65_536).unwrap();
+/// Most resources of moved sessions that are remembered, to answer their viewers with `Moved`.
+const MAX_MOVED_RESOURCES: NonZeroUsize = NonZeroUsize::new(4_096).unwrap();
+/// Most refused, moved or disconnected viewers that are remembered, to recognise a reconnect.
+const MAX_RETURNING_VIEWERS: NonZeroUsize = NonZeroUsize::new(65_536).unwrap();
 
 impl Engine {
-    /// An engine without nodes; the seed drives ties of the module and names of sessions.
+    /// An engine without nodes. The seed determines the module's tie-breaking, session numbers and resource names.
     ///
     /// # Errors
-    /// When the settings of the module do not agree with one another.
+    /// If the settings of the module contradict one another.
     pub fn new(config: Rc<Config>, seed: u64) -> Result<Self, SettingsError> {
         let mut rng = StdRng::seed_from_u64(seed);
         Ok(Self {
             controller: Controller::new(config.decisions.clone(), rng.next_u64())?,
-            // Session numbers of two runs of a front differ, so that nothing late can be taken for its own.
+            // A random start: session numbers of an earlier run must not match those of this run.
             next_session: rng.next_u64() >> 16,
             rng,
-            live: BTreeMap::new(),
+            sessions: BTreeMap::new(),
             attempts: BTreeMap::new(),
             tickets: BTreeMap::new(),
             parked: BTreeMap::new(),
             resources: HashMap::new(),
-            moved: lru::LruCache::new(MOVED_KEPT),
-            published: BTreeMap::new(),
+            moved_resources: lru::LruCache::new(MAX_MOVED_RESOURCES),
+            publishers: BTreeMap::new(),
             nodes: BTreeMap::new(),
             viewers: ViewerSessions::default(),
-            holds: peaks::holds(&config),
-            planned: false,
-            returning: ReturningViewers::new(RETURNING_KEPT),
-            policies: Policies::default(),
+            reservations: peaks::new_reservations(&config),
+            replan_scheduled: false,
+            returning_viewers: ReturningViewers::new(MAX_RETURNING_VIEWERS),
+            policy: PolicyState::default(),
             timers: Timers::default(),
-            pending: VecDeque::new(),
+            pending_events: VecDeque::new(),
             stopping: false,
             metrics: Metrics::new(config.classes.iter().map(|c| c.name.clone()).collect()),
             config,
         })
     }
 
-    // ---- what comes in -------------------------------------------------------------------------
+    // ---- inputs --------------------------------------------------------------------------------
 
-    /// Takes in one input and appends what is to be done.
-    pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Effect>) {
+    /// Handles one input and appends the effects that the caller has to carry out.
+    pub fn handle(&mut self, now: Time, input: Input, effects: &mut Vec<Effect>) {
         match input {
-            Input::Post(ticket, ask) => self.post(now, ticket, ask, out),
-            Input::Disconnected(ticket) => self.left(now, ticket, out),
-            Input::Delete(ticket, resource) => self.delete(ticket, &resource, out),
-            Input::AttemptEnded(id, node, end) => self.attempt_ended(now, id, node, end, out),
+            Input::Post(ticket, request) => self.post(now, ticket, request, effects),
+            Input::Disconnected(ticket) => self.request_disconnected(now, ticket, effects),
+            Input::Delete(ticket, resource) => self.delete(ticket, &resource, effects),
+            Input::AttemptEnded(id, node, end) => self.attempt_ended(now, id, node, end, effects),
             Input::Undelivered(resource) => {
                 if let Some(id) = self.resources.get(&resource).copied() {
-                    self.end_playing(id, Outcome::Cancelled, true, None, out);
+                    self.end_playing(id, Outcome::Cancelled, true, None, effects);
                 }
             }
-            Input::Nodes(nodes) => self.list(nodes),
-            Input::NodeEvent(node, news) => self.news(now, node, news, out),
-            Input::StreamEnded(node, how) => self.stream_ended(node, how, out),
-            Input::Peak(peak) => self.take_peak(now, peak),
+            Input::Nodes(nodes) => self.set_nodes(nodes),
+            Input::NodeEvent(node, event) => self.node_event(now, node, event, effects),
+            Input::StreamEnded(node, how) => self.stream_ended(node, how, effects),
+            Input::Peak(peak) => self.apply_peak(now, peak),
             Input::IceRestarted(resource, ufrag, etag) => {
-                let live = self.resources.get(&resource).and_then(|id| self.live.get_mut(id));
-                if let Some(p) = live.and_then(|l| l.playing.as_mut()) {
-                    p.restarted = Some((ufrag, etag));
+                let session = self.resources.get(&resource).and_then(|id| self.sessions.get_mut(id));
+                if let Some(p) = session.and_then(|s| s.playing.as_mut()) {
+                    p.restarted_ice = Some((ufrag, etag));
                 }
             }
-            Input::SessionList(node, listed) => self.reconcile(node, &listed, out),
-            Input::Probed(node, load) => self.probed(now, node, load),
-            Input::PeerReport(node, incarnation, age, load) => self.seen(now, node, incarnation, age, &load),
+            Input::SessionList(node, listed) => self.reconcile_sessions(node, &listed, effects),
+            Input::Probed(node, load) => self.probe_ended(now, node, load),
+            Input::PeerReport(node, incarnation, age, load) => {
+                self.peer_report(now, node, incarnation, age, &load)
+            }
             Input::Policy { version, settings, classes, tenants } => {
-                self.take_policy(now, version, *settings, (&classes, &tenants), out);
+                self.apply_policy(now, version, *settings, (&classes, &tenants), effects);
             }
-            Input::Fenced(fenced) => self.fence(fenced, out),
+            Input::Fenced(fenced) => self.set_fenced(fenced, effects),
         }
-        self.run(now, out);
+        self.process_events(now, effects);
     }
 
-    /// The moment of the next timer.
+    /// Time of the next timer.
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
         self.timers.next_at()
     }
 
     /// Runs the timers that are due.
-    pub fn wake(&mut self, now: Time, out: &mut Vec<Effect>) {
+    pub fn wake(&mut self, now: Time, effects: &mut Vec<Effect>) {
         while let Some(wake) = self.timers.pop_due(now) {
             match wake {
-                Wake::Module(token) => self.pending.push_back(Event::Timer(token)),
-                Wake::AttemptTime(id) => self.close_attempt(now, id, Outcome::TimedOut, out),
-                Wake::AttemptReset(id) => {
+                Timer::Module(token) => self.pending_events.push_back(Event::Timer(token)),
+                Timer::AttemptTimeout(id) => self.close_attempt(now, id, Outcome::TimedOut, effects),
+                Timer::AttemptReset(id) => {
                     if self.attempts.get(&id).is_some_and(|a| a.closing.is_some()) {
-                        out.push(Effect::ResetAttempt(id));
-                        self.attempt_closed(now, id, LoadReport::default(), out);
+                        effects.push(Effect::ResetAttempt(id));
+                        self.attempt_closed(now, id, LoadReport::default(), effects);
                     }
                 }
-                Wake::Backstop(ticket) => self.backstop(now, ticket, out),
-                Wake::Holds => self.step_holds(now),
+                Timer::AnswerDeadline(ticket) => self.answer_deadline(now, ticket, effects),
+                Timer::Replan => self.replan(now),
             }
-            self.run(now, out);
+            self.process_events(now, effects);
         }
     }
 
-    /// From now on new requests are refused.
+    /// Refuses new requests from now on.
     pub fn stop(&mut self) {
         self.stopping = true;
     }
 
-    /// No request waits for an answer and no attempt is out.
+    /// Whether no request waits for an answer and no attempt is open.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.tickets.is_empty() && self.parked.is_empty() && self.attempts.is_empty()
     }
 
-    /// Ends all sessions, as the front goes: their viewers are told to come again elsewhere.
-    pub fn end_all(&mut self, now: Time, out: &mut Vec<Effect>) {
+    /// Ends all sessions because the front stops. Their viewers are notified to reconnect elsewhere.
+    pub fn end_all(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let playing: Vec<SessionId> =
-            self.live.iter().filter(|(_, l)| l.playing.is_some()).map(|(id, _)| *id).collect();
+            self.sessions.iter().filter(|(_, s)| s.playing.is_some()).map(|(id, _)| *id).collect();
         for id in playing {
-            self.end_playing(id, Outcome::Cancelled, true, Some((EVENT_MOVE, "stopping")), out);
+            self.end_playing(id, Outcome::Cancelled, true, Some((EVENT_MOVE, "stopping")), effects);
         }
-        self.run(now, out);
+        self.process_events(now, effects);
     }
 
-    /// Where a request on a session's resource goes.
+    /// Where a request on a session's resource is forwarded.
     #[must_use]
     pub fn route(&self, resource: &str) -> Route {
-        let playing =
-            self.resources.get(resource).and_then(|id| self.live.get(id)).and_then(|l| l.playing.as_ref());
+        let playing = self
+            .resources
+            .get(resource)
+            .and_then(|id| self.sessions.get(id))
+            .and_then(|s| s.playing.as_ref());
         match playing {
             Some(p) => Route::Node(p.node, p.path.clone()),
-            None if self.moved.contains(resource) => Route::Moved,
+            None if self.moved_resources.contains(resource) => Route::Moved,
             None => Route::Unknown,
         }
     }
 
-    /// The running ICE session of a session: the viewer's user fragment, and the entity tag that names it.
+    /// The current ICE session of a session: the viewer's user fragment and the entity tag.
     #[must_use]
     pub fn ice_session(&self, resource: &str) -> Option<(String, Option<String>)> {
-        let live = self.resources.get(resource).and_then(|id| self.live.get(id))?;
-        let p = live.playing.as_ref()?;
+        let session = self.resources.get(resource).and_then(|id| self.sessions.get(id))?;
+        let p = session.playing.as_ref()?;
         let Answer::Created { etag, .. } = &p.answer else { return None };
-        let way = if live.ask.publish { Direction::Send } else { Direction::Receive };
-        let begun = || Some((Offer::parse(&live.ask.offer, way).ok()?.ufrag, etag.clone()));
-        p.restarted.clone().or_else(begun)
+        let direction = if session.request.publish { Direction::Send } else { Direction::Receive };
+        let original = || Some((Offer::parse(&session.request.offer, direction).ok()?.ufrag, etag.clone()));
+        p.restarted_ice.clone().or_else(original)
     }
 
     /// The nodes of the list.
@@ -283,7 +296,7 @@
         self.nodes.values().map(|n| &n.node)
     }
 
-    /// A node's address and name.
+    /// A node that is in the list or still has sessions or attempts of this front.
     #[must_use]
     pub fn node(&self, id: ServerId) -> Option<&Node> {
         self.nodes.get(&id).map(|n| &n.node)
@@ -296,231 +309,252 @@
 
     // ---- requests ------------------------------------------------------------------------------
 
-    fn post(&mut self, now: Time, ticket: Ticket, ask: SessionRequest, out: &mut Vec<Effect>) {
+    fn post(&mut self, now: Time, ticket: Ticket, request: SessionRequest, effects: &mut Vec<Effect>) {
         let limits = self.config.limits;
-        let advice = self.config.decisions.send_retry_after.then_some(self.config.decisions.max_retry_after);
-        let full =
-            self.tickets.len() + self.parked.len() >= limits.waiting || self.live.len() >= limits.sessions;
+        let retry_after =
+            self.config.decisions.send_retry_after.then_some(self.config.decisions.max_retry_after);
+        let full = self.tickets.len() + self.parked.len() >= limits.waiting
+            || self.sessions.len() >= limits.sessions;
         let refusal = match (self.stopping, full) {
             (true, _) => Some(Refusal::Stopping),
             (_, true) => Some(Refusal::Overload),
             _ => None,
         };
         self.metrics.requests += 1;
-        if let Some(why) = refusal {
-            return self.answer(ticket, Answer::Refused(advice, why), out);
+        if let Some(reason) = refusal {
+            return self.answer(ticket, Answer::Refused(retry_after, reason), effects);
         }
-        let patience = self.patience(ask.class);
-        if let Some(answer) = self.bars(&ask).or_else(|| self.at_odds_with_publisher(&ask)) {
-            return self.answer(ticket, answer, out);
+        let patience = self.patience(request.class);
+        if let Some(answer) = self.policy_refusal(&request).or_else(|| self.publisher_conflict(&request)) {
+            return self.answer(ticket, answer, effects);
         }
-        match self.viewers.admit(ask.viewer, ask.offer_hash) {
-            Admission::Start => self.begin(now, now, ticket, ask, patience, out),
+        match self.viewers.admit(request.viewer, request.offer_hash) {
+            Admission::Start => self.start_session(now, now, ticket, request, patience, effects),
             Admission::Join(id) => {
-                if let Some(live) = self.live.get_mut(&id) {
-                    live.tickets.push(ticket);
-                    let patience = live.promise.patience;
+                if let Some(session) = self.sessions.get_mut(&id) {
+                    session.tickets.push(ticket);
+                    let patience = session.terms.patience;
                     self.tickets.insert(ticket, id);
-                    self.backstop_at(now, ticket, patience);
+                    self.schedule_answer_deadline(now, ticket, patience);
                 }
             }
             Admission::RepeatAnswer(id) => {
-                let answer = self.live.get(&id).and_then(|l| l.playing.as_ref()).map(|p| p.answer.clone());
+                let answer =
+                    self.sessions.get(&id).and_then(|s| s.playing.as_ref()).map(|p| p.answer.clone());
                 self.tickets.insert(ticket, id);
-                self.answer(ticket, answer.unwrap_or(Answer::Failed), out);
+                self.answer(ticket, answer.unwrap_or(Answer::Failed), effects);
             }
             Admission::Replace(id, Phase::Playing) => {
-                self.end_playing(id, Outcome::Cancelled, true, None, out);
-                self.run(now, out);
-                self.begin(now, now, ticket, ask, patience, out);
+                self.end_playing(id, Outcome::Cancelled, true, None, effects);
+                self.process_events(now, effects);
+                self.start_session(now, now, ticket, request, patience, effects);
             }
             Admission::Replace(id, Phase::SettingUp) => {
-                self.give_up(now, id, Answer::Superseded, out);
-                self.run(now, out);
-                // If an attempt was out it is now being closed, and the newer request waits for that.
-                match self.viewers.admit(ask.viewer, ask.offer_hash) {
-                    Admission::Park => self.park(now, ticket, ask, out),
-                    _ => self.begin(now, now, ticket, ask, patience, out),
+                self.answer_and_cancel(now, id, Answer::Superseded, effects);
+                self.process_events(now, effects);
+                // An attempt that was open is being closed now; then the newer request is parked.
+                match self.viewers.admit(request.viewer, request.offer_hash) {
+                    Admission::Park => self.park(now, ticket, request, effects),
+                    _ => self.start_session(now, now, ticket, request, patience, effects),
                 }
             }
-            Admission::Park => self.park(now, ticket, ask, out),
+            Admission::Park => self.park(now, ticket, request, effects),
             Admission::TooManyWaiting => {
-                self.answer(ticket, Answer::Refused(advice, Refusal::TooManyCopies), out)
+                self.answer(ticket, Answer::Refused(retry_after, Refusal::TooManyCopies), effects)
             }
         }
     }
 
-    /// A live title is watched while somebody publishes it, and published by one.
-    fn at_odds_with_publisher(&self, ask: &SessionRequest) -> Option<Answer> {
-        let publisher = self.published.get(&ask.title).and_then(|id| self.live.get(id));
-        let ours = publisher.is_some_and(|p| p.ask.viewer == ask.viewer);
-        let ingest = self.config.classes.iter().any(|c| c.ingest);
-        let live = self.config.decisions.classes.get(usize::from(ask.class)).is_some_and(|c| c.live);
-        match (ask.publish, publisher) {
-            (true, Some(_)) if !ours => Some(Answer::AlreadyPublished),
-            (false, None) if live && ingest => Some(Answer::NotPublished),
+    /// The answer that refuses a request in conflict with the title's publisher: a title has one publisher, and a title
+    /// of a live class can be watched only while it is published.
+    fn publisher_conflict(&self, request: &SessionRequest) -> Option<Answer> {
+        let publisher = self.publishers.get(&request.title).and_then(|id| self.sessions.get(id));
+        let same_viewer = publisher.is_some_and(|p| p.request.viewer == request.viewer);
+        let publishing_offered = self.config.classes.iter().any(|c| c.ingest);
+        let live_class =
+            self.config.decisions.classes.get(usize::from(request.class)).is_some_and(|c| c.live);
+        match (request.publish, publisher) {
+            (true, Some(_)) if !same_viewer => Some(Answer::AlreadyPublished),
+            (false, None) if live_class && publishing_offered => Some(Answer::NotPublished),
             _ => None,
         }
     }
 
-    fn park(&mut self, now: Time, ticket: Ticket, ask: SessionRequest, out: &mut Vec<Effect>) {
-        let patience = self.patience(ask.class);
-        self.backstop_at(now, ticket, patience);
-        if let Some(older) = self.parked.insert(ask.viewer, Parked { ticket, ask, taken: now, patience }) {
-            self.answer(older.ticket, Answer::Superseded, out);
+    /// Makes a request wait until an earlier attempt of its viewer is closed. It replaces one that waits already.
+    fn park(&mut self, now: Time, ticket: Ticket, request: SessionRequest, effects: &mut Vec<Effect>) {
+        let patience = self.patience(request.class);
+        self.schedule_answer_deadline(now, ticket, patience);
+        if let Some(older) =
+            self.parked.insert(request.viewer, ParkedRequest { ticket, request, received_at: now, patience })
+        {
+            self.answer(older.ticket, Answer::Superseded, effects);
         }
     }
 
-    /// A request no longer waits for the closing of an earlier attempt; false if it did not.
+    /// Removes a parked request; returns false if the ticket is not parked.
     fn unpark(&mut self, ticket: Ticket) -> bool {
         let key = self.parked.iter().find(|(_, p)| p.ticket == ticket).map(|(key, _)| *key);
         key.and_then(|key| self.parked.remove(&key)).is_some()
     }
 
-    /// What a viewer's patience leaves for the set-up, the margin taken off.
+    /// The patience of a class's viewers less the answer margin.
     fn patience(&self, class: u16) -> Time {
         let patience = self.config.classes.get(usize::from(class)).map_or(0, |c| c.patience);
         patience.saturating_sub(self.config.answer_margin)
     }
 
-    fn backstop_at(&mut self, taken: Time, ticket: Ticket, patience: Time) {
-        let at = taken.saturating_add(patience).saturating_add(self.config.answer_margin / 2);
-        self.timers.set(at, Wake::Backstop(ticket));
+    fn schedule_answer_deadline(&mut self, received_at: Time, ticket: Ticket, patience: Time) {
+        let at = received_at.saturating_add(patience).saturating_add(self.config.answer_margin / 2);
+        self.timers.set(at, Timer::AnswerDeadline(ticket));
     }
 
-    /// A set-up begins, for a viewer who has been here since `taken` and waits so long from then.
-    fn begin(
+    /// Starts the set-up of a session. The viewer waits at most `patience` from `received_at`.
+    fn start_session(
         &mut self,
         now: Time,
-        taken: Time,
+        received_at: Time,
         ticket: Ticket,
-        ask: SessionRequest,
+        request: SessionRequest,
         patience: Time,
-        out: &mut Vec<Effect>,
+        effects: &mut Vec<Effect>,
     ) {
         // Session numbers stay below 2^52 and away from the module's own timer token.
         self.next_session = (self.next_session + 1) & 0x000f_ffff_ffff_ffff;
         let id = SessionId(self.next_session);
-        let again = self.returning.take_reconnect(now, ask.viewer);
-        let wish = SessionSpec {
-            viewer: ask.viewer,
-            class: ClassId(ask.class),
-            tenant: TenantId(ask.tenant),
-            title: ask.title,
-            first_cell: f64::from(ask.first_cell),
-            cell_count: f64::from(ask.cell_count),
-            highest_rung: f64::from(ask.highest_rung),
-            max_wait: patience.saturating_sub(now.saturating_sub(taken)),
+        let reconnect = self.returning_viewers.take_reconnect(now, request.viewer);
+        let spec = SessionSpec {
+            viewer: request.viewer,
+            class: ClassId(request.class),
+            tenant: TenantId(request.tenant),
+            title: request.title,
+            first_cell: f64::from(request.first_cell),
+            cell_count: f64::from(request.cell_count),
+            highest_rung: f64::from(request.highest_rung),
+            max_wait: patience.saturating_sub(now.saturating_sub(received_at)),
             expected_length: None,
-            reconnect: again,
+            reconnect,
         };
-        if taken == now {
-            self.backstop_at(now, ticket, patience);
+        if received_at == now {
+            self.schedule_answer_deadline(now, ticket, patience);
         }
-        self.viewers.start(ask.viewer, id, ask.offer_hash);
+        self.viewers.start(request.viewer, id, request.offer_hash);
         self.tickets.insert(ticket, id);
-        let promise = Promise { patience, ..self.promise(ask.class) };
+        let terms = RequestTerms { patience, ..self.request_terms(request.class) };
         let tickets = vec![ticket];
-        let live = Live { ask, tickets, attempts: 0, rung: 0, taken, promise, out: None, playing: None };
-        self.live.insert(id, live);
-        self.pending.push_back(Event::Request(id, wish));
-        self.run(now, out);
+        let session = Session {
+            request,
+            tickets,
+            attempts: 0,
+            rung: 0,
+            received_at,
+            terms,
+            open_attempt: None,
+            playing: None,
+        };
+        self.sessions.insert(id, session);
+        self.pending_events.push_back(Event::Request(id, spec));
+        self.process_events(now, effects);
     }
 
-    /// The connection of a waiting request closed: when nobody waits any more, the set-up is called off.
-    fn left(&mut self, now: Time, ticket: Ticket, out: &mut Vec<Effect>) {
+    /// The connection of a waiting request closed. If no other request waits for the session, its set-up is cancelled.
+    fn request_disconnected(&mut self, now: Time, ticket: Ticket, effects: &mut Vec<Effect>) {
         self.metrics.disconnected += 1;
         if self.unpark(ticket) {
             return;
         }
         let Some(id) = self.tickets.remove(&ticket) else { return };
-        let Some(live) = self.live.get_mut(&id) else { return };
-        live.tickets.retain(|t| *t != ticket);
-        if self.viewers.remove_waiter(live.ask.viewer, id) && live.playing.is_none() {
-            self.call_off(now, id, out);
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        session.tickets.retain(|t| *t != ticket);
+        if self.viewers.remove_waiter(session.request.viewer, id) && session.playing.is_none() {
+            self.cancel_set_up(now, id, effects);
         }
     }
 
-    /// Rule 1's last guard: whatever happened to a request, it is answered before its viewer gives up.
-    fn backstop(&mut self, now: Time, ticket: Ticket, out: &mut Vec<Effect>) {
+    /// The answer deadline of a request has passed: it fails if it has no answer yet. Guarantees that each request is
+    /// answered within its viewer's patience.
+    fn answer_deadline(&mut self, now: Time, ticket: Ticket, effects: &mut Vec<Effect>) {
         if self.unpark(ticket) {
             self.metrics.overdue_answers += 1;
-            return self.answer(ticket, Answer::Failed, out);
+            return self.answer(ticket, Answer::Failed, effects);
         }
         let Some(id) = self.tickets.get(&ticket).copied() else { return };
         self.metrics.overdue_answers += 1;
-        let Some(live) = self.live.get_mut(&id) else { return };
-        live.tickets.retain(|t| *t != ticket);
-        let viewer = live.ask.viewer;
-        self.answer(ticket, Answer::Failed, out);
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        session.tickets.retain(|t| *t != ticket);
+        let viewer = session.request.viewer;
+        self.answer(ticket, Answer::Failed, effects);
         if self.viewers.remove_waiter(viewer, id) {
-            self.call_off(now, id, out);
+            self.cancel_set_up(now, id, effects);
         }
     }
 
-    /// Answers all who wait for a session, and calls its set-up off.
-    fn give_up(&mut self, now: Time, id: SessionId, answer: Answer, out: &mut Vec<Effect>) {
-        let tickets = self.live.get_mut(&id).map(|l| std::mem::take(&mut l.tickets)).unwrap_or_default();
+    /// Answers all requests that wait for a session and cancels its set-up.
+    fn answer_and_cancel(&mut self, now: Time, id: SessionId, answer: Answer, effects: &mut Vec<Effect>) {
+        let tickets = self.sessions.get_mut(&id).map(|s| std::mem::take(&mut s.tickets)).unwrap_or_default();
         for ticket in tickets {
-            self.answer(ticket, answer.clone(), out);
+            self.answer(ticket, answer.clone(), effects);
         }
-        self.call_off(now, id, out);
+        self.cancel_set_up(now, id, effects);
     }
 
-    /// Nobody waits for the session any more: the module forgets it, an attempt that is out is closed.
-    fn call_off(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
-        let Some(live) = self.live.remove(&id) else { return };
-        self.viewers.release(live.ask.viewer, id);
-        self.pending.push_back(Event::Closed(id));
-        if let Some(attempt) = live.out {
-            self.close_attempt(now, attempt, Outcome::Cancelled, out);
+    /// Cancels a set-up that no request waits for: removes it from the module and closes its open attempt.
+    fn cancel_set_up(&mut self, now: Time, id: SessionId, effects: &mut Vec<Effect>) {
+        let Some(session) = self.sessions.remove(&id) else { return };
+        self.viewers.release(session.request.viewer, id);
+        self.pending_events.push_back(Event::Closed(id));
+        if let Some(attempt) = session.open_attempt {
+            self.close_attempt(now, attempt, Outcome::Cancelled, effects);
         }
     }
 
-    fn answer(&mut self, ticket: Ticket, answer: Answer, out: &mut Vec<Effect>) {
-        let live = self.tickets.remove(&ticket).and_then(|id| self.live.get(&id));
-        let by = match (&answer, live) {
-            // Decided by no policy, for want of one that holds.
+    fn answer(&mut self, ticket: Ticket, answer: Answer, effects: &mut Vec<Effect>) {
+        let session = self.tickets.remove(&ticket).and_then(|id| self.sessions.get(&id));
+        let version = match (&answer, session) {
+            // A fenced front decides by no policy.
             (Answer::Refused(_, Refusal::Fenced), _) => None,
-            (_, Some(live)) => live.promise.version,
-            _ => self.policies.version,
+            (_, Some(session)) => session.terms.version,
+            _ => self.policy.version,
         };
         self.metrics.count_answer(&answer);
-        out.push(Effect::Answer(ticket, answer, by));
+        effects.push(Effect::Answer(ticket, answer, version));
     }
 
-    fn delete(&mut self, ticket: Ticket, resource: &str, out: &mut Vec<Effect>) {
+    fn delete(&mut self, ticket: Ticket, resource: &str, effects: &mut Vec<Effect>) {
         let Some(id) = self.resources.get(resource).copied() else {
-            let answer =
-                if self.moved.pop(resource).is_some() { Answer::Ended } else { Answer::UnknownSession };
-            return out.push(Effect::Answer(ticket, answer, None));
+            let answer = if self.moved_resources.pop(resource).is_some() {
+                Answer::Ended
+            } else {
+                Answer::UnknownSession
+            };
+            return effects.push(Effect::Answer(ticket, answer, None));
         };
-        self.end_playing(id, Outcome::Served, true, None, out);
-        out.push(Effect::Answer(ticket, Answer::Ended, None));
+        self.end_playing(id, Outcome::Served, true, None, effects);
+        effects.push(Effect::Answer(ticket, Answer::Ended, None));
     }
 
     // ---- attempts ------------------------------------------------------------------------------
 
-    fn set_up(&mut self, now: Time, id: SessionId, node: ServerId, wait: Time, out: &mut Vec<Effect>) {
-        let Some(live) = self.live.get_mut(&id) else { return };
-        let attempt = AttemptId { session: id, number: live.attempts };
-        live.attempts += 1;
-        live.out = Some(attempt);
-        let (title, publish, offer) = (live.ask.title_name.clone(), live.ask.publish, live.ask.offer.clone());
-        self.attempts.insert(attempt, Attempt { node, viewer: live.ask.viewer, closing: None });
-        self.timers.set(now.saturating_add(wait), Wake::AttemptTime(attempt));
+    fn set_up(&mut self, now: Time, id: SessionId, node: ServerId, wait: Time, effects: &mut Vec<Effect>) {
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let attempt = AttemptId { session: id, number: session.attempts };
+        session.attempts += 1;
+        session.open_attempt = Some(attempt);
+        let (title, publish, offer) =
+            (session.request.title_name.clone(), session.request.publish, session.request.offer.clone());
+        self.attempts.insert(attempt, Attempt { node, viewer: session.request.viewer, closing: None });
+        self.timers.set(now.saturating_add(wait), Timer::AttemptTimeout(attempt));
         self.metrics.attempts += 1;
-        self.note_age(now, node);
-        out.push(Effect::SetUp { attempt, node, title, publish, offer });
+        self.record_report_age(now, node);
+        effects.push(Effect::SetUp { attempt, node, title, publish, offer });
     }
 
-    /// Begins to close an attempt that is out.
-    fn close_attempt(&mut self, now: Time, id: AttemptId, how: Outcome, out: &mut Vec<Effect>) {
+    /// Starts to close an open attempt.
+    fn close_attempt(&mut self, now: Time, id: AttemptId, how: Outcome, effects: &mut Vec<Effect>) {
         let Some(attempt) = self.attempts.get_mut(&id).filter(|a| a.closing.is_none()) else { return };
         attempt.closing = Some(how);
         self.viewers.attempt_closing(attempt.viewer);
-        self.timers.set(now.saturating_add(self.config.close_grace), Wake::AttemptReset(id));
-        out.push(Effect::CloseAttempt(id));
+        self.timers.set(now.saturating_add(self.config.close_grace), Timer::AttemptReset(id));
+        effects.push(Effect::CloseAttempt(id));
     }
 
     fn attempt_ended(
@@ -529,30 +563,30 @@
         id: AttemptId,
         node: ServerId,
         end: AttemptEnd,
-        out: &mut Vec<Effect>,
+        effects: &mut Vec<Effect>,
     ) {
         let Some(attempt) = self.attempts.get(&id) else {
-            // Closed and reset before: whatever was set up must not stay at the node.
+            // Already reset: a session that it set up must not stay at the node.
             if let AttemptEnd::Created(created) = end {
                 self.metrics.late_answers += 1;
-                out.push(Effect::DeleteUpstream(node, created.path));
+                effects.push(Effect::DeleteUpstream(node, created.path));
             }
             return;
         };
         let closing = attempt.closing;
-        self.note_read(now, node, &end);
+        self.note_answer_report(now, node, &end);
         if closing.is_some() {
             let mut load = LoadReport::default();
             if let AttemptEnd::Created(created) = end {
                 self.metrics.late_answers += 1;
                 load = created.load;
-                out.push(Effect::DeleteUpstream(node, created.path));
+                effects.push(Effect::DeleteUpstream(node, created.path));
             }
-            return self.attempt_closed(now, id, load, out);
+            return self.attempt_closed(now, id, load, effects);
         }
         self.attempts.remove(&id);
         match end {
-            AttemptEnd::Created(created) => self.created(now, id, node, created, out),
+            AttemptEnd::Created(created) => self.created(now, id, node, created, effects),
             other => {
                 let report = match &other {
                     AttemptEnd::Answered(_, load) => self.gauges(load),
@@ -563,37 +597,38 @@
         }
     }
 
-    /// The node or the connection has said that a closed attempt is over.
-    fn attempt_closed(&mut self, now: Time, id: AttemptId, load: LoadReport, out: &mut Vec<Effect>) {
+    /// A closing attempt has ended, by the node, the connection or the reset.
+    fn attempt_closed(&mut self, now: Time, id: AttemptId, load: LoadReport, effects: &mut Vec<Effect>) {
         let Some(attempt) = self.attempts.remove(&id) else { return };
         let report = self.gauges(&load);
         self.attempt_failed(id, attempt.node, attempt.closing.unwrap_or(Outcome::Cancelled), report);
         if self.viewers.attempt_closed(attempt.viewer) {
-            if let Some(p) = self.parked.remove(&attempt.viewer) {
-                self.run(now, out);
-                if self.policies.closed.contains(&p.ask.class) {
-                    return self.answer(p.ticket, Answer::ClassClosed, out);
+            if let Some(parked) = self.parked.remove(&attempt.viewer) {
+                self.process_events(now, effects);
+                if self.policy.closed_classes.contains(&parked.request.class) {
+                    return self.answer(parked.ticket, Answer::ClassClosed, effects);
                 }
-                let patience = p.patience.min(self.patience(p.ask.class));
-                self.begin(now, p.taken, p.ticket, p.ask, patience, out);
+                let patience = parked.patience.min(self.patience(parked.request.class));
+                self.start_session(now, parked.received_at, parked.ticket, parked.request, patience, effects);
             }
         }
     }
 
+    /// Reports a failed attempt to the module. It is final if its session does not wait for it any more.
     fn attempt_failed(&mut self, id: AttemptId, server: ServerId, outcome: Outcome, report: Vec<f64>) {
-        let live = self.live.get_mut(&id.session).filter(|l| l.out == Some(id));
-        let settled = live.map(|l| l.out = None).is_none();
+        let session = self.sessions.get_mut(&id.session).filter(|s| s.open_attempt == Some(id));
+        let is_final = session.map(|s| s.open_attempt = None).is_none();
         self.metrics.count_failure(outcome);
-        self.pending.push_back(Event::Ended {
+        self.pending_events.push_back(Event::Ended {
             session: id.session,
             server,
             outcome,
-            is_final: settled,
+            is_final,
             report,
         });
     }
 
-    /// A load report in the order of the module's gauges; what is missing counts as unreadable.
+    /// A load report in the order of the module's gauges; a missing value is NaN, which the module treats as unreadable.
     fn gauges(&self, load: &LoadReport) -> Vec<f64> {
         let name = |g: &Gauge| match g {
             Gauge::Streams => "streams",
@@ -607,145 +642,162 @@
         self.config.decisions.gauges.iter().map(|g| load.get(name(g)).unwrap_or(f64::NAN)).collect()
     }
 
-    fn created(&mut self, now: Time, id: AttemptId, node: ServerId, c: Created, out: &mut Vec<Effect>) {
-        let session = id.session;
+    /// A node has set a session up: it plays, and all requests that wait for it are answered.
+    fn created(
+        &mut self,
+        now: Time,
+        id: AttemptId,
+        node: ServerId,
+        created: Created,
+        effects: &mut Vec<Effect>,
+    ) {
+        let session_id = id.session;
         let resource = format!("{:016x}{:016x}", self.rng.next_u64(), self.rng.next_u64());
-        let Some(live) = self.live.get_mut(&session).filter(|l| l.out == Some(id)) else {
-            // Its viewer is gone: nothing of it may stay at the node.
-            out.push(Effect::DeleteUpstream(node, c.path));
+        let Some(session) = self.sessions.get_mut(&session_id).filter(|s| s.open_attempt == Some(id)) else {
+            // No request waits for it any more: the session must not stay at the node.
+            effects.push(Effect::DeleteUpstream(node, created.path));
             return self.attempt_failed(id, node, Outcome::Cancelled, Vec::new());
         };
-        live.out = None;
-        let (etag, ice) = (c.etag, c.ice);
-        let answer = Answer::Created { resource: resource.clone(), etag, sdp: c.answer, ice };
-        let (rung, layer) = (live.rung, c.layer.clone());
-        let tickets = std::mem::take(&mut live.tickets);
+        session.open_attempt = None;
+        let (etag, ice) = (created.etag, created.ice);
+        let answer = Answer::Created { resource: resource.clone(), etag, sdp: created.answer, ice };
+        let (rung, layer) = (session.rung, created.layer.clone());
+        let tickets = std::mem::take(&mut session.tickets);
         let (viewer, title, publish, class) =
-            (live.ask.viewer, live.ask.title, live.ask.publish, live.ask.class);
-        let (took, aim) = (now.saturating_sub(live.taken), live.promise.aim);
-        live.playing = Some(Playing {
+            (session.request.viewer, session.request.title, session.request.publish, session.request.class);
+        let (elapsed, aim) = (now.saturating_sub(session.received_at), session.terms.aim);
+        session.playing = Some(Playing {
             node,
-            path: c.path.clone(),
-            events: c.events,
-            layer: c.layer,
+            path: created.path.clone(),
+            events: created.events,
+            layer: created.layer,
             resource: resource.clone(),
             answer: answer.clone(),
-            restarted: None,
+            restarted_ice: None,
         });
-        self.viewers.set_playing(viewer, session);
-        self.resources.insert(resource, session);
+        self.viewers.set_playing(viewer, session_id);
+        self.resources.insert(resource, session_id);
         if publish {
-            self.published.insert(title, session);
+            self.publishers.insert(title, session_id);
         }
         if let Some(state) = self.nodes.get_mut(&node) {
-            state.playing.insert(c.path, session);
+            state.playing.insert(created.path, session_id);
         }
-        self.metrics.record_set_up(class, took, aim);
+        self.metrics.record_set_up(class, elapsed, aim);
         for ticket in tickets {
-            self.answer(ticket, answer.clone(), out);
+            self.answer(ticket, answer.clone(), effects);
         }
-        self.copy(session, out);
-        // A node starts at the lowest rung.
+        self.replicate(session_id, effects);
+        // A node starts each session at the lowest rung.
         if let Some(layer) = layer.filter(|_| rung > 0) {
-            out.push(Effect::SetLayer(node, layer, rung));
+            effects.push(Effect::SetLayer(node, layer, rung));
         }
-        self.came(session);
-        self.pending.push_back(Event::Started(session, node));
+        self.count_arrival(session_id);
+        self.pending_events.push_back(Event::Started(session_id, node));
         for (metric, kind) in [("link", NotificationKind::LinkUse), ("uplink", NotificationKind::UplinkUse)] {
-            if let Some(value) = c.load.get(metric) {
-                self.pending.push_back(Event::Notification(session, node, kind, value));
+            if let Some(value) = created.load.get(metric) {
+                self.pending_events.push_back(Event::Notification(session_id, node, kind, value));
             }
         }
-        self.subscribe(node, out);
+        self.open_node_events(node, effects);
     }
 
-    // ---- sessions that play --------------------------------------------------------------------
+    // ---- playing sessions ----------------------------------------------------------------------
 
-    /// Other fronts are told of a session as it is now, where there are copies.
-    fn copy(&self, id: SessionId, out: &mut Vec<Effect>) {
-        let Some(live) = self.live.get(&id).filter(|_| self.config.replica.is_some()) else { return };
-        let Some(p) = &live.playing else { return };
-        let copied = SessionCopy {
-            viewer: live.ask.viewer.0,
-            class: live.ask.class,
-            title: live.ask.title.0,
-            publish: live.ask.publish,
-            rung: live.rung,
+    /// Sends the present state of a playing session to other fronts, if the settings configure replication.
+    fn replicate(&self, id: SessionId, effects: &mut Vec<Effect>) {
+        let Some(session) = self.sessions.get(&id).filter(|_| self.config.replica.is_some()) else { return };
+        let Some(p) = &session.playing else { return };
+        let copy = SessionCopy {
+            viewer: session.request.viewer.0,
+            class: session.request.class,
+            title: session.request.title.0,
+            publish: session.request.publish,
+            rung: session.rung,
             node: p.node.0,
             path: p.path.clone(),
             resource: p.resource.clone(),
         };
-        out.push(Effect::Replicate(id.0, Some(copied)));
+        effects.push(Effect::Replicate(id.0, Some(copy)));
     }
 
-    /// Ends a session that plays. `delete`: the node is told; `tell`: so is the viewer.
+    /// Ends a playing session. `delete_upstream`: deletes it at its node. `notice`: event name and reason that are sent to
+    /// the viewer.
     fn end_playing(
         &mut self,
         id: SessionId,
         outcome: Outcome,
-        delete: bool,
-        tell: Option<(&'static str, &str)>,
-        out: &mut Vec<Effect>,
+        delete_upstream: bool,
+        notice: Option<(&'static str, &str)>,
+        effects: &mut Vec<Effect>,
     ) {
-        let Some(live) = self.live.remove(&id) else { return };
-        let Some(p) = live.playing else { return };
+        let Some(session) = self.sessions.remove(&id) else { return };
+        let Some(p) = session.playing else { return };
         if self.config.replica.is_some() {
-            out.push(Effect::Replicate(id.0, None));
+            effects.push(Effect::Replicate(id.0, None));
         }
-        self.viewers.release(live.ask.viewer, id);
-        self.holds.ended(id.0);
+        self.viewers.release(session.request.viewer, id);
+        self.reservations.ended(id.0);
         self.resources.remove(&p.resource);
         if let Some(state) = self.nodes.get_mut(&p.node) {
             state.playing.remove(&p.path);
         }
-        if let Some((event, why)) = tell {
-            out.push(Effect::NotifyViewer(p.resource.clone(), event, format!("{{\"reason\":\"{why}\"}}")));
+        if let Some((event, reason)) = notice {
+            effects.push(Effect::NotifyViewer(
+                p.resource.clone(),
+                event,
+                format!("{{\"reason\":\"{reason}\"}}"),
+            ));
         }
-        out.push(Effect::CloseEventStream(p.resource));
-        if delete {
-            out.push(Effect::DeleteUpstream(p.node, p.path));
+        effects.push(Effect::CloseEventStream(p.resource));
+        if delete_upstream {
+            effects.push(Effect::DeleteUpstream(p.node, p.path));
         }
-        self.pending.push_back(Event::Ended {
+        self.pending_events.push_back(Event::Ended {
             session: id,
             server: p.node,
             outcome,
             is_final: true,
             report: Vec::new(),
         });
-        if live.ask.publish && self.published.get(&live.ask.title) == Some(&id) {
-            self.published.remove(&live.ask.title);
-            let watchers = self.live.values().filter(|l| l.ask.title == live.ask.title);
-            for p in watchers.filter_map(|l| l.playing.as_ref()) {
-                let why = "{\"reason\":\"unpublished\"}".to_owned();
-                out.push(Effect::NotifyViewer(p.resource.clone(), "inactive", why));
+        if session.request.publish && self.publishers.get(&session.request.title) == Some(&id) {
+            self.publishers.remove(&session.request.title);
+            let viewers = self.sessions.values().filter(|s| s.request.title == session.request.title);
+            for p in viewers.filter_map(|s| s.playing.as_ref()) {
+                let data = "{\"reason\":\"unpublished\"}".to_owned();
+                effects.push(Effect::NotifyViewer(p.resource.clone(), "inactive", data));
             }
         }
         self.metrics.count_end(outcome);
     }
 
-    fn move_away(&mut self, now: Time, id: SessionId, out: &mut Vec<Effect>) {
-        let Some((resource, viewer)) =
-            self.live.get(&id).and_then(|l| l.playing.as_ref().map(|p| (p.resource.clone(), l.ask.viewer)))
+    /// Ends a session that the module moves: its viewer is notified to reconnect, and the module then places it anew.
+    fn move_session(&mut self, now: Time, id: SessionId, effects: &mut Vec<Effect>) {
+        let Some((resource, viewer)) = self
+            .sessions
+            .get(&id)
+            .and_then(|s| s.playing.as_ref().map(|p| (p.resource.clone(), s.request.viewer)))
         else {
             return;
         };
-        self.moved.put(resource, ());
-        self.returning.record(now, viewer);
+        self.moved_resources.put(resource, ());
+        self.returning_viewers.record(now, viewer);
         self.metrics.moves += 1;
-        self.end_playing(id, Outcome::Cancelled, true, Some((EVENT_MOVE, "rack")), out);
+        self.end_playing(id, Outcome::Cancelled, true, Some((EVENT_MOVE, "rack")), effects);
     }
 
-    fn list(&mut self, nodes: Vec<Node>) {
+    /// Takes a new list of nodes.
+    fn set_nodes(&mut self, nodes: Vec<Node>) {
         let entries = nodes.iter().map(|n| n.entry).collect();
-        let named: std::collections::BTreeSet<ServerId> = nodes.iter().map(|n| n.entry.server).collect();
+        let listed: std::collections::BTreeSet<ServerId> = nodes.iter().map(|n| n.entry.server).collect();
         for (id, state) in &mut self.nodes {
-            if !named.contains(id) {
+            if !listed.contains(id) {
                 state.node.entry.state = ServerState::Gone;
             }
         }
-        // A node that left the list is forgotten once nothing of this front is there.
+        // A node that left the list is removed once it has no sessions or attempts of this front.
         let busy: std::collections::BTreeSet<ServerId> = self.attempts.values().map(|a| a.node).collect();
-        self.nodes.retain(|id, s| named.contains(id) || !s.playing.is_empty() || busy.contains(id));
+        self.nodes.retain(|id, s| listed.contains(id) || !s.playing.is_empty() || busy.contains(id));
         for node in nodes {
             let id = node.entry.server;
             match self.nodes.get_mut(&id) {
@@ -754,41 +806,42 @@
                     let state = NodeState {
                         node,
                         playing: BTreeMap::new(),
-                        subscribed: None,
-                        read: None,
-                        odds: reconcile::Odds::default(),
+                        event_stream_of: None,
+                        last_report_at: None,
+                        list_differences: reconcile::Differences::default(),
                     };
                     self.nodes.insert(id, state);
                 }
             }
         }
-        self.pending.push_back(Event::ListFull(entries));
-        self.rooms();
+        self.pending_events.push_back(Event::ListFull(entries));
+        self.update_node_capacities();
     }
 
-    /// Keeps one event stream for each node on which sessions play.
-    fn subscribe(&mut self, node: ServerId, out: &mut Vec<Effect>) {
-        let Some(state) = self.nodes.get_mut(&node).filter(|s| s.subscribed.is_none()) else { return };
-        let offered = state.playing.iter().find_map(|(path, id)| {
-            let events = self.live.get(id)?.playing.as_ref()?.events.clone()?;
+    /// Opens the node's event stream on one of its playing sessions, unless one is open.
+    fn open_node_events(&mut self, node: ServerId, effects: &mut Vec<Effect>) {
+        let Some(state) = self.nodes.get_mut(&node).filter(|s| s.event_stream_of.is_none()) else { return };
+        let stream = state.playing.iter().find_map(|(path, id)| {
+            let events = self.sessions.get(id)?.playing.as_ref()?.events.clone()?;
             Some((path.clone(), events))
         });
-        if let Some((path, events)) = offered {
-            state.subscribed = Some(path);
-            out.push(Effect::OpenNodeEvents(node, events));
+        if let Some((path, events)) = stream {
+            state.event_stream_of = Some(path);
+            effects.push(Effect::OpenNodeEvents(node, events));
         }
     }
 
-    fn news(&mut self, now: Time, node: ServerId, news: NodeEvent, out: &mut Vec<Effect>) {
-        if matches!(news, NodeEvent::Link(_)) {
-            // Such news is as late as the settings say.
-            self.read_at(node, now.saturating_sub(self.config.decisions.notification_delay));
+    /// Handles an event from a node's event stream.
+    fn node_event(&mut self, now: Time, node: ServerId, event: NodeEvent, effects: &mut Vec<Effect>) {
+        if matches!(event, NodeEvent::Link(_)) {
+            // The settings say by how much such events are delayed.
+            self.note_report(node, now.saturating_sub(self.config.decisions.notification_delay));
         }
         let Some(state) = self.nodes.get(&node) else { return };
-        let (kind, value) = match news {
+        let (kind, value) = match event {
             NodeEvent::Inactive(path) => {
                 if let Some(id) = state.playing.get(&path).copied() {
-                    self.end_playing(id, Outcome::Served, false, Some(("inactive", "ended")), out);
+                    self.end_playing(id, Outcome::Served, false, Some(("inactive", "ended")), effects);
                 }
                 return;
             }
@@ -797,83 +850,84 @@
             NodeEvent::Uplink(v) => (NotificationKind::UplinkUse, v),
         };
         if let Some(id) = state.playing.values().next() {
-            self.pending.push_back(Event::Notification(*id, node, kind, value));
+            self.pending_events.push_back(Event::Notification(*id, node, kind, value));
         }
     }
 
-    fn stream_ended(&mut self, node: ServerId, how: StreamEnd, out: &mut Vec<Effect>) {
+    /// Handles the end of a node's event stream, and opens another one if the node offers events.
+    fn stream_ended(&mut self, node: ServerId, how: StreamEnd, effects: &mut Vec<Effect>) {
         let Some(state) = self.nodes.get_mut(&node) else { return };
-        let Some(path) = state.subscribed.take() else { return };
+        let Some(path) = state.event_stream_of.take() else { return };
         match how {
             StreamEnd::Closed => {}
             StreamEnd::SessionUnknown => {
                 if let Some(id) = state.playing.get(&path).copied() {
-                    self.end_playing(id, Outcome::Broken, false, Some(("inactive", "lost")), out);
+                    self.end_playing(id, Outcome::Broken, false, Some(("inactive", "lost")), effects);
                 }
             }
-            // Without events nothing tells of its end but the viewer.
+            // The node offers no events: the front learns of the end of a session only from its viewer.
             StreamEnd::Refused => return,
             StreamEnd::NoConnection => {
-                let lost: Vec<SessionId> = state.playing.values().copied().collect();
+                let playing: Vec<SessionId> = state.playing.values().copied().collect();
                 self.metrics.nodes_lost += 1;
-                for id in lost {
-                    self.end_playing(id, Outcome::Broken, false, Some(("inactive", "lost")), out);
+                for id in playing {
+                    self.end_playing(id, Outcome::Broken, false, Some(("inactive", "lost")), effects);
                 }
             }
         }
-        self.subscribe(node, out);
+        self.open_node_events(node, effects);
     }
 
-    // ---- the module ----------------------------------------------------------------------------
+    // ---- decision module -----------------------------------------------------------------------
 
-    /// Hands the module what has happened and carries out what it answers, until nothing is left.
-    fn run(&mut self, now: Time, out: &mut Vec<Effect>) {
+    /// Passes the pending events to the module and carries out its actions, until no event is pending.
+    fn process_events(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let mut actions = Vec::new();
-        while let Some(event) = self.pending.pop_front() {
+        while let Some(event) = self.pending_events.pop_front() {
             self.controller.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(now, action, out);
+                self.execute(now, action, effects);
             }
         }
     }
 
-    fn act(&mut self, now: Time, action: Action, out: &mut Vec<Effect>) {
+    fn execute(&mut self, now: Time, action: Action, effects: &mut Vec<Effect>) {
         match action {
-            Action::SetUp(id, node, wait) => self.set_up(now, id, node, wait, out),
+            Action::SetUp(id, node, wait) => self.set_up(now, id, node, wait, effects),
             Action::SetRung(id, rung) => {
-                let Some(live) = self.live.get_mut(&id) else { return };
-                live.rung = rung;
-                if let Some(p) = &live.playing {
+                let Some(session) = self.sessions.get_mut(&id) else { return };
+                session.rung = rung;
+                if let Some(p) = &session.playing {
                     self.metrics.rung_changes += 1;
-                    out.extend(p.layer.clone().map(|layer| Effect::SetLayer(p.node, layer, rung)));
-                    self.copy(id, out);
+                    effects.extend(p.layer.clone().map(|layer| Effect::SetLayer(p.node, layer, rung)));
+                    self.replicate(id, effects);
                 }
             }
-            Action::Refuse(id, advice) => {
-                self.end_unplaced(now, id, &Answer::Refused(advice, Refusal::NoRoom), out);
+            Action::Refuse(id, retry_after) => {
+                self.end_set_up(now, id, &Answer::Refused(retry_after, Refusal::NoRoom), effects);
             }
-            Action::Fail(id) => self.end_unplaced(now, id, &Answer::Failed, out),
-            Action::Move(id) => self.move_away(now, id, out),
+            Action::Fail(id) => self.end_set_up(now, id, &Answer::Failed, effects),
+            Action::Move(id) => self.move_session(now, id, effects),
             Action::SetTimer(after, token) => {
-                self.timers.set(now.saturating_add(after), Wake::Module(token));
+                self.timers.set(now.saturating_add(after), Timer::Module(token));
             }
-            Action::Log(line) => out.push(Effect::Log(line)),
-            Action::Probe(node) => out.push(Effect::Probe(node)),
-            // Settings of the product do not allow lists on request.
+            Action::Log(line) => effects.push(Effect::Log(line)),
+            Action::Probe(node) => effects.push(Effect::Probe(node)),
+            // The settings of a front do not allow the module to request the list of nodes.
             Action::WatchList => {}
         }
     }
 
-    /// The module has given its final answer to a request that plays nowhere.
-    fn end_unplaced(&mut self, now: Time, id: SessionId, answer: &Answer, out: &mut Vec<Effect>) {
-        let Some(live) = self.live.get_mut(&id) else { return };
-        let (viewer, tickets) = (live.ask.viewer, std::mem::take(&mut live.tickets));
+    /// Ends a set-up that the module has refused or failed, and answers all requests that wait for it.
+    fn end_set_up(&mut self, now: Time, id: SessionId, answer: &Answer, effects: &mut Vec<Effect>) {
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let (viewer, tickets) = (session.request.viewer, std::mem::take(&mut session.tickets));
         self.viewers.release(viewer, id);
-        self.returning.record(now, viewer);
+        self.returning_viewers.record(now, viewer);
         for ticket in tickets {
-            self.answer(ticket, answer.clone(), out);
+            self.answer(ticket, answer.clone(), effects);
         }
-        self.live.remove(&id);
+        self.sessions.remove(&id);
     }
 }
 
--- a/crates/front/src/engine/peaks.rs
+++ b/crates/front/src/engine/peaks.rs
@@ -1,18 +1,20 @@
-//! Announced peaks in the engine: what `pepperhook_peaks` decides is told to the module as held room.
+//! Announced peaks in the engine: passes the reservations that `pepperhook_peaks` plans to the decision module.
 
-use super::{Engine, Wake};
+use super::{Engine, Timer};
 use pepperhook::{Event, ServerState, SessionId, Time, TitleId};
 use pepperhook_peaks::{Announcement, HoldRow, Holds, Known, NodeRoom, Peak, Refused, Terms};
 use pepperhook_settings::{Config, name_hash};
 
+/// Nanoseconds in a millisecond.
 const MS: Time = 1_000_000;
-/// Time between two plans.
-const PERIOD: Time = 500 * MS;
+/// Interval between two plans of reservations, nanoseconds.
+const PLAN_INTERVAL: Time = 500 * MS;
 
-/// What announcements may refer to: titles and classes of the settings, those apart that take nothing new.
-pub struct Settled<'a>(pub &'a Config, pub &'a [u16]);
+/// What announcements may refer to: the titles and classes of the settings, without the closed classes (their indices
+/// are the second field).
+pub struct Announceable<'a>(pub &'a Config, pub &'a [u16]);
 
-impl Known for Settled<'_> {
+impl Known for Announceable<'_> {
     fn title(&self, name: &str) -> Option<(TitleId, u32, u32)> {
         self.0.titles.get(name).map(|t| (t.id, t.home, t.copies))
     }
@@ -25,97 +27,115 @@
     }
 }
 
-/// Holds under the settings' bounds.
-pub fn holds(config: &Config) -> Holds {
-    let d = &config.decisions;
+/// An empty set of reservations with the limits of the settings.
+pub fn new_reservations(config: &Config) -> Holds {
+    let decisions = &config.decisions;
     let terms = Terms {
         most_share: config.reservations.max_share,
-        fronts: f64::from(d.fronts),
+        fronts: f64::from(decisions.fronts),
         late_ms: config.reservations.no_show_after / MS,
         most_peaks: config.reservations.max_peaks,
     };
-    Holds::new(terms, d.cells, d.uplink_kb)
+    Holds::new(terms, decisions.cells, decisions.uplink_kb)
 }
 
 impl Engine {
-    /// Checks an announcement that is made at this front.
+    /// Checks an announcement made at this front and whether its capacity can be reserved.
     ///
     /// # Errors
-    /// Its faults by field, or what could be held.
-    pub fn admit_peak(&self, now: Time, said: &Announcement) -> Result<Peak, Refused> {
-        self.holds.admit(now / MS, name_hash(&said.name), said, &Settled(&self.config, &self.policies.closed))
+    /// The invalid fields, or how much could be reserved.
+    pub fn admit_peak(&self, now: Time, announcement: &Announcement) -> Result<Peak, Refused> {
+        self.reservations.admit(
+            now / MS,
+            name_hash(&announcement.name),
+            announcement,
+            &Announceable(&self.config, &self.policy.closed_classes),
+        )
     }
 
-    /// Checks one that another front has admitted: its promise stands, if the titles are known here.
+    /// Checks an announcement that another front has admitted. Only its fields are checked, not whether the capacity can be
+    /// reserved: the other front has committed to it.
     ///
     /// # Errors
-    /// As `admit_peak`.
-    pub fn check_peer_peak(&self, now: Time, said: &Announcement) -> Result<Peak, Refused> {
-        said.check(now / MS, name_hash(&said.name), &Settled(&self.config, &self.policies.closed))
+    /// The invalid fields.
+    pub fn check_peer_peak(&self, now: Time, announcement: &Announcement) -> Result<Peak, Refused> {
+        announcement
+            .check(
+                now / MS,
+                name_hash(&announcement.name),
+                &Announceable(&self.config, &self.policy.closed_classes),
+            )
             .map_err(Refused::Fields)
     }
 
-    /// Holds for the console.
+    /// The reservations, for the console.
     #[must_use]
     pub fn reservation_rows(&self, now: Time) -> Vec<HoldRow> {
-        self.holds.rows(now / MS)
+        self.reservations.rows(now / MS)
     }
 
-    pub(super) fn take_peak(&mut self, now: Time, peak: Peak) {
-        self.holds.take(peak);
-        // Sessions that play already count as come.
+    /// Takes a new, amended or cancelled peak and replans.
+    pub(super) fn apply_peak(&mut self, now: Time, peak: Peak) {
+        self.reservations.take(peak);
+        // Sessions of the title that already play count as arrived.
         let playing: Vec<SessionId> =
-            self.live.iter().filter(|(_, l)| l.playing.is_some()).map(|(id, _)| *id).collect();
-        playing.into_iter().for_each(|id| self.came(id));
-        self.rooms();
-        self.tell_holds(now);
-        self.plan_again(now);
+            self.sessions.iter().filter(|(_, s)| s.playing.is_some()).map(|(id, _)| *id).collect();
+        playing.into_iter().for_each(|id| self.count_arrival(id));
+        self.update_node_capacities();
+        self.send_reservations(now);
+        self.schedule_replan(now);
     }
 
-    /// Plans anew, as long as there is a peak.
-    pub(super) fn step_holds(&mut self, now: Time) {
-        self.planned = false;
-        self.rooms();
-        self.tell_holds(now);
-        self.plan_again(now);
+    /// Plans the reservations again, and schedules the next plan while there is a peak.
+    pub(super) fn replan(&mut self, now: Time) {
+        self.replan_scheduled = false;
+        self.update_node_capacities();
+        self.send_reservations(now);
+        self.schedule_replan(now);
     }
 
-    fn plan_again(&mut self, now: Time) {
-        if !self.planned && !self.holds.is_empty() {
-            self.planned = true;
-            self.timers.set(now.saturating_add(PERIOD), Wake::Holds);
+    /// Sets the timer for the next plan, unless it is set or there is no peak.
+    fn schedule_replan(&mut self, now: Time) {
+        if !self.replan_scheduled && !self.reservations.is_empty() {
+            self.replan_scheduled = true;
+            self.timers.set(now.saturating_add(PLAN_INTERVAL), Timer::Replan);
         }
     }
 
-    fn tell_holds(&mut self, now: Time) {
-        for held in self.holds.step(now / MS) {
-            self.pending.push_back(Event::Reserved(held.id, held.hold));
+    /// Passes changed reservations to the decision module.
+    fn send_reservations(&mut self, now: Time) {
+        for reservation in self.reservations.step(now / MS) {
+            self.pending_events.push_back(Event::Reserved(reservation.id, reservation.hold));
         }
     }
 
-    /// A session plays: it is one of those who were expected, where it is.
-    pub(super) fn came(&mut self, id: SessionId) {
-        if let Some(live) = self.live.get(&id) {
-            self.holds.plays(id.0, live.ask.title);
+    /// Counts a playing session as an arrival of the peak that announced its title, if any.
+    pub(super) fn count_arrival(&mut self, id: SessionId) {
+        if let Some(session) = self.sessions.get(&id) {
+            self.reservations.plays(id.0, session.request.title);
         }
     }
 
-    /// Nodes as the planner needs them.
-    pub(super) fn rooms(&mut self) {
-        let d = &self.config.decisions;
-        let even = d.all_links_kb / self.nodes.len().max(1) as f64;
-        let room = |n: &super::NodeState| {
-            let e = n.node.entry;
+    /// Passes the capacities of the nodes to the planner.
+    pub(super) fn update_node_capacities(&mut self) {
+        let decisions = &self.config.decisions;
+        let even_share_kb = decisions.all_links_kb / self.nodes.len().max(1) as f64;
+        let capacity = |n: &super::NodeState| {
+            let entry = n.node.entry;
             NodeRoom {
-                server: e.server,
-                cell: e.cell,
-                rack: e.cell % d.racks,
-                link_kb: if d.kb_per_weight > 0.0 { e.weight * d.kb_per_weight } else { even },
-                ready: e.state == ServerState::Ready,
-                warm_ms: e.started.map_or(0, |t| t.saturating_add(d.rules.warm_up) / MS),
+                server: entry.server,
+                cell: entry.cell,
+                rack: entry.cell % decisions.racks,
+                link_kb: if decisions.kb_per_weight > 0.0 {
+                    entry.weight * decisions.kb_per_weight
+                } else {
+                    even_share_kb
+                },
+                ready: entry.state == ServerState::Ready,
+                warm_ms: entry.started.map_or(0, |t| t.saturating_add(decisions.rules.warm_up) / MS),
             }
         };
-        let rooms = self.nodes.values().map(room).collect();
-        self.holds.nodes(rooms);
+        let capacities = self.nodes.values().map(capacity).collect();
+        self.reservations.nodes(capacities);
     }
 }
--- a/crates/front/src/engine/policy.rs
+++ b/crates/front/src/engine/policy.rs
@@ -1,16 +1,17 @@
-//! Agreed policies in the engine: by which one a request is decided, and what a front does that cannot know.
+//! Agreed policies in the engine: which version decides a request, and what a fenced front refuses.
 //!
-//! **One version for one request.** A request is decided by the policy in force when its set-up begins: its patience,
-//! its aim, whether it may be repeated and its worth stay as that policy had them, up to its answer, which names the
-//! version. What it shares with others (seats, ration, floors and tops, links) counts by what is in force at each
-//! moment (`docs/policy-module.md`). A request that waits for the closing of an earlier attempt of its viewer
-//! has not begun; of the two patiences it gets the shorter. A copy of a request is that request.
+//! **One version for each request.** A request is decided by the policy in force when its set-up starts: its patience,
+//! aim, idempotency and value are those of that policy until its answer, which names the version. Limits shared with
+//! other sessions (seats, quotas, lowest and highest rungs, links) are those in force at each moment
+//! (`docs/policy-module.md`). The set-up of a parked request has not started; of the patience when it was received and
+//! the patience when it starts, the shorter applies. A duplicate belongs to the original request.
 //!
-//! **Classes and tenants** are matched by name and known by index, in titles, tokens and sessions. Indices stay: a new
-//! name gets the next one, a class that the policy lacks keeps its place and its terms and takes nothing new.
+//! **Classes and tenants** are matched by name and identified by index in titles, tokens and sessions. Indices never
+//! change: a new name gets the next index; a class that the policy lacks keeps its index and terms and is closed to new
+//! set-ups.
 //!
-//! **Fenced** is a front that cannot know what the fleet agreed. It begins no set-up; whatever was taken goes on by the
-//! version it was taken under, and sessions play.
+//! **A fenced front** cannot know what the fleet agreed on. It starts no set-up. Requests already accepted continue
+//! under their version, and sessions keep playing.
 
 use super::Engine;
 use super::types::{Answer, Effect, Refusal, SessionRequest};
@@ -19,93 +20,108 @@
 use serde::Serialize;
 use std::rc::Rc;
 
-/// What one request is promised from its begin to its answer.
+/// The terms of one request, fixed from the start of its set-up to its answer.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Promise {
-    /// The policy's version; none where none was ever agreed.
+pub(super) struct RequestTerms {
+    /// Version of the policy; `None` before any was agreed.
     pub version: Option<u64>,
-    /// Of its class.
+    /// Aim for the set-up time of its class, nanoseconds.
     pub aim: Time,
-    /// Of its class, the margin taken off.
+    /// Patience of its class less the answer margin, nanoseconds.
     pub patience: Time,
 }
 
-/// What the engine holds of agreed policies.
+/// The engine's state about agreed policies.
 #[derive(Debug, Default)]
-pub(super) struct Policies {
-    /// In force; none before the first.
+pub(super) struct PolicyState {
+    /// Version in force; `None` before the first.
     pub version: Option<u64>,
     pub fenced: bool,
-    /// It was fenced once, or a policy came: there is something to show.
-    used: bool,
-    /// Indices of the classes that take nothing new.
-    pub closed: Vec<u16>,
+    /// Whether the front was ever fenced or received a policy. Only then is there a status to show.
+    ever_active: bool,
+    /// Indices of the classes that are closed to new set-ups.
+    pub closed_classes: Vec<u16>,
+    /// Policies applied since the start.
     changes: u64,
-    objections: u64,
+    /// Policies rejected since the start.
+    rejections: u64,
 }
 
-/// Agreed policies, as the console shows them.
+/// Status of agreed policies, for the console.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct PolicyStatus {
-    /// Version in force; none before the first.
+    /// Version in force; `None` before the first.
     pub version: Option<u64>,
-    /// The front cannot know what the fleet agreed, and takes no set-ups.
+    /// Whether the front cannot know what the fleet agreed on, and starts no set-ups.
     pub fenced: bool,
-    /// Set-ups that are open and were taken under an earlier version.
-    pub open_before: usize,
-    /// Classes that take nothing new.
-    pub closed: Vec<String>,
+    /// Open set-ups that started under an earlier version.
+    #[serde(rename = "open_before")]
+    pub open_under_earlier: usize,
+    /// Names of the classes that are closed to new set-ups.
+    #[serde(rename = "closed")]
+    pub closed_classes: Vec<String>,
     /// Policies that came into force since the start.
     pub changes: u64,
-    /// Policies that this front could not go by.
-    pub objections: u64,
+    /// Policies that this front rejected because it cannot apply them.
+    #[serde(rename = "objections")]
+    pub rejections: u64,
 }
 
-/// A policy fitted to the front's indices.
-struct Fitted {
+/// A policy with its classes and tenants at the indices that this front uses.
+struct AlignedPolicy {
     settings: Settings,
     classes: Vec<ClassSettings>,
     tenants: Vec<String>,
-    closed: Vec<u16>,
+    closed_classes: Vec<u16>,
 }
 
-fn fault<T>(what: impl Into<String>) -> Result<T, SettingsError> {
+fn invalid<T>(what: impl Into<String>) -> Result<T, SettingsError> {
     Err(SettingsError(what.into()))
 }
 
-/// Maps a policy's names to the indices of the settings in force.
-fn fitted(
+/// Puts a policy's classes and tenants at the indices of the settings in force.
+///
+/// # Errors
+/// If the policy is invalid or cannot follow the settings in force.
+fn align(
     config: &Config,
     mut settings: Settings,
     classes: &[ClassSettings],
     tenants: &[String],
-) -> Result<Fitted, SettingsError> {
+) -> Result<AlignedPolicy, SettingsError> {
     if (classes.len(), tenants.len()) != (settings.classes.len(), settings.tenants.len()) {
-        return fault("classes and tenants do not have a name each");
+        return invalid(format!(
+            "each class and tenant must have one name: {} names for {} classes, {} names for {} tenants",
+            classes.len(),
+            settings.classes.len(),
+            tenants.len(),
+            settings.tenants.len()
+        ));
     }
-    let twice = |names: &[&str]| (1..names.len()).any(|i| names[..i].contains(&names[i]));
+    let has_duplicate = |names: &[&str]| (1..names.len()).any(|i| names[..i].contains(&names[i]));
     let class_names: Vec<&str> = classes.iter().map(|c| c.name.as_str()).collect();
-    if twice(&class_names) || twice(&tenants.iter().map(String::as_str).collect::<Vec<_>>()) {
-        return fault("a name is given twice");
+    if has_duplicate(&class_names) || has_duplicate(&tenants.iter().map(String::as_str).collect::<Vec<_>>()) {
+        return invalid("two classes or two tenants have the same name; each name must be unique");
     }
-    let last = u8::try_from(settings.ladder.len().saturating_sub(1)).unwrap_or(u8::MAX);
-    let (mut ours, mut theirs, mut closed): (Vec<ClassSettings>, Vec<Class>, Vec<u16>) = Default::default();
+    let highest_rung = u8::try_from(settings.ladder.len().saturating_sub(1)).unwrap_or(u8::MAX);
+    let (mut aligned, mut decision_classes, mut closed_classes): (Vec<ClassSettings>, Vec<Class>, Vec<u16>) =
+        Default::default();
     for (i, (old, kept)) in config.classes.iter().zip(&config.decisions.classes).enumerate() {
         match classes.iter().zip(&settings.classes).find(|(c, _)| c.name == old.name) {
             Some((c, _)) if c.ingest != old.ingest => {
-                return fault(format!("class '{}' cannot change between publishers and viewers", c.name));
+                return invalid(format!("class '{}' cannot change between publishers and viewers", c.name));
             }
             Some((c, terms)) => {
-                ours.push(c.clone());
-                theirs.push(terms.clone());
+                aligned.push(c.clone());
+                decision_classes.push(terms.clone());
             }
             None => {
-                closed.push(i as u16);
-                ours.push(old.clone());
-                let floor = kept.lowest_rung.min(last);
-                theirs.push(Class {
-                    lowest_rung: floor,
-                    highest_rung: kept.highest_rung.min(last).max(floor),
+                closed_classes.push(i as u16);
+                aligned.push(old.clone());
+                let lowest_rung = kept.lowest_rung.min(highest_rung);
+                decision_classes.push(Class {
+                    lowest_rung,
+                    highest_rung: kept.highest_rung.min(highest_rung).max(lowest_rung),
                     ..kept.clone()
                 });
             }
@@ -113,142 +129,158 @@
     }
     let known = |name: &str| config.classes.iter().any(|c| c.name == name);
     for (c, terms) in classes.iter().zip(&settings.classes).filter(|(c, _)| !known(&c.name)) {
-        ours.push(c.clone());
-        theirs.push(terms.clone());
+        aligned.push(c.clone());
+        decision_classes.push(terms.clone());
     }
-    let (mut names, mut shares): (Vec<String>, Vec<Tenant>) = (config.tenants.clone(), Vec::new());
+    let (mut tenant_names, mut decision_tenants): (Vec<String>, Vec<Tenant>) =
+        (config.tenants.clone(), Vec::new());
     for (name, kept) in config.tenants.iter().zip(&config.decisions.tenants) {
-        let now = tenants.iter().zip(&settings.tenants).find(|(t, _)| *t == name);
-        shares.push(now.map_or(kept, |(_, share)| share).clone());
+        let changed = tenants.iter().zip(&settings.tenants).find(|(t, _)| *t == name);
+        decision_tenants.push(changed.map_or(kept, |(_, tenant)| tenant).clone());
     }
-    for (name, share) in tenants.iter().zip(&settings.tenants).filter(|(t, _)| !config.tenants.contains(t)) {
-        names.push(name.clone());
-        shares.push(share.clone());
+    for (name, tenant) in tenants.iter().zip(&settings.tenants).filter(|(t, _)| !config.tenants.contains(t)) {
+        tenant_names.push(name.clone());
+        decision_tenants.push(tenant.clone());
     }
-    if ours.len() > usize::from(u16::MAX) || names.len() > usize::from(u16::MAX) {
-        return fault("there are too many classes or tenants");
+    if aligned.len() > usize::from(u16::MAX) || tenant_names.len() > usize::from(u16::MAX) {
+        return invalid(format!(
+            "there are {} classes and {} tenants, counting closed ones; at most {} of each are possible",
+            aligned.len(),
+            tenant_names.len(),
+            u16::MAX
+        ));
     }
-    (settings.classes, settings.tenants) = (theirs, shares);
+    (settings.classes, settings.tenants) = (decision_classes, decision_tenants);
     settings.validate()?;
     config.decisions.validate_change(&settings)?;
-    Ok(Fitted { settings, classes: ours, tenants: names, closed })
+    Ok(AlignedPolicy { settings, classes: aligned, tenants: tenant_names, closed_classes })
 }
 
 impl Engine {
-    /// Settings in force: those of the start, with what the policy in force says.
+    /// Settings in force: those of the start, overridden by the policy in force.
     #[must_use]
     pub fn config(&self) -> &Rc<Config> {
         &self.config
     }
 
-    /// Can this front go by a policy?
+    /// Checks whether this front can apply a policy, without applying it.
     ///
     /// # Errors
-    /// Why not: then the front is to object rather than to vouch.
+    /// The reason why it cannot. The front must then reject the policy instead of acknowledging it.
     pub fn check_policy(
         &self,
         settings: &Settings,
         classes: &[ClassSettings],
         tenants: &[String],
     ) -> Result<(), SettingsError> {
-        fitted(&self.config, settings.clone(), classes, tenants).map(drop)
+        align(&self.config, settings.clone(), classes, tenants).map(drop)
     }
 
-    /// The earliest version by which anything is still decided here: that in force, or that of an open set-up. None
-    /// while something goes by what settings said before any policy.
+    /// The earliest version that still decides anything here: the version in force, or that of an open set-up. `None`
+    /// while anything is still decided by the settings from before the first policy.
     #[must_use]
     pub fn earliest_policy_version(&self) -> Option<u64> {
-        let open = self.tickets.values().filter_map(|id| self.live.get(id)).map(|l| l.promise.version);
-        open.min().map_or(self.policies.version, |v| v.min(self.policies.version))
+        let open = self.tickets.values().filter_map(|id| self.sessions.get(id)).map(|s| s.terms.version);
+        open.min().map_or(self.policy.version, |v| v.min(self.policy.version))
     }
 
-    /// The longest time that a request which is taken now or was taken before can wait.
+    /// The longest time that an open or a new request can wait, nanoseconds.
     #[must_use]
     pub fn longest_patience(&self) -> Time {
-        let now = self.config.classes.iter().map(|c| c.patience).max().unwrap_or(0);
-        let open = self.tickets.values().filter_map(|id| self.live.get(id)).map(|l| l.promise.patience);
-        open.max().unwrap_or(0).max(now)
+        let configured = self.config.classes.iter().map(|c| c.patience).max().unwrap_or(0);
+        let open = self.tickets.values().filter_map(|id| self.sessions.get(id)).map(|s| s.terms.patience);
+        open.max().unwrap_or(0).max(configured)
     }
 
-    /// For the console; none where nothing was ever agreed.
-    pub(super) fn policy_shown(&self) -> Option<PolicyStatus> {
-        let p = &self.policies;
-        let before = |l: &&super::Live| l.promise.version < p.version;
+    /// Status for the console; `None` if the front was never fenced and never received a policy.
+    pub(super) fn policy_status(&self) -> Option<PolicyStatus> {
+        let policy = &self.policy;
+        let is_earlier = |s: &&super::Session| s.terms.version < policy.version;
         let open: std::collections::BTreeSet<_> = self.tickets.values().collect();
-        let named = |i: &u16| self.config.classes.get(usize::from(*i)).map(|c| c.name.clone());
-        p.used.then(|| PolicyStatus {
-            version: p.version,
-            fenced: p.fenced,
-            open_before: open.into_iter().filter_map(|id| self.live.get(id)).filter(before).count(),
-            closed: p.closed.iter().filter_map(named).collect(),
-            changes: p.changes,
-            objections: p.objections,
+        let class_name = |i: &u16| self.config.classes.get(usize::from(*i)).map(|c| c.name.clone());
+        policy.ever_active.then(|| PolicyStatus {
+            version: policy.version,
+            fenced: policy.fenced,
+            open_under_earlier: open
+                .into_iter()
+                .filter_map(|id| self.sessions.get(id))
+                .filter(is_earlier)
+                .count(),
+            closed_classes: policy.closed_classes.iter().filter_map(class_name).collect(),
+            changes: policy.changes,
+            rejections: policy.rejections,
         })
     }
 
-    /// Another policy comes into force. One that is no later than what is in force was heard of before.
-    pub(super) fn take_policy(
+    /// Puts a policy into force. One that is not newer than the version in force is ignored as a repeat.
+    pub(super) fn apply_policy(
         &mut self,
         now: Time,
         version: u64,
         settings: Settings,
         names: (&[ClassSettings], &[String]),
-        out: &mut Vec<Effect>,
+        effects: &mut Vec<Effect>,
     ) {
-        self.policies.used = true;
-        if self.policies.version >= Some(version) {
+        self.policy.ever_active = true;
+        if self.policy.version >= Some(version) {
             return;
         }
-        // What happened before is decided by what was in force then.
-        self.run(now, out);
+        // Pending events are from before the change and are decided by the former settings.
+        self.process_events(now, effects);
         let mut actions = Vec::new();
-        let fitted = fitted(&self.config, settings, names.0, names.1);
-        let taken = fitted
-            .and_then(|f| self.controller.apply_settings(now, f.settings.clone(), &mut actions).map(|()| f));
-        let f = match taken {
-            Ok(f) => f,
+        let aligned = align(&self.config, settings, names.0, names.1);
+        let applied = aligned
+            .and_then(|a| self.controller.apply_settings(now, a.settings.clone(), &mut actions).map(|()| a));
+        let aligned = match applied {
+            Ok(aligned) => aligned,
             Err(e) => {
-                self.policies.objections += 1;
-                return out.push(Effect::Log(format!("policy {version} cannot be gone by: {}", e.0)));
+                self.policy.rejections += 1;
+                return effects
+                    .push(Effect::Log(format!("policy {version} cannot be applied by this front: {}", e.0)));
             }
         };
-        self.policies.version = Some(version);
-        self.policies.changes += 1;
-        self.policies.closed = f.closed;
-        self.metrics.add_classes(f.classes.iter().map(|c| c.name.as_str()));
-        let (decisions, classes, tenants) = (f.settings, f.classes, f.tenants);
+        self.policy.version = Some(version);
+        self.policy.changes += 1;
+        self.policy.closed_classes = aligned.closed_classes;
+        self.metrics.add_classes(aligned.classes.iter().map(|c| c.name.as_str()));
+        let (decisions, classes, tenants) = (aligned.settings, aligned.classes, aligned.tenants);
         let config = Config { decisions, classes, tenants, ..(*self.config).clone() };
         self.config = Rc::new(config);
-        self.holds.uplink(self.config.decisions.uplink_kb);
-        self.rooms();
-        out.push(Effect::Log(format!("policy {version} is in force")));
+        self.reservations.uplink(self.config.decisions.uplink_kb);
+        self.update_node_capacities();
+        effects.push(Effect::Log(format!("policy {version} is in force")));
         for action in actions {
-            self.act(now, action, out);
+            self.execute(now, action, effects);
         }
     }
 
-    pub(super) fn fence(&mut self, fenced: bool, out: &mut Vec<Effect>) {
-        self.policies.used |= fenced;
-        if std::mem::replace(&mut self.policies.fenced, fenced) != fenced {
-            let line = if fenced { "fenced: no set-ups are taken" } else { "no longer fenced" };
-            out.push(Effect::Log(line.into()));
+    /// Sets whether the front is fenced.
+    pub(super) fn set_fenced(&mut self, fenced: bool, effects: &mut Vec<Effect>) {
+        self.policy.ever_active |= fenced;
+        if std::mem::replace(&mut self.policy.fenced, fenced) != fenced {
+            let line = if fenced { "fenced: no set-ups are started" } else { "no longer fenced" };
+            effects.push(Effect::Log(line.into()));
         }
     }
 
-    pub(super) fn promise(&self, class: u16) -> Promise {
+    /// The terms of a request of this class whose set-up starts now.
+    pub(super) fn request_terms(&self, class: u16) -> RequestTerms {
         let aim = self.config.decisions.classes.get(usize::from(class)).map_or(0, |c| c.set_up_target);
-        Promise { version: self.policies.version, aim, patience: self.patience(class) }
+        RequestTerms { version: self.policy.version, aim, patience: self.patience(class) }
     }
 
-    /// Why nothing new may begin here, if so. A copy of a request that was taken begins nothing.
-    pub(super) fn bars(&self, ask: &SessionRequest) -> Option<Answer> {
-        if !self.policies.fenced && self.policies.closed.is_empty() {
+    /// The answer that refuses a request because the front is fenced or its class is closed; `None` if it may proceed.
+    /// A duplicate of an accepted request starts no set-up and is not refused.
+    pub(super) fn policy_refusal(&self, request: &SessionRequest) -> Option<Answer> {
+        if !self.policy.fenced && self.policy.closed_classes.is_empty() {
             return None;
         }
-        match (self.viewers.is_duplicate(ask.viewer, ask.offer_hash), self.policies.fenced) {
+        match (self.viewers.is_duplicate(request.viewer, request.offer_hash), self.policy.fenced) {
             (true, _) => None,
             (false, true) => Some(Answer::Refused(None, Refusal::Fenced)),
-            (false, false) => self.policies.closed.contains(&ask.class).then_some(Answer::ClassClosed),
+            (false, false) => {
+                self.policy.closed_classes.contains(&request.class).then_some(Answer::ClassClosed)
+            }
         }
     }
 }
--- a/crates/front/src/engine/reconcile.rs
+++ b/crates/front/src/engine/reconcile.rs
@@ -1,46 +1,52 @@
-//! What a node and this front hold of each other's sessions, brought to agree.
+//! Reconciles the sessions that a node lists with those that this front knows there.
 //!
-//! A list is as old as its way, and sessions begin and end meanwhile. So nothing is done on one list alone: what two
-//! lists in a row say, with no attempt of this front out at that node, is believed.
+//! Sessions start and end while a list is in transit, so one list alone proves nothing. A difference is acted on only
+//! if two lists in a row show it. A session unknown to this front also counts only while no attempt of this front is
+//! open at that node.
 
 use super::Engine;
 use super::types::Effect;
 use pepperhook::{Outcome, ServerId};
 use std::collections::BTreeSet;
 
-/// What one list of a node said that this front does not hold, and the other way round.
+/// How one list of a node differs from the sessions that this front knows there, by path at the node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(super) struct Odds {
-    /// At the node, and not known here.
-    stray: BTreeSet<String>,
-    /// Known here, and not at the node.
+pub(super) struct Differences {
+    /// Listed by the node, unknown here.
+    orphans: BTreeSet<String>,
+    /// Known here, not listed by the node.
     missing: BTreeSet<String>,
 }
 
 impl Engine {
-    /// Sessions that this front holds at a node.
+    /// Number of sessions of this front that play at a node.
     #[must_use]
     pub fn session_count_at(&self, node: ServerId) -> usize {
         self.nodes.get(&node).map_or(0, |n| n.playing.len())
     }
 
-    /// A node's list of this run's sessions.
-    pub(super) fn reconcile(&mut self, node: ServerId, listed: &BTreeSet<String>, out: &mut Vec<Effect>) {
-        let out_there = self.attempts.values().any(|a| a.node == node);
+    /// Compares a node's list of this run's sessions with those known here, and acts on differences that repeat.
+    pub(super) fn reconcile_sessions(
+        &mut self,
+        node: ServerId,
+        listed: &BTreeSet<String>,
+        effects: &mut Vec<Effect>,
+    ) {
+        let attempt_open = self.attempts.values().any(|a| a.node == node);
         let Some(state) = self.nodes.get_mut(&node) else { return };
-        let held: BTreeSet<String> = state.playing.keys().cloned().collect();
-        let stray = if out_there { BTreeSet::new() } else { listed - &held };
-        let odds = Odds { stray, missing: &held - listed };
-        let before = std::mem::replace(&mut state.odds, odds.clone());
-        for path in odds.stray.intersection(&before.stray) {
+        let known: BTreeSet<String> = state.playing.keys().cloned().collect();
+        let orphans = if attempt_open { BTreeSet::new() } else { listed - &known };
+        let differences = Differences { orphans, missing: &known - listed };
+        let before = std::mem::replace(&mut state.list_differences, differences.clone());
+        for path in differences.orphans.intersection(&before.orphans) {
             self.metrics.orphans_deleted += 1;
-            out.push(Effect::DeleteUpstream(node, path.clone()));
+            effects.push(Effect::DeleteUpstream(node, path.clone()));
         }
-        for path in odds.missing.intersection(&before.missing) {
+        for path in differences.missing.intersection(&before.missing) {
             let id = self.nodes.get(&node).and_then(|n| n.playing.get(path)).copied();
             if let Some(id) = id {
                 self.metrics.sessions_missing += 1;
-                self.end_playing(id, Outcome::Broken, false, Some(("inactive", "lost")), out);
+                self.end_playing(id, Outcome::Broken, false, Some(("inactive", "lost")), effects);
             }
         }
     }
--- a/crates/front/src/engine/tests.rs
+++ b/crates/front/src/engine/tests.rs
@@ -1,4 +1,4 @@
-//! The engine under a test's clock: accounts of answers and attempts, whatever happens in which order.
+//! Tests of the engine under a simulated clock: answers, attempts and sessions in any order of inputs.
 
 mod policy;
 
@@ -28,7 +28,7 @@
     engine
 }
 
-fn ask(viewer: u64, offer: u64) -> SessionRequest {
+fn request(viewer: u64, offer: u64) -> SessionRequest {
     SessionRequest {
         offer: Bytes::from_static(b"offer"),
         offer_hash: offer,
@@ -56,92 +56,99 @@
     })
 }
 
-/// An engine with what it asked for: attempts that are out, answers given.
-struct Bench {
+/// An engine under test, its clock and a record of its effects.
+struct Harness {
     engine: Engine,
     now: Time,
-    out: BTreeMap<AttemptId, ServerId>,
+    open_attempts: BTreeMap<AttemptId, ServerId>,
     answers: BTreeMap<Ticket, Vec<Answer>>,
-    by: BTreeMap<Ticket, Option<u64>>,
+    /// The policy version that each answer names.
+    versions: BTreeMap<Ticket, Option<u64>>,
+    /// Paths deleted at nodes.
     deleted: Vec<String>,
-    told: Vec<(String, &'static str)>,
-    seen: Vec<Effect>,
+    /// Resource and event name of each notice to a viewer.
+    notices: Vec<(String, &'static str)>,
+    effects: Vec<Effect>,
 }
 
-impl Bench {
+impl Harness {
     fn new(nodes: usize) -> Self {
         Self::with(SETTINGS, nodes)
     }
 
     fn with(settings: &str, nodes: usize) -> Self {
         let engine = engine_with(settings, nodes);
-        let (out, answers) = (BTreeMap::new(), BTreeMap::new());
-        let (by, deleted, told, seen) = Default::default();
-        Self { engine, now: T0, out, answers, by, deleted, told, seen }
+        let (open_attempts, answers) = (BTreeMap::new(), BTreeMap::new());
+        let (versions, deleted, notices, effects) = Default::default();
+        Self { engine, now: T0, open_attempts, answers, versions, deleted, notices, effects }
     }
 
-    fn take(&mut self, effects: Vec<Effect>) {
+    fn record(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match &effect {
                 Effect::SetUp { attempt, node, .. } => {
-                    self.out.insert(*attempt, *node);
+                    self.open_attempts.insert(*attempt, *node);
                 }
                 Effect::ResetAttempt(id) => {
-                    self.out.remove(id);
+                    self.open_attempts.remove(id);
                 }
-                Effect::Answer(t, a, by) => {
-                    self.answers.entry(*t).or_default().push(a.clone());
-                    self.by.insert(*t, *by);
+                Effect::Answer(ticket, answer, version) => {
+                    self.answers.entry(*ticket).or_default().push(answer.clone());
+                    self.versions.insert(*ticket, *version);
                 }
                 Effect::DeleteUpstream(_, path) => self.deleted.push(path.clone()),
-                Effect::NotifyViewer(resource, event, _) => self.told.push((resource.clone(), event)),
+                Effect::NotifyViewer(resource, event, _) => self.notices.push((resource.clone(), event)),
                 _ => {}
             }
-            self.seen.push(effect);
+            self.effects.push(effect);
         }
     }
 
-    fn put(&mut self, input: Input) {
+    fn input(&mut self, input: Input) {
         let mut effects = Vec::new();
         self.engine.handle(self.now, input, &mut effects);
-        self.take(effects);
+        self.record(effects);
     }
 
-    /// Lets time pass, timer by timer.
-    fn pass(&mut self, time: Time) {
+    /// Advances the clock, running each timer at its time.
+    fn advance(&mut self, time: Time) {
         let until = self.now + time;
         while let Some(at) = self.engine.next_wake().filter(|at| *at <= until) {
             self.now = at.max(self.now);
             let mut effects = Vec::new();
             self.engine.wake(self.now, &mut effects);
-            self.take(effects);
+            self.record(effects);
         }
         self.now = until;
     }
 
-    fn end(&mut self, id: AttemptId, end: AttemptEnd) {
-        let node = self.out.remove(&id).expect("an attempt that is out");
-        self.put(Input::AttemptEnded(id, node, end));
+    fn end_attempt(&mut self, id: AttemptId, end: AttemptEnd) {
+        let node = self.open_attempts.remove(&id).expect("an open attempt");
+        self.input(Input::AttemptEnded(id, node, end));
     }
 
-    fn only(&self) -> AttemptId {
-        assert_eq!(self.out.len(), 1, "one attempt is out");
-        *self.out.keys().next().expect("one")
+    /// The only open attempt.
+    fn only_attempt(&self) -> AttemptId {
+        assert_eq!(self.open_attempts.len(), 1, "one attempt is open");
+        *self.open_attempts.keys().next().expect("one")
     }
 
+    /// Sets a session up for this viewer; returns its resource.
     fn play(&mut self, ticket: u64, viewer: u64) -> String {
-        self.put(Input::Post(Ticket(ticket), ask(viewer, viewer)));
-        let id = self.only();
-        self.end(id, created(&format!("/s/{ticket}")));
+        self.input(Input::Post(Ticket(ticket), request(viewer, viewer)));
+        let id = self.only_attempt();
+        self.end_attempt(id, created(&format!("/s/{ticket}")));
         self.resource(ticket)
     }
 
+    /// The answer to this ticket, if it has one. Fails on a second answer.
     fn answer(&self, ticket: u64) -> Option<&Answer> {
         let given = self.answers.get(&Ticket(ticket))?;
-        assert_eq!(given.len(), 1, "one answer a ticket");
+        assert_eq!(given.len(), 1, "one answer for each ticket");
         given.first()
     }
 
+    /// The resource that the answer to this ticket created.
     fn resource(&self, ticket: u64) -> String {
         match self.answer(ticket) {
             Some(Answer::Created { resource, .. }) => resource.clone(),
@@ -152,201 +159,201 @@
 
 #[test]
 fn a_request_plays_and_its_delete_reaches_the_node() {
-    let mut b = Bench::new(4);
+    let mut b = Harness::new(4);
     let resource = b.play(1, 1);
     assert!(matches!(b.engine.route(&resource), Route::Node(_, p) if p == "/s/1"));
-    assert!(b.seen.iter().any(|e| matches!(e, Effect::SetLayer(_, p, 1) if p == "/s/1/layer")));
-    b.put(Input::Delete(Ticket(2), resource.clone()));
+    assert!(b.effects.iter().any(|e| matches!(e, Effect::SetLayer(_, p, 1) if p == "/s/1/layer")));
+    b.input(Input::Delete(Ticket(2), resource.clone()));
     assert_eq!((b.answer(2), b.deleted.as_slice()), (Some(&Answer::Ended), &["/s/1".to_owned()][..]));
-    b.put(Input::Delete(Ticket(3), resource));
+    b.input(Input::Delete(Ticket(3), resource));
     assert_eq!(b.answer(3), Some(&Answer::UnknownSession), "a second DELETE finds nothing");
     assert_eq!(b.deleted.len(), 1);
 }
 
 #[test]
-fn a_silent_node_is_heard_out_then_reset_and_only_then_is_another_tried() {
-    let mut b = Bench::new(4);
-    b.put(Input::Post(Ticket(1), ask(1, 1)));
-    let first = b.only();
-    b.pass(400 * MS);
-    assert!(b.seen.iter().any(|e| matches!(e, Effect::CloseAttempt(id) if *id == first)));
-    assert_eq!(b.only(), first, "nothing goes out while it is heard out");
-    b.pass(40 * MS);
-    assert!(b.seen.iter().any(|e| matches!(e, Effect::ResetAttempt(id) if *id == first)));
-    assert_ne!(b.only(), first);
+fn a_silent_node_gets_a_grace_period_then_a_reset_and_only_then_is_another_tried() {
+    let mut b = Harness::new(4);
+    b.input(Input::Post(Ticket(1), request(1, 1)));
+    let first = b.only_attempt();
+    b.advance(400 * MS);
+    assert!(b.effects.iter().any(|e| matches!(e, Effect::CloseAttempt(id) if *id == first)));
+    assert_eq!(b.only_attempt(), first, "no other attempt starts during the grace period");
+    b.advance(40 * MS);
+    assert!(b.effects.iter().any(|e| matches!(e, Effect::ResetAttempt(id) if *id == first)));
+    assert_ne!(b.only_attempt(), first);
 }
 
 #[test]
 fn a_late_201_is_deleted_at_its_node_and_never_reaches_the_viewer() {
-    let mut b = Bench::new(4);
-    b.put(Input::Post(Ticket(1), ask(1, 1)));
-    let first = b.only();
-    b.pass(400 * MS);
-    b.end(first, created("/s/late"));
+    let mut b = Harness::new(4);
+    b.input(Input::Post(Ticket(1), request(1, 1)));
+    let first = b.only_attempt();
+    b.advance(400 * MS);
+    b.end_attempt(first, created("/s/late"));
     assert_eq!(b.deleted, ["/s/late"]);
     assert!(b.answer(1).is_none());
-    let second = b.only();
-    b.end(second, created("/s/good"));
+    let second = b.only_attempt();
+    b.end_attempt(second, created("/s/good"));
     assert!(matches!(b.engine.route(&b.resource(1)), Route::Node(_, p) if p == "/s/good"));
-    // One that comes even after the reset is deleted too.
-    b.put(Input::AttemptEnded(first, ServerId(1), created("/s/later")));
+    // A 201 that arrives after the reset is deleted too.
+    b.input(Input::AttemptEnded(first, ServerId(1), created("/s/later")));
     assert_eq!(b.deleted, ["/s/late", "/s/later"]);
 }
 
 #[test]
-fn the_same_request_twice_is_one_session_with_an_answer_each() {
-    let mut b = Bench::new(4);
-    b.put(Input::Post(Ticket(1), ask(1, 1)));
-    b.put(Input::Post(Ticket(2), ask(1, 1)));
-    let id = b.only();
-    b.end(id, created("/s/1"));
+fn duplicate_requests_share_one_session_and_get_an_answer_each() {
+    let mut b = Harness::new(4);
+    b.input(Input::Post(Ticket(1), request(1, 1)));
+    b.input(Input::Post(Ticket(2), request(1, 1)));
+    let id = b.only_attempt();
+    b.end_attempt(id, created("/s/1"));
     assert_eq!(b.resource(1), b.resource(2));
-    b.put(Input::Post(Ticket(3), ask(1, 1)));
-    assert_eq!(b.resource(3), b.resource(1), "and once more when it plays");
+    b.input(Input::Post(Ticket(3), request(1, 1)));
+    assert_eq!(b.resource(3), b.resource(1), "the answer is repeated while it plays");
     assert_eq!(b.engine.metrics().attempts, 1);
 }
 
 #[test]
-fn a_newer_offer_takes_the_place_of_a_waiting_one_after_its_attempt_is_closed() {
-    let mut b = Bench::new(4);
-    b.put(Input::Post(Ticket(1), ask(1, 1)));
-    let first = b.only();
-    b.put(Input::Post(Ticket(2), ask(1, 2)));
+fn a_newer_offer_replaces_a_waiting_one_after_its_attempt_is_closed() {
+    let mut b = Harness::new(4);
+    b.input(Input::Post(Ticket(1), request(1, 1)));
+    let first = b.only_attempt();
+    b.input(Input::Post(Ticket(2), request(1, 2)));
     assert_eq!(b.answer(1), Some(&Answer::Superseded));
-    assert_eq!(b.only(), first, "the newer one waits");
-    b.end(first, AttemptEnd::Closed);
-    let second = b.only();
-    b.end(second, created("/s/2"));
+    assert_eq!(b.only_attempt(), first, "the newer request waits");
+    b.end_attempt(first, AttemptEnd::Closed);
+    let second = b.only_attempt();
+    b.end_attempt(second, created("/s/2"));
     b.resource(2);
     assert!(b.engine.is_idle());
 }
 
 #[test]
-fn a_newer_offer_ends_the_session_that_plays() {
-    let mut b = Bench::new(4);
+fn a_newer_offer_ends_the_playing_session() {
+    let mut b = Harness::new(4);
     let old = b.play(1, 1);
-    b.put(Input::Post(Ticket(2), ask(1, 99)));
+    b.input(Input::Post(Ticket(2), request(1, 99)));
     assert_eq!(b.deleted, ["/s/1"]);
     assert_eq!(b.engine.route(&old), Route::Unknown);
-    let id = b.only();
-    b.end(id, created("/s/2"));
+    let id = b.only_attempt();
+    b.end_attempt(id, created("/s/2"));
     b.resource(2);
 }
 
 #[test]
-fn a_viewer_who_leaves_mid_setup_costs_the_node_nothing() {
-    let mut b = Bench::new(4);
-    b.put(Input::Post(Ticket(1), ask(1, 1)));
-    let id = b.only();
-    b.put(Input::Disconnected(Ticket(1)));
-    assert!(b.seen.iter().any(|e| matches!(e, Effect::CloseAttempt(a) if *a == id)));
-    b.end(id, created("/s/1"));
+fn a_viewer_who_disconnects_during_set_up_leaves_no_session_at_the_node() {
+    let mut b = Harness::new(4);
+    b.input(Input::Post(Ticket(1), request(1, 1)));
+    let id = b.only_attempt();
+    b.input(Input::Disconnected(Ticket(1)));
+    assert!(b.effects.iter().any(|e| matches!(e, Effect::CloseAttempt(a) if *a == id)));
+    b.end_attempt(id, created("/s/1"));
     assert_eq!(b.deleted, ["/s/1"]);
     assert!(b.answer(1).is_none() && b.engine.is_idle());
 }
 
 #[test]
-fn a_node_that_dies_ends_its_sessions_and_their_viewers_are_told() {
-    let mut b = Bench::new(1);
+fn a_dead_node_ends_its_sessions_and_their_viewers_are_notified() {
+    let mut b = Harness::new(1);
     let resource = b.play(1, 1);
     let node = *b.engine.nodes.keys().next().expect("a node");
-    b.put(Input::StreamEnded(node, StreamEnd::NoConnection));
+    b.input(Input::StreamEnded(node, StreamEnd::NoConnection));
     assert_eq!(b.engine.route(&resource), Route::Unknown);
-    assert_eq!(b.told, [(resource, "inactive")]);
-    assert!(b.deleted.is_empty(), "there is nobody to tell at the node");
+    assert_eq!(b.notices, [(resource, "inactive")]);
+    assert!(b.deleted.is_empty(), "nothing is deleted at a dead node");
 }
 
 #[test]
 fn an_event_stream_moves_to_another_session_when_its_own_ends() {
-    let mut b = Bench::new(1);
+    let mut b = Harness::new(1);
     let first = b.play(1, 1);
     b.play(2, 2);
     let node = *b.engine.nodes.keys().next().expect("a node");
-    let streams = |b: &Bench| b.seen.iter().filter(|e| matches!(e, Effect::OpenNodeEvents(..))).count();
-    assert_eq!(streams(&b), 1, "one stream a node, not one a session");
-    b.put(Input::Delete(Ticket(3), first));
-    b.put(Input::StreamEnded(node, StreamEnd::Closed));
+    let streams = |b: &Harness| b.effects.iter().filter(|e| matches!(e, Effect::OpenNodeEvents(..))).count();
+    assert_eq!(streams(&b), 1, "one stream for each node, not for each session");
+    b.input(Input::Delete(Ticket(3), first));
+    b.input(Input::StreamEnded(node, StreamEnd::Closed));
     assert_eq!(streams(&b), 2);
-    b.put(Input::StreamEnded(node, StreamEnd::SessionUnknown));
-    assert_eq!(b.told.len(), 1, "the node knows the session no longer: its viewer is told");
+    b.input(Input::StreamEnded(node, StreamEnd::SessionUnknown));
+    assert_eq!(b.notices.len(), 1, "the node no longer knows the session: its viewer is notified");
 }
 
 #[test]
-fn a_moved_viewer_is_told_and_comes_back_under_the_same_key() {
-    let mut b = Bench::new(4);
+fn a_moved_viewer_is_notified_and_reconnects_under_the_same_key() {
+    let mut b = Harness::new(4);
     let resource = b.play(1, 1);
-    let id = *b.engine.live.keys().next().expect("a session");
+    let id = *b.engine.sessions.keys().next().expect("a session");
     let mut effects = Vec::new();
-    b.engine.act(b.now, Action::Move(id), &mut effects);
-    b.take(effects);
+    b.engine.execute(b.now, Action::Move(id), &mut effects);
+    b.record(effects);
     assert_eq!(b.engine.route(&resource), Route::Moved);
-    assert_eq!(b.told, [(resource.clone(), EVENT_MOVE)]);
+    assert_eq!(b.notices, [(resource.clone(), EVENT_MOVE)]);
     assert_eq!(b.deleted, ["/s/1"]);
-    b.put(Input::Delete(Ticket(2), resource));
-    assert_eq!(b.answer(2), Some(&Answer::Ended), "its DELETE finds that it has ended");
-    b.put(Input::Post(Ticket(3), ask(1, 1)));
-    let again = b.only();
-    b.end(again, created("/s/2"));
+    b.input(Input::Delete(Ticket(2), resource));
+    assert_eq!(b.answer(2), Some(&Answer::Ended), "DELETE of a moved session is answered as ended");
+    b.input(Input::Post(Ticket(3), request(1, 1)));
+    let again = b.only_attempt();
+    b.end_attempt(again, created("/s/2"));
     b.resource(3);
 }
 
 #[test]
-fn a_live_title_is_watched_while_it_is_published_by_one() {
-    let mut b = Bench::new(4);
-    let watch = |viewer| SessionRequest { class: 1, ..ask(viewer, viewer) };
-    let publish = |viewer| SessionRequest { class: 2, publish: true, ..ask(viewer, viewer) };
-    b.put(Input::Post(Ticket(1), watch(1)));
+fn a_live_title_has_one_publisher_and_is_watched_only_while_published() {
+    let mut b = Harness::new(4);
+    let watch = |viewer| SessionRequest { class: 1, ..request(viewer, viewer) };
+    let publish = |viewer| SessionRequest { class: 2, publish: true, ..request(viewer, viewer) };
+    b.input(Input::Post(Ticket(1), watch(1)));
     assert_eq!(b.answer(1), Some(&Answer::NotPublished));
-    b.put(Input::Post(Ticket(2), publish(2)));
-    let id = b.only();
-    b.end(id, created("/s/p"));
-    b.put(Input::Post(Ticket(3), publish(3)));
+    b.input(Input::Post(Ticket(2), publish(2)));
+    let id = b.only_attempt();
+    b.end_attempt(id, created("/s/p"));
+    b.input(Input::Post(Ticket(3), publish(3)));
     assert_eq!(b.answer(3), Some(&Answer::AlreadyPublished));
-    b.put(Input::Post(Ticket(4), watch(1)));
-    let id = b.only();
-    b.end(id, created("/s/w"));
+    b.input(Input::Post(Ticket(4), watch(1)));
+    let id = b.only_attempt();
+    b.end_attempt(id, created("/s/w"));
     let (publisher, watcher) = (b.resource(2), b.resource(4));
-    b.put(Input::Delete(Ticket(5), publisher));
-    assert_eq!(b.told, [(watcher, "inactive")]);
-    b.put(Input::Post(Ticket(6), watch(7)));
+    b.input(Input::Delete(Ticket(5), publisher));
+    assert_eq!(b.notices, [(watcher, "inactive")]);
+    b.input(Input::Post(Ticket(6), watch(7)));
     assert_eq!(b.answer(6), Some(&Answer::NotPublished));
 }
 
 #[test]
-fn bounds_hold_and_a_stopping_front_refuses_with_advice() {
-    let mut b = Bench::with(&format!("max-waiting 2\nmax-sessions 3\n{SETTINGS}"), 4);
-    (1..=3).for_each(|i| b.put(Input::Post(Ticket(i), ask(i, i))));
+fn limits_are_enforced_and_a_stopping_front_refuses_with_retry_after() {
+    let mut b = Harness::with(&format!("max-waiting 2\nmax-sessions 3\n{SETTINGS}"), 4);
+    (1..=3).for_each(|i| b.input(Input::Post(Ticket(i), request(i, i))));
     assert_eq!(b.answer(3), Some(&Answer::Refused(Some(500 * MS), Refusal::Overload)));
     b.engine.stop();
-    b.put(Input::Post(Ticket(4), ask(9, 9)));
+    b.input(Input::Post(Ticket(4), request(9, 9)));
     assert_eq!(b.answer(4), Some(&Answer::Refused(Some(500 * MS), Refusal::Stopping)));
-    assert!(!b.engine.is_idle(), "two wait still");
-    while let Some(id) = b.out.keys().next().copied() {
-        b.end(id, created(&format!("/s/{}", id.number)));
+    assert!(!b.engine.is_idle(), "two requests still wait");
+    while let Some(id) = b.open_attempts.keys().next().copied() {
+        b.end_attempt(id, created(&format!("/s/{}", id.number)));
     }
     assert!(b.engine.is_idle());
     let mut effects = Vec::new();
     b.engine.end_all(b.now, &mut effects);
-    b.take(effects);
-    assert_eq!((b.deleted.len(), b.told.len()), (2, 2));
+    b.record(effects);
+    assert_eq!((b.deleted.len(), b.notices.len()), (2, 2));
 }
 
 #[test]
 fn without_a_node_a_request_is_refused_at_once() {
-    let mut b = Bench::new(0);
-    b.put(Input::Post(Ticket(1), ask(1, 1)));
+    let mut b = Harness::new(0);
+    b.input(Input::Post(Ticket(1), request(1, 1)));
     assert_eq!(b.answer(1), Some(&Answer::Refused(Some(500 * MS), Refusal::NoRoom)));
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Post { viewer: u64, offer: u64 },
-    Left(usize),
+    Disconnect(usize),
     Delete(usize),
-    End(usize, u8),
-    Pass(u64),
+    EndAttempt(usize, u8),
+    Advance(u64),
     StreamEnd(usize, u8),
-    News(usize, u8),
+    NodeEvent(usize, u8),
     Policy(u8),
     Fence(bool),
 }
@@ -354,12 +361,12 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0u64..5, 0u64..3).prop_map(|(viewer, offer)| Step::Post { viewer, offer }),
-        1 => any::<usize>().prop_map(Step::Left),
+        1 => any::<usize>().prop_map(Step::Disconnect),
         1 => any::<usize>().prop_map(Step::Delete),
-        5 => (any::<usize>(), 0u8..6).prop_map(|(i, how)| Step::End(i, how)),
-        3 => (1u64..900).prop_map(Step::Pass),
+        5 => (any::<usize>(), 0u8..6).prop_map(|(i, how)| Step::EndAttempt(i, how)),
+        3 => (1u64..900).prop_map(Step::Advance),
         1 => (any::<usize>(), 0u8..4).prop_map(|(i, how)| Step::StreamEnd(i, how)),
-        1 => (any::<usize>(), 0u8..4).prop_map(|(i, how)| Step::News(i, how)),
+        1 => (any::<usize>(), 0u8..4).prop_map(|(i, how)| Step::NodeEvent(i, how)),
         1 => any::<u8>().prop_map(Step::Policy),
         1 => any::<bool>().prop_map(Step::Fence),
     ]
@@ -368,45 +375,45 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(256))]
 
-    /// Whatever happens in which order: one answer a ticket, in time; one attempt out a viewer; nothing set
-    /// up that nobody holds or deletes; and in the end nothing is left. Each request is decided by one version of the
-    /// policy, which its answer names, and a fenced front begins nothing.
+    /// In any order of inputs: each ticket gets one answer in time; each viewer has at most one open attempt; each
+    /// session that was set up is known to the front or deleted; in the end nothing is pending. Each request is decided
+    /// by one policy version, which its answer names, and a fenced front starts no set-up.
     #[test]
-    fn accounts_hold_in_any_order(steps in prop::collection::vec(step(), 1..120)) {
-        let mut b = Bench::new(4);
+    fn invariants_hold_in_any_order(steps in prop::collection::vec(step(), 1..120)) {
+        let mut b = Harness::new(4);
         let (mut next, mut paths) = (0u64, 0u64);
         let mut asked: BTreeMap<Ticket, Time> = BTreeMap::new();
-        let mut left: BTreeSet<Ticket> = BTreeSet::new();
-        let mut made: BTreeSet<String> = BTreeSet::new();
+        let mut disconnected: BTreeSet<Ticket> = BTreeSet::new();
+        let mut created_paths: BTreeSet<String> = BTreeSet::new();
         let (mut version, mut fenced) = (None, false);
-        let mut promised: BTreeMap<SessionId, Option<u64>> = BTreeMap::new();
-        let mut waits: BTreeMap<Ticket, SessionId> = BTreeMap::new();
+        let mut version_at_start: BTreeMap<SessionId, Option<u64>> = BTreeMap::new();
+        let mut waiting: BTreeMap<Ticket, SessionId> = BTreeMap::new();
         for step in steps {
             let open: Vec<Ticket> =
-                asked.keys().filter(|t| !b.answers.contains_key(t) && !left.contains(t)).copied().collect();
+                asked.keys().filter(|t| !b.answers.contains_key(t) && !disconnected.contains(t)).copied().collect();
             let servers: Vec<ServerId> = b.engine.nodes.keys().copied().collect();
             match step {
                 Step::Post { viewer, offer } => {
                     next += 1;
                     asked.insert(Ticket(next), b.now);
-                    let copy = b.engine.viewers.is_duplicate(ViewerKey(viewer), offer);
-                    b.put(Input::Post(Ticket(next), ask(viewer, offer)));
+                    let duplicate = b.engine.viewers.is_duplicate(ViewerKey(viewer), offer);
+                    b.input(Input::Post(Ticket(next), request(viewer, offer)));
                     let refused = b.answer(next) == Some(&Answer::Refused(None, Refusal::Fenced));
-                    prop_assert_eq!(refused, fenced && !copy);
+                    prop_assert_eq!(refused, fenced && !duplicate);
                 }
-                Step::Left(i) if !open.is_empty() => {
+                Step::Disconnect(i) if !open.is_empty() => {
                     let ticket = open[i % open.len()];
-                    left.insert(ticket);
-                    b.put(Input::Disconnected(ticket));
+                    disconnected.insert(ticket);
+                    b.input(Input::Disconnected(ticket));
                 }
                 Step::Delete(i) if !b.engine.resources.is_empty() => {
                     let mut all: Vec<String> = b.engine.resources.keys().cloned().collect();
                     all.sort();
                     next += 1;
-                    b.put(Input::Delete(Ticket(next), all[i % all.len()].clone()));
+                    b.input(Input::Delete(Ticket(next), all[i % all.len()].clone()));
                 }
-                Step::End(i, how) if !b.out.is_empty() => {
-                    let all: Vec<AttemptId> = b.out.keys().copied().collect();
+                Step::EndAttempt(i, how) if !b.open_attempts.is_empty() => {
+                    let all: Vec<AttemptId> = b.open_attempts.keys().copied().collect();
                     paths += 1;
                     let path = format!("/s/{paths}");
                     let end = match how {
@@ -415,69 +422,69 @@
                         2 => AttemptEnd::NoConnection,
                         3 => AttemptEnd::Broken,
                         _ => {
-                            made.insert(path.clone());
+                            created_paths.insert(path.clone());
                             created(&path)
                         }
                     };
-                    b.end(all[i % all.len()], end);
+                    b.end_attempt(all[i % all.len()], end);
                 }
-                Step::Pass(ms) => b.pass(ms * MS),
+                Step::Advance(ms) => b.advance(ms * MS),
                 Step::StreamEnd(i, how) => {
                     let how = [StreamEnd::Closed, StreamEnd::SessionUnknown, StreamEnd::Refused, StreamEnd::NoConnection][usize::from(how)];
-                    b.put(Input::StreamEnded(servers[i % servers.len()], how));
+                    b.input(Input::StreamEnded(servers[i % servers.len()], how));
                 }
-                Step::News(i, how) => {
-                    let news = match how {
+                Step::NodeEvent(i, how) => {
+                    let event = match how {
                         0 => NodeEvent::Delivered(0.5),
                         1 => NodeEvent::Link(1.4),
                         2 => NodeEvent::Uplink(1.2),
                         _ => NodeEvent::Inactive(format!("/s/{paths}")),
                     };
-                    b.put(Input::NodeEvent(servers[i % servers.len()], news));
+                    b.input(Input::NodeEvent(servers[i % servers.len()], event));
                 }
                 Step::Policy(draw) => {
                     version = Some(version.unwrap_or(0) + 1);
-                    b.put(policy::drawn(&b.engine, version.unwrap_or(0), draw));
+                    b.input(policy::policy_from_draw(&b.engine, version.unwrap_or(0), draw));
                 }
                 Step::Fence(on) => {
                     fenced = on;
-                    b.put(Input::Fenced(on));
+                    b.input(Input::Fenced(on));
                 }
-                Step::Left(_) | Step::Delete(_) | Step::End(..) => {}
+                Step::Disconnect(_) | Step::Delete(_) | Step::EndAttempt(..) => {}
             }
             let mut viewers = BTreeSet::new();
-            for id in b.out.keys() {
+            for id in b.open_attempts.keys() {
                 let viewer = b.engine.attempts[id].viewer;
-                prop_assert!(viewers.insert(viewer), "two attempts out for {viewer:?}");
+                prop_assert!(viewers.insert(viewer), "two open attempts for {viewer:?}");
             }
             for (ticket, answers) in &b.answers {
                 prop_assert_eq!(answers.len(), 1, "{:?}", ticket);
-                if let Some(id) = waits.remove(ticket) {
-                    prop_assert_eq!(b.by[ticket], promised[&id], "{:?}", ticket);
+                if let Some(id) = waiting.remove(ticket) {
+                    prop_assert_eq!(b.versions[ticket], version_at_start[&id], "{:?}", ticket);
                 }
             }
-            for (id, live) in &b.engine.live {
-                let by = *promised.entry(*id).or_insert(version);
-                prop_assert_eq!(by, live.promise.version);
+            for (id, session) in &b.engine.sessions {
+                let at_start = *version_at_start.entry(*id).or_insert(version);
+                prop_assert_eq!(at_start, session.terms.version);
             }
             prop_assert!(b.engine.earliest_policy_version() <= version);
-            waits.extend(b.engine.tickets.iter().map(|(ticket, id)| (*ticket, *id)));
+            waiting.extend(b.engine.tickets.iter().map(|(ticket, id)| (*ticket, *id)));
             for (ticket, at) in &asked {
-                let late = !left.contains(ticket) && !b.answers.contains_key(ticket) && at + 4 * S <= b.now;
+                let late = !disconnected.contains(ticket) && !b.answers.contains_key(ticket) && at + 4 * S <= b.now;
                 prop_assert!(!late, "{:?} has no answer", ticket);
             }
         }
-        b.pass(5 * S);
-        prop_assert!(b.engine.is_idle() && b.out.is_empty());
-        prop_assert_eq!(b.engine.metrics().overdue_answers, 0, "the last guard is for what nobody thought of");
-        let unanswered = asked.keys().filter(|t| !left.contains(t) && !b.answers.contains_key(t)).count();
+        b.advance(5 * S);
+        prop_assert!(b.engine.is_idle() && b.open_attempts.is_empty());
+        prop_assert_eq!(b.engine.metrics().overdue_answers, 0, "no request is left to the answer deadline");
+        let unanswered = asked.keys().filter(|t| !disconnected.contains(t) && !b.answers.contains_key(t)).count();
         prop_assert_eq!(unanswered, 0);
-        // What was set up either plays, was deleted, or ended by the node's own word.
-        let held: BTreeSet<String> =
-            b.engine.live.values().filter_map(|l| l.playing.as_ref().map(|p| p.path.clone())).collect();
+        // Each session that was set up plays, was deleted, or was ended by its node.
+        let playing: BTreeSet<String> =
+            b.engine.sessions.values().filter_map(|s| s.playing.as_ref().map(|p| p.path.clone())).collect();
         let ended_by_node = b.engine.metrics().ends.values().sum::<u64>();
-        let lost = made.iter().filter(|p| !held.contains(*p) && !b.deleted.contains(p)).count() as u64;
-        prop_assert!(lost <= ended_by_node, "{lost} sessions are nobody's");
-        prop_assert_eq!(b.engine.resources.len(), held.len());
+        let lost = created_paths.iter().filter(|p| !playing.contains(*p) && !b.deleted.contains(p)).count() as u64;
+        prop_assert!(lost <= ended_by_node, "{lost} sessions are neither known to the front nor deleted");
+        prop_assert_eq!(b.engine.resources.len(), playing.len());
     }
 }
--- a/crates/front/src/engine/tests/policy.rs
+++ b/crates/front/src/engine/tests/policy.rs
@@ -1,24 +1,25 @@
-//! Agreed policies and fences in the engine.
+//! Tests of agreed policies and fencing in the engine.
 
 use super::*;
 use pepperhook::Settings;
 use pepperhook_settings::ClassSettings;
 
-type Terms = (Settings, Vec<ClassSettings>, Vec<String>);
+/// A policy: decision settings, class settings and tenant names.
+type PolicyInput = (Settings, Vec<ClassSettings>, Vec<String>);
 
-/// What is in force, to be changed.
-pub fn terms(engine: &Engine) -> Terms {
+/// The policy in force, as a base for changes.
+pub fn policy_in_force(engine: &Engine) -> PolicyInput {
     let c = engine.config();
     (c.decisions.clone(), c.classes.clone(), c.tenants.clone())
 }
 
-pub fn input(version: u64, (settings, classes, tenants): Terms) -> Input {
+pub fn policy_input(version: u64, (settings, classes, tenants): PolicyInput) -> Input {
     Input::Policy { version, settings: Box::new(settings), classes, tenants }
 }
 
-/// One of many policies for the first class, some without it.
-pub fn drawn(engine: &Engine, version: u64, draw: u8) -> Input {
-    let (mut s, mut c, t) = terms(engine);
+/// A policy derived from `draw` that changes or removes the first class.
+pub fn policy_from_draw(engine: &Engine, version: u64, draw: u8) -> Input {
+    let (mut s, mut c, t) = policy_in_force(engine);
     let bit = |n: u8| u64::from(draw >> n) & 1;
     c[0].patience = (1 + bit(0) + 2 * bit(1)) * S;
     s.classes[0].set_up_target = (200 + 600 * bit(2)) * MS;
@@ -29,23 +30,23 @@
         s.classes.remove(0);
         c.remove(0);
     }
-    input(version, (s, c, t))
+    policy_input(version, (s, c, t))
 }
 
-impl Bench {
-    /// A policy that differs like this from what is in force.
-    fn policy(&mut self, version: u64, change: impl Fn(&mut Terms)) {
-        let mut terms = terms(&self.engine);
-        change(&mut terms);
-        self.put(input(version, terms));
+impl Harness {
+    /// Inputs a policy that differs from the one in force by `change`.
+    fn policy(&mut self, version: u64, change: impl Fn(&mut PolicyInput)) {
+        let mut policy = policy_in_force(&self.engine);
+        change(&mut policy);
+        self.input(policy_input(version, policy));
     }
 
     fn post(&mut self, ticket: u64, ask: SessionRequest) {
-        self.put(Input::Post(Ticket(ticket), ask));
+        self.input(Input::Post(Ticket(ticket), ask));
     }
 
-    fn by(&self, ticket: u64) -> Option<u64> {
-        *self.by.get(&Ticket(ticket)).expect("answered")
+    fn version_of(&self, ticket: u64) -> Option<u64> {
+        *self.versions.get(&Ticket(ticket)).expect("answered")
     }
 
     fn state(&self) -> serde_json::Value {
@@ -57,80 +58,87 @@
             Effect::SetLayer(_, path, rung) => Some((path.clone(), *rung)),
             _ => None,
         };
-        self.seen.iter().filter_map(layer).collect()
+        self.effects.iter().filter_map(layer).collect()
     }
 }
 
 const FENCED: Answer = Answer::Refused(None, Refusal::Fenced);
 
 #[test]
-fn without_a_policy_nothing_is_shown_and_answers_name_none() {
-    let mut b = Bench::new(4);
+fn without_a_policy_no_status_is_shown_and_answers_name_no_version() {
+    let mut b = Harness::new(4);
     b.play(1, 1);
-    assert_eq!(b.by(1), None);
+    assert_eq!(b.version_of(1), None);
     assert!(b.state().get("policy").is_none());
     assert_eq!(b.engine.earliest_policy_version(), None);
-    b.put(Input::Fenced(false));
+    b.input(Input::Fenced(false));
     assert!(b.state().get("policy").is_none());
 }
 
 #[test]
 fn an_open_set_up_keeps_aim_and_patience_and_its_answer_names_its_version() {
-    let mut b = Bench::new(4);
+    let mut b = Harness::new(4);
     b.policy(1, |_| {});
-    b.post(1, ask(1, 1));
-    let first = b.only();
+    b.post(1, request(1, 1));
+    let first = b.only_attempt();
     b.policy(2, |(s, c, _)| (s.classes[0].set_up_target, c[0].patience) = (100 * MS, 900 * MS));
     assert_eq!(
         (b.engine.earliest_policy_version(), b.state()["policy"]["open_before"].as_u64()),
         (Some(1), Some(1))
     );
-    b.pass(390 * MS);
-    assert_eq!(b.only(), first, "half of the aim that it was taken with");
-    b.post(2, ask(1, 1));
-    b.pass(1_500 * MS);
-    assert!(b.answer(1).is_none() && b.answer(2).is_none(), "its patience, and a copy is the same request");
-    let id = b.only();
-    b.end(id, created("/s/1"));
-    assert_eq!((b.resource(1), b.by(1), b.by(2)), (b.resource(2), Some(1), Some(1)));
+    b.advance(390 * MS);
+    assert_eq!(b.only_attempt(), first, "the attempt time-out follows the aim at the start: half of it");
+    b.post(2, request(1, 1));
+    b.advance(1_500 * MS);
+    assert!(
+        b.answer(1).is_none() && b.answer(2).is_none(),
+        "patience is that of the start, also for a duplicate"
+    );
+    let id = b.only_attempt();
+    b.end_attempt(id, created("/s/1"));
+    assert_eq!((b.resource(1), b.version_of(1), b.version_of(2)), (b.resource(2), Some(1), Some(1)));
     assert_eq!(b.engine.earliest_policy_version(), Some(2));
-    b.post(3, ask(1, 1));
-    assert_eq!(b.by(3), Some(1), "the answer given once more");
-    b.post(4, ask(2, 2));
-    b.pass(900 * MS);
-    assert_eq!((b.answer(4), b.by(4)), (Some(&Answer::Failed), Some(2)), "newer ones by the newer");
+    b.post(3, request(1, 1));
+    assert_eq!(b.version_of(3), Some(1), "the repeated answer");
+    b.post(4, request(2, 2));
+    b.advance(900 * MS);
+    assert_eq!(
+        (b.answer(4), b.version_of(4)),
+        (Some(&Answer::Failed), Some(2)),
+        "a newer request is decided by the newer version"
+    );
     assert_eq!(b.engine.metrics().overdue_answers, 0);
 }
 
 #[test]
-fn a_parked_request_begins_by_what_is_in_force_with_the_shorter_patience() {
-    let mut b = Bench::new(4);
+fn a_parked_request_starts_under_the_policy_in_force_with_the_shorter_patience() {
+    let mut b = Harness::new(4);
     b.policy(1, |_| {});
-    b.post(1, ask(1, 1));
-    let first = b.only();
-    b.post(2, ask(1, 2));
+    b.post(1, request(1, 1));
+    let first = b.only_attempt();
+    b.post(2, request(1, 2));
     b.policy(2, |(_, c, _)| c[0].patience = 9 * S);
-    b.end(first, AttemptEnd::Closed);
-    b.pass(3_800 * MS);
-    assert_eq!((b.answer(2), b.by(2)), (Some(&Answer::Failed), Some(2)));
-    b.post(3, ask(3, 1));
-    let first = b.only();
-    b.post(4, ask(3, 2));
+    b.end_attempt(first, AttemptEnd::Closed);
+    b.advance(3_800 * MS);
+    assert_eq!((b.answer(2), b.version_of(2)), (Some(&Answer::Failed), Some(2)));
+    b.post(3, request(3, 1));
+    let first = b.only_attempt();
+    b.post(4, request(3, 2));
     b.policy(3, |(s, c, _)| drop((s.classes.remove(0), c.remove(0))));
-    b.end(first, AttemptEnd::Closed);
-    assert_eq!(b.answer(4), Some(&Answer::ClassClosed), "its class takes nothing new");
-    assert!(b.engine.is_idle() && b.out.is_empty());
+    b.end_attempt(first, AttemptEnd::Closed);
+    assert_eq!(b.answer(4), Some(&Answer::ClassClosed), "its class is closed");
+    assert!(b.engine.is_idle() && b.open_attempts.is_empty());
     assert_eq!(b.engine.metrics().overdue_answers, 0);
 }
 
 #[test]
 fn classes_and_tenants_are_matched_by_name_and_keep_their_indices() {
-    let mut b = Bench::with(
+    let mut b = Harness::with(
         &SETTINGS.replace("section class replay", "section tenant a\nquota 1\nsection class replay"),
         4,
     );
     let resource = b.play(1, 1);
-    // The other way round, without the first, with one that is new.
+    // In reverse order, without the first class, with one new class.
     b.policy(7, |(s, c, t)| {
         s.classes.reverse();
         c.reverse();
@@ -150,117 +158,122 @@
         (config.tenants.as_slice(), quotas.as_slice()),
         (&["a".to_owned(), "b".into()][..], &[1.0, 5.0][..])
     );
-    assert!(matches!(b.engine.route(&resource), Route::Node(..)), "who stands plays on");
-    b.post(2, ask(1, 1));
-    assert_eq!(b.resource(2), resource, "and its answer is given once more");
-    b.post(3, ask(2, 2));
-    assert_eq!((b.answer(3), b.by(3)), (Some(&Answer::ClassClosed), Some(7)));
+    assert!(matches!(b.engine.route(&resource), Route::Node(..)), "an existing session keeps playing");
+    b.post(2, request(1, 1));
+    assert_eq!(b.resource(2), resource, "and its answer is repeated");
+    b.post(3, request(2, 2));
+    assert_eq!((b.answer(3), b.version_of(3)), (Some(&Answer::ClassClosed), Some(7)));
     assert_eq!(b.state()["policy"]["closed"], serde_json::json!(["replay"]));
     assert_eq!(b.state()["classes"][3]["name"], "extra");
-    b.post(4, SessionRequest { class: 3, highest_rung: 0, ..ask(4, 4) });
-    let id = b.only();
-    b.end(id, created("/s/4"));
-    assert!(b.layers().contains(&("/s/4/layer".into(), 1)), "the new class's floor");
-    // It is opened again under its index.
+    b.post(4, SessionRequest { class: 3, highest_rung: 0, ..request(4, 4) });
+    let id = b.only_attempt();
+    b.end_attempt(id, created("/s/4"));
+    assert!(b.layers().contains(&("/s/4/layer".into(), 1)), "the lowest rung of the new class");
+    // The class is opened again under its index.
     b.policy(8, |(s, _, _)| s.classes[0].value = 2.0);
     b.play(5, 5);
     assert_eq!(b.state()["policy"]["closed"], serde_json::json!([]));
 }
 
 #[test]
-fn a_session_below_a_new_floor_is_raised_at_its_node_at_once() {
-    let mut b = Bench::new(4);
-    b.post(1, SessionRequest { highest_rung: 0, ..ask(1, 1) });
-    let id = b.only();
-    b.end(id, created("/s/1"));
-    b.post(2, SessionRequest { highest_rung: 0, ..ask(2, 2) });
+fn a_session_below_a_new_lowest_rung_is_raised_at_its_node_at_once() {
+    let mut b = Harness::new(4);
+    b.post(1, SessionRequest { highest_rung: 0, ..request(1, 1) });
+    let id = b.only_attempt();
+    b.end_attempt(id, created("/s/1"));
+    b.post(2, SessionRequest { highest_rung: 0, ..request(2, 2) });
     assert_eq!(b.layers(), []);
     b.policy(1, |(s, _, _)| s.classes[0].lowest_rung = 1);
     assert_eq!(b.layers(), [("/s/1/layer".to_owned(), 1)]);
-    let id = b.only();
-    b.end(id, created("/s/2"));
-    assert_eq!(b.layers().len(), 2, "and one that was being set up comes in there");
+    let id = b.only_attempt();
+    b.end_attempt(id, created("/s/2"));
+    assert_eq!(b.layers().len(), 2, "and a session that was being set up starts at it");
 }
 
 #[test]
-fn a_policy_that_cannot_be_gone_by_is_objected_to_and_a_late_one_is_passed_over() {
-    let mut b = Bench::new(4);
+fn a_policy_that_cannot_be_applied_is_rejected_and_an_old_one_is_ignored() {
+    let mut b = Harness::new(4);
     b.policy(3, |(s, _, _)| s.classes[0].value = 3.0);
     b.policy(2, |(s, _, _)| s.classes[0].value = 2.0);
     b.policy(3, |(s, _, _)| s.classes[0].value = 2.0);
-    let wrong: [fn(&mut Terms); 5] = [
+    let invalid: [fn(&mut PolicyInput); 5] = [
         |(s, _, _)| s.racks = 3,
         |(s, _, _)| s.ladder.clear(),
         |(_, c, _)| c.truncate(1),
         |(_, c, _)| c[1].name = "replay".into(),
         |(_, c, _)| c[1].ingest = true,
     ];
-    for (n, change) in wrong.iter().enumerate() {
-        let mut terms = terms(&b.engine);
-        change(&mut terms);
-        assert!(b.engine.check_policy(&terms.0, &terms.1, &terms.2).is_err(), "{n}");
-        b.put(input(9, terms));
+    for (n, change) in invalid.iter().enumerate() {
+        let mut policy = policy_in_force(&b.engine);
+        change(&mut policy);
+        assert!(b.engine.check_policy(&policy.0, &policy.1, &policy.2).is_err(), "{n}");
+        b.input(policy_input(9, policy));
     }
     let state = b.state()["policy"].clone();
     assert_eq!((state["version"].as_u64(), state["changes"].as_u64()), (Some(3), Some(1)));
     assert_eq!(state["objections"].as_u64(), Some(5));
     assert_eq!(b.engine.config().decisions.classes[0].value, 3.0);
-    let objected = b.seen.iter().filter(|e| matches!(e, Effect::Log(l) if l.contains("cannot be gone by")));
-    assert_eq!(objected.count(), 5);
+    let rejected =
+        b.effects.iter().filter(|e| matches!(e, Effect::Log(l) if l.contains("cannot be applied")));
+    assert_eq!(rejected.count(), 5);
 }
 
 #[test]
-fn a_fenced_front_begins_nothing_and_all_that_was_taken_goes_on() {
-    let mut b = Bench::new(4);
+fn a_fenced_front_starts_nothing_and_accepted_requests_continue() {
+    let mut b = Harness::new(4);
     b.policy(1, |_| {});
     let plays = b.play(1, 1);
-    b.post(2, ask(2, 2));
-    let open = b.only();
-    // One whose viewer's earlier attempt is being closed.
-    b.post(3, ask(3, 1));
-    let closing = *b.out.keys().find(|id| **id != open).expect("another");
-    b.post(4, ask(3, 2));
-    b.put(Input::Fenced(true));
-    b.put(Input::Fenced(true));
-    b.post(5, ask(5, 5));
-    assert_eq!((b.answer(5), b.by(5)), (Some(&FENCED), None));
-    b.post(6, ask(1, 99));
+    b.post(2, request(2, 2));
+    let open = b.only_attempt();
+    // A request that waits until its viewer's earlier attempt is closed.
+    b.post(3, request(3, 1));
+    let closing = *b.open_attempts.keys().find(|id| **id != open).expect("another");
+    b.post(4, request(3, 2));
+    b.input(Input::Fenced(true));
+    b.input(Input::Fenced(true));
+    b.post(5, request(5, 5));
+    assert_eq!((b.answer(5), b.version_of(5)), (Some(&FENCED), None));
+    b.post(6, request(1, 99));
     assert_eq!(b.answer(6), Some(&FENCED));
     assert!(matches!(b.engine.route(&plays), Route::Node(..)), "a newer offer ends no session");
-    b.post(7, ask(2, 99));
+    b.post(7, request(2, 99));
     assert_eq!(b.answer(7), Some(&FENCED));
     assert!(b.answer(2).is_none(), "nor a set-up");
-    b.post(8, SessionRequest { class: 1, ..ask(8, 8) });
-    assert_eq!(b.answer(8), Some(&FENCED), "what a class is, is agreed too");
-    b.post(9, ask(1, 1));
-    assert_eq!(b.resource(9), plays, "a copy of what plays");
-    b.post(10, ask(2, 2));
-    b.end(open, AttemptEnd::Answered(503, LoadReport::default()));
-    let again = *b.out.keys().find(|id| **id != closing).expect("the next node is tried");
-    b.end(again, created("/s/2"));
-    assert_eq!((b.resource(2), b.by(2)), (b.resource(10), Some(1)), "taken before, with its copy");
-    b.end(closing, AttemptEnd::Closed);
-    let id = b.only();
-    b.end(id, created("/s/4"));
-    assert_eq!(b.by(4), Some(1), "taken before, though it began later");
+    b.post(8, SessionRequest { class: 1, ..request(8, 8) });
+    assert_eq!(b.answer(8), Some(&FENCED), "the definition of classes is agreed too");
+    b.post(9, request(1, 1));
+    assert_eq!(b.resource(9), plays, "a duplicate of a playing request");
+    b.post(10, request(2, 2));
+    b.end_attempt(open, AttemptEnd::Answered(503, LoadReport::default()));
+    let again = *b.open_attempts.keys().find(|id| **id != closing).expect("the next node is tried");
+    b.end_attempt(again, created("/s/2"));
+    assert_eq!(
+        (b.resource(2), b.version_of(2)),
+        (b.resource(10), Some(1)),
+        "accepted before the fence, with its duplicate"
+    );
+    b.end_attempt(closing, AttemptEnd::Closed);
+    let id = b.only_attempt();
+    b.end_attempt(id, created("/s/4"));
+    assert_eq!(b.version_of(4), Some(1), "accepted before the fence, though its set-up started later");
     let node = *b.engine.nodes.keys().next().expect("a node");
-    b.put(Input::NodeEvent(node, NodeEvent::Delivered(0.9)));
-    b.put(Input::Delete(Ticket(11), plays));
+    b.input(Input::NodeEvent(node, NodeEvent::Delivered(0.9)));
+    b.input(Input::Delete(Ticket(11), plays));
     assert_eq!((b.answer(11), b.deleted.len()), (Some(&Answer::Ended), 1));
     assert_eq!(b.state()["policy"]["fenced"], true);
     assert_eq!((b.engine.metrics().answers["fenced"], b.state()["answers"]["fenced"].as_u64()), (4, Some(4)));
-    b.put(Input::Fenced(false));
+    b.input(Input::Fenced(false));
     b.play(12, 12);
-    assert_eq!(b.by(12), Some(1));
-    let told = b.seen.iter().filter(|e| matches!(e, Effect::Log(l) if l.contains("fenced"))).count();
-    assert_eq!(told, 2, "once each way");
+    assert_eq!(b.version_of(12), Some(1));
+    let logged = b.effects.iter().filter(|e| matches!(e, Effect::Log(l) if l.contains("fenced"))).count();
+    assert_eq!(logged, 2, "one log line for each change");
 }
 
 #[test]
-fn a_stopping_front_says_so_though_it_is_fenced() {
-    let mut b = Bench::new(4);
-    b.put(Input::Fenced(true));
+fn a_stopping_front_refuses_as_stopping_even_when_fenced() {
+    let mut b = Harness::new(4);
+    b.input(Input::Fenced(true));
     b.engine.stop();
-    b.post(1, ask(1, 1));
+    b.post(1, request(1, 1));
     assert_eq!(b.answer(1), Some(&Answer::Refused(Some(500 * MS), Refusal::Stopping)));
 }
--- a/crates/front/src/engine/view.rs
+++ b/crates/front/src/engine/view.rs
@@ -82,7 +82,7 @@
     pub agreement: Option<pepperhook_fleet::AgreedShown>,
     /// State of the replication; `None` if the settings configure none.
     pub replica: Option<ReplicaStatus>,
-    /// Agreed policies; `None` until a policy arrives or the front is fenced.
+    /// Status of agreed policies; `None` until a policy arrives or the front is fenced.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub policy: Option<PolicyStatus>,
     /// Sessions listed by a node that this front does not know, deleted there.
@@ -213,7 +213,7 @@
             reservations: self.reservation_rows(now),
             agreement: None,
             replica: None,
-            policy: self.policy_shown(),
+            policy: self.policy_status(),
             orphans_deleted: metrics.orphans_deleted,
             sessions_missing: metrics.sessions_missing,
             reading_ages: metrics.reading_ages(),
