--- a/crates/front/benches/engine.rs
+++ b/crates/front/benches/engine.rs
@@ -1,4 +1,4 @@
-//! Cost of one request through the engine (POST, set-up, rung, DELETE) by the size of the fleet, without
+//! Benchmarks of one request through the engine (POST, set-up, rung, DELETE) by the size of the fleet, without
 //! sockets: `cargo bench -p pepperhook-front`.
 
 use bytes::Bytes;
@@ -12,9 +12,10 @@
 use std::hint::black_box;
 use std::rc::Rc;
 
+/// Nanoseconds in a millisecond.
 const MS: u64 = 1_000_000;
-/// Sessions held on each node meanwhile.
-const HELD: u64 = 5;
+/// Sessions that play on each node during the benchmark.
+const SESSIONS_PER_NODE: u64 = 5;
 
 fn settings(nodes: u32) -> String {
     format!(
@@ -27,16 +28,18 @@
     )
 }
 
-struct Run {
+/// An engine under load, with its simulated clock.
+struct LoadedEngine {
     engine: Engine,
     nodes: u32,
     now: u64,
-    next: u64,
+    /// Number of the latest ticket.
+    last_ticket: u64,
     effects: Vec<Effect>,
 }
 
-impl Run {
-    fn new(nodes: u32, held: u64) -> Self {
+impl LoadedEngine {
+    fn new(nodes: u32, sessions: u64) -> Self {
         let config = Rc::new(Config::parse("bench", &settings(nodes)).expect("settings"));
         let mut list = "name,address,zone,cell,kind,weight,state\n".to_owned();
         for i in 0..nodes {
@@ -45,20 +48,20 @@
         }
         let list = pepperhook_inventory::parse(list.as_bytes(), &config.names).expect("a list");
         let engine = Engine::new(config, 1).expect("an engine");
-        let mut run = Self { engine, nodes, now: 1_000_000 * MS, next: 0, effects: Vec::new() };
-        run.engine.handle(run.now, Input::Nodes(list), &mut run.effects);
-        (0..held).for_each(|_| {
-            run.set_up();
+        let mut loaded = Self { engine, nodes, now: 1_000_000 * MS, last_ticket: 0, effects: Vec::new() };
+        loaded.engine.handle(loaded.now, Input::Nodes(list), &mut loaded.effects);
+        (0..sessions).for_each(|_| {
+            loaded.set_up();
         });
-        run
+        loaded
     }
 
-    /// One session is set up on the first node that the module names; its resource.
+    /// Sets one session up on the first node that the module chooses; returns its resource.
     fn set_up(&mut self) -> Option<String> {
-        self.next += 1;
+        self.last_ticket += 1;
         self.now += MS;
-        let (n, home) = (self.next, (self.next * 7 % u64::from(self.nodes)) as u32);
-        let ask = SessionRequest {
+        let (n, home) = (self.last_ticket, (self.last_ticket * 7 % u64::from(self.nodes)) as u32);
+        let request = SessionRequest {
             offer: Bytes::from_static(b"v=0"),
             offer_hash: n,
             title_name: format!("title-{home}"),
@@ -72,15 +75,15 @@
             publish: false,
         };
         self.effects.clear();
-        self.engine.handle(self.now, Input::Post(Ticket(n), ask), &mut self.effects);
-        let out = self.effects.iter().find_map(|e| match e {
+        self.engine.handle(self.now, Input::Post(Ticket(n), request), &mut self.effects);
+        let set_up = self.effects.iter().find_map(|e| match e {
             Effect::SetUp { attempt, node, .. } => Some((*attempt, *node)),
             _ => None,
         });
-        let (attempt, node): (AttemptId, ServerId) = out?;
+        let (attempt, node): (AttemptId, ServerId) = set_up?;
         let path = format!("/s/{n}");
         let load = LoadReport([("link".to_owned(), 0.3), ("uplink".to_owned(), 0.3)].into());
-        let made = Created {
+        let created = Created {
             events: Some(format!("{path}/events")),
             layer: Some(format!("{path}/layer")),
             answer: Bytes::from_static(b"v=0"),
@@ -92,7 +95,7 @@
         self.effects.clear();
         self.engine.handle(
             self.now,
-            Input::AttemptEnded(attempt, node, AttemptEnd::Created(made)),
+            Input::AttemptEnded(attempt, node, AttemptEnd::Created(created)),
             &mut self.effects,
         );
         self.effects.iter().find_map(|e| match e {
@@ -101,12 +104,17 @@
         })
     }
 
-    fn once(&mut self) {
+    /// One request: set-up, DELETE and the timers that are due.
+    fn request(&mut self) {
         let resource = self.set_up();
         if let Some(resource) = resource {
             self.effects.clear();
-            self.next += 1;
-            self.engine.handle(self.now, Input::Delete(Ticket(self.next), resource), &mut self.effects);
+            self.last_ticket += 1;
+            self.engine.handle(
+                self.now,
+                Input::Delete(Ticket(self.last_ticket), resource),
+                &mut self.effects,
+            );
         }
         self.effects.clear();
         self.engine.wake(self.now, &mut self.effects);
@@ -114,33 +122,37 @@
     }
 }
 
-fn by_fleet(c: &mut Criterion) {
+/// By the number of nodes.
+fn by_fleet_size(c: &mut Criterion) {
     let mut group = c.benchmark_group("request");
     for nodes in [12, 60, 200] {
-        let mut run = Run::new(nodes, u64::from(nodes) * HELD);
-        group.bench_with_input(BenchmarkId::from_parameter(nodes), &nodes, |b, _| b.iter(|| run.once()));
+        let mut loaded = LoadedEngine::new(nodes, u64::from(nodes) * SESSIONS_PER_NODE);
+        group
+            .bench_with_input(BenchmarkId::from_parameter(nodes), &nodes, |b, _| b.iter(|| loaded.request()));
     }
     group.finish();
 }
 
-/// By the sessions that the front holds, on 60 nodes.
-fn by_held(c: &mut Criterion) {
+/// By the number of sessions that play at the front, on 60 nodes.
+fn by_session_count(c: &mut Criterion) {
     let mut group = c.benchmark_group("request-with-held");
-    for held in [100u64, 1_000, 5_000] {
-        let mut run = Run::new(60, held);
-        group.bench_with_input(BenchmarkId::from_parameter(held), &held, |b, _| b.iter(|| run.once()));
+    for sessions in [100u64, 1_000, 5_000] {
+        let mut loaded = LoadedEngine::new(60, sessions);
+        group.bench_with_input(BenchmarkId::from_parameter(sessions), &sessions, |b, _| {
+            b.iter(|| loaded.request())
+        });
     }
     group.finish();
 }
 
-/// What peaks that are held add to one request, on 60 nodes; their plans, made twice a second, are included.
+/// By the number of announced peaks, on 60 nodes. Includes the cost of planning reservations twice a second.
 fn by_peaks(c: &mut Criterion) {
     let mut group = c.benchmark_group("request-with-peaks");
     for peaks in [0u32, 1, 10, 50] {
-        let mut run = Run::new(60, 60 * HELD);
-        let now_ms = run.now / MS;
+        let mut loaded = LoadedEngine::new(60, 60 * SESSIONS_PER_NODE);
+        let now_ms = loaded.now / MS;
         for p in 0..peaks {
-            let said = Announcement {
+            let announcement = Announcement {
                 name: format!("peak-{p}"),
                 titles: vec![format!("event-{p}")],
                 class: "replay".into(),
@@ -152,10 +164,11 @@
                 cancelled: false,
             };
             let titles = vec![(TitleId(1_000 + u64::from(p)), p * 7 % 60, 4)];
-            let peak = Peak { number: u64::from(p), said, titles, kb: 350.0 };
-            run.engine.handle(run.now, Input::Peak(peak), &mut run.effects);
+            let peak = Peak { number: u64::from(p), said: announcement, titles, kb: 350.0 };
+            loaded.engine.handle(loaded.now, Input::Peak(peak), &mut loaded.effects);
         }
-        group.bench_with_input(BenchmarkId::from_parameter(peaks), &peaks, |b, _| b.iter(|| run.once()));
+        group
+            .bench_with_input(BenchmarkId::from_parameter(peaks), &peaks, |b, _| b.iter(|| loaded.request()));
     }
     group.finish();
 }
@@ -163,9 +176,9 @@
 // The macro makes a public function without docs.
 #[allow(missing_docs)]
 mod group {
-    use super::{by_fleet, by_held, by_peaks};
+    use super::{by_fleet_size, by_peaks, by_session_count};
     use criterion::criterion_group;
-    criterion_group!(benches, by_fleet, by_held, by_peaks);
+    criterion_group!(benches, by_fleet_size, by_session_count, by_peaks);
 }
 
 criterion_main!(group::benches);
--- a/crates/front/src/engine/types.rs
+++ b/crates/front/src/engine/types.rs
@@ -1,4 +1,4 @@
-//! What goes into the engine and what comes out of it.
+//! The inputs and effects of the engine, and the types that they carry.
 
 use bytes::Bytes;
 use pepperhook::{Outcome, ServerId, SessionId, Settings, Time, TitleId, ViewerKey};
@@ -8,7 +8,7 @@
 use pepperhook_signalling::LoadReport;
 use serde::{Deserialize, Serialize};
 
-/// One HTTP request that waits for its one answer.
+/// Identifies one HTTP request; each is answered once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
@@ -17,49 +17,49 @@
 pub struct AttemptId {
     /// The session.
     pub session: SessionId,
-    /// Its attempts are counted from 0.
+    /// Number of the attempt within the session, from 0.
     pub number: u32,
 }
 
-/// A checked POST of a viewer or a publisher.
+/// A validated POST of a viewer or a publisher.
 #[derive(Clone, Debug)]
 pub struct SessionRequest {
-    /// The offer as it came.
+    /// The SDP offer as received.
     pub offer: Bytes,
-    /// Hash of the offer, by which a request sent again is known.
+    /// Hash of the offer, which identifies duplicates of a request.
     pub offer_hash: u64,
-    /// The title's name, as it stands in the node's path too.
+    /// The title's name as received in the path; it is used unchanged in the node's path.
     pub title_name: String,
     /// The title's id.
     pub title: TitleId,
-    /// First cell that holds it.
+    /// First of the cells that hold the title.
     pub first_cell: u32,
-    /// Cells in a row that hold it.
+    /// Number of consecutive cells that hold the title.
     pub cell_count: u32,
     /// Index of the class.
     pub class: u16,
     /// Index of the tenant.
     pub tenant: u16,
-    /// The viewer.
+    /// Key of the viewer.
     pub viewer: ViewerKey,
     /// Highest rung that the viewer can use.
     pub highest_rung: u8,
-    /// It publishes (WHIP).
+    /// Whether it publishes (WHIP) rather than plays (WHEP).
     pub publish: bool,
 }
 
-/// How an attempt went, as its connection tells.
+/// How an attempt ended, as seen on its connection.
 #[derive(Clone, Debug)]
 pub enum AttemptEnd {
     /// 201 with a session.
     Created(Created),
-    /// Another answer, with the load report that came along.
+    /// Another status, with the load report of the answer.
     Answered(u16, LoadReport),
-    /// No connection in time; nothing was sent.
+    /// No connection was established in time; nothing was sent.
     NoConnection,
-    /// The connection broke, or said what no answer is.
+    /// The connection broke, or the answer was not valid.
     Broken,
-    /// The front closed it, and the node or the connection has confirmed that.
+    /// The front closed it, and the node or the connection has confirmed the close.
     Closed,
 }
 
@@ -72,92 +72,92 @@
     pub etag: Option<String>,
     /// The SDP answer.
     pub answer: Bytes,
-    /// Where events of the session can be had, at the node.
+    /// Path of the session's event stream at the node.
     pub events: Option<String>,
-    /// Where its layer is chosen, at the node.
+    /// Path of the session's layer selection at the node.
     pub layer: Option<String>,
-    /// `Link` headers for ICE servers, handed on.
+    /// `Link` headers for ICE servers, forwarded to the viewer.
     pub ice: Vec<String>,
     /// The load report.
     pub load: LoadReport,
 }
 
-/// What a node tells on its event stream.
+/// An event from a node's event stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NodeEvent {
-    /// Share of their rates that its sessions get.
+    /// Share of their nominal rates that the node's sessions receive.
     Delivered(f64),
-    /// What is asked of its link over what it gives.
+    /// Demand on the node's link divided by its capacity.
     Link(f64),
-    /// The same of its rack's uplink.
+    /// Demand on the rack's uplink divided by its capacity.
     Uplink(f64),
     /// The session at this path ended.
     Inactive(String),
 }
 
-/// What happens to a front.
+/// An input of the engine.
 #[derive(Debug)]
 pub enum Input {
-    /// A viewer or publisher asks.
+    /// A viewer or publisher requests a session.
     Post(Ticket, SessionRequest),
-    /// The connection of a waiting request closed.
+    /// The connection of a request closed before its answer.
     Disconnected(Ticket),
-    /// DELETE on a session.
+    /// DELETE of the session with this resource.
     Delete(Ticket, String),
     /// An attempt on this node ended.
     AttemptEnded(AttemptId, ServerId, AttemptEnd),
-    /// A 201 could not be given to its viewer: the session of this resource is nobody's.
+    /// A 201 could not be delivered to its viewer: the session of this resource is to be ended.
     Undelivered(String),
-    /// The list of nodes is this.
+    /// A new list of nodes.
     Nodes(Vec<Node>),
-    /// News of a node.
+    /// An event from a node's event stream.
     NodeEvent(ServerId, NodeEvent),
-    /// A node that was asked for its load answered, or did not.
+    /// A probe of a node ended; `None` if the node did not answer.
     Probed(ServerId, Option<LoadReport>),
-    /// What another front saw of this life of a node so long ago.
+    /// Load report that another front read: the node, its incarnation, the age of the report in nanoseconds, the report.
     PeerReport(ServerId, u64, Time, LoadReport),
-    /// Paths of the sessions that this run of the front has at a node, by the node's own list.
+    /// Paths of the sessions of this run of the front that a node lists.
     SessionList(ServerId, std::collections::BTreeSet<String>),
-    /// The ICE session of a session was restarted: the viewer's new user fragment, and the new entity tag.
+    /// ICE was restarted for a session: its resource, the viewer's new user fragment and the new entity tag.
     IceRestarted(String, String, Option<String>),
-    /// A peak was announced, amended or called off, here or at another front.
+    /// A peak was announced, amended or cancelled, here or at another front.
     Peak(Peak),
-    /// The policy of this version, which the fleet agreed on, comes into force.
+    /// A policy that the fleet agreed on comes into force.
     Policy {
-        /// Counted up by the fleet; one that is no later than what is in force is passed over.
+        /// Increased by the fleet with each policy; one that is not newer than the version in force is ignored.
         version: u64,
-        /// Everything that the module is told; its zone, racks, cells, fronts and gauges are this front's.
+        /// Settings of the decision module; zone, racks, cells, fronts and gauges are those of this front.
         settings: Box<Settings>,
-        /// Names and terms, in the order of the settings' classes.
+        /// Names and terms of the classes, in the order of `settings.classes`.
         classes: Vec<ClassSettings>,
-        /// Names, in the order of the settings' tenants.
+        /// Names of the tenants, in the order of `settings.tenants`.
         tenants: Vec<String>,
     },
-    /// The front cannot know what the fleet agreed, or can again.
+    /// Whether the front cannot know what the fleet agreed on.
     Fenced(bool),
-    /// The event stream of a node ended, or could not be had: no connection, or this status.
+    /// The event stream of a node ended or could not be opened.
     StreamEnded(ServerId, StreamEnd),
 }
 
-/// How an event stream ended.
+/// Why an event stream ended or could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// It was there, and closed or broke.
+    /// It was open, and closed or broke.
     Closed,
-    /// The node knows the session no longer.
+    /// The node no longer knows the session.
     SessionUnknown,
-    /// The node does not offer events, or refused them.
+    /// The node offers no events, or refused the stream.
     Refused,
-    /// No connection to the node.
+    /// No connection to the node could be established.
     NoConnection,
 }
 
-/// The one answer of a request.
+/// The answer to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// It plays.
+    /// The session plays.
     Created {
-        /// Its name under `/session/`.
+        /// Name of the session's resource under `/session/`.
         resource: String,
         /// Entity tag of the ICE session.
         etag: Option<String>,
@@ -166,114 +166,116 @@
         /// `Link` headers for ICE servers.
         ice: Vec<String>,
     },
-    /// Refused, with the module's advice when to come again.
+    /// Refused, with the time in nanoseconds after which to retry, if any.
     Refused(Option<Time>, Refusal),
-    /// It failed.
+    /// The set-up failed.
     Failed,
-    /// A newer request of the same viewer took its place.
+    /// A newer request of the same viewer replaced it.
     Superseded,
-    /// The title is live and nobody publishes it, or somebody else does.
+    /// The title is live and is not published.
     NotPublished,
-    /// Another session publishes the title.
+    /// Another viewer key publishes the title.
     AlreadyPublished,
-    /// The policy in force takes nothing new of this class.
+    /// The class is closed to new set-ups by the policy in force.
     ClassClosed,
-    /// DELETE: done.
+    /// DELETE: the session has ended.
     Ended,
-    /// No such session.
+    /// DELETE: no such session.
     UnknownSession,
 }
 
 /// Why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The decision module found no room.
+    /// The decision module found no node with capacity.
     NoRoom,
-    /// The front holds as many waiting requests or sessions as it may.
+    /// The front has reached its limit of waiting requests or sessions.
     Overload,
     /// The front is stopping.
     Stopping,
-    /// As many copies of the request wait as may.
+    /// Too many duplicates of the request already wait.
     TooManyCopies,
-    /// The front cannot know what the fleet agreed.
+    /// The front cannot know what the fleet agreed on.
     Fenced,
 }
 
-/// What is to be done.
+/// An action that the caller of the engine carries out.
 #[derive(Debug)]
 pub enum Effect {
-    /// Answer the request; each ticket is answered once. The version of the policy that it was decided by, where
-    /// one was ever agreed.
+    /// Answer the request; each ticket is answered once. With the version of the policy that decided it; `None` before
+    /// any policy was agreed, for DELETE and for a refusal because the front is fenced.
     Answer(Ticket, Answer, Option<u64>),
-    /// POST the offer to the node.
+    /// Start an attempt: POST the offer to the node.
     SetUp {
-        /// Which attempt.
+        /// The attempt.
         attempt: AttemptId,
-        /// To which node.
+        /// The node.
         node: ServerId,
         /// The title's name.
         title: String,
-        /// WHIP rather than WHEP.
+        /// Whether to use WHIP rather than WHEP.
         publish: bool,
         /// The offer.
         offer: Bytes,
     },
-    /// Close the sending side of the attempt's connection, and hear the node out.
+    /// Half-close the attempt's connection and wait for the node's answer.
     CloseAttempt(AttemptId),
-    /// Reset its connection: whatever the node says now reaches nobody.
+    /// Reset the attempt's connection; an answer of the node is lost from now on.
     ResetAttempt(AttemptId),
-    /// DELETE a session at its node.
+    /// DELETE the session at this path of a node.
     DeleteUpstream(ServerId, String),
-    /// The module wants a node's load.
+    /// Probe a node for its load report.
     Probe(ServerId),
-    /// Choose the rung of a session at its node.
+    /// Select the rung of a session at its node; the path is that of the layer selection.
     SetLayer(ServerId, String, u8),
-    /// Open the node's event stream on one of its sessions.
+    /// Open the node's event stream at this path.
     OpenNodeEvents(ServerId, String),
-    /// Tell a viewer's event stream; the name and the data.
+    /// Send an event to a viewer: the session's resource, the event's name and its data.
     NotifyViewer(String, &'static str, String),
-    /// The resource is no more: its event stream ends.
+    /// Close the viewer's event stream of this resource, which no longer exists.
     CloseEventStream(String),
-    /// Other fronts are to have a copy of this session, or none any more. Only where settings name copies.
+    /// Replicate this session to other fronts, or with `None` remove its copies. Only if the settings configure
+    /// replication.
     Replicate(u64, Option<SessionCopy>),
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
 
-/// What other fronts are told of a session that plays.
+/// The copy of a playing session that other fronts keep. Encoded with postcard: the order and types of fields are the
+/// wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionCopy {
     /// The viewer's key.
     pub viewer: u64,
     /// Index of the class.
     pub class: u16,
-    /// The title's number.
+    /// The title's id.
     pub title: u64,
-    /// It publishes rather than plays.
+    /// Whether it publishes rather than plays.
     pub publish: bool,
     /// The rung in force.
     pub rung: u8,
     /// The node.
     pub node: u32,
-    /// Its path at the node.
+    /// Path of the session at the node.
     pub path: String,
-    /// Its resource at the front.
+    /// Resource of the session at the front.
     pub resource: String,
 }
 
-/// Where a request on a session goes.
+/// Where a request on a session is forwarded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// To this path at this node.
+    /// This path at this node.
     Node(ServerId, String),
-    /// The session is being moved: its viewer is to POST again.
+    /// The session was moved: its viewer must POST again.
     Moved,
     /// There is no such session.
     Unknown,
 }
 
-/// The module's outcome for what a connection told. A status that proves that nothing ran is 503 alone:
-/// a node sends it before it looks at the offer (RFC 9725, 4.5).
+/// The module's outcome for the end of an attempt. Only status 503 proves that no session was set up: a node sends it
+/// before it processes the offer (RFC 9725, 4.5).
 #[must_use]
 pub fn outcome(end: &AttemptEnd) -> Outcome {
     match end {
