--- a/crates/front/src/engine/mod.rs
+++ b/crates/front/src/engine/mod.rs
@@ -628,7 +628,7 @@
         });
     }
 
-    /// A load report in the order of the module's gauges; a missing value is NaN, which the module treats as unreadable.
+    /// A load report in the order of the module's gauges; missing values are NaN, which counts as unreadable.
     fn gauges(&self, load: &LoadReport) -> Vec<f64> {
         let name = |g: &Gauge| match g {
             Gauge::Streams => "streams",
@@ -721,8 +721,8 @@
         effects.push(Effect::Replicate(id.0, Some(copy)));
     }
 
-    /// Ends a playing session. `delete_upstream`: deletes it at its node. `notice`: event name and reason that are sent to
-    /// the viewer.
+    /// Ends a playing session. `delete_upstream`: deletes it at its node. `notice`: event name and reason sent to the
+    /// viewer.
     fn end_playing(
         &mut self,
         id: SessionId,
--- a/crates/front/src/engine/peaks.rs
+++ b/crates/front/src/engine/peaks.rs
@@ -53,8 +53,8 @@
         )
     }
 
-    /// Checks an announcement that another front has admitted. Only its fields are checked, not whether the capacity can be
-    /// reserved: the other front has committed to it.
+    /// Checks an announcement that another front has admitted. Only its fields are checked, not whether its capacity
+    /// can be reserved: the other front has committed to it.
     ///
     /// # Errors
     /// The invalid fields.
--- a/crates/front/src/engine/tests.rs
+++ b/crates/front/src/engine/tests.rs
@@ -159,190 +159,195 @@
 
 #[test]
 fn a_request_plays_and_its_delete_reaches_the_node() {
-    let mut b = Harness::new(4);
-    let resource = b.play(1, 1);
-    assert!(matches!(b.engine.route(&resource), Route::Node(_, p) if p == "/s/1"));
-    assert!(b.effects.iter().any(|e| matches!(e, Effect::SetLayer(_, p, 1) if p == "/s/1/layer")));
-    b.input(Input::Delete(Ticket(2), resource.clone()));
-    assert_eq!((b.answer(2), b.deleted.as_slice()), (Some(&Answer::Ended), &["/s/1".to_owned()][..]));
-    b.input(Input::Delete(Ticket(3), resource));
-    assert_eq!(b.answer(3), Some(&Answer::UnknownSession), "a second DELETE finds nothing");
-    assert_eq!(b.deleted.len(), 1);
+    let mut harness = Harness::new(4);
+    let resource = harness.play(1, 1);
+    assert!(matches!(harness.engine.route(&resource), Route::Node(_, p) if p == "/s/1"));
+    assert!(harness.effects.iter().any(|e| matches!(e, Effect::SetLayer(_, p, 1) if p == "/s/1/layer")));
+    harness.input(Input::Delete(Ticket(2), resource.clone()));
+    assert_eq!(
+        (harness.answer(2), harness.deleted.as_slice()),
+        (Some(&Answer::Ended), &["/s/1".to_owned()][..])
+    );
+    harness.input(Input::Delete(Ticket(3), resource));
+    assert_eq!(harness.answer(3), Some(&Answer::UnknownSession), "a second DELETE finds nothing");
+    assert_eq!(harness.deleted.len(), 1);
 }
 
 #[test]
 fn a_silent_node_gets_a_grace_period_then_a_reset_and_only_then_is_another_tried() {
-    let mut b = Harness::new(4);
-    b.input(Input::Post(Ticket(1), request(1, 1)));
-    let first = b.only_attempt();
-    b.advance(400 * MS);
-    assert!(b.effects.iter().any(|e| matches!(e, Effect::CloseAttempt(id) if *id == first)));
-    assert_eq!(b.only_attempt(), first, "no other attempt starts during the grace period");
-    b.advance(40 * MS);
-    assert!(b.effects.iter().any(|e| matches!(e, Effect::ResetAttempt(id) if *id == first)));
-    assert_ne!(b.only_attempt(), first);
+    let mut harness = Harness::new(4);
+    harness.input(Input::Post(Ticket(1), request(1, 1)));
+    let first = harness.only_attempt();
+    harness.advance(400 * MS);
+    assert!(harness.effects.iter().any(|e| matches!(e, Effect::CloseAttempt(id) if *id == first)));
+    assert_eq!(harness.only_attempt(), first, "no other attempt starts during the grace period");
+    harness.advance(40 * MS);
+    assert!(harness.effects.iter().any(|e| matches!(e, Effect::ResetAttempt(id) if *id == first)));
+    assert_ne!(harness.only_attempt(), first);
 }
 
 #[test]
 fn a_late_201_is_deleted_at_its_node_and_never_reaches_the_viewer() {
-    let mut b = Harness::new(4);
-    b.input(Input::Post(Ticket(1), request(1, 1)));
-    let first = b.only_attempt();
-    b.advance(400 * MS);
-    b.end_attempt(first, created("/s/late"));
-    assert_eq!(b.deleted, ["/s/late"]);
-    assert!(b.answer(1).is_none());
-    let second = b.only_attempt();
-    b.end_attempt(second, created("/s/good"));
-    assert!(matches!(b.engine.route(&b.resource(1)), Route::Node(_, p) if p == "/s/good"));
+    let mut harness = Harness::new(4);
+    harness.input(Input::Post(Ticket(1), request(1, 1)));
+    let first = harness.only_attempt();
+    harness.advance(400 * MS);
+    harness.end_attempt(first, created("/s/late"));
+    assert_eq!(harness.deleted, ["/s/late"]);
+    assert!(harness.answer(1).is_none());
+    let second = harness.only_attempt();
+    harness.end_attempt(second, created("/s/good"));
+    assert!(matches!(harness.engine.route(&harness.resource(1)), Route::Node(_, p) if p == "/s/good"));
     // A 201 that arrives after the reset is deleted too.
-    b.input(Input::AttemptEnded(first, ServerId(1), created("/s/later")));
-    assert_eq!(b.deleted, ["/s/late", "/s/later"]);
+    harness.input(Input::AttemptEnded(first, ServerId(1), created("/s/later")));
+    assert_eq!(harness.deleted, ["/s/late", "/s/later"]);
 }
 
 #[test]
 fn duplicate_requests_share_one_session_and_get_an_answer_each() {
-    let mut b = Harness::new(4);
-    b.input(Input::Post(Ticket(1), request(1, 1)));
-    b.input(Input::Post(Ticket(2), request(1, 1)));
-    let id = b.only_attempt();
-    b.end_attempt(id, created("/s/1"));
-    assert_eq!(b.resource(1), b.resource(2));
-    b.input(Input::Post(Ticket(3), request(1, 1)));
-    assert_eq!(b.resource(3), b.resource(1), "the answer is repeated while it plays");
-    assert_eq!(b.engine.metrics().attempts, 1);
+    let mut harness = Harness::new(4);
+    harness.input(Input::Post(Ticket(1), request(1, 1)));
+    harness.input(Input::Post(Ticket(2), request(1, 1)));
+    let id = harness.only_attempt();
+    harness.end_attempt(id, created("/s/1"));
+    assert_eq!(harness.resource(1), harness.resource(2));
+    harness.input(Input::Post(Ticket(3), request(1, 1)));
+    assert_eq!(harness.resource(3), harness.resource(1), "the answer is repeated while it plays");
+    assert_eq!(harness.engine.metrics().attempts, 1);
 }
 
 #[test]
 fn a_newer_offer_replaces_a_waiting_one_after_its_attempt_is_closed() {
-    let mut b = Harness::new(4);
-    b.input(Input::Post(Ticket(1), request(1, 1)));
-    let first = b.only_attempt();
-    b.input(Input::Post(Ticket(2), request(1, 2)));
-    assert_eq!(b.answer(1), Some(&Answer::Superseded));
-    assert_eq!(b.only_attempt(), first, "the newer request waits");
-    b.end_attempt(first, AttemptEnd::Closed);
-    let second = b.only_attempt();
-    b.end_attempt(second, created("/s/2"));
-    b.resource(2);
-    assert!(b.engine.is_idle());
+    let mut harness = Harness::new(4);
+    harness.input(Input::Post(Ticket(1), request(1, 1)));
+    let first = harness.only_attempt();
+    harness.input(Input::Post(Ticket(2), request(1, 2)));
+    assert_eq!(harness.answer(1), Some(&Answer::Superseded));
+    assert_eq!(harness.only_attempt(), first, "the newer request waits");
+    harness.end_attempt(first, AttemptEnd::Closed);
+    let second = harness.only_attempt();
+    harness.end_attempt(second, created("/s/2"));
+    harness.resource(2);
+    assert!(harness.engine.is_idle());
 }
 
 #[test]
 fn a_newer_offer_ends_the_playing_session() {
-    let mut b = Harness::new(4);
-    let old = b.play(1, 1);
-    b.input(Input::Post(Ticket(2), request(1, 99)));
-    assert_eq!(b.deleted, ["/s/1"]);
-    assert_eq!(b.engine.route(&old), Route::Unknown);
-    let id = b.only_attempt();
-    b.end_attempt(id, created("/s/2"));
-    b.resource(2);
+    let mut harness = Harness::new(4);
+    let old = harness.play(1, 1);
+    harness.input(Input::Post(Ticket(2), request(1, 99)));
+    assert_eq!(harness.deleted, ["/s/1"]);
+    assert_eq!(harness.engine.route(&old), Route::Unknown);
+    let id = harness.only_attempt();
+    harness.end_attempt(id, created("/s/2"));
+    harness.resource(2);
 }
 
 #[test]
 fn a_viewer_who_disconnects_during_set_up_leaves_no_session_at_the_node() {
-    let mut b = Harness::new(4);
-    b.input(Input::Post(Ticket(1), request(1, 1)));
-    let id = b.only_attempt();
-    b.input(Input::Disconnected(Ticket(1)));
-    assert!(b.effects.iter().any(|e| matches!(e, Effect::CloseAttempt(a) if *a == id)));
-    b.end_attempt(id, created("/s/1"));
-    assert_eq!(b.deleted, ["/s/1"]);
-    assert!(b.answer(1).is_none() && b.engine.is_idle());
+    let mut harness = Harness::new(4);
+    harness.input(Input::Post(Ticket(1), request(1, 1)));
+    let id = harness.only_attempt();
+    harness.input(Input::Disconnected(Ticket(1)));
+    assert!(harness.effects.iter().any(|e| matches!(e, Effect::CloseAttempt(a) if *a == id)));
+    harness.end_attempt(id, created("/s/1"));
+    assert_eq!(harness.deleted, ["/s/1"]);
+    assert!(harness.answer(1).is_none() && harness.engine.is_idle());
 }
 
 #[test]
 fn a_dead_node_ends_its_sessions_and_their_viewers_are_notified() {
-    let mut b = Harness::new(1);
-    let resource = b.play(1, 1);
-    let node = *b.engine.nodes.keys().next().expect("a node");
-    b.input(Input::StreamEnded(node, StreamEnd::NoConnection));
-    assert_eq!(b.engine.route(&resource), Route::Unknown);
-    assert_eq!(b.notices, [(resource, "inactive")]);
-    assert!(b.deleted.is_empty(), "nothing is deleted at a dead node");
+    let mut harness = Harness::new(1);
+    let resource = harness.play(1, 1);
+    let node = *harness.engine.nodes.keys().next().expect("a node");
+    harness.input(Input::StreamEnded(node, StreamEnd::NoConnection));
+    assert_eq!(harness.engine.route(&resource), Route::Unknown);
+    assert_eq!(harness.notices, [(resource, "inactive")]);
+    assert!(harness.deleted.is_empty(), "nothing is deleted at a dead node");
 }
 
 #[test]
 fn an_event_stream_moves_to_another_session_when_its_own_ends() {
-    let mut b = Harness::new(1);
-    let first = b.play(1, 1);
-    b.play(2, 2);
-    let node = *b.engine.nodes.keys().next().expect("a node");
-    let streams = |b: &Harness| b.effects.iter().filter(|e| matches!(e, Effect::OpenNodeEvents(..))).count();
-    assert_eq!(streams(&b), 1, "one stream for each node, not for each session");
-    b.input(Input::Delete(Ticket(3), first));
-    b.input(Input::StreamEnded(node, StreamEnd::Closed));
-    assert_eq!(streams(&b), 2);
-    b.input(Input::StreamEnded(node, StreamEnd::SessionUnknown));
-    assert_eq!(b.notices.len(), 1, "the node no longer knows the session: its viewer is notified");
+    let mut harness = Harness::new(1);
+    let first = harness.play(1, 1);
+    harness.play(2, 2);
+    let node = *harness.engine.nodes.keys().next().expect("a node");
+    let streams = |harness: &Harness| {
+        harness.effects.iter().filter(|e| matches!(e, Effect::OpenNodeEvents(..))).count()
+    };
+    assert_eq!(streams(&harness), 1, "one stream for each node, not for each session");
+    harness.input(Input::Delete(Ticket(3), first));
+    harness.input(Input::StreamEnded(node, StreamEnd::Closed));
+    assert_eq!(streams(&harness), 2);
+    harness.input(Input::StreamEnded(node, StreamEnd::SessionUnknown));
+    assert_eq!(harness.notices.len(), 1, "the node no longer knows the session: its viewer is notified");
 }
 
 #[test]
 fn a_moved_viewer_is_notified_and_reconnects_under_the_same_key() {
-    let mut b = Harness::new(4);
-    let resource = b.play(1, 1);
-    let id = *b.engine.sessions.keys().next().expect("a session");
+    let mut harness = Harness::new(4);
+    let resource = harness.play(1, 1);
+    let id = *harness.engine.sessions.keys().next().expect("a session");
     let mut effects = Vec::new();
-    b.engine.execute(b.now, Action::Move(id), &mut effects);
-    b.record(effects);
-    assert_eq!(b.engine.route(&resource), Route::Moved);
-    assert_eq!(b.notices, [(resource.clone(), EVENT_MOVE)]);
-    assert_eq!(b.deleted, ["/s/1"]);
-    b.input(Input::Delete(Ticket(2), resource));
-    assert_eq!(b.answer(2), Some(&Answer::Ended), "DELETE of a moved session is answered as ended");
-    b.input(Input::Post(Ticket(3), request(1, 1)));
-    let again = b.only_attempt();
-    b.end_attempt(again, created("/s/2"));
-    b.resource(3);
+    harness.engine.execute(harness.now, Action::Move(id), &mut effects);
+    harness.record(effects);
+    assert_eq!(harness.engine.route(&resource), Route::Moved);
+    assert_eq!(harness.notices, [(resource.clone(), EVENT_MOVE)]);
+    assert_eq!(harness.deleted, ["/s/1"]);
+    harness.input(Input::Delete(Ticket(2), resource));
+    assert_eq!(harness.answer(2), Some(&Answer::Ended), "DELETE of a moved session is answered as ended");
+    harness.input(Input::Post(Ticket(3), request(1, 1)));
+    let again = harness.only_attempt();
+    harness.end_attempt(again, created("/s/2"));
+    harness.resource(3);
 }
 
 #[test]
 fn a_live_title_has_one_publisher_and_is_watched_only_while_published() {
-    let mut b = Harness::new(4);
+    let mut harness = Harness::new(4);
     let watch = |viewer| SessionRequest { class: 1, ..request(viewer, viewer) };
     let publish = |viewer| SessionRequest { class: 2, publish: true, ..request(viewer, viewer) };
-    b.input(Input::Post(Ticket(1), watch(1)));
-    assert_eq!(b.answer(1), Some(&Answer::NotPublished));
-    b.input(Input::Post(Ticket(2), publish(2)));
-    let id = b.only_attempt();
-    b.end_attempt(id, created("/s/p"));
-    b.input(Input::Post(Ticket(3), publish(3)));
-    assert_eq!(b.answer(3), Some(&Answer::AlreadyPublished));
-    b.input(Input::Post(Ticket(4), watch(1)));
-    let id = b.only_attempt();
-    b.end_attempt(id, created("/s/w"));
-    let (publisher, watcher) = (b.resource(2), b.resource(4));
-    b.input(Input::Delete(Ticket(5), publisher));
-    assert_eq!(b.notices, [(watcher, "inactive")]);
-    b.input(Input::Post(Ticket(6), watch(7)));
-    assert_eq!(b.answer(6), Some(&Answer::NotPublished));
+    harness.input(Input::Post(Ticket(1), watch(1)));
+    assert_eq!(harness.answer(1), Some(&Answer::NotPublished));
+    harness.input(Input::Post(Ticket(2), publish(2)));
+    let id = harness.only_attempt();
+    harness.end_attempt(id, created("/s/p"));
+    harness.input(Input::Post(Ticket(3), publish(3)));
+    assert_eq!(harness.answer(3), Some(&Answer::AlreadyPublished));
+    harness.input(Input::Post(Ticket(4), watch(1)));
+    let id = harness.only_attempt();
+    harness.end_attempt(id, created("/s/w"));
+    let (publisher, watcher) = (harness.resource(2), harness.resource(4));
+    harness.input(Input::Delete(Ticket(5), publisher));
+    assert_eq!(harness.notices, [(watcher, "inactive")]);
+    harness.input(Input::Post(Ticket(6), watch(7)));
+    assert_eq!(harness.answer(6), Some(&Answer::NotPublished));
 }
 
 #[test]
 fn limits_are_enforced_and_a_stopping_front_refuses_with_retry_after() {
-    let mut b = Harness::with(&format!("max-waiting 2\nmax-sessions 3\n{SETTINGS}"), 4);
-    (1..=3).for_each(|i| b.input(Input::Post(Ticket(i), request(i, i))));
-    assert_eq!(b.answer(3), Some(&Answer::Refused(Some(500 * MS), Refusal::Overload)));
-    b.engine.stop();
-    b.input(Input::Post(Ticket(4), request(9, 9)));
-    assert_eq!(b.answer(4), Some(&Answer::Refused(Some(500 * MS), Refusal::Stopping)));
-    assert!(!b.engine.is_idle(), "two requests still wait");
-    while let Some(id) = b.open_attempts.keys().next().copied() {
-        b.end_attempt(id, created(&format!("/s/{}", id.number)));
+    let mut harness = Harness::with(&format!("max-waiting 2\nmax-sessions 3\n{SETTINGS}"), 4);
+    (1..=3).for_each(|i| harness.input(Input::Post(Ticket(i), request(i, i))));
+    assert_eq!(harness.answer(3), Some(&Answer::Refused(Some(500 * MS), Refusal::Overload)));
+    harness.engine.stop();
+    harness.input(Input::Post(Ticket(4), request(9, 9)));
+    assert_eq!(harness.answer(4), Some(&Answer::Refused(Some(500 * MS), Refusal::Stopping)));
+    assert!(!harness.engine.is_idle(), "two requests still wait");
+    while let Some(id) = harness.open_attempts.keys().next().copied() {
+        harness.end_attempt(id, created(&format!("/s/{}", id.number)));
     }
-    assert!(b.engine.is_idle());
+    assert!(harness.engine.is_idle());
     let mut effects = Vec::new();
-    b.engine.end_all(b.now, &mut effects);
-    b.record(effects);
-    assert_eq!((b.deleted.len(), b.notices.len()), (2, 2));
+    harness.engine.end_all(harness.now, &mut effects);
+    harness.record(effects);
+    assert_eq!((harness.deleted.len(), harness.notices.len()), (2, 2));
 }
 
 #[test]
 fn without_a_node_a_request_is_refused_at_once() {
-    let mut b = Harness::new(0);
-    b.input(Input::Post(Ticket(1), request(1, 1)));
-    assert_eq!(b.answer(1), Some(&Answer::Refused(Some(500 * MS), Refusal::NoRoom)));
+    let mut harness = Harness::new(0);
+    harness.input(Input::Post(Ticket(1), request(1, 1)));
+    assert_eq!(harness.answer(1), Some(&Answer::Refused(Some(500 * MS), Refusal::NoRoom)));
 }
 
 #[derive(Clone, Debug)]
@@ -380,9 +385,9 @@
     /// by one policy version, which its answer names, and a fenced front starts no set-up.
     #[test]
     fn invariants_hold_in_any_order(steps in prop::collection::vec(step(), 1..120)) {
-        let mut b = Harness::new(4);
-        let (mut next, mut paths) = (0u64, 0u64);
-        let mut asked: BTreeMap<Ticket, Time> = BTreeMap::new();
+        let mut harness = Harness::new(4);
+        let (mut last_ticket, mut paths) = (0u64, 0u64);
+        let mut received: BTreeMap<Ticket, Time> = BTreeMap::new();
         let mut disconnected: BTreeSet<Ticket> = BTreeSet::new();
         let mut created_paths: BTreeSet<String> = BTreeSet::new();
         let (mut version, mut fenced) = (None, false);
@@ -390,30 +395,30 @@
         let mut waiting: BTreeMap<Ticket, SessionId> = BTreeMap::new();
         for step in steps {
             let open: Vec<Ticket> =
-                asked.keys().filter(|t| !b.answers.contains_key(t) && !disconnected.contains(t)).copied().collect();
-            let servers: Vec<ServerId> = b.engine.nodes.keys().copied().collect();
+                received.keys().filter(|t| !harness.answers.contains_key(t) && !disconnected.contains(t)).copied().collect();
+            let servers: Vec<ServerId> = harness.engine.nodes.keys().copied().collect();
             match step {
                 Step::Post { viewer, offer } => {
-                    next += 1;
-                    asked.insert(Ticket(next), b.now);
-                    let duplicate = b.engine.viewers.is_duplicate(ViewerKey(viewer), offer);
-                    b.input(Input::Post(Ticket(next), request(viewer, offer)));
-                    let refused = b.answer(next) == Some(&Answer::Refused(None, Refusal::Fenced));
+                    last_ticket += 1;
+                    received.insert(Ticket(last_ticket), harness.now);
+                    let duplicate = harness.engine.viewers.is_duplicate(ViewerKey(viewer), offer);
+                    harness.input(Input::Post(Ticket(last_ticket), request(viewer, offer)));
+                    let refused = harness.answer(last_ticket) == Some(&Answer::Refused(None, Refusal::Fenced));
                     prop_assert_eq!(refused, fenced && !duplicate);
                 }
                 Step::Disconnect(i) if !open.is_empty() => {
                     let ticket = open[i % open.len()];
                     disconnected.insert(ticket);
-                    b.input(Input::Disconnected(ticket));
+                    harness.input(Input::Disconnected(ticket));
                 }
-                Step::Delete(i) if !b.engine.resources.is_empty() => {
-                    let mut all: Vec<String> = b.engine.resources.keys().cloned().collect();
+                Step::Delete(i) if !harness.engine.resources.is_empty() => {
+                    let mut all: Vec<String> = harness.engine.resources.keys().cloned().collect();
                     all.sort();
-                    next += 1;
-                    b.input(Input::Delete(Ticket(next), all[i % all.len()].clone()));
+                    last_ticket += 1;
+                    harness.input(Input::Delete(Ticket(last_ticket), all[i % all.len()].clone()));
                 }
-                Step::EndAttempt(i, how) if !b.open_attempts.is_empty() => {
-                    let all: Vec<AttemptId> = b.open_attempts.keys().copied().collect();
+                Step::EndAttempt(i, how) if !harness.open_attempts.is_empty() => {
+                    let all: Vec<AttemptId> = harness.open_attempts.keys().copied().collect();
                     paths += 1;
                     let path = format!("/s/{paths}");
                     let end = match how {
@@ -426,12 +431,18 @@
                             created(&path)
                         }
                     };
-                    b.end_attempt(all[i % all.len()], end);
+                    harness.end_attempt(all[i % all.len()], end);
                 }
-                Step::Advance(ms) => b.advance(ms * MS),
+                Step::Advance(ms) => harness.advance(ms * MS),
                 Step::StreamEnd(i, how) => {
-                    let how = [StreamEnd::Closed, StreamEnd::SessionUnknown, StreamEnd::Refused, StreamEnd::NoConnection][usize::from(how)];
-                    b.input(Input::StreamEnded(servers[i % servers.len()], how));
+                    let ends = [
+                        StreamEnd::Closed,
+                        StreamEnd::SessionUnknown,
+                        StreamEnd::Refused,
+                        StreamEnd::NoConnection,
+                    ];
+                    let how = ends[usize::from(how)];
+                    harness.input(Input::StreamEnded(servers[i % servers.len()], how));
                 }
                 Step::NodeEvent(i, how) => {
                     let event = match how {
@@ -440,51 +451,51 @@
                         2 => NodeEvent::Uplink(1.2),
                         _ => NodeEvent::Inactive(format!("/s/{paths}")),
                     };
-                    b.input(Input::NodeEvent(servers[i % servers.len()], event));
+                    harness.input(Input::NodeEvent(servers[i % servers.len()], event));
                 }
                 Step::Policy(draw) => {
                     version = Some(version.unwrap_or(0) + 1);
-                    b.input(policy::policy_from_draw(&b.engine, version.unwrap_or(0), draw));
+                    harness.input(policy::policy_from_draw(&harness.engine, version.unwrap_or(0), draw));
                 }
                 Step::Fence(on) => {
                     fenced = on;
-                    b.input(Input::Fenced(on));
+                    harness.input(Input::Fenced(on));
                 }
                 Step::Disconnect(_) | Step::Delete(_) | Step::EndAttempt(..) => {}
             }
             let mut viewers = BTreeSet::new();
-            for id in b.open_attempts.keys() {
-                let viewer = b.engine.attempts[id].viewer;
+            for id in harness.open_attempts.keys() {
+                let viewer = harness.engine.attempts[id].viewer;
                 prop_assert!(viewers.insert(viewer), "two open attempts for {viewer:?}");
             }
-            for (ticket, answers) in &b.answers {
+            for (ticket, answers) in &harness.answers {
                 prop_assert_eq!(answers.len(), 1, "{:?}", ticket);
                 if let Some(id) = waiting.remove(ticket) {
-                    prop_assert_eq!(b.versions[ticket], version_at_start[&id], "{:?}", ticket);
+                    prop_assert_eq!(harness.versions[ticket], version_at_start[&id], "{:?}", ticket);
                 }
             }
-            for (id, session) in &b.engine.sessions {
+            for (id, session) in &harness.engine.sessions {
                 let at_start = *version_at_start.entry(*id).or_insert(version);
                 prop_assert_eq!(at_start, session.terms.version);
             }
-            prop_assert!(b.engine.earliest_policy_version() <= version);
-            waiting.extend(b.engine.tickets.iter().map(|(ticket, id)| (*ticket, *id)));
-            for (ticket, at) in &asked {
-                let late = !disconnected.contains(ticket) && !b.answers.contains_key(ticket) && at + 4 * S <= b.now;
+            prop_assert!(harness.engine.earliest_policy_version() <= version);
+            waiting.extend(harness.engine.tickets.iter().map(|(ticket, id)| (*ticket, *id)));
+            for (ticket, received_at) in &received {
+                let late = !disconnected.contains(ticket) && !harness.answers.contains_key(ticket) && received_at + 4 * S <= harness.now;
                 prop_assert!(!late, "{:?} has no answer", ticket);
             }
         }
-        b.advance(5 * S);
-        prop_assert!(b.engine.is_idle() && b.open_attempts.is_empty());
-        prop_assert_eq!(b.engine.metrics().overdue_answers, 0, "no request is left to the answer deadline");
-        let unanswered = asked.keys().filter(|t| !disconnected.contains(t) && !b.answers.contains_key(t)).count();
+        harness.advance(5 * S);
+        prop_assert!(harness.engine.is_idle() && harness.open_attempts.is_empty());
+        prop_assert_eq!(harness.engine.metrics().overdue_answers, 0, "no request is left to the answer deadline");
+        let unanswered = received.keys().filter(|t| !disconnected.contains(t) && !harness.answers.contains_key(t)).count();
         prop_assert_eq!(unanswered, 0);
         // Each session that was set up plays, was deleted, or was ended by its node.
         let playing: BTreeSet<String> =
-            b.engine.sessions.values().filter_map(|s| s.playing.as_ref().map(|p| p.path.clone())).collect();
-        let ended_by_node = b.engine.metrics().ends.values().sum::<u64>();
-        let lost = created_paths.iter().filter(|p| !playing.contains(*p) && !b.deleted.contains(p)).count() as u64;
+            harness.engine.sessions.values().filter_map(|s| s.playing.as_ref().map(|p| p.path.clone())).collect();
+        let ended_by_node = harness.engine.metrics().ends.values().sum::<u64>();
+        let lost = created_paths.iter().filter(|p| !playing.contains(*p) && !harness.deleted.contains(p)).count() as u64;
         prop_assert!(lost <= ended_by_node, "{lost} sessions are neither known to the front nor deleted");
-        prop_assert_eq!(b.engine.resources.len(), playing.len());
+        prop_assert_eq!(harness.engine.resources.len(), playing.len());
     }
 }
--- a/crates/front/src/engine/types.rs
+++ b/crates/front/src/engine/types.rs
@@ -114,7 +114,7 @@
     NodeEvent(ServerId, NodeEvent),
     /// A probe of a node ended; `None` if the node did not answer.
     Probed(ServerId, Option<LoadReport>),
-    /// Load report that another front read: the node, its incarnation, the age of the report in nanoseconds, the report.
+    /// Load report that another front read: node, incarnation of the node, age of the report in nanoseconds, report.
     PeerReport(ServerId, u64, Time, LoadReport),
     /// Paths of the sessions of this run of the front that a node lists.
     SessionList(ServerId, std::collections::BTreeSet<String>),
