--- a/crates/front/src/engine/load_reports.rs
+++ b/crates/front/src/engine/load_reports.rs
@@ -7,7 +7,7 @@
 use pepperhook_inventory::Node;
 use pepperhook_signalling::LoadReport;
 
-/// The incarnation of a node: its start time in milliseconds. Readings of another incarnation are not valid for it.
+/// The incarnation of a node: its start time in milliseconds, 0 if unknown. Readings of another incarnation are not valid for it.
 #[must_use]
 pub fn incarnation(node: &Node) -> u64 {
     node.entry.started.unwrap_or(0) / 1_000_000
@@ -28,11 +28,11 @@
         &mut self,
         now: Time,
         node: ServerId,
-        reported: u64,
+        reported_incarnation: u64,
         age: Time,
         load: &LoadReport,
     ) {
-        if self.nodes.get(&node).is_none_or(|n| incarnation(&n.node) != reported) {
+        if self.nodes.get(&node).is_none_or(|n| incarnation(&n.node) != reported_incarnation) {
             return;
         }
         self.note_report(node, now.saturating_sub(age));
--- a/crates/front/src/engine/policy.rs
+++ b/crates/front/src/engine/policy.rs
@@ -36,6 +36,7 @@
 pub(super) struct PolicyState {
     /// Version in force; `None` before the first.
     pub version: Option<u64>,
+    /// Whether the front cannot know what the fleet agreed on.
     pub fenced: bool,
     /// Whether the front was ever fenced or received a policy. Only then is there a status to show.
     ever_active: bool,
@@ -218,7 +219,7 @@
         now: Time,
         version: u64,
         settings: Settings,
-        names: (&[ClassSettings], &[String]),
+        classes_and_tenants: (&[ClassSettings], &[String]),
         effects: &mut Vec<Effect>,
     ) {
         self.policy.ever_active = true;
@@ -228,7 +229,7 @@
         // Pending events are from before the change and are decided by the former settings.
         self.process_events(now, effects);
         let mut actions = Vec::new();
-        let aligned = align(&self.config, settings, names.0, names.1);
+        let aligned = align(&self.config, settings, classes_and_tenants.0, classes_and_tenants.1);
         let applied = aligned
             .and_then(|a| self.controller.apply_settings(now, a.settings.clone(), &mut actions).map(|()| a));
         let aligned = match applied {
--- a/crates/front/src/engine/reconcile.rs
+++ b/crates/front/src/engine/reconcile.rs
@@ -37,12 +37,12 @@
         let known: BTreeSet<String> = state.playing.keys().cloned().collect();
         let orphans = if attempt_open { BTreeSet::new() } else { listed - &known };
         let differences = Differences { orphans, missing: &known - listed };
-        let before = std::mem::replace(&mut state.list_differences, differences.clone());
-        for path in differences.orphans.intersection(&before.orphans) {
+        let previous = std::mem::replace(&mut state.list_differences, differences.clone());
+        for path in differences.orphans.intersection(&previous.orphans) {
             self.metrics.orphans_deleted += 1;
             effects.push(Effect::DeleteUpstream(node, path.clone()));
         }
-        for path in differences.missing.intersection(&before.missing) {
+        for path in differences.missing.intersection(&previous.missing) {
             let id = self.nodes.get(&node).and_then(|n| n.playing.get(path)).copied();
             if let Some(id) = id {
                 self.metrics.sessions_missing += 1;
