--- a/crates/front/src/engine/load_reports.rs
+++ b/crates/front/src/engine/load_reports.rs
@@ -7,7 +7,8 @@
 use pepperhook_inventory::Node;
 use pepperhook_signalling::LoadReport;
 
-/// The incarnation of a node: its start time in milliseconds, 0 if unknown. Readings of another incarnation are not valid for it.
+/// The incarnation of a node: its start time in milliseconds, 0 if unknown. Readings of another incarnation are
+/// not valid for it.
 #[must_use]
 pub fn incarnation(node: &Node) -> u64 {
     node.entry.started.unwrap_or(0) / 1_000_000
--- a/crates/front/src/engine/tests.rs
+++ b/crates/front/src/engine/tests.rs
@@ -395,7 +395,10 @@
         let mut waiting: BTreeMap<Ticket, SessionId> = BTreeMap::new();
         for step in steps {
             let open: Vec<Ticket> =
-                received.keys().filter(|t| !harness.answers.contains_key(t) && !disconnected.contains(t)).copied().collect();
+                received.keys()
+                    .filter(|t| !harness.answers.contains_key(t) && !disconnected.contains(t))
+                    .copied()
+                    .collect();
             let servers: Vec<ServerId> = harness.engine.nodes.keys().copied().collect();
             match step {
                 Step::Post { viewer, offer } => {
@@ -481,20 +484,26 @@
             prop_assert!(harness.engine.earliest_policy_version() <= version);
             waiting.extend(harness.engine.tickets.iter().map(|(ticket, id)| (*ticket, *id)));
             for (ticket, received_at) in &received {
-                let late = !disconnected.contains(ticket) && !harness.answers.contains_key(ticket) && received_at + 4 * S <= harness.now;
+                let late = !disconnected.contains(ticket)
+                    && !harness.answers.contains_key(ticket)
+                    && received_at + 4 * S <= harness.now;
                 prop_assert!(!late, "{:?} has no answer", ticket);
             }
         }
         harness.advance(5 * S);
         prop_assert!(harness.engine.is_idle() && harness.open_attempts.is_empty());
         prop_assert_eq!(harness.engine.metrics().overdue_answers, 0, "no request is left to the answer deadline");
-        let unanswered = received.keys().filter(|t| !disconnected.contains(t) && !harness.answers.contains_key(t)).count();
+        let unanswered = received.keys()
+            .filter(|t| !disconnected.contains(t) && !harness.answers.contains_key(t))
+            .count();
         prop_assert_eq!(unanswered, 0);
         // Each session that was set up plays, was deleted, or was ended by its node.
         let playing: BTreeSet<String> =
             harness.engine.sessions.values().filter_map(|s| s.playing.as_ref().map(|p| p.path.clone())).collect();
         let ended_by_node = harness.engine.metrics().ends.values().sum::<u64>();
-        let lost = created_paths.iter().filter(|p| !playing.contains(*p) && !harness.deleted.contains(p)).count() as u64;
+        let lost = created_paths.iter()
+            .filter(|p| !playing.contains(*p) && !harness.deleted.contains(p))
+            .count() as u64;
         prop_assert!(lost <= ended_by_node, "{lost} sessions are neither known to the front nor deleted");
         prop_assert_eq!(harness.engine.resources.len(), playing.len());
     }
