--- a/crates/front/src/console.rs
+++ b/crates/front/src/console.rs
@@ -91,7 +91,7 @@
 
 /// Announced peaks, and the capacity that this front holds for them, as JSON.
 fn peaks_json(shell: &Shell) -> String {
-    let holds = shell.engine(|e, now| e.hold_rows(now));
+    let holds = shell.engine(|e, now| e.reservation_rows(now));
     serde_json::json!({"announced": shell.fleet_io.announcements(), "holds": holds}).to_string()
 }
 
--- a/crates/front/src/fleet_io.rs
+++ b/crates/front/src/fleet_io.rs
@@ -2,8 +2,8 @@
 //! the agreement. This module sends, stores and runs what [`Fleet`] returns; all decisions are made there.
 
 use crate::agreement::{self, AgreementIo, EnginePolicyCheck, StoreJob, VoterStore};
-use crate::engine::types::{Copied, Input};
-use crate::engine::{DutyShown, ReplicaShown, Snapshot, life};
+use crate::engine::types::{Input, SessionCopy};
+use crate::engine::{DutyStatus, ReplicaStatus, Snapshot, incarnation};
 use crate::shell::Shell;
 use pepperhook::{ServerId, ServerState};
 use pepperhook_duties::{Duty, DutyKind, Target, TargetState};
@@ -50,7 +50,7 @@
     /// Tasks of the duties in progress here, by duty and round.
     running: RefCell<HashMap<(Duty, u64), JoinHandle<()>>>,
     /// Sessions taken over from a front that failed, by key.
-    adopted: RefCell<BTreeMap<u64, Copied>>,
+    adopted: RefCell<BTreeMap<u64, SessionCopy>>,
     /// I/O of the agreement.
     pub agreement: AgreementIo,
     /// The voter's store and its queue, until [`start_agreement`] takes them.
@@ -176,7 +176,7 @@
             .iter()
             .map(|n| (u64::from(pepperhook_inventory::node_id(&n.name).0), n.name.as_str()))
             .collect();
-        let shown = |row: pepperhook_duties::DutyRow| DutyShown {
+        let shown = |row: pepperhook_duties::DutyRow| DutyStatus {
             node: names.get(&row.target).map_or_else(String::new, |n| (*n).to_owned()),
             row,
         };
@@ -203,7 +203,7 @@
     }
 
     /// Streams of copies, for the console.
-    fn replica_shown(&self, now_ms: u64) -> Option<ReplicaShown> {
+    fn replica_shown(&self, now_ms: u64) -> Option<ReplicaStatus> {
         let fleet = self.fleet.borrow();
         let (streams, counters) = fleet.copies(now_ms)?;
         let adopted = self.adopted.borrow().len();
@@ -213,7 +213,7 @@
         let written: usize = count_keys(&|r| r.writable || r.fenced);
         let (kept, fenced) = (count_keys(&|r| !r.writable && !r.fenced), count_keys(&|r| r.fenced));
         let own = written.saturating_sub(adopted);
-        Some(ReplicaShown { own, adopted, kept, fenced, streams, counters: counters.clone() })
+        Some(ReplicaStatus { own, adopted, kept, fenced, streams, counters: counters.clone() })
     }
 
     /// All known announcements, including cancelled ones.
@@ -283,7 +283,7 @@
     let parsed: Result<Announcement, _> = serde_json::from_slice(&record.body);
     let peak = match &parsed {
         Ok(announcement) if peak_id(&announcement.name) == record.id => {
-            shell.engine(|e, now| e.heard_peak(now, announcement)).map_err(|e| format!("{e:?}"))
+            shell.engine(|e, now| e.check_peer_peak(now, announcement)).map_err(|e| format!("{e:?}"))
         }
         Ok(announcement) => {
             let (name, number, expected) =
@@ -434,7 +434,8 @@
             Out::Seen(reading, age_ms) => {
                 if shell.config.duties.as_ref().is_some_and(|d| d.share_readings) {
                     let load = load_report(&reading.values);
-                    let input = Input::Seen(server_id(reading.node), reading.life, age_ms * 1_000_000, load);
+                    let input =
+                        Input::PeerReport(server_id(reading.node), reading.life, age_ms * 1_000_000, load);
                     shell.drive(input);
                 }
             }
@@ -513,7 +514,7 @@
 }
 
 /// Updates the copies of a session at other fronts; without `copied`, deletes them.
-pub fn replicate_session(shell: &Rc<Shell>, key: u64, copied: Option<&Copied>) {
+pub fn replicate_session(shell: &Rc<Shell>, key: u64, copied: Option<&SessionCopy>) {
     // A session that cannot be encoded must not look like one that ended: its last copies stay.
     let Ok(body) = copied.map(postcard::to_stdvec).transpose() else { return };
     let kept = shell.fleet_io.fleet.borrow_mut().keep(shell.fleet_clock.now_ms(), key, body);
@@ -581,7 +582,7 @@
 fn run_probe(shell: &Rc<Shell>, duty: Duty, round: u64, limit: Duration) {
     let node = server_id(duty.target);
     let (address, incarnation) =
-        shell.engine(|e, _| (e.node(node).map(|n| n.address), e.node(node).map(life)));
+        shell.engine(|e, _| (e.node(node).map(|n| n.address), e.node(node).map(incarnation)));
     let task = {
         let shell = shell.clone();
         spawn_local(async move {
@@ -622,7 +623,7 @@
             ServerState::Draining => TargetState::Draining,
             ServerState::Gone => return None,
         };
-        Some(Target { id: u64::from(n.entry.server.0), state, incarnation: life(n) })
+        Some(Target { id: u64::from(n.entry.server.0), state, incarnation: incarnation(n) })
     };
     let targets: Vec<Target> = shell.engine(|e, _| e.nodes().filter_map(target).collect());
     for kind in [READS, SESSION_LIST_DUTY] {
@@ -670,7 +671,7 @@
 fn check_session_count(shell: &Rc<Shell>, node: ServerId, body: &[u8]) {
     let Ok(runs) = serde_json::from_slice::<BTreeMap<u64, usize>>(body) else { return };
     let listed = runs.get(&name_hash(shell.upstream().via())).copied().unwrap_or(0);
-    if listed == shell.engine(|e, _| e.sessions_at(node))
+    if listed == shell.engine(|e, _| e.session_count_at(node))
         || !shell.fleet_io.checking.borrow_mut().insert(node)
     {
         return;
@@ -682,7 +683,7 @@
             let Some(list) = fetch_sessions(&shell, node, RECHECK_DELAY).await else { break };
             let own = list.into_iter().filter(|(_, via)| via == shell.upstream().via());
             let paths: BTreeSet<String> = own.map(|(path, _)| path).collect();
-            shell.drive(Input::Sessions(node, paths));
+            shell.drive(Input::SessionList(node, paths));
         }
         shell.fleet_io.checking.borrow_mut().remove(&node);
     });
--- a/crates/front/src/session_api.rs
+++ b/crates/front/src/session_api.rs
@@ -185,7 +185,7 @@
     title: &str,
     request: &Request<Incoming>,
     token: Option<&Token>,
-) -> Result<Ask, Problem> {
+) -> Result<SessionRequest, Problem> {
     // The engine's config has the classes and tenants in force; an agreed policy may have added some to the file's.
     let config = shell.engine(|e, _| e.config().clone());
     let bad_query = |detail: String| Problem::new(400, "query", "Bad query", detail);
@@ -229,17 +229,17 @@
         Some(v) => name_hash(&format!("{}\n{v}\n{name}\n{publish}", token.map_or("", |t| &t.name))),
         None => rand::random(),
     };
-    Ok(Ask {
+    Ok(SessionRequest {
         offer: Bytes::new(),
         offer_hash: 0,
-        name: title.to_owned(),
+        title_name: title.to_owned(),
         title: placement.id,
-        home: placement.home,
-        copies: placement.copies,
+        first_cell: placement.home,
+        cell_count: placement.copies,
         class: class as u16,
         tenant: tenant as u16,
         viewer: ViewerKey(viewer),
-        top,
+        highest_rung: top,
         publish,
     })
 }
@@ -297,11 +297,11 @@
         Answer::Refused(..) => "refused",
         Answer::Failed => "failed",
         Answer::Superseded => "superseded",
-        Answer::Unpublished => "unpublished",
-        Answer::Published => "published",
-        Answer::Closed => "closed",
+        Answer::NotPublished => "unpublished",
+        Answer::AlreadyPublished => "published",
+        Answer::ClassClosed => "closed",
         Answer::Ended => "ended",
-        Answer::Unknown => "unknown",
+        Answer::UnknownSession => "unknown",
     }
 }
 
@@ -315,7 +315,9 @@
                     ("overload", "the front has reached its limit of waiting requests or of sessions")
                 }
                 Refusal::Stopping => ("stopping", "the front is stopping; another one takes the request"),
-                Refusal::Copies => ("copies", "too many copies of this request already wait for its answer"),
+                Refusal::TooManyCopies => {
+                    ("copies", "too many copies of this request already wait for its answer")
+                }
                 Refusal::Fenced => {
                     ("fenced", "this front cannot know what the fleet agreed; trying elsewhere is harmless")
                 }
@@ -328,20 +330,20 @@
         Answer::Superseded => {
             Problem::new(409, "superseded", "Superseded", "a newer request of the same viewer took its place")
         }
-        Answer::Unpublished => {
+        Answer::NotPublished => {
             Problem::new(409, "unpublished", "Not published", "nobody publishes this title now")
                 .with_retry_after_ms(UNPUBLISHED_RETRY_MS)
         }
-        Answer::Published => {
+        Answer::AlreadyPublished => {
             Problem::new(409, "published", "Published already", "another session publishes this title")
         }
-        Answer::Closed => Problem::new(
+        Answer::ClassClosed => Problem::new(
             409,
             "class-closed",
             "Closed",
             "the policy in force accepts no new sessions of this class",
         ),
-        Answer::Unknown => unknown_session(),
+        Answer::UnknownSession => unknown_session(),
         _ => Problem::new(504, "failed", "The set-up failed", "no node set the session up in time"),
     }
 }
@@ -396,7 +398,7 @@
         )
     })?;
     if let (200, Some(ufrag)) = (status, fragment.and_then(|f| f.ufrag)) {
-        shell.drive(Input::Restarted(id.to_owned(), ufrag, etag.clone()));
+        shell.drive(Input::IceRestarted(id.to_owned(), ufrag, etag.clone()));
     }
     let mut r = response(status, kind.as_deref().unwrap_or(""), bytes);
     if let Some(etag) = etag {
@@ -440,7 +442,7 @@
         assert!(p.detail.contains("cannot know what the fleet agreed") && p.detail.contains("is harmless"));
         let named = p.with("policy", 7.into());
         assert!(String::from_utf8(named.to_json()).expect("text").contains("\"policy\":7"));
-        assert_eq!(problem_of(&Answer::Closed).status, 409);
+        assert_eq!(problem_of(&Answer::ClassClosed).status, 409);
         let no_room = problem_of(&Answer::Refused(Some(500_000_000), Refusal::NoRoom));
         assert_eq!((no_room.title.as_str(), no_room.retry_after_ms), ("Refused", Some(500)));
     }
--- a/crates/front/src/shell.rs
+++ b/crates/front/src/shell.rs
@@ -80,7 +80,7 @@
 impl Drop for PendingRequest {
     fn drop(&mut self) {
         if !self.answered && self.shell.waiting.borrow_mut().remove(&self.ticket).is_some() {
-            self.shell.drive(Input::Left(self.ticket));
+            self.shell.drive(Input::Disconnected(self.ticket));
         }
     }
 }
@@ -167,17 +167,17 @@
                 }
                 Effect::Probe(node) => fleet_io::request_probe(self, node),
                 Effect::SetLayer(node, path, rung) => self.set_layer(node, path, rung),
-                Effect::Subscribe(node, path) => self.follow_events(node, path),
-                Effect::Tell(resource, event, data) => {
+                Effect::OpenNodeEvents(node, path) => self.follow_events(node, path),
+                Effect::NotifyViewer(resource, event, data) => {
                     if let Some(stream) = self.streams.borrow().get(&resource) {
                         // A full stream means that the viewer does not read it; the event is dropped.
                         let _ = stream.try_send(pepperhook_signalling::write_event(event, &data));
                     }
                 }
-                Effect::Drop(resource) => {
+                Effect::CloseEventStream(resource) => {
                     self.streams.borrow_mut().remove(&resource);
                 }
-                Effect::Copy(key, copied) => fleet_io::replicate_session(self, key, copied.as_ref()),
+                Effect::Replicate(key, copied) => fleet_io::replicate_session(self, key, copied.as_ref()),
                 Effect::Log(line) => info!(event = "decision", "{line}"),
             }
         }
@@ -236,7 +236,7 @@
                 None => AttemptEnd::NoConnection,
             };
             shell.attempts.borrow_mut().remove(&id);
-            shell.drive(Input::Attempt(id, node, end));
+            shell.drive(Input::AttemptEnded(id, node, end));
         });
         self.attempts.borrow_mut().insert(id, (handle, task));
     }
@@ -272,7 +272,7 @@
         spawn_local(async move {
             let end = match address {
                 Some(address) => {
-                    let on_news = |news| shell.drive(Input::News(node, news));
+                    let on_news = |news| shell.drive(Input::NodeEvent(node, news));
                     shell.upstream.follow(address, &path, on_news).await
                 }
                 None => StreamEnd::NoConnection,
@@ -424,7 +424,7 @@
         shell.engine.borrow_mut().stop();
         fleet_io::leave(shell);
         let _ = self.phase.send(Phase::Stopping);
-        let longest = shell.engine(|e, _| e.longest_wait());
+        let longest = shell.engine(|e, _| e.longest_patience());
         let engine_idle = async {
             while !shell.engine.borrow().is_idle() {
                 shell.work_done.notified().await;
