--- a/crates/front/src/console.rs
+++ b/crates/front/src/console.rs
@@ -127,7 +127,7 @@
                 false => Err(Problem::new(
                     422,
                     "announcement",
-                    "Wrong name",
+                    "Not this peak",
                     format!("'name' is '{}', but the path names '{name}'", a.name),
                 )),
             }),
@@ -176,7 +176,7 @@
         AnnounceError::Refused(AdmissionError::Capacity { viewers }) => {
             let detail =
                 format!("beside the peaks announced already there is room for {viewers} viewers at the most");
-            Problem::new(409, "room", "Not enough room", detail).with("could-hold-viewers", (*viewers).into())
+            Problem::new(409, "room", "Not the room", detail).with("could-hold-viewers", (*viewers).into())
         }
         AnnounceError::Refused(AdmissionError::TooManyPeaks) => {
             Problem::new(409, "many", "Too many peaks", "as many peaks are announced as max-peaks allows")
@@ -184,7 +184,7 @@
         AnnounceError::Exists => Problem::new(
             409,
             "exists",
-            "Already announced",
+            "It stands already",
             "a peak of this name is already announced: amend it",
         ),
         AnnounceError::Unknown => Problem::new(
@@ -196,7 +196,7 @@
         AnnounceError::TooLong => {
             Problem::new(422, "announcement", "Too long", "an announcement may have 900 bytes at the most")
         }
-        AnnounceError::Store(e) => Problem::new(500, "store", "Not stored", e.clone()),
+        AnnounceError::Store(e) => Problem::new(500, "store", "It could not be kept", e.clone()),
     }
 }
 
--- a/crates/front/src/console_policy.rs
+++ b/crates/front/src/console_policy.rs
@@ -22,7 +22,7 @@
 pub async fn handle(shell: &Rc<Shell>, request: Request<Incoming>) -> Response<ResponseBody> {
     if shell.config.agreement.is_none() {
         let detail = "the settings of this front have no section agreement";
-        return problem(&Problem::new(404, "agreement", "No agreement", detail));
+        return problem(&Problem::new(404, "agreement", "Nothing is agreed on", detail));
     }
     let (method, path) = (request.method().clone(), request.uri().path().to_owned());
     if method == Method::GET && path == "/policy" {
@@ -111,7 +111,7 @@
         Answer::Unfit(_) => refused(422, "unfit", "It cannot be gone by"),
         Answer::NotAgreed => refused(503, "not-agreed", "No policy is agreed on"),
         Answer::Busy => refused(503, "busy", "Busy"),
-        Answer::Unknown => refused(504, "unknown", "Result not known"),
+        Answer::Unknown => refused(504, "unknown", "Not known"),
     }
 }
 
--- a/crates/front/src/http.rs
+++ b/crates/front/src/http.rs
@@ -78,7 +78,7 @@
                 Problem::new(
                     400,
                     "body-broken",
-                    "Incomplete body",
+                    "The body broke off",
                     "the connection ended before the whole body had arrived",
                 )
             })?;
