--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,6 +1,6 @@
-//! `demo`: a front, nine stand-in nodes in three racks and three buildings, and scripted viewers.
+//! The `demo` command: a front, nine simulated nodes in three racks and three buildings, and scripted viewers.
 
-use crate::{Exit, signalled};
+use crate::{Exit, shutdown_signal};
 use pepperhook_front::Front;
 use pepperhook_playout::record::Recorder;
 use pepperhook_playout::{Faults, Options, start};
@@ -14,24 +14,24 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-/// Settings of the demo's front; also an example of the form.
+/// Settings of the demo's front without its titles; also an example of a settings file.
 pub const SETTINGS: &str = include_str!("demo.conf");
 const NODES: u32 = 9;
 const TITLES: u32 = 18;
 
-/// The demo's settings with its titles.
-fn settings() -> String {
+/// The settings of the demo's front, with its titles.
+fn settings_with_titles() -> String {
     let mut text = SETTINGS.to_owned();
-    for t in 0..TITLES {
-        text += &format!("section title title-{t}\nhome {}\ncopies 3\nclass replay\n", t * 4 % NODES);
+    for title in 0..TITLES {
+        text += &format!("section title title-{title}\nhome {}\ncopies 3\nclass replay\n", title * 4 % NODES);
     }
     text
 }
 
-/// Runs until a signal or for a time.
+/// Runs the demo for `length`, or until SIGTERM or SIGINT; `rate` is in viewers per second.
 pub async fn demo(length: Option<Duration>, rate: f64, seed: u64) -> Exit {
     if !(0.1..=200.0).contains(&rate) {
-        eprintln!("pepperhook: --rate is {rate}; 0.1 to 200 is allowed");
+        eprintln!("pepperhook: --rate is {rate}; it must be 0.1 to 200 viewers per second");
         return Exit::Usage;
     }
     let node = |i: u32| Options {
@@ -48,7 +48,7 @@
             return Exit::Failed;
         }
     };
-    let config = match Config::parse("demo.conf", &settings()) {
+    let config = match Config::parse("demo.conf", &settings_with_titles()) {
         Ok(config) => config,
         Err(e) => {
             eprint!("{e}");
@@ -76,47 +76,47 @@
     };
     println!("console   {}", front.console_url());
     println!("viewers   http://{}/whep/title-0", front.address());
-    println!("Nodes and viewers are stand-ins: all figures are simulated.");
+    println!("Nodes and viewers are simulated, and so are all figures.");
     let fronts = vec![FrontAt { name: "demo".into(), address: Some(front.address()) }];
     let crowd = Crowd { titles: TITLES, copies: 3, ..Crowd::default() };
     let audience = Audience::new(crowd, "replay", fronts, Recorder::silent());
-    let viewers = spawn_local(arrive(audience, rate, seed));
-    let troubled = stands.clone();
-    let trouble = spawn_local(async move {
-        // Every half a minute the uplink of one rack is weak for a while, so that there is something to see.
+    let viewers = spawn_local(run_arrivals(audience, rate, seed));
+    let weakened = stands.clone();
+    let uplink_faults = spawn_local(async move {
+        // Every 22 s the uplink of the next rack is weakened for 10 s, which makes the console show a fault.
         for round in 0u32.. {
             sleep(Duration::from_secs(12)).await;
-            let weak = |uplink| {
-                troubled.iter().skip(round as usize % 3).step_by(3).for_each(|s| {
+            let set_uplink_fault = |uplink| {
+                weakened.iter().skip(round as usize % 3).step_by(3).for_each(|s| {
                     s.faults(Faults { uplink, ..Faults::default() });
                 })
             };
-            weak(0.4);
+            set_uplink_fault(0.4);
             sleep(Duration::from_secs(10)).await;
-            weak(0.0);
+            set_uplink_fault(0.0);
         }
     });
-    let begin = Instant::now();
+    let started_at = Instant::now();
     let status = async {
         loop {
             sleep(Duration::from_secs(1)).await;
-            let s = front.snapshot();
-            let class = s.classes.first();
-            let aim = class.map_or(0.0, |c| c.within_aim as f64 / c.set_ups.max(1) as f64);
+            let snapshot = front.snapshot();
+            let class = snapshot.classes.first();
+            let within_aim_share = class.map_or(0.0, |c| c.within_aim as f64 / c.set_ups.max(1) as f64);
             println!(
                 "{:4.0} s  asked {:5}  playing {:4}  refused {:4}  failed {:3}  within aim {:5.1} %  p99 {:6.1} ms  alerts {}",
-                begin.elapsed().as_secs_f64(),
-                s.requests,
-                s.playing,
-                s.answers.get("refused").copied().unwrap_or(0),
-                s.answers.get("failed").copied().unwrap_or(0),
-                100.0 * aim,
+                started_at.elapsed().as_secs_f64(),
+                snapshot.requests,
+                snapshot.playing,
+                snapshot.answers.get("refused").copied().unwrap_or(0),
+                snapshot.answers.get("failed").copied().unwrap_or(0),
+                100.0 * within_aim_share,
                 class.map_or(0.0, |c| c.p99_ms),
-                s.racks.iter().filter(|r| r.alerted).count(),
+                snapshot.racks.iter().filter(|r| r.alerted).count(),
             );
         }
     };
-    let until = async {
+    let time_limit = async {
         match length {
             Some(length) => sleep(length).await,
             None => std::future::pending().await,
@@ -124,21 +124,22 @@
     };
     tokio::select! {
         () = status => {}
-        () = until => {}
-        () = signalled() => {}
+        () = time_limit => {}
+        () = shutdown_signal() => {}
     }
     viewers.abort();
-    trouble.abort();
+    uplink_faults.abort();
     front.stop().await;
     Exit::Done
 }
 
-async fn arrive(audience: Rc<Audience>, rate: f64, seed: u64) {
+/// Starts viewers with exponentially distributed gaps, `rate` per second on average.
+async fn run_arrivals(audience: Rc<Audience>, rate: f64, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
-    for n in 0u64.. {
-        let gap = -(1.0 - rng.random::<f64>()).ln() / rate;
-        sleep(Duration::from_secs_f64(gap)).await;
+    for viewer in 0u64.. {
+        let gap_s = -(1.0 - rng.random::<f64>()).ln() / rate;
+        sleep(Duration::from_secs_f64(gap_s)).await;
         let title = (rng.random::<f64>().powi(2) * f64::from(TITLES)) as u32;
-        spawn_local(audience.clone().view(n, seed, title, None));
+        spawn_local(audience.clone().view(viewer, seed, title, None));
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,5 @@
-//! The `pepperhook` command: serves, checks settings, stands in for playout nodes, rehearses.
+//! The `pepperhook` command line: runs fronts, checks settings, simulates playout nodes, runs rehearsals and
+//! administers running fronts.
 
 mod admin;
 mod demo;
@@ -15,123 +16,124 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Exit codes: 0 done, 1 a rule broke or a check failed, 2 wrong usage or settings.
+/// Result of a command, which determines the exit code of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// 0.
+    /// Exit code 0: the command succeeded.
     Done,
-    /// 1.
+    /// Exit code 1: a rule was broken, a check failed or a request failed.
     Failed,
-    /// 2.
+    /// Exit code 2: invalid arguments, settings or input files.
     Usage,
 }
 
-/// A session front: places video sessions on playout nodes and shapes them, over WHIP and WHEP.
+/// A session front: places video sessions on playout nodes and chooses their bit rates, over WHIP and WHEP.
 ///
-/// Exit codes: 0 done, 1 a rule broke or a check failed, 2 wrong usage or settings.
+/// Exit codes: 0 success, 1 a rule was broken or a check failed, 2 invalid arguments or settings.
 #[derive(Parser)]
 #[command(version, about, long_about, max_term_width = 100)]
 struct Arguments {
     #[command(subcommand)]
-    command: Verb,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum Verb {
-    /// Run a front until SIGTERM or SIGINT; it answers what it has taken, then exits 0.
+enum Command {
+    /// Run a front until SIGTERM or SIGINT; it answers all accepted requests, then exits with 0.
     Serve {
         /// Settings file.
         #[arg(short, long)]
         config: PathBuf,
     },
-    /// Run a front end on the platform's protocol until SIGTERM; nothing else listens, nothing is stored.
+    /// Run a front end for the platform's protocol until SIGTERM; it opens no other listener and stores nothing.
     Platform {
-        /// The platform's configuration; else the environment variable BALANCER_CONFIG names it.
+        /// The platform's configuration file; defaults to the path in the environment variable BALANCER_CONFIG.
         #[arg(short, long)]
         config: Option<PathBuf>,
     },
-    /// Read settings and the list of nodes, print what is wrong, start nothing.
+    /// Check the settings and the list of nodes and print their faults, without starting a front.
     Check {
         /// Settings file.
         #[arg(short, long)]
         config: PathBuf,
     },
-    /// Stand in for playout nodes on loopback; prints one JSON line a node with its addresses.
+    /// Simulate playout nodes on loopback; prints one JSON line per node with its addresses.
     Playout {
-        /// JSON file with a list of nodes; see docs/rehearsals.md. Without it, one node with defaults.
+        /// JSON file with a list of nodes (see docs/rehearsals.md); defaults to one node with default options.
         #[arg(short, long)]
         config: Option<PathBuf>,
-        /// Write what passes on the sockets to this file, a JSON object a line.
+        /// Record the traffic on the sockets to this file, one JSON object per line.
         #[arg(short, long)]
         record: Option<PathBuf>,
     },
-    /// Play a day through real fronts and judge the six rules from the sockets.
+    /// Run a scripted day against real fronts and check the six rules from the recorded traffic.
     #[command(subcommand)]
-    Rehearse(rehearse::What),
-    /// Announce, amend, call off or list peaks at a running front; it tells the others.
+    Rehearse(rehearse::Rehearsal),
+    /// Announce, amend, cancel or list peaks at a running front, which forwards them to the other fronts.
     Peak {
         /// Admin address of the front.
         #[arg(long)]
         admin: std::net::SocketAddr,
-        /// File that holds the admin key; else the environment variable PEPPERHOOK_ADMIN_KEY.
+        /// File with the admin key; defaults to the key in the environment variable PEPPERHOOK_ADMIN_KEY.
         #[arg(long)]
         key_file: Option<PathBuf>,
         #[command(subcommand)]
-        verb: peak::Verb,
+        command: peak::PeakCommand,
     },
-    /// Show or change the policy that the fleet agrees on, or who votes on it, at a running front.
+    /// Show or change the fleet's agreed policy, or the fronts that vote on it, at a running front.
     Policy {
         /// Admin address of the front.
         #[arg(long)]
         admin: std::net::SocketAddr,
-        /// File that holds the admin key; else the environment variable PEPPERHOOK_ADMIN_KEY.
+        /// File with the admin key; defaults to the key in the environment variable PEPPERHOOK_ADMIN_KEY.
         #[arg(long)]
         key_file: Option<PathBuf>,
         #[command(subcommand)]
-        verb: policy::Verb,
+        command: policy::PolicyCommand,
     },
-    /// Run a front, nine stand-in nodes and scripted viewers in one process, without any file.
+    /// Run a front, nine simulated nodes and scripted viewers in one process, without any files.
     Demo {
-        /// Stop after this time, such as 30s or 2m; else run until a signal.
-        #[arg(long = "for", value_parser = duration)]
+        /// Stop after this time, such as 30s or 2m; without it, run until SIGTERM or SIGINT.
+        #[arg(long = "for", value_parser = parse_duration)]
         length: Option<Duration>,
-        /// Viewers a second.
+        /// Mean number of arriving viewers per second, 0.1 to 200.
         #[arg(long, default_value_t = 8.0)]
         rate: f64,
-        /// Seed of the viewers.
+        /// Random seed of the viewers.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
 }
 
-fn duration(text: &str) -> Result<Duration, String> {
-    let wrong = || format!("'{text}' is no time such as 500ms, 30s or 2m");
-    let cut = text.find(|c: char| c.is_ascii_alphabetic()).ok_or_else(wrong)?;
-    let value: f64 = text[..cut].parse().map_err(|_| wrong())?;
-    let unit = match &text[cut..] {
+/// Parses a non-negative duration with a unit, such as `500ms`.
+fn parse_duration(text: &str) -> Result<Duration, String> {
+    let invalid = || format!("'{text}' is not a duration such as 500ms, 30s or 2m; units are ms, s, m and h");
+    let unit_start = text.find(|c: char| c.is_ascii_alphabetic()).ok_or_else(invalid)?;
+    let value: f64 = text[..unit_start].parse().map_err(|_| invalid())?;
+    let unit_s = match &text[unit_start..] {
         "ms" => 0.001,
         "s" => 1.0,
         "m" => 60.0,
         "h" => 3_600.0,
-        _ => return Err(wrong()),
+        _ => return Err(invalid()),
     };
-    Duration::try_from_secs_f64(value * unit).map_err(|_| wrong())
+    Duration::try_from_secs_f64(value * unit_s).map_err(|_| invalid())
 }
 
-/// Runs on the current thread, with tasks that stay there.
+/// Runs a command on a single-threaded runtime, with support for tasks that are not `Send`.
 fn run(work: impl Future<Output = Exit>) -> Exit {
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(e) => {
-            eprintln!("pepperhook: the runtime did not start: {e}");
+            eprintln!("pepperhook: cannot start the async runtime: {e}");
             return Exit::Failed;
         }
     };
     tokio::task::LocalSet::new().block_on(&runtime, work)
 }
 
-/// Resolves at SIGTERM or SIGINT.
-async fn signalled() {
+/// Waits for SIGTERM or SIGINT.
+async fn shutdown_signal() {
     use tokio::signal::unix::{SignalKind, signal};
     match (signal(SignalKind::terminate()), signal(SignalKind::interrupt())) {
         (Ok(mut term), Ok(mut int)) => {
@@ -140,24 +142,24 @@
                 _ = int.recv() => {}
             }
         }
-        // Without handlers the default action ends the process.
+        // No handler could be installed: a signal has its default action, which ends the process.
         _ => std::future::pending().await,
     }
 }
 
 fn main() -> ExitCode {
     let exit = match Arguments::parse().command {
-        Verb::Serve { config } => serve::serve(&config),
-        Verb::Platform { config } => platform::platform(config.as_deref()),
-        Verb::Check { config } => serve::check(&config),
-        Verb::Playout { config, record } => run(serve::playout(config, record)),
-        Verb::Rehearse(what) => {
+        Command::Serve { config } => serve::serve(&config),
+        Command::Platform { config } => platform::platform(config.as_deref()),
+        Command::Check { config } => serve::check(&config),
+        Command::Playout { config, record } => run(serve::playout(config, record)),
+        Command::Rehearse(rehearsal) => {
             log::start(pepperhook_settings::LogFormat::Text, "warn");
-            run(rehearse::rehearse(what))
+            run(rehearse::rehearse(rehearsal))
         }
-        Verb::Peak { admin, key_file, verb } => run(peak::peak(admin, key_file, verb)),
-        Verb::Policy { admin, key_file, verb } => run(policy::policy(admin, key_file, verb)),
-        Verb::Demo { length, rate, seed } => {
+        Command::Peak { admin, key_file, command } => run(peak::peak(admin, key_file, command)),
+        Command::Policy { admin, key_file, command } => run(policy::policy(admin, key_file, command)),
+        Command::Demo { length, rate, seed } => {
             log::start(pepperhook_settings::LogFormat::Text, "warn");
             run(demo::demo(length, rate, seed))
         }
@@ -175,9 +177,11 @@
     use clap::CommandFactory;
 
     #[test]
-    fn the_command_line_agrees_with_itself_and_times_are_read() {
+    fn command_line_definition_is_consistent_and_durations_are_parsed() {
         Arguments::command().debug_assert();
-        assert_eq!(duration("1.5s"), Ok(Duration::from_millis(1_500)));
-        assert!(duration("5").is_err() && duration("-1s").is_err() && duration("s").is_err());
+        assert_eq!(parse_duration("1.5s"), Ok(Duration::from_millis(1_500)));
+        assert!(
+            parse_duration("5").is_err() && parse_duration("-1s").is_err() && parse_duration("s").is_err()
+        );
     }
 }
--- a/crates/cli/src/peak.rs
+++ b/crates/cli/src/peak.rs
@@ -1,84 +1,87 @@
-//! `peak`: announced peaks at a running front.
+//! The `peak` command: administers announced peaks at a running front.
 
 use crate::Exit;
-use crate::admin::{Admin, encoded};
+use crate::admin::{AdminClient, percent_encode};
 use clap::{Args, Subcommand};
 use pepperhook_peaks::Announcement;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// What is done.
+/// Operations on announced peaks.
 #[derive(Subcommand)]
-pub enum Verb {
+pub enum PeakCommand {
     /// Announce a new peak.
-    Announce(Said),
-    /// Amend one that stands; all is said anew.
-    Amend(Said),
-    /// Call one off; held room returns at once here, at other fronts with the next exchange.
+    Announce(PeakArguments),
+    /// Replace an announced peak; all of its values must be given again.
+    Amend(PeakArguments),
+    /// Cancel a peak; its reserved capacity is released at once here, at other fronts with the next exchange.
     Cancel {
-        /// Its name.
+        /// Name of the peak.
         name: String,
     },
-    /// Print announcements and holds as JSON.
+    /// Print announced peaks and reserved capacity as JSON.
     List,
 }
 
-/// A peak in words.
+/// An announced peak as given on the command line.
 #[derive(Args)]
-pub struct Said {
-    /// Its name.
+pub struct PeakArguments {
+    /// Name of the peak.
     name: String,
-    /// A title; may be given again.
+    /// A title that viewers will play; may be repeated.
     #[arg(long = "title", required = true)]
     titles: Vec<String>,
-    /// Class of its viewers.
+    /// Class of the viewers.
     #[arg(long)]
     class: String,
-    /// Expected viewers at once, by seconds from the start: 0:100,60:400,300:50.
-    #[arg(long, value_parser = course)]
-    viewers: Course,
-    /// Start: Unix milliseconds, or from now as +90s.
-    #[arg(long, value_parser = moment)]
+    /// Expected concurrent viewers as SECONDS:VIEWERS steps, in seconds after the start: 0:100,60:400,300:50.
+    #[arg(long, value_parser = parse_steps)]
+    viewers: ViewerSteps,
+    /// Start: Unix time in milliseconds, or a duration from now such as +90s.
+    #[arg(long, value_parser = parse_time_ms)]
     start: u64,
-    /// End: Unix milliseconds, or from now as +10m.
-    #[arg(long, value_parser = moment)]
+    /// End: Unix time in milliseconds, or a duration from now such as +10m.
+    #[arg(long, value_parser = parse_time_ms)]
     end: u64,
-    /// Room is held from so long before the start.
-    #[arg(long, default_value = "30s", value_parser = crate::duration)]
+    /// How long before the start capacity is reserved.
+    #[arg(long, default_value = "30s", value_parser = crate::parse_duration)]
     lead: Duration,
-    /// Rung that is held for each viewer.
+    /// Rung of the ladder that is reserved for each viewer.
     #[arg(long, default_value_t = 1)]
     rung: u8,
 }
 
-/// Steps of an expected course.
+/// Expected concurrent viewers from each step on: seconds after the start, number of viewers.
 #[derive(Clone)]
-pub struct Course(Vec<(u64, u32)>);
+pub struct ViewerSteps(Vec<(u64, u32)>);
 
-fn course(text: &str) -> Result<Course, String> {
-    let step = |s: &str| {
-        let (at, n) = s.split_once(':')?;
-        Some((at.trim().parse().ok()?, n.trim().parse().ok()?))
+fn parse_steps(text: &str) -> Result<ViewerSteps, String> {
+    let step = |step: &str| {
+        let (seconds, viewers) = step.split_once(':')?;
+        Some((seconds.trim().parse().ok()?, viewers.trim().parse().ok()?))
     };
     let steps: Option<Vec<_>> = text.split(',').map(step).collect();
-    steps.map(Course).ok_or_else(|| format!("'{text}' is no course such as 0:100,60:400"))
+    steps
+        .map(ViewerSteps)
+        .ok_or_else(|| format!("'{text}' is not a list of SECONDS:VIEWERS steps such as 0:100,60:400"))
 }
 
-fn moment(text: &str) -> Result<u64, String> {
+/// Parses an absolute time, or one relative to now, to Unix milliseconds.
+fn parse_time_ms(text: &str) -> Result<u64, String> {
     match text.strip_prefix('+') {
-        Some(after) => {
+        Some(from_now) => {
             let now = SystemTime::now().duration_since(UNIX_EPOCH).map_err(|e| e.to_string())?;
-            u64::try_from((now + crate::duration(after)?).as_millis()).map_err(|e| e.to_string())
+            u64::try_from((now + crate::parse_duration(from_now)?).as_millis()).map_err(|e| e.to_string())
         }
-        None => text
-            .parse()
-            .map_err(|_| format!("'{text}' is neither Unix milliseconds nor a time from now such as +90s")),
+        None => text.parse().map_err(|_| {
+            format!("'{text}' is neither a Unix time in milliseconds nor a duration from now such as +90s")
+        }),
     }
 }
 
-impl Said {
-    fn announcement(self) -> Announcement {
+impl PeakArguments {
+    fn into_announcement(self) -> Announcement {
         Announcement {
             name: self.name,
             titles: self.titles,
@@ -93,22 +96,24 @@
     }
 }
 
-/// Asks the front and prints its answer.
-pub async fn peak(admin: SocketAddr, key_file: Option<PathBuf>, verb: Verb) -> Exit {
-    let admin = match Admin::new(admin, key_file) {
-        Ok(admin) => admin,
+/// Sends the request for a command to the front and prints the reply.
+pub async fn peak(admin: SocketAddr, key_file: Option<PathBuf>, command: PeakCommand) -> Exit {
+    let client = match AdminClient::new(admin, key_file) {
+        Ok(client) => client,
         Err(exit) => return exit,
     };
-    let json = |a: &Announcement| serde_json::to_vec(a).unwrap_or_default();
-    let path = |name: &str| format!("/peaks/{}", encoded(name));
-    let (method, path, body) = match verb {
-        Verb::Announce(said) => ("POST", "/peaks".to_owned(), json(&said.announcement())),
-        Verb::Amend(said) => {
-            let said = said.announcement();
-            ("PUT", path(&said.name), json(&said))
+    let json = |announcement: &Announcement| serde_json::to_vec(announcement).unwrap_or_default();
+    let path = |name: &str| format!("/peaks/{}", percent_encode(name));
+    let (method, path, body) = match command {
+        PeakCommand::Announce(arguments) => {
+            ("POST", "/peaks".to_owned(), json(&arguments.into_announcement()))
         }
-        Verb::Cancel { name } => ("DELETE", path(&name), Vec::new()),
-        Verb::List => ("GET", "/peaks".to_owned(), Vec::new()),
+        PeakCommand::Amend(arguments) => {
+            let announcement = arguments.into_announcement();
+            ("PUT", path(&announcement.name), json(&announcement))
+        }
+        PeakCommand::Cancel { name } => ("DELETE", path(&name), Vec::new()),
+        PeakCommand::List => ("GET", "/peaks".to_owned(), Vec::new()),
     };
-    admin.print(admin.ask(method, &path, &body, Duration::from_secs(5)).await)
+    client.print(client.request(method, &path, &body, Duration::from_secs(5)).await)
 }
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -1,30 +1,31 @@
-//! `platform`: the front end on the platform's protocol.
+//! The `platform` command: a front end for the platform's protocol.
 
 use crate::{Exit, log, run};
 use pepperhook_platform::{Config, Signals};
 use std::path::Path;
 
-/// Runs a front end until a signal.
+/// Runs a front end until SIGTERM; `path` is its configuration file, if given on the command line.
 pub fn platform(path: Option<&Path>) -> Exit {
     run(async {
-        // Before anything else: by default a SIGHUP, or a SIGTERM, would end a process that still reads its configuration.
+        // Handlers are installed first: by default SIGHUP or SIGTERM would kill the process while it reads its
+        // configuration.
         match Signals::new() {
-            Ok(signals) => with_signals(path, signals).await,
+            Ok(signals) => run_with_signals(path, signals).await,
             Err(e) => {
-                eprintln!("pepperhook: signals cannot be had: {e}");
+                eprintln!("pepperhook: cannot install signal handlers: {e}");
                 Exit::Failed
             }
         }
     })
 }
 
-async fn with_signals(path: Option<&Path>, signals: Signals) -> Exit {
+async fn run_with_signals(path: Option<&Path>, signals: Signals) -> Exit {
     let variable = |name: &str| std::env::var(name).ok();
     let path = match (path, variable("BALANCER_CONFIG")) {
         (Some(path), _) => path.to_owned(),
         (None, Some(path)) => path.into(),
         (None, None) => {
-            eprintln!("pepperhook: neither --config nor BALANCER_CONFIG names a configuration");
+            eprintln!("pepperhook: no configuration file: pass --config or set BALANCER_CONFIG");
             return Exit::Usage;
         }
     };
--- a/crates/cli/src/policy.rs
+++ b/crates/cli/src/policy.rs
@@ -1,80 +1,82 @@
-//! `policy`: what the fleet agrees on, asked of a running front.
+//! The `policy` command: shows and changes the fleet's agreed policy and its voters at a running front.
 
 use crate::Exit;
-use crate::admin::{Admin, encoded};
+use crate::admin::{AdminClient, percent_encode};
 use clap::Subcommand;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// A change that is waited for is through, or undone, within this time.
-const THROUGH: Duration = Duration::from_secs(120);
+/// Reply timeout with `--wait`: a policy change is in force on all fronts, or undone, within this time.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// What is done.
+/// Operations on the agreed policy and its voters.
 #[derive(Subcommand)]
-pub enum Verb {
-    /// Print the policy in force here, the agreement's state and where the file differs, as JSON.
+pub enum PolicyCommand {
+    /// Print the policy in force at this front, the agreement's state and differences from the settings file, as JSON.
     Show {
-        /// Print the policy's text alone, as `ask` takes it.
+        /// Print only the policy's text, in the form that `ask` reads.
         #[arg(long)]
         text: bool,
     },
-    /// Ask for another policy. Exit 0 when it is accepted, or with --wait when it stands everywhere.
+    /// Propose a new policy. Exits with 0 once it is accepted, or with --wait once it is in force on all fronts.
     Ask {
-        /// The whole policy, in the settings' form.
+        /// File with the complete policy, in the format of a settings file.
         file: PathBuf,
-        /// The version that it was made from.
+        /// Version of the policy that the new one is based on.
         #[arg(long)]
         against: u64,
-        /// Who asks, for the others.
+        /// Name of the operator, shown to other operators.
         #[arg(long)]
         by: String,
-        /// Say what would change; change nothing.
+        /// Print what would change without changing it.
         #[arg(long)]
         dry_run: bool,
-        /// Wait until it stands everywhere, or is undone.
+        /// Wait until the policy is in force on all fronts, or undone.
         #[arg(long)]
         wait: bool,
-        /// Names this change; the same when it is asked for again. Printed with each answer.
+        /// Idempotency key of this change, printed with each reply; pass the same key when repeating the request.
         #[arg(long)]
         key: Option<String>,
     },
-    /// Ask for one more voter, one less, or one in place of another.
+    /// Add a voter, remove one, or replace one by another.
     Voters {
-        /// Front that is to vote.
+        /// Front that becomes a voter.
         #[arg(long)]
         add: Option<String>,
-        /// Front that is to vote no more.
+        /// Front that stops being a voter.
         #[arg(long)]
         remove: Option<String>,
     },
 }
 
-/// Asks the front and prints its answer.
-pub async fn policy(admin: SocketAddr, key_file: Option<PathBuf>, verb: Verb) -> Exit {
-    let admin = match Admin::new(admin, key_file) {
-        Ok(admin) => admin,
+/// Sends the request for a command to the front and prints the reply.
+pub async fn policy(admin: SocketAddr, key_file: Option<PathBuf>, command: PolicyCommand) -> Exit {
+    let client = match AdminClient::new(admin, key_file) {
+        Ok(client) => client,
         Err(exit) => return exit,
     };
-    let argument = |name: &str, value: &Option<String>| {
-        value.as_ref().map_or(String::new(), |v| format!("&{name}={}", encoded(v)))
+    let optional_argument = |name: &str, value: &Option<String>| {
+        value.as_ref().map_or(String::new(), |value| format!("&{name}={}", percent_encode(value)))
     };
-    match verb {
-        Verb::Show { text } => match admin.ask("GET", "/policy", b"", Duration::from_secs(5)).await {
-            Ok(body) if text => {
-                let shown: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
-                match shown["text"].as_str() {
-                    Some(text) => print!("{text}"),
-                    None => {
-                        eprintln!("pepperhook: no policy is agreed on");
-                        return Exit::Failed;
+    match command {
+        PolicyCommand::Show { text } => {
+            match client.request("GET", "/policy", b"", Duration::from_secs(5)).await {
+                Ok(body) if text => {
+                    let reply: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
+                    match reply["text"].as_str() {
+                        Some(text) => print!("{text}"),
+                        None => {
+                            eprintln!("pepperhook: the fleet has no agreed policy yet");
+                            return Exit::Failed;
+                        }
                     }
+                    Exit::Done
                 }
-                Exit::Done
+                reply_body => client.print(reply_body),
             }
-            answer => admin.print(answer),
-        },
-        Verb::Ask { file, against, by, dry_run, wait, key } => {
+        }
+        PolicyCommand::Ask { file, against, by, dry_run, wait, key } => {
             let text = match std::fs::read(&file) {
                 Ok(text) => text,
                 Err(e) => {
@@ -82,20 +84,22 @@
                     return Exit::Usage;
                 }
             };
-            let flag = |on: bool, name: &str| if on { format!("&{name}=yes") } else { String::new() };
+            let optional_flag =
+                |on: bool, name: &str| if on { format!("&{name}=yes") } else { String::new() };
             let path = format!(
                 "/policy?against={against}&by={}{}{}{}",
-                encoded(&by),
-                argument("key", &key),
-                flag(dry_run, "dry-run"),
-                flag(wait, "wait")
+                percent_encode(&by),
+                optional_argument("key", &key),
+                optional_flag(dry_run, "dry-run"),
+                optional_flag(wait, "wait")
             );
-            let patience = if wait { THROUGH } else { Duration::from_secs(15) };
-            admin.print(admin.ask("POST", &path, &text, patience).await)
+            let timeout = if wait { WAIT_TIMEOUT } else { Duration::from_secs(15) };
+            client.print(client.request("POST", &path, &text, timeout).await)
         }
-        Verb::Voters { add, remove } => {
-            let path = format!("/voters?{}{}", argument("add", &add), argument("remove", &remove));
-            admin.print(admin.ask("POST", &path, b"", Duration::from_secs(5)).await)
+        PolicyCommand::Voters { add, remove } => {
+            let path =
+                format!("/voters?{}{}", optional_argument("add", &add), optional_argument("remove", &remove));
+            client.print(client.request("POST", &path, b"", Duration::from_secs(5)).await)
         }
     }
 }
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -1,4 +1,4 @@
-//! `rehearse`: a day through real fronts.
+//! The `rehearse` command: runs scripted days and failure scenarios against real fronts.
 
 use crate::Exit;
 use clap::Subcommand;
@@ -10,186 +10,186 @@
 use pepperhook_rehearse::peak::Variation;
 use std::path::PathBuf;
 
-/// What is rehearsed.
+/// Kinds of rehearsals.
 #[derive(Subcommand)]
-pub enum What {
-    /// The scripted bad day: weakened uplink, rolling deploy, drain, crash, front restart, list lag, crowd.
+pub enum Rehearsal {
+    /// A scripted day of faults: weak uplink, rolling deploy, drain, crash, front restart, late node list, crowd.
     BadDay {
-        /// Moves the troubles about.
+        /// Random seed of the viewers and of the times and targets of the faults.
         #[arg(long, default_value_t = 1)]
         seed: u64,
         /// Front processes, 1 to 8.
         #[arg(long, default_value_t = 3)]
         fronts: u32,
-        /// Arrivals come for so many seconds, 10 to 60.
+        /// How long viewers arrive, in seconds, 10 to 60.
         #[arg(long, default_value_t = 45.0)]
         seconds: f64,
-        /// Duties that the fronts share.
+        /// Duties that the fronts divide among themselves.
         #[arg(long, value_enum, default_value = "none")]
-        duties: SharedDuties,
+        duties: DutyMode,
         #[command(flatten)]
-        out: Out,
+        out: OutputArguments,
     },
-    /// An announced peak: the same crowd with and without the announcement, and a peak that is called off.
+    /// An announced peak: the same crowd with and without the announcement, and a cancelled peak.
     Peak {
-        /// Seed of the viewers.
+        /// Random seed of the viewers.
         #[arg(long, default_value_t = 1)]
         seed: u64,
         /// Front processes, 1 to 8.
         #[arg(long, default_value_t = 3)]
         fronts: u32,
-        /// Part of the datagrams between fronts that is lost, 0 to 1.
+        /// Fraction of datagrams between fronts that is lost, 0 to 1.
         #[arg(long, default_value_t = 0.0)]
         loss: f64,
-        /// This front is cut off from the others.
+        /// Number of a front, counted from 0, that is cut off from the others.
         #[arg(long)]
         cut: Option<u32>,
         #[command(flatten)]
-        out: Out,
+        out: OutputArguments,
     },
-    /// Duties shared by eight fronts, with kills, a stall, a crash and a drain; gaps and work done twice by the nodes' sockets.
+    /// Duties divided among fronts, with kills, a stall, a crash and a drain; reports gaps and duplicate work seen at the nodes.
     Duties {
-        /// Seed of the viewers.
+        /// Random seed of the viewers.
         #[arg(long, default_value_t = 1)]
         seed: u64,
         /// Front processes, 2 to 8; with --in-process 2 to 1000.
         #[arg(long, default_value_t = 8)]
         fronts: u32,
-        /// Part of the datagrams between fronts that is lost, 0 to 1.
+        /// Fraction of datagrams between fronts that is lost, 0 to 1.
         #[arg(long, default_value_t = 0.0)]
         loss: f64,
-        /// The fronts' own code in this process, on a network and clocks in memory.
+        /// Run the fronts' code in this process, with a simulated network and simulated clocks.
         #[arg(long)]
         in_process: bool,
-        /// With --in-process: nodes.
+        /// Number of nodes with --in-process, 1 to 10000.
         #[arg(long, default_value_t = 200)]
         nodes: usize,
         #[command(flatten)]
-        out: Out,
+        out: OutputArguments,
     },
-    /// Changes of what the fleet agrees on, by two operators, with fronts killed, stopped and cut off; see docs/rehearsals.md.
+    /// Policy changes by two operators while fronts are killed, stopped and cut off; see docs/rehearsals.md.
     Agreement {
         #[command(flatten)]
-        play: Changes,
+        arguments: AgreementArguments,
         #[command(flatten)]
-        out: Out,
+        out: OutputArguments,
     },
-    /// A day file; see docs/rehearsals.md and the folder days/.
+    /// Run a day file; see docs/rehearsals.md and the folder days/.
     Replay {
-        /// The file.
+        /// The day file.
         day: PathBuf,
         #[command(flatten)]
-        out: Out,
+        out: OutputArguments,
     },
 }
 
-/// What is agreed on.
+/// Agreements that can be rehearsed.
 #[derive(Clone, Copy, clap::ValueEnum)]
-pub enum Part {
-    /// The policy.
+pub enum Agreement {
+    /// The fleet's policy.
     Policy,
 }
 
-/// What goes wrong.
+/// Faults during a rehearsal of agreement changes.
 #[derive(Clone, Copy, clap::ValueEnum)]
-pub enum Troubles {
-    /// Nothing.
+pub enum AgreementFaults {
+    /// No faults.
     None,
-    /// One front is dead.
+    /// One front is killed early and restarted only at the end.
     Dead,
-    /// One front stands still for 10 s again and again.
+    /// One front is repeatedly stopped for 10 s.
     Stopped,
-    /// A third of the fronts is cut off from the others for 10 s again and again.
+    /// A third of the fronts is repeatedly cut off from the others for 10 s.
     Zone,
-    /// Kills, stops, cuts, and restarts with the store, without it or with an older one.
+    /// Random kills, stops, cuts, and restarts with the store, without it or with an older one.
     Random,
 }
 
-/// A rehearsal of changes.
+/// Options of a rehearsal of agreement changes.
 #[derive(clap::Args)]
-pub struct Changes {
-    /// What is agreed on.
+pub struct AgreementArguments {
+    /// Agreement that is changed.
     #[arg(long, value_enum, default_value = "policy")]
-    part: Part,
-    /// Seed of the viewers, the changes and what goes wrong.
+    part: Agreement,
+    /// Random seed of the viewers, the changes and the faults.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Front processes, 3 to 12; five of them vote, three where there are fewer.
+    /// Front processes, 3 to 12; five of them vote, or three if there are fewer than five.
     #[arg(long, default_value_t = 9)]
     fronts: u32,
-    /// Part of the datagrams between fronts that is lost, 0 to 0.6.
+    /// Fraction of datagrams between fronts that is lost, 0 to 0.6.
     #[arg(long, default_value_t = 0.0)]
     loss: f64,
-    /// Viewers come for so many seconds, 15 to 300.
+    /// How long viewers arrive, in seconds, 15 to 300.
     #[arg(long, default_value_t = 60.0)]
     seconds: f64,
-    /// Changes, 2 to 200.
+    /// Number of changes, 2 to 200.
     #[arg(long, default_value_t = 30)]
     changes: u32,
-    /// A grant's time, milliseconds, 3500 to 60000.
+    /// Duration of a lease in milliseconds, 3500 to 60000.
     #[arg(long, default_value_t = 4_000)]
     hold_ms: u64,
-    /// What goes wrong.
+    /// Faults to inject.
     #[arg(long, value_enum, default_value = "random")]
-    trouble: Troubles,
-    /// Play this plan, as a run with --keep leaves it; the figures above are not used then.
+    trouble: AgreementFaults,
+    /// Run this plan file, as written by a run with --keep; the options above are ignored then.
     #[arg(long)]
     plan: Option<PathBuf>,
 }
 
-impl Changes {
-    /// The plan, and the command that plays it again.
+impl AgreementArguments {
+    /// Returns the plan and the command line that runs it again.
     fn plan(&self) -> Result<(Plan, String), String> {
-        let Part::Policy = self.part;
+        let Agreement::Policy = self.part;
         if let Some(path) = &self.plan {
             let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
             let plan = Plan::parse(&text).map_err(|e| format!("{}: {e}", path.display()))?;
             return Ok((plan, format!("pepperhook rehearse agreement --plan {}", path.display())));
         }
-        let within = (3..=12).contains(&self.fronts)
+        let in_range = (3..=12).contains(&self.fronts)
             && (0.0..=0.6).contains(&self.loss)
             && (15.0..=300.0).contains(&self.seconds)
             && (2..=200).contains(&self.changes)
             && (3_500..=60_000).contains(&self.hold_ms);
-        if !within {
-            return Err(
-                "--fronts 3 to 12, --loss 0 to 0.6, --seconds 15 to 300, --changes 2 to 200, --hold-ms 3500 \
-                        to 60000"
-                    .into(),
-            );
+        if !in_range {
+            return Err(format!(
+                "an option is out of range: --fronts is {} (3 to 12), --loss is {} (0 to 0.6), --seconds is {} \
+                 (15 to 300), --changes is {} (2 to 200), --hold-ms is {} (3500 to 60000)",
+                self.fronts, self.loss, self.seconds, self.changes, self.hold_ms
+            ));
         }
         let (trouble, name) = match self.trouble {
-            Troubles::None => (Trouble::None, "none"),
-            Troubles::Dead => (Trouble::Dead, "dead"),
-            Troubles::Stopped => (Trouble::Stopped, "stopped"),
-            Troubles::Zone => (Trouble::Zone, "zone"),
-            Troubles::Random => (Trouble::Random, "random"),
+            AgreementFaults::None => (Trouble::None, "none"),
+            AgreementFaults::Dead => (Trouble::Dead, "dead"),
+            AgreementFaults::Stopped => (Trouble::Stopped, "stopped"),
+            AgreementFaults::Zone => (Trouble::Zone, "zone"),
+            AgreementFaults::Random => (Trouble::Random, "random"),
         };
         let Self { seed, fronts, loss, seconds, changes, hold_ms, .. } = *self;
-        let again = format!(
+        let rerun_command = format!(
             "pepperhook rehearse agreement --seed {seed} --fronts {fronts} --loss {loss} --seconds {seconds} \
              --changes {changes} --hold-ms {hold_ms} --trouble {name}"
         );
-        let v = AgreementVariation { seed, fronts, loss, seconds, changes, hold_ms, trouble };
-        Ok((Plan::random(&v), again))
+        let variation = AgreementVariation { seed, fronts, loss, seconds, changes, hold_ms, trouble };
+        Ok((Plan::random(&variation), rerun_command))
     }
 }
 
-/// What fronts do together on a day.
+/// How the fronts of a day divide the duty of asking nodes for their state.
 #[derive(Clone, Copy, clap::ValueEnum)]
-pub enum SharedDuties {
-    /// Nothing: each front knows what its own sessions tell it.
+pub enum DutyMode {
+    /// No duties: each front knows only what it learns from its own sessions.
     None,
-    /// Each node is asked by one front in turn, which keeps what it read to itself.
+    /// One front at a time asks each node and keeps the readings to itself.
     Own,
-    /// What was read is told to all.
+    /// As `own`, and the readings are sent to all fronts.
     Shared,
-    /// The same, and fronts ask by themselves before they place a session by an old reading.
+    /// As `shared`, and a front asks a node itself before it places a session based on an old reading.
     Ask,
 }
 
-impl SharedDuties {
-    fn on(self, day: &mut Day) {
+impl DutyMode {
+    fn apply_to(self, day: &mut Day) {
         let (share, ask) = match self {
             Self::None => return,
             Self::Own => (false, false),
@@ -201,44 +201,53 @@
     }
 }
 
-/// Where results go.
+/// Options for the output of a rehearsal.
 #[derive(clap::Args)]
-pub struct Out {
-    /// Write the figures to this file as JSON.
+pub struct OutputArguments {
+    /// Write the report to this file as JSON.
     #[arg(long)]
     report: Option<PathBuf>,
-    /// Keep settings, lists, logs and records in this folder.
+    /// Keep settings, node lists, logs and recorded traffic in this folder, which must be empty.
     #[arg(long)]
     keep: Option<PathBuf>,
-    /// Print nothing but the result.
+    /// Print only the report, without progress.
     #[arg(long)]
     quiet: bool,
 }
 
-/// Plays and prints.
-pub async fn rehearse(what: What) -> Exit {
-    let (day, out) = match what {
-        What::BadDay { seed, fronts, seconds, duties, out } => {
+/// Runs a rehearsal and prints its report.
+pub async fn rehearse(rehearsal: Rehearsal) -> Exit {
+    let (day, out) = match rehearsal {
+        Rehearsal::BadDay { seed, fronts, seconds, duties, out } => {
             if !(10.0..=60.0).contains(&seconds) {
-                eprintln!("pepperhook: --seconds is {seconds}; 10 to 60 is allowed");
+                eprintln!("pepperhook: --seconds is {seconds}; it must be 10 to 60");
                 return Exit::Usage;
             }
             let mut day = bad_day(seed, fronts.max(1), seconds);
-            duties.on(&mut day);
+            duties.apply_to(&mut day);
             (Ok(day), out)
         }
-        What::Peak { seed, fronts, loss, cut, out } => {
-            if !(0.0..=1.0).contains(&loss) || cut.is_some_and(|c| c >= fronts) {
-                eprintln!("pepperhook: --loss is between 0 and 1, --cut one of the fronts, counted from 0");
+        Rehearsal::Peak { seed, fronts, loss, cut, out } => {
+            if !(0.0..=1.0).contains(&loss) || cut.is_some_and(|front| front >= fronts) {
+                let cut = cut.map_or("not set".to_owned(), |front| front.to_string());
+                eprintln!(
+                    "pepperhook: --loss is {loss}, it must be 0 to 1; --cut is {cut}, it must be below --fronts, \
+                     which is {fronts}"
+                );
                 return Exit::Usage;
             }
             return rehearse_peak(&Variation { seed, fronts, loss, cut }, &out).await;
         }
-        What::Duties { seed, fronts, loss, in_process, nodes, out } => {
-            let most = if in_process { 1_000 } else { 8 };
-            if !(0.0..=1.0).contains(&loss) || !(2..=most).contains(&fronts) || !(1..=10_000).contains(&nodes)
+        Rehearsal::Duties { seed, fronts, loss, in_process, nodes, out } => {
+            let max_fronts = if in_process { 1_000 } else { 8 };
+            if !(0.0..=1.0).contains(&loss)
+                || !(2..=max_fronts).contains(&fronts)
+                || !(1..=10_000).contains(&nodes)
             {
-                eprintln!("pepperhook: --loss is between 0 and 1, --fronts 2 to {most}, --nodes 1 to 10000");
+                eprintln!(
+                    "pepperhook: an option is out of range: --loss is {loss} (0 to 1), --fronts is {fronts} (2 to \
+                     {max_fronts}), --nodes is {nodes} (1 to 10000)"
+                );
                 return Exit::Usage;
             }
             if in_process {
@@ -252,18 +261,18 @@
             )
             .await;
         }
-        What::Agreement { play, out } => {
-            return match play.plan() {
-                Ok((plan, again)) => rehearse_agreement(plan, &again, &out).await,
+        Rehearsal::Agreement { arguments, out } => {
+            return match arguments.plan() {
+                Ok((plan, rerun_command)) => rehearse_agreement(plan, &rerun_command, &out).await,
                 Err(e) => {
                     eprintln!("pepperhook: {e}");
                     Exit::Usage
                 }
             };
         }
-        What::Replay { day, out } => {
+        Rehearsal::Replay { day, out } => {
             let text = std::fs::read_to_string(&day).map_err(|e| e.to_string());
-            (text.and_then(|t| Day::parse(&t)).map_err(|e| format!("{}: {e}", day.display())), out)
+            (text.and_then(|text| Day::parse(&text)).map_err(|e| format!("{}: {e}", day.display())), out)
         }
     };
     match day {
@@ -275,23 +284,28 @@
     }
 }
 
-/// A folder for a run's files, and how its lines are told.
-fn stage(out: &Out) -> Result<(Option<tempfile::TempDir>, PathBuf, PathBuf), String> {
+/// Prepares a run: the temporary folder if there is one, the folder for the run's files, and the path of this program.
+fn prepare_run(out: &OutputArguments) -> Result<(Option<tempfile::TempDir>, PathBuf, PathBuf), String> {
     let temporary = match &out.keep {
         Some(_) => None,
-        None => Some(tempfile::tempdir().map_err(|e| e.to_string())?),
+        None => Some(tempfile::tempdir().map_err(|e| format!("cannot create a temporary folder: {e}"))?),
     };
     let dir =
         out.keep.clone().or_else(|| temporary.as_ref().map(|t| t.path().to_owned())).unwrap_or_default();
-    std::fs::create_dir_all(&dir).map_err(|e| e.to_string())?;
-    if std::fs::read_dir(&dir).is_ok_and(|mut d| d.next().is_some()) {
-        return Err(format!("{} is not empty: records of two runs must not mix", dir.display()));
+    std::fs::create_dir_all(&dir).map_err(|e| format!("cannot create folder {}: {e}", dir.display()))?;
+    if std::fs::read_dir(&dir).is_ok_and(|mut entries| entries.next().is_some()) {
+        return Err(format!(
+            "--keep folder {} is not empty; give an empty one, because records of two runs must not mix",
+            dir.display()
+        ));
     }
-    let program = std::env::current_exe().map_err(|e| e.to_string())?;
+    let program =
+        std::env::current_exe().map_err(|e| format!("cannot find the path of this program: {e}"))?;
     Ok((temporary, dir, program))
 }
 
-fn tell(quiet: bool) -> impl Fn(String) + Clone + 'static {
+/// Returns a function that prints lines of progress to standard error, unless `quiet`.
+fn progress_printer(quiet: bool) -> impl Fn(String) + Clone + 'static {
     move |line| {
         if !quiet {
             eprintln!("{line}");
@@ -299,28 +313,28 @@
     }
 }
 
-/// Prints the figures and writes them where they are wanted.
-fn finish(report: &impl serde::Serialize, out: &Out, kept: bool) -> Exit {
+/// Prints the report and writes it to the file of `--report`; `passed` decides the exit code.
+fn finish(report: &impl serde::Serialize, out: &OutputArguments, passed: bool) -> Exit {
     let text = serde_json::to_string_pretty(report).unwrap_or_default();
     println!("{text}");
     if let Some(path) = &out.report {
         if let Err(e) = std::fs::write(path, text + "\n") {
-            eprintln!("pepperhook: {}: {e}", path.display());
+            eprintln!("pepperhook: --report {}: {e}", path.display());
             return Exit::Usage;
         }
     }
-    if kept { Exit::Done } else { Exit::Failed }
+    if passed { Exit::Done } else { Exit::Failed }
 }
 
-async fn rehearse_day(day: &Day, out: &Out) -> Exit {
-    let (_temporary, dir, program) = match stage(out) {
-        Ok(stage) => stage,
+async fn rehearse_day(day: &Day, out: &OutputArguments) -> Exit {
+    let (_temporary, dir, program) = match prepare_run(out) {
+        Ok(prepared) => prepared,
         Err(e) => {
             eprintln!("pepperhook: {e}");
             return Exit::Usage;
         }
     };
-    match play(day, &program, &dir, tell(out.quiet)).await {
+    match play(day, &program, &dir, progress_printer(out.quiet)).await {
         Ok(outcome) => finish(&outcome.report, out, outcome.breaches.is_empty()),
         Err(e) => {
             eprintln!("pepperhook: {e}");
@@ -329,18 +343,23 @@
     }
 }
 
-async fn rehearse_duties(v: &pepperhook_rehearse::duties::run::Variation, out: &Out) -> Exit {
-    let (_temporary, dir, program) = match stage(out) {
-        Ok(stage) => stage,
+async fn rehearse_duties(
+    variation: &pepperhook_rehearse::duties::run::Variation,
+    out: &OutputArguments,
+) -> Exit {
+    let (_temporary, dir, program) = match prepare_run(out) {
+        Ok(prepared) => prepared,
         Err(e) => {
             eprintln!("pepperhook: {e}");
             return Exit::Usage;
         }
     };
-    match pepperhook_rehearse::duties::run::rehearse(v, &program, &dir, tell(out.quiet)).await {
+    match pepperhook_rehearse::duties::run::rehearse(variation, &program, &dir, progress_printer(out.quiet))
+        .await
+    {
         Ok(report) => {
-            let kept = report.rules_broken.is_empty() && report.coverage.breaches.is_empty();
-            finish(&report, out, kept)
+            let passed = report.rules_broken.is_empty() && report.coverage.breaches.is_empty();
+            finish(&report, out, passed)
         }
         Err(e) => {
             eprintln!("pepperhook: {e}");
@@ -349,40 +368,43 @@
     }
 }
 
-async fn rehearse_agreement(plan: Plan, again: &str, out: &Out) -> Exit {
-    let (_temporary, dir, program) = match stage(out) {
-        Ok(stage) => stage,
+async fn rehearse_agreement(plan: Plan, rerun_command: &str, out: &OutputArguments) -> Exit {
+    let (_temporary, dir, program) = match prepare_run(out) {
+        Ok(prepared) => prepared,
         Err(e) => {
             eprintln!("pepperhook: {e}");
             return Exit::Usage;
         }
     };
-    let exit = match pepperhook_rehearse::agreement::run::play(plan, &program, &dir, tell(out.quiet)).await {
-        Ok(report) => {
-            let exit = finish(&report, out, report.kept());
-            println!("{}", report.verdict());
-            exit
-        }
-        Err(e) => {
-            eprintln!("pepperhook: {e}");
-            Exit::Failed
-        }
-    };
+    let exit =
+        match pepperhook_rehearse::agreement::run::play(plan, &program, &dir, progress_printer(out.quiet))
+            .await
+        {
+            Ok(report) => {
+                let exit = finish(&report, out, report.kept());
+                println!("{}", report.verdict());
+                exit
+            }
+            Err(e) => {
+                eprintln!("pepperhook: {e}");
+                Exit::Failed
+            }
+        };
     if exit == Exit::Failed {
-        eprintln!("pepperhook: to play it again: {again}");
+        eprintln!("pepperhook: to run it again: {rerun_command}");
     }
     exit
 }
 
-async fn rehearse_peak(v: &Variation, out: &Out) -> Exit {
-    let (_temporary, dir, program) = match stage(out) {
-        Ok(stage) => stage,
+async fn rehearse_peak(variation: &Variation, out: &OutputArguments) -> Exit {
+    let (_temporary, dir, program) = match prepare_run(out) {
+        Ok(prepared) => prepared,
         Err(e) => {
             eprintln!("pepperhook: {e}");
             return Exit::Usage;
         }
     };
-    match pepperhook_rehearse::peak::rehearse(v, &program, &dir, tell(out.quiet)).await {
+    match pepperhook_rehearse::peak::rehearse(variation, &program, &dir, progress_printer(out.quiet)).await {
         Ok(report) => finish(&report, out, report.rules_broken.is_empty()),
         Err(e) => {
             eprintln!("pepperhook: {e}");
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,6 +1,6 @@
-//! `serve`, `check` and `playout`.
+//! The commands `serve`, `check` and `playout`.
 
-use crate::{Exit, log, run, signalled};
+use crate::{Exit, log, run, shutdown_signal};
 use pepperhook_front::Front;
 use pepperhook_inventory::InventoryWatcher;
 use pepperhook_playout::record::Recorder;
@@ -11,44 +11,51 @@
 use std::path::{Path, PathBuf};
 use tracing::warn;
 
-/// Reads settings; faults go to standard error.
-fn load(path: &Path) -> Option<Config> {
+/// Loads the settings file; prints its faults to standard error.
+fn load_settings(path: &Path) -> Option<Config> {
     Config::load(path).map_err(|e| eprint!("{e}")).ok()
 }
 
-fn keeper(config: &Config) -> InventoryWatcher {
+fn inventory_watcher(config: &Config) -> InventoryWatcher {
     InventoryWatcher::new(config.inventory.clone(), config.state_dir.as_deref(), config.names.clone())
 }
 
-/// Raises the soft limit of open files to the hard one: a front holds a connection a viewer.
-fn raise_files() {
+/// Raises the soft limit of open files to the hard limit, because a front holds one connection per viewer.
+fn raise_open_file_limit() {
     use nix::sys::resource::{Resource, getrlimit, setrlimit};
     if let Ok((soft, hard)) = getrlimit(Resource::RLIMIT_NOFILE) {
         if soft < hard && setrlimit(Resource::RLIMIT_NOFILE, hard, hard).is_err() {
-            warn!(event = "file-limit", soft, hard, "the limit of open files could not be raised");
+            warn!(
+                event = "file-limit",
+                soft, hard, "could not raise the soft limit of open files to the hard limit"
+            );
         }
     }
 }
 
-/// Runs a front until a signal.
+/// Runs a front until SIGTERM or SIGINT; prints its addresses as one JSON line once it serves.
 pub fn serve(path: &Path) -> Exit {
-    let Some(config) = load(path) else { return Exit::Usage };
+    let Some(config) = load_settings(path) else { return Exit::Usage };
     log::start(config.log, "info");
-    raise_files();
+    raise_open_file_limit();
     if let Some(dir) = &config.state_dir {
         if let Err(e) = std::fs::create_dir_all(dir) {
             eprintln!("pepperhook: state-dir {}: {e}", dir.display());
             return Exit::Usage;
         }
     }
-    let mut keeper = keeper(&config);
-    let nodes = match keeper.load_initial() {
+    let mut watcher = inventory_watcher(&config);
+    let nodes = match watcher.load_initial() {
         Ok((nodes, faults)) => {
             for fault in faults.iter().take(10) {
                 warn!(event = "inventory-fault", "{fault}");
             }
             if !faults.is_empty() {
-                warn!(event = "inventory-kept", nodes = nodes.len(), "started on the last good list");
+                warn!(
+                    event = "inventory-kept",
+                    nodes = nodes.len(),
+                    "the current list of nodes is invalid; started on the last valid list"
+                );
             }
             nodes
         }
@@ -58,34 +65,34 @@
         }
     };
     run(async move {
-        let front = match Front::start(config, rand::random(), nodes, Some(keeper)).await {
+        let front = match Front::start(config, rand::random(), nodes, Some(watcher)).await {
             Ok(front) => front,
             Err(e) => {
                 eprintln!("pepperhook: {e}");
                 return Exit::Usage;
             }
         };
-        say(&json!({"address": front.address(), "admin": front.admin()}));
-        signalled().await;
+        print_json_line(&json!({"address": front.address(), "admin": front.admin()}));
+        shutdown_signal().await;
         front.stop().await;
         Exit::Done
     })
 }
 
-/// One line on standard output; who does not read it has no use for it.
-fn say(line: &serde_json::Value) {
+/// Prints one line to standard output; write errors are ignored, since a reader that closed it needs no output.
+fn print_json_line(line: &serde_json::Value) {
     let mut out = std::io::stdout().lock();
     let _ = writeln!(out, "{line}").and_then(|()| out.flush());
 }
 
-/// Reads settings and list, and prints what is wrong.
+/// Checks the settings and the list of nodes, and prints their faults.
 pub fn check(path: &Path) -> Exit {
-    let Some(config) = load(path) else { return Exit::Usage };
-    let read = std::fs::read(&config.inventory);
-    let faults = match read.map(|b| pepperhook_inventory::parse(&b, &config.names)) {
+    let Some(config) = load_settings(path) else { return Exit::Usage };
+    let list = std::fs::read(&config.inventory);
+    let faults = match list.map(|bytes| pepperhook_inventory::parse(&bytes, &config.names)) {
         Ok(Ok(nodes)) => {
             println!("{}: {} nodes, {} titles", path.display(), nodes.len(), config.titles.len());
-            return without_holders(&config, &nodes);
+            return check_title_holders(&config, &nodes);
         }
         Ok(Err(faults)) => faults.iter().map(ToString::to_string).collect(),
         Err(e) => vec![e.to_string()],
@@ -94,20 +101,21 @@
     Exit::Failed
 }
 
-/// A title that no listed node holds can never be played.
-fn without_holders(config: &Config, nodes: &[pepperhook_inventory::Node]) -> Exit {
+/// Fails if no listed node holds a copy of a title, since such a title can never be played.
+fn check_title_holders(config: &Config, nodes: &[pepperhook_inventory::Node]) -> Exit {
     let cells = config.decisions.cells;
-    let held = |t: &pepperhook_settings::Title| {
-        nodes.iter().any(|n| (n.entry.cell + cells - t.home % cells) % cells < t.copies)
+    let is_held = |title: &pepperhook_settings::Title| {
+        nodes.iter().any(|node| (node.entry.cell + cells - title.home % cells) % cells < title.copies)
     };
-    let missing: Vec<&String> = config.titles.iter().filter(|(_, t)| !held(t)).map(|(n, _)| n).collect();
+    let missing: Vec<&String> =
+        config.titles.iter().filter(|(_, title)| !is_held(title)).map(|(name, _)| name).collect();
     for name in &missing {
-        eprintln!("title '{name}': no listed node holds it");
+        eprintln!("title '{name}': no listed node holds a copy of it");
     }
     if missing.is_empty() { Exit::Done } else { Exit::Failed }
 }
 
-/// Stands in for nodes until a signal.
+/// Simulates playout nodes until SIGTERM or SIGINT; prints each node's addresses as one JSON line.
 pub async fn playout(config: Option<PathBuf>, record: Option<PathBuf>) -> Exit {
     let nodes = match config {
         None => vec![Options::default()],
@@ -122,7 +130,7 @@
             }
         }
     };
-    raise_files();
+    raise_open_file_limit();
     let recorder = match &record {
         Some(path) => Recorder::to_file("playout", path),
         None => Ok(Recorder::silent()),
@@ -134,9 +142,9 @@
     match stands {
         Ok(stands) => {
             for s in &stands {
-                say(&json!({"name": s.name, "address": s.address, "control": s.control}));
+                print_json_line(&json!({"name": s.name, "address": s.address, "control": s.control}));
             }
-            signalled().await;
+            shutdown_signal().await;
             Exit::Done
         }
         Err(e) => {
