--- a/crates/cli/tests/common/log.rs
+++ b/crates/cli/tests/common/log.rs
@@ -1,100 +1,110 @@
-//! A change log in a test's hands: it tells what the test writes and holds what the test holds. Nodes and viewers
-//! besides.
+//! A change log that sends only what the test writes to it, and simple nodes and viewers.
 #![allow(dead_code)]
 
-use crate::given::{Front, Raw, SECOND, message, read};
+use crate::harness::{Front, Raw, SECOND, message, read};
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, channel};
 use std::thread::spawn;
 use std::time::Duration;
 
-/// Longer than anything that is waited for here takes on a busy machine.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout for everything that these tests wait for, generous enough for a busy machine.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A front that has asked: the connection, and the number from which it asks.
-pub struct Asked {
+/// A front's connection to the change log.
+pub struct LogConnection {
     pub stream: TcpStream,
-    pub last: u64,
+    /// Number of the last event that the front has; it requests the events after it.
+    pub last_event: u64,
 }
 
-impl Asked {
-    pub fn tell(&mut self, bytes: &[u8]) {
-        self.stream.write_all(bytes).expect("the front reads");
+impl LogConnection {
+    pub fn send(&mut self, bytes: &[u8]) {
+        self.stream.write_all(bytes).expect("the front closed the connection");
     }
 
-    /// Waits until the front has let this connection go.
-    pub fn wait_until_left(mut self) {
-        self.stream.set_read_timeout(Some(PATIENCE)).expect("a time");
+    /// Waits until the front has closed this connection.
+    pub fn wait_until_closed(mut self) {
+        self.stream.set_read_timeout(Some(TIMEOUT)).expect("cannot set the read or write timeout");
         let end = self.stream.read(&mut [0; 8]);
         let reset = |e: &std::io::Error| e.kind() == std::io::ErrorKind::ConnectionReset;
-        assert!(matches!(&end, Ok(0)) || end.as_ref().is_err_and(reset), "not let go: {end:?}");
+        assert!(
+            matches!(&end, Ok(0)) || end.as_ref().is_err_and(reset),
+            "the front did not close the connection: {end:?}"
+        );
     }
 
-    /// Ends the connection and waits until the front has seen it.
-    pub fn end(self) {
-        self.stream.shutdown(std::net::Shutdown::Write).expect("shuts");
-        self.wait_until_left();
+    /// Shuts down the connection and waits until the front has closed it.
+    pub fn close(self) {
+        self.stream.shutdown(std::net::Shutdown::Write).expect("cannot shut down the socket");
+        self.wait_until_closed();
     }
 }
 
-pub struct Log {
+/// A change log that accepts connections of fronts and leaves sending to the test.
+pub struct ChangeLog {
     pub address: SocketAddr,
-    asks: Receiver<Asked>,
+    accepted: Receiver<LogConnection>,
 }
 
-impl Log {
+impl ChangeLog {
     pub fn new() -> Self {
-        Self::on(TcpListener::bind("127.0.0.1:0").expect("binds"))
+        Self::on(TcpListener::bind("127.0.0.1:0").expect("cannot bind to a loopback port"))
     }
 
     pub fn on(listener: TcpListener) -> Self {
-        let address = listener.local_addr().expect("an address");
-        let (tell, asks) = channel();
+        let address = listener.local_addr().expect("no valid address");
+        let (accepted_sender, accepted) = channel();
         spawn(move || {
             for stream in listener.incoming() {
                 let Ok(mut stream) = stream else { return };
-                let mut last = [0; 8];
-                if stream.read_exact(&mut last).is_ok()
-                    && tell.send(Asked { stream, last: u64::from_be_bytes(last) }).is_err()
+                let mut last_event = [0; 8];
+                if stream.read_exact(&mut last_event).is_ok()
+                    && accepted_sender
+                        .send(LogConnection { stream, last_event: u64::from_be_bytes(last_event) })
+                        .is_err()
                 {
                     return;
                 }
             }
         });
-        Self { address, asks }
+        Self { address, accepted }
     }
 
-    pub fn asked(&self) -> Asked {
-        self.asks.recv_timeout(PATIENCE).expect("the front asks")
+    /// Waits for the next connection of a front.
+    pub fn accept(&self) -> LogConnection {
+        self.accepted.recv_timeout(TIMEOUT).expect("the front did not request events from the change log")
     }
 
-    /// Whether somebody has asked whom nobody has met yet.
-    pub fn waits(&self) -> bool {
-        self.asks.try_recv().is_ok()
+    /// Whether a front has connected since the last [`Self::accept`]; removes that connection.
+    pub fn has_new_connection(&self) -> bool {
+        self.accepted.try_recv().is_ok()
     }
 }
 
-/// One record by the protocol's layout.
+/// A node's record in the change log.
 #[derive(Clone, Copy, Debug)]
 pub struct Record {
     pub id: u32,
     pub address: SocketAddrV4,
+    /// 0 up, 1 draining, 2 removed.
     pub state: u8,
     pub zone: u8,
     pub kind: u8,
+    /// In thousandths.
     pub weight: u32,
-    pub started: u64,
+    /// Unix time of the node's start in milliseconds; 0 if that was long ago.
+    pub started_ms: u64,
 }
 
 impl Record {
     pub fn new(id: u32, state: u8, address: SocketAddr) -> Self {
         let SocketAddr::V4(address) = address else { panic!("IPv4") };
-        Self { id, address, state, zone: 0, kind: 0, weight: 1_000, started: 0 }
+        Self { id, address, state, zone: 0, kind: 0, weight: 1_000, started_ms: 0 }
     }
 
-    /// One at an address that nobody dials, since it drains.
-    pub fn idle(id: u32) -> Self {
+    /// A draining node, at an address to which no front connects because of that.
+    pub fn draining(id: u32) -> Self {
         Self::new(id, 1, SocketAddr::from((Ipv4Addr::new(127, 3, (id >> 8) as u8, id as u8), 2905)))
     }
 
@@ -104,12 +114,12 @@
         out.extend(self.address.port().to_be_bytes());
         out.extend([self.state, self.zone, self.kind, 0, 0]);
         out.extend(self.weight.to_be_bytes());
-        out.extend(self.started.to_be_bytes());
+        out.extend(self.started_ms.to_be_bytes());
         out
     }
 }
 
-/// One frame: kind 0, 1 or 2, or whatever the test wants it to be.
+/// A frame of the change log. Kind 0 is a heartbeat, 1 a snapshot, 2 changes; others are invalid.
 pub fn frame(number: u64, kind: u8, records: &[Record]) -> Vec<u8> {
     let mut out = (9 + 27 * records.len() as u32).to_be_bytes().to_vec();
     out.extend(number.to_be_bytes());
@@ -118,46 +128,49 @@
     out
 }
 
-pub fn nothing(number: u64) -> Vec<u8> {
+/// A heartbeat frame with the number of the last event.
+pub fn heartbeat(number: u64) -> Vec<u8> {
     frame(number, 0, &[])
 }
 
+/// A frame with an event that changes the list.
 pub fn changes(number: u64, records: &[Record]) -> Vec<u8> {
     frame(number, 2, records)
 }
 
-/// A node that takes what comes; the ids of set-ups that came to it.
-pub fn node() -> (SocketAddr, Receiver<String>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
-    let address = listener.local_addr().expect("an address");
-    let (tell, told) = channel();
+/// Starts a node that accepts all set-ups; returns its address and the session ids of the set-ups.
+pub fn start_node() -> (SocketAddr, Receiver<String>) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind to a loopback port");
+    let address = listener.local_addr().expect("no valid address");
+    let (set_up_sender, set_ups) = channel();
     spawn(move || {
         for stream in listener.incoming() {
-            let (Ok(mut stream), tell) = (stream, tell.clone()) else { return };
+            let (Ok(mut stream), set_up_sender) = (stream, set_up_sender.clone()) else { return };
             spawn(move || {
-                while let Ok(m) = read(&mut stream) {
-                    let session = m.field("Session").unwrap_or("").to_owned();
+                while let Ok(request) = read(&mut stream) {
+                    let session = request.field("Session").unwrap_or("").to_owned();
                     let answer = |number: &str, body: &[u8]| {
                         let fields = [("CSeq", number), ("Session", &*session), ("P-Load", "x0:0.1;x1:0.1")];
                         message("RTSP/1.0 200 OK", &fields, body)
                     };
-                    let words = match m.head.split(' ').next() {
+                    let reply = match request.head.split(' ').next() {
                         Some("OPTIONS") => answer("3", b""),
                         Some("SETUP") => answer("1", b"an answer\r\n"),
                         _ => continue,
                     };
-                    let _ = stream.write_all(&words);
-                    if m.head.starts_with("SETUP") && tell.send(session).is_err() {
+                    let _ = stream.write_all(&reply);
+                    if request.head.starts_with("SETUP") && set_up_sender.send(session).is_err() {
                         return;
                     }
                 }
             });
         }
     });
-    (address, told)
+    (address, set_ups)
 }
 
-pub fn set_up(id: u64, class: &str) -> Vec<u8> {
+/// A set-up request of a viewer, with 2.5 s to its deadline.
+pub fn set_up_request(id: u64, class: &str) -> Vec<u8> {
     let id = format!("{id:016x}");
     let fields = [
         ("CSeq", "1"),
@@ -170,29 +183,29 @@
     message("SETUP rtsp://media/00000000000000f1 RTSP/1.0", &fields, b"an offer\r\n")
 }
 
-/// Asks on a connection of its own.
-pub fn asks(front: &Front, id: u64) -> Raw {
+/// Requests a session on a new connection and returns the answer.
+pub fn request_session(front: &Front, id: u64) -> Raw {
     let mut stream = front.connect();
-    stream.write_all(&set_up(id, "lesson")).expect("writes");
-    read(&mut stream).expect("an answer")
+    stream.write_all(&set_up_request(id, "lesson")).expect("cannot write to the connection");
+    read(&mut stream).expect("no answer")
 }
 
 pub fn is_served(answer: &Raw) -> bool {
     answer.head.starts_with("RTSP/1.0 200")
 }
 
-/// Asks until one is served, which is so once the front has taken the node in.
-pub fn served_at_last(front: &Front, first: u64) {
-    let until = std::time::Instant::now() + PATIENCE;
-    let mut n = first;
-    while !is_served(&asks(front, n)) {
-        assert!(std::time::Instant::now() < until, "nobody was served");
-        n += 1;
+/// Requests sessions, with ids from `first_id` on, until one is served: the front has applied an event with a new node.
+pub fn wait_until_served(front: &Front, first_id: u64) {
+    let deadline = std::time::Instant::now() + TIMEOUT;
+    let mut id = first_id;
+    while !is_served(&request_session(front, id)) {
+        assert!(std::time::Instant::now() < deadline, "no session was served within {TIMEOUT:?}");
+        id += 1;
     }
 }
 
-/// A client that has passed a test and says nothing more.
-pub fn idler(front: &Front) -> Option<TcpStream> {
+/// Connects a client that sends one OPTIONS request, which is answered, and then nothing.
+pub fn connect_idle_client(front: &Front) -> Option<TcpStream> {
     let mut stream = TcpStream::connect(front.address).ok()?;
     stream.set_read_timeout(Some(5 * SECOND)).ok()?;
     stream.write_all(&message("OPTIONS rtsp://media/ping RTSP/1.0", &[("CSeq", "3")], b"")).ok()?;
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A front and stand-in nodes in one process, and processes of the command, for tests on sockets.
+//! Helpers for tests on sockets: a front and simulated nodes in the test's process, and processes of the command.
 #![allow(dead_code)]
 
 use pepperhook_front::Front;
@@ -17,17 +17,21 @@
 use tokio::time::{Instant, sleep};
 
 pub const SECOND: Duration = Duration::from_secs(1);
+/// Timeout for everything that a test waits for; equal to the viewers' patience in [`settings`].
 pub const PATIENCE: Duration = Duration::from_secs(4);
+/// Header of a request with an SDP offer.
 pub const SDP: (&str, &str) = ("content-type", "application/sdp");
+/// Header of a request with a trickle fragment.
 pub const FRAGMENT: (&str, &str) = ("content-type", "application/trickle-ice-sdpfrag");
 
-/// Runs a test on one thread.
+/// Runs a test on a single-threaded runtime, with support for tasks that are not `Send`.
 pub fn local(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("cannot start the runtime");
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-/// Settings of a test's front: `n` nodes in two racks, title `t` on all of them.
+/// Settings of a front with `n` nodes in two racks, all of which hold the titles `t` and `live`; begins with `more`.
 pub fn settings(n: usize, more: &str) -> String {
     format!(
         "{more}\nname front\nlisten 127.0.0.1:0\nadmin 127.0.0.1:0\nadmin-key key\ninventory nodes.csv\nzones z\n\
@@ -42,40 +46,43 @@
     )
 }
 
-/// What `check` says of settings that end in `bad`, and the line on which that begins. It must turn them down.
+/// Runs `check` on the settings `before` followed by `bad` and asserts that it rejects them. Returns its error text and
+/// the number of the line on which `bad` begins.
 pub async fn turned_down(dir: &Path, before: &str, bad: &str) -> (String, usize) {
-    std::fs::write(dir.join("bad.conf"), format!("{before}{bad}")).expect("written");
+    std::fs::write(dir.join("bad.conf"), format!("{before}{bad}")).expect("cannot write the file");
     let out = Command::new(env!("CARGO_BIN_EXE_pepperhook"))
         .args(["check", "-c", "bad.conf"])
         .current_dir(dir)
         .output()
         .await
-        .expect("it ran");
-    let said = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert_eq!(out.status.code(), Some(2), "{bad}: {said}");
-    (said, before.lines().count() + 1)
+        .expect("cannot run the command");
+    let errors = String::from_utf8_lossy(&out.stderr).into_owned();
+    assert_eq!(out.status.code(), Some(2), "settings were not rejected: {bad}: {errors}");
+    (errors, before.lines().count() + 1)
 }
 
-/// A list of nodes as the fronts read it.
-pub fn list(stands: &[(String, SocketAddr)], started_ms: u64) -> String {
+/// List of nodes in the format that fronts read, one cell per node.
+pub fn list(nodes: &[(String, SocketAddr)], started_ms: u64) -> String {
     let mut list = "name,address,zone,cell,kind,weight,state,started\n".to_owned();
-    for (i, (name, address)) in stands.iter().enumerate() {
+    for (i, (name, address)) in nodes.iter().enumerate() {
         list += &format!("{name},{address},z,{i},std,1,ready,{started_ms}\n");
     }
     list
 }
 
+/// Names and addresses of the nodes, for [`list`].
 pub fn places(stands: &[Stand]) -> Vec<(String, SocketAddr)> {
     stands.iter().map(|s| (s.name.clone(), s.address)).collect()
 }
 
+/// Starts a front in this process, with fixed seed and without state directory.
 pub async fn front_with(settings: &str, list: &str) -> Front {
-    let config = Config::parse("test.conf", settings).expect("settings");
-    let nodes = pepperhook_inventory::parse(list.as_bytes(), &config.names).expect("a list");
-    Front::start(config, 7, nodes, None).await.expect("a front")
+    let config = Config::parse("test.conf", settings).expect("invalid settings");
+    let nodes = pepperhook_inventory::parse(list.as_bytes(), &config.names).expect("invalid list of nodes");
+    Front::start(config, 7, nodes, None).await.expect("cannot start the front")
 }
 
-/// A front and its nodes.
+/// A front and its simulated nodes in the test's process, with a recorder of the nodes' traffic.
 pub struct Rig {
     pub front: Front,
     pub stands: Vec<Stand>,
@@ -87,67 +94,73 @@
         Self::with(n, "", |_| {}).await
     }
 
+    /// `more` is put in front of the settings, `change` is applied to the options of each node.
     pub async fn with(n: usize, more: &str, change: impl Fn(&mut Options)) -> Self {
         let recorder = Recorder::in_memory("");
-        let options = |i: usize| {
-            let mut o =
+        let node_options = |i: usize| {
+            let mut options =
                 Options { name: format!("n{i}"), rack: (i % 2) as u32, seed: i as u64, ..Options::default() };
-            change(&mut o);
-            o
+            change(&mut options);
+            options
         };
-        let stands = start((0..n).map(options).collect(), &recorder).await.expect("nodes");
+        let stands =
+            start((0..n).map(node_options).collect(), &recorder).await.expect("cannot start the nodes");
         let front = front_with(&settings(n, more), &list(&places(&stands), 0)).await;
         Self { front, stands, recorder }
     }
 
+    /// Injects the same faults at all nodes.
     pub fn all(&self, faults: Faults) {
         self.stands.iter().for_each(|s| s.faults(faults));
     }
 
     pub async fn connect(&self) -> Connection {
-        Connection::open(self.front.address()).await.expect("a connection")
+        Connection::open(self.front.address()).await.expect("cannot connect to the front")
     }
 
-    /// One POST for title `t` on a connection of its own.
-    /// `viewer` may carry further arguments of the query.
+    /// Sends a POST for title `t` on a new connection and reads the reply.
+    /// `viewer` may be followed by further arguments of the query.
     pub async fn ask(&self, viewer: &str, request: u64) -> (Connection, Result<Reply, End>) {
-        let mut c = self.connect().await;
-        post(&mut c, viewer, request).await;
-        let reply = c.reply(Instant::now() + PATIENCE).await;
-        (c, reply)
+        let mut connection = self.connect().await;
+        post(&mut connection, viewer, request).await;
+        let reply = connection.reply(Instant::now() + PATIENCE).await;
+        (connection, reply)
     }
 
-    /// A session that plays: its connection and its URL.
+    /// Sets up a session and asserts success; returns its connection and its URL.
     pub async fn play(&self, viewer: &str, request: u64) -> (Connection, String) {
-        let (c, reply) = self.ask(viewer, request).await;
-        let reply = reply.expect("an answer");
-        assert_eq!(reply.status, 201, "{}", String::from_utf8_lossy(&reply.body));
-        (c, reply.header("location").expect("a location").to_owned())
+        let (connection, reply) = self.ask(viewer, request).await;
+        let reply = reply.expect("no answer");
+        assert_eq!(reply.status, 201, "session was not set up: {}", String::from_utf8_lossy(&reply.body));
+        (connection, reply.header("location").expect("no Location header").to_owned())
     }
 
+    /// Number of sessions at all nodes.
     pub fn sessions(&self) -> usize {
         self.stands.iter().map(|s| s.state().sessions).sum()
     }
 
+    /// Number of attempts that arrived at all nodes so far.
     pub fn attempts(&self) -> u64 {
         self.stands.iter().map(|s| s.state().attempts).sum()
     }
 
+    /// Traffic of the nodes, as recorded.
     pub fn lines(&self) -> Vec<Line> {
         self.recorder.lines()
     }
 
-    /// Never two attempts out at once for what came with one `o=` line.
+    /// Asserts that no two attempts were in flight at once for offers with the same `o=` line.
     pub fn assert_one_out(&self) {
-        let mut open: std::collections::BTreeMap<(String, u64), String> = Default::default();
+        let mut in_flight: std::collections::BTreeMap<(String, u64), String> = Default::default();
         for line in self.lines() {
             match line.what {
                 What::Attempt { attempt, origin, .. } => {
-                    assert!(!open.values().any(|o| *o == origin), "two attempts out for {origin}");
-                    open.insert((line.who, attempt), origin);
+                    assert!(!in_flight.values().any(|o| *o == origin), "two attempts in flight for {origin}");
+                    in_flight.insert((line.who, attempt), origin);
                 }
                 What::Answered { attempt, .. } | What::Closed { attempt } => {
-                    open.remove(&(line.who, attempt));
+                    in_flight.remove(&(line.who, attempt));
                 }
                 _ => {}
             }
@@ -155,30 +168,31 @@
     }
 }
 
-pub async fn post(c: &mut Connection, viewer: &str, request: u64) {
+/// Sends a POST with an offer for title `t`, without waiting for the reply.
+pub async fn post(connection: &mut Connection, viewer: &str, request: u64) {
     let path = format!("/whep/t?viewer={viewer}");
-    c.send("POST", &path, &[SDP], offer(request).as_bytes()).await.expect("sent");
+    connection.send("POST", &path, &[SDP], offer(request).as_bytes()).await.expect("cannot send the request");
 }
 
-/// Waits until something holds, as long as a viewer would.
+/// Waits up to [`PATIENCE`] until the condition holds.
 pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + PATIENCE;
     while !holds() {
-        assert!(Instant::now() < end, "never: {what}");
+        assert!(Instant::now() < deadline, "not within {PATIENCE:?}: {what}");
         sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// The problem type at the end of its `urn`.
+/// Asserts that the reply is a valid problem document; returns the last part of the URN in its type.
 pub fn problem(reply: &Reply) -> String {
     assert_eq!(reply.header("content-type"), Some("application/problem+json"));
-    let v: serde_json::Value = serde_json::from_slice(&reply.body).expect("JSON");
-    assert_eq!(v["status"].as_u64(), Some(u64::from(reply.status)));
-    assert!(v["title"].is_string() && v["detail"].is_string());
-    v["type"].as_str().and_then(|t| t.rsplit(':').next()).expect("a type").to_owned()
+    let problem: serde_json::Value = serde_json::from_slice(&reply.body).expect("invalid JSON");
+    assert_eq!(problem["status"].as_u64(), Some(u64::from(reply.status)));
+    assert!(problem["title"].is_string() && problem["detail"].is_string());
+    problem["type"].as_str().and_then(|t| t.rsplit(':').next()).expect("the problem has no type").to_owned()
 }
 
-/// A process of the command that has said that it serves.
+/// Starts the command and waits for its first line of output, which is JSON and shows that it serves.
 pub async fn spawn(arguments: &[&str], dir: &Path) -> (Child, serde_json::Value) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_pepperhook"))
         .args(arguments)
@@ -188,12 +202,12 @@
         .stderr(Stdio::null())
         .kill_on_drop(true)
         .spawn()
-        .expect("a process");
+        .expect("cannot start the process");
     let mut line = String::new();
-    let out = child.stdout.take().expect("standard output");
-    let mut reader = BufReader::new(out);
-    reader.read_line(&mut line).await.expect("a line");
-    let ready = serde_json::from_str(&line).expect("JSON");
+    let stdout = child.stdout.take().expect("stdout is not piped");
+    let mut reader = BufReader::new(stdout);
+    reader.read_line(&mut line).await.expect("cannot read from stdout");
+    let ready = serde_json::from_str(&line).expect("invalid JSON");
     tokio::task::spawn_local(async move {
         let mut rest = String::new();
         while reader.read_line(&mut rest).await.is_ok_and(|n| n > 0) {
@@ -203,6 +217,7 @@
     (child, ready)
 }
 
+/// Address of a front, from its first line of output.
 pub fn address(ready: &serde_json::Value) -> SocketAddr {
-    ready["address"].as_str().expect("an address").parse().expect("an address")
+    ready["address"].as_str().expect("no valid address").parse().expect("no valid address")
 }
--- a/crates/cli/tests/common/platform.rs
+++ b/crates/cli/tests/common/platform.rs
@@ -1,4 +1,5 @@
-//! The command's `platform` as a process, and what tests on its sockets say and hear; it shares no code with it.
+//! Runs `pepperhook platform` as a process; scripted change log and messages for its sockets, which share no code with
+//! the front.
 #![allow(dead_code)]
 
 use serde_json::{Value, json};
@@ -11,7 +12,7 @@
 
 pub const SECOND: Duration = Duration::from_secs(1);
 
-/// A message as it passes: its head, and its body.
+/// A message as it is on the wire.
 #[derive(Debug)]
 pub struct Raw {
     pub head: String,
@@ -19,13 +20,19 @@
 }
 
 impl Raw {
+    /// Value of the first header field of this name; case of the name is ignored.
     pub fn field(&self, name: &str) -> Option<&str> {
-        let of = |l: &'_ str| l.split_once(": ").map(|(n, v)| (n.to_owned(), v.len()));
-        let line = self.head.lines().find(|l| of(l).is_some_and(|(n, _)| n.eq_ignore_ascii_case(name)))?;
-        line.split_once(": ").map(|(_, v)| v)
+        let field_name =
+            |line: &'_ str| line.split_once(": ").map(|(name, value)| (name.to_owned(), value.len()));
+        let line = self
+            .head
+            .lines()
+            .find(|line| field_name(line).is_some_and(|(found, _)| found.eq_ignore_ascii_case(name)))?;
+        line.split_once(": ").map(|(_, value)| value)
     }
 }
 
+/// Reads one complete message.
 pub fn read(stream: &mut TcpStream) -> std::io::Result<Raw> {
     let (mut head, mut byte) = (Vec::new(), [0]);
     while !head.ends_with(b"\r\n\r\n") {
@@ -39,40 +46,48 @@
     Ok(Raw { head, body })
 }
 
-pub fn message(first: &str, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
-    let mut out = format!("{first}\r\n");
-    fields.iter().for_each(|(n, v)| out += &format!("{n}: {v}\r\n"));
+/// Encodes a message from its first line, fields and body.
+pub fn message(first_line: &str, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+    let mut out = format!("{first_line}\r\n");
+    fields.iter().for_each(|(name, value)| out += &format!("{name}: {value}\r\n"));
     out += &format!("Content-Length: {}\r\n\r\n", body.len());
     [out.as_bytes(), body].concat()
 }
 
-/// A change log that never has anything new and counts who asks; it hands out `frames` once.
+/// Starts a change log that sends `frames` once on each connection and then nothing. Returns its address and, for each
+/// connection, the number of the last event that the front has.
 pub fn change_log(frames: Vec<u8>) -> (SocketAddr, Receiver<u64>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
-    let address = listener.local_addr().expect("an address");
-    let (tell, told) = channel();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind to a loopback port");
+    let address = listener.local_addr().expect("no valid address");
+    let (request_sender, requests) = channel();
     spawn(move || {
         for stream in listener.incoming() {
-            let (Ok(mut stream), frames, tell) = (stream, frames.clone(), tell.clone()) else { return };
+            let (Ok(mut stream), frames, request_sender) = (stream, frames.clone(), request_sender.clone())
+            else {
+                return;
+            };
             spawn(move || {
-                let mut last = [0; 8];
-                if stream.read_exact(&mut last).is_ok() && tell.send(u64::from_be_bytes(last)).is_ok() {
+                let mut last_event = [0; 8];
+                if stream.read_exact(&mut last_event).is_ok()
+                    && request_sender.send(u64::from_be_bytes(last_event)).is_ok()
+                {
                     let _ = stream.write_all(&frames);
-                    // Until the front goes.
-                    let _ = stream.read(&mut last);
+                    // Keeps the connection open until the front closes it.
+                    let _ = stream.read(&mut last_event);
                 }
             });
         }
     });
-    (address, told)
+    (address, requests)
 }
 
+/// Configuration of a front end with these nodes, numbered from 0, and the change log at `log`.
 pub fn config(nodes: &[SocketAddr], log: SocketAddr) -> Value {
     let servers: Vec<_> = nodes
         .iter()
         .enumerate()
-        .map(|(i, a)| {
-            json!({"id": format!("s-{i:08x}"), "addr": a.to_string(), "zone": "z", "kind": "k", "cell": i,
+        .map(|(i, address)| {
+            json!({"id": format!("s-{i:08x}"), "addr": address.to_string(), "zone": "z", "kind": "k", "cell": i,
                    "state": "up", "weight": 1, "started_ms": 0})
         })
         .collect();
@@ -97,11 +112,13 @@
     })
 }
 
-/// A running front end, ended with the test.
+/// A front end as a process, which is killed when the value is dropped.
 pub struct Front {
     pub child: Child,
     pub address: SocketAddr,
-    pub lines: Receiver<String>,
+    /// Lines of the front's log, without colour codes.
+    pub log_lines: Receiver<String>,
+    /// The configuration file.
     pub file: tempfile::NamedTempFile,
 }
 
@@ -112,21 +129,22 @@
     }
 }
 
+/// Starts a front end and waits until it listens.
 pub fn front(config: &Value) -> Front {
-    started(Command::new(env!("CARGO_BIN_EXE_pepperhook")), config)
+    start_front(Command::new(env!("CARGO_BIN_EXE_pepperhook")), config)
 }
 
-/// A front whose process may hold so many descriptors, whatever its configuration says.
-pub fn limited(config: &Value, descriptors: u32) -> Front {
+/// Starts a front end whose process has this limit on open descriptors, regardless of its configuration.
+pub fn front_with_descriptor_limit(config: &Value, descriptors: u32) -> Front {
     let mut command = Command::new("sh");
     command.args(["-c", &format!("ulimit -n {descriptors} && exec \"$0\" \"$@\"")]);
     command.arg(env!("CARGO_BIN_EXE_pepperhook"));
-    started(command, config)
+    start_front(command, config)
 }
 
-fn started(mut command: Command, config: &Value) -> Front {
-    let file = tempfile::NamedTempFile::new().expect("a file");
-    std::fs::write(file.path(), config.to_string()).expect("writes");
+fn start_front(mut command: Command, config: &Value) -> Front {
+    let file = tempfile::NamedTempFile::new().expect("cannot create a temporary file");
+    std::fs::write(file.path(), config.to_string()).expect("cannot write the file");
     let mut child = command
         .args(["platform", "--config"])
         .arg(file.path())
@@ -134,20 +152,23 @@
         .env_remove("BALANCER_LISTEN")
         .stderr(Stdio::piped())
         .spawn()
-        .expect("starts");
-    let (tell, lines) = channel();
-    let stderr = child.stderr.take().expect("piped");
+        .expect("cannot start the process");
+    let (line_sender, log_lines) = channel();
+    let stderr = child.stderr.take().expect("stderr is not piped");
     spawn(move || {
-        BufReader::new(stderr).lines().map_while(Result::ok).try_for_each(|l| tell.send(plain(&l)))
+        BufReader::new(stderr)
+            .lines()
+            .map_while(Result::ok)
+            .try_for_each(|l| line_sender.send(strip_colours(&l)))
     });
-    let ready = wait(&lines, "listening");
+    let ready = wait_for_log_line(&log_lines, "listening");
     let address =
         ready.split("address=").nth(1).and_then(|a| a.split(' ').next()).and_then(|a| a.parse().ok());
-    Front { child, address: address.expect("an address"), lines, file }
+    Front { child, address: address.expect("no valid address"), log_lines, file }
 }
 
-/// A line without its colours.
-fn plain(line: &str) -> String {
+/// Removes the colour codes from a line.
+fn strip_colours(line: &str) -> String {
     let mut out = String::new();
     let mut rest = line;
     while let Some((before, after)) = rest.split_once('\x1b') {
@@ -157,12 +178,14 @@
     out + rest
 }
 
-pub fn wait(lines: &Receiver<String>, what: &str) -> String {
-    let until = Instant::now() + 10 * SECOND;
+/// Waits up to 10 s for a log line that contains `text`.
+pub fn wait_for_log_line(log_lines: &Receiver<String>, text: &str) -> String {
+    let deadline = Instant::now() + 10 * SECOND;
     loop {
-        let left = until.saturating_duration_since(Instant::now());
-        let line = lines.recv_timeout(left).unwrap_or_else(|_| panic!("no line with {what:?}"));
-        if line.contains(what) {
+        let left = deadline.saturating_duration_since(Instant::now());
+        let line =
+            log_lines.recv_timeout(left).unwrap_or_else(|_| panic!("no log line with {text:?} within 10 s"));
+        if line.contains(text) {
             return line;
         }
     }
@@ -170,20 +193,20 @@
 
 impl Front {
     pub fn connect(&self) -> TcpStream {
-        let stream = TcpStream::connect(self.address).expect("connects");
-        stream.set_read_timeout(Some(5 * SECOND)).expect("a time");
+        let stream = TcpStream::connect(self.address).expect("cannot connect to the front");
+        stream.set_read_timeout(Some(5 * SECOND)).expect("cannot set the read or write timeout");
         stream
     }
 
     pub fn signal(&self, name: &str) {
         let pid = nix::unistd::Pid::from_raw(self.child.id() as i32);
-        nix::sys::signal::kill(pid, name.parse::<nix::sys::signal::Signal>().expect("a signal"))
-            .expect("sent");
+        nix::sys::signal::kill(pid, name.parse::<nix::sys::signal::Signal>().expect("unknown signal name"))
+            .expect("cannot send the signal");
     }
 }
 
-/// One frame of the change log: one record of a node, by the protocol's layout.
-pub fn changed(number: u64, id: u32, state: u8, address: SocketAddr) -> Vec<u8> {
+/// A frame of the change log with an event that changes one node.
+pub fn node_change(number: u64, id: u32, state: u8, address: SocketAddr) -> Vec<u8> {
     let SocketAddr::V4(v4) = address else { panic!("IPv4") };
     let mut record = id.to_be_bytes().to_vec();
     record.extend(v4.ip().octets());
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -1,9 +1,9 @@
 //! `pepperhook platform` as a process on loopback: scripted nodes, viewers and a change log that share no code with it.
 
 #[path = "common/platform.rs"]
-mod given;
+mod harness;
 
-use given::*;
+use harness::*;
 use serde_json::{Value, json};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -209,7 +209,7 @@
     assert_eq!(asked.recv_timeout(5 * SECOND), Ok(3));
     std::fs::write(front.file.path(), "{").expect("writes");
     front.signal("SIGHUP");
-    wait(&front.lines, "config-kept");
+    wait_for_log_line(&front.log_lines, "config-kept");
     // The new change log drops the first node and brings the second one.
     let SocketAddr::V4(second) = second else { panic!("an address of four bytes") };
     let record = |id: u32, address: std::net::SocketAddrV4, state: u8| {
@@ -244,7 +244,7 @@
     viewer.write_all(&set_up("00000000000000b1")).expect("writes");
     assert!(read(&mut viewer).expect("an answer").head.starts_with("RTSP/1.0 200"));
     front.signal("SIGTERM");
-    wait(&front.lines, "stopping");
+    wait_for_log_line(&front.log_lines, "stopping");
     viewer.write_all(&set_up("00000000000000b2")).expect("writes");
     assert!(read(&mut viewer).expect("an answer").head.starts_with("RTSP/1.0 200"));
     assert!(asks(&front, "00000000000000b3").head.starts_with("RTSP/1.0 200"));
@@ -346,9 +346,9 @@
     let (second, served) = scripted(answer);
     let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
     let log = listener.local_addr().expect("an address");
-    let drains = changed(4, 0, 1, first);
-    let gone = changed(5, 0, 2, first);
-    let comes = changed(6, 9, 0, second);
+    let drains = node_change(4, 0, 1, first);
+    let gone = node_change(5, 0, 2, first);
+    let comes = node_change(6, 9, 0, second);
     let (tell, asked) = channel();
     spawn(move || {
         let pieces = [
@@ -419,7 +419,7 @@
         heard += usize::from(m.field("CSeq") == Some("2"));
     }
     front.signal("SIGTERM");
-    wait(&front.lines, "stopped");
+    wait_for_log_line(&front.log_lines, "stopped");
     drop(front);
     let (mut out, mut back) = (1, 0);
     for m in told.try_iter().filter(|m| m.field("Session").is_some_and(|s| s.starts_with("ee"))) {
--- a/crates/cli/tests/platform_drain.rs
+++ b/crates/cli/tests/platform_drain.rs
@@ -2,11 +2,11 @@
 //! holds the configuration, a request's rest, the process itself or a FIN until the front is seen to be at that point.
 
 #[path = "common/platform.rs"]
-mod given;
+mod harness;
 #[path = "common/sockets.rs"]
 mod sockets;
 
-use given::*;
+use harness::*;
 use sockets::*;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -180,8 +180,8 @@
     std::fs::write(&file, &text).expect("writes");
     std::fs::rename(&file, Starting::path(starting.pipe.path())).expect("has its place");
     drop(pipe);
-    let ready = wait(&starting.lines, "listening");
-    wait(&starting.lines, "config-taken");
+    let ready = wait_for_log_line(&starting.lines, "listening");
+    wait_for_log_line(&starting.lines, "config-taken");
     let mut viewer = TcpStream::connect(address_of(&ready)).expect("connects");
     viewer.write_all(&set_up("00000000000000a1")).expect("writes");
     assert!(read(&mut viewer).expect("an answer").head.starts_with("RTSP/1.0 200"));
@@ -209,11 +209,11 @@
     viewer.write_all(&set_up(&open)).expect("writes");
     assert!(told.iter().any(|m| m.field("Session") == Some(&open)), "it is out at the node");
     front.signal("SIGTERM");
-    wait(&front.lines, "stopping");
+    wait_for_log_line(&front.log_lines, "stopping");
     for signal in ["SIGTERM", "SIGINT", "SIGHUP", "SIGTERM"] {
         front.signal(signal);
     }
-    wait(&front.lines, "config-taken");
+    wait_for_log_line(&front.log_lines, "config-taken");
     viewer.write_all(&set_up("00000000000000a2")).expect("writes");
     let (all, _) = to_the_end(viewer);
     assert_eq!(answers(&all, "00000000000000a2"), [200]);
@@ -234,7 +234,7 @@
     read(&mut old).expect("a test passed");
     front.signal("SIGTERM");
     let signalled = Instant::now();
-    wait(&front.lines, "stopping");
+    wait_for_log_line(&front.log_lines, "stopping");
     front.signal("SIGSTOP");
     while state(&front.child) != 'T' {
         std::thread::yield_now();
@@ -271,7 +271,7 @@
     viewer.write_all(&request[..request.len() / 2]).expect("writes");
     front.signal("SIGTERM");
     let signalled = Instant::now();
-    wait(&front.lines, "stopping");
+    wait_for_log_line(&front.log_lines, "stopping");
     std::thread::sleep((signalled + ms(1_100)).saturating_duration_since(Instant::now()));
     let rest = viewer.write_all(&request[request.len() / 2..]);
     let (all, end) = to_the_end(viewer);
@@ -307,7 +307,7 @@
         // It crosses the front's end of the connection.
         let crossed = viewer.write_all(&ping());
         let after = viewer.read(&mut all);
-        if held(&front, &viewer).is_some_and(|h| h.owned) {
+        if front_socket_state(&front, &viewer).is_some_and(|h| h.owned) {
             // The front had it all the time: it has read what came, and reset nothing.
             assert!(crossed.is_ok() && matches!(after, Ok(0)), "{crossed:?}, {after:?}");
             seen += 1;
@@ -327,7 +327,7 @@
     let (node, told) = node();
     let mut front = starts(&[node]);
     let deaf = front.connect();
-    deafen(&front, &deaf);
+    fill_answer_queue(&front, &deaf);
     let mut viewer = front.connect();
     let open = format!("{SILENT}0000000000a1");
     viewer.write_all(&set_up(&open)).expect("writes");
@@ -351,7 +351,7 @@
     let (node, _told) = node();
     let mut front = starts(&[node]);
     let deaf = front.connect();
-    deafen(&front, &deaf);
+    fill_answer_queue(&front, &deaf);
     front.signal("SIGTERM");
     let signalled = Instant::now();
     assert_eq!(ends(&mut front.child), Some(0));
@@ -408,7 +408,7 @@
                         message("ANNOUNCE rtsp://media/00000000000000f1 RTSP/1.0", &[("CSeq", "9")], b"");
                     let crossed = stream.write_all(&note);
                     let after = stream.read(&mut [0; 64]);
-                    let owned = shown(front, node).is_some_and(|h| h.owned);
+                    let owned = socket_state(front, node).is_some_and(|h| h.owned);
                     let _ = tell.send((end, crossed.is_ok(), after.map_err(|e| e.kind()), owned));
                 });
             }
@@ -458,7 +458,7 @@
     viewer.write_all(&end).expect("writes");
     assert_eq!(read(&mut viewer).expect("it is heard").field("CSeq"), Some("2"));
     front.signal("SIGTERM");
-    wait(&front.lines, "stopping");
+    wait_for_log_line(&front.log_lines, "stopping");
     drop(queue);
     let (tell, told) = channel();
     spawn(move || {
--- a/crates/cli/tests/platform_floods.rs
+++ b/crates/cli/tests/platform_floods.rs
@@ -2,11 +2,11 @@
 //! a full table of descriptors does. Requests, halves of them and the limit on descriptors are held by the test.
 
 #[path = "common/platform.rs"]
-mod given;
+mod harness;
 #[path = "common/sockets.rs"]
 mod sockets;
 
-use given::*;
+use harness::*;
 use serde_json::{Value, json};
 use sockets::*;
 use std::io::{ErrorKind, Read, Write};
@@ -210,7 +210,7 @@
     let deaf: Vec<_> = (0..2)
         .map(|_| {
             let stream = front.connect();
-            deafen(&front, &stream);
+            fill_answer_queue(&front, &stream);
             stream
         })
         .collect();
@@ -314,7 +314,7 @@
             stream
         })
         .collect();
-    wait(&front.lines, "accept-failed");
+    wait_for_log_line(&front.log_lines, "accept-failed");
     // Connections that it has are served meanwhile. The node has one, too.
     let began = (Instant::now(), ticks(&front));
     let mut served = 0;
@@ -326,7 +326,7 @@
     }
     let spent = ticks(&front) - began.1;
     assert!(spent < 100, "{spent} ticks of 10 ms in 2 s, {served} tests passed");
-    let warnings = front.lines.try_iter().filter(|l| l.contains("accept-failed")).count();
+    let warnings = front.log_lines.try_iter().filter(|l| l.contains("accept-failed")).count();
     assert!(warnings == 0, "{warnings} more warnings within 5 s");
     assert!(!waiting.iter().any(is_ended), "a connection was closed");
     limit(&front, 256);
@@ -381,8 +381,8 @@
     let (mut asked, _) = listener.accept().expect("the front asks");
     asked.read_exact(&mut [0; 8]).expect("a number");
     let asked_after = back.elapsed();
-    asked.write_all(&changed(4, 0, 2, one.address)).expect("writes");
-    asked.write_all(&changed(5, 9, 0, two.address)).expect("writes");
+    asked.write_all(&node_change(4, 0, 2, one.address)).expect("writes");
+    asked.write_all(&node_change(5, 9, 0, two.address)).expect("writes");
     let give_up = Instant::now() + 5 * SECOND;
     let mut n = 21;
     while two.told.try_recv().is_err() {
--- a/crates/cli/tests/platform_leaving.rs
+++ b/crates/cli/tests/platform_leaving.rs
@@ -3,9 +3,9 @@
 //! one wake, in whatever order it looks.
 
 #[path = "common/platform.rs"]
-mod given;
+mod harness;
 
-use given::*;
+use harness::*;
 use nix::sys::wait::{WaitPidFlag, WaitStatus, waitpid};
 use nix::unistd::Pid;
 use serde_json::json;
--- a/crates/cli/tests/platform_reload.rs
+++ b/crates/cli/tests/platform_reload.rs
@@ -2,12 +2,12 @@
 //! of the start goes on by them. Nodes hold their answers until a test lets them go.
 
 #[path = "common/platform.rs"]
-mod given;
+mod harness;
 #[path = "common/log.rs"]
-mod log;
+mod scripted_log;
 
-use given::*;
-use log::*;
+use harness::*;
+use scripted_log::*;
 use serde_json::{Value, json};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -76,9 +76,9 @@
 
 fn asks_as(front: &Front, id: u64, class: &str) -> TcpStream {
     let mut stream = front.connect();
-    let text = String::from_utf8(set_up(id, class)).expect("text");
+    let text = String::from_utf8(set_up_request(id, class)).expect("text");
     stream.write_all(text.replace("Expires-Ms: 2500", "Expires-Ms: 60000").as_bytes()).expect("writes");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a time");
     stream
 }
 
@@ -98,11 +98,11 @@
 #[test]
 fn a_file_that_is_anothers_changes_nothing_for_whom_it_meets() {
     let (node, arrived) = holding();
-    let (old, new) = (Log::new(), Log::new());
+    let (old, new) = (ChangeLog::new(), ChangeLog::new());
     let mut good = config(&[node], old.address);
     classes(&mut good, &["lesson", "clip", "briefing"]);
     let front = front(&good);
-    let mut asked = old.asked();
+    let mut asked = old.accept();
     let moved = |change: &dyn Fn(&mut Value)| {
         let mut v = good.clone();
         v["changelog"] = json!(new.address.to_string());
@@ -144,7 +144,7 @@
     for (i, (field, text)) in cases.iter().enumerate() {
         let id = |n: u64| 0x10 * (i as u64 + 1) + n;
         let arrives = |class: &str| {
-            let a = arrived.recv_timeout(PATIENCE).expect("a set-up arrives");
+            let a = arrived.recv_timeout(TIMEOUT).expect("a set-up arrives");
             assert_eq!(a.class, class, "{field}");
             a
         };
@@ -155,7 +155,7 @@
         let mut open = asks_as(&front, id(2), "briefing");
         let mut held = arrives("briefing");
         rewrite(&front, text);
-        let line = wait(&front.lines, "config-kept");
+        let line = wait_for_log_line(&front.log_lines, "config-kept");
         let path = front.file.path().display().to_string();
         assert!(line.contains(field) && line.contains(&path), "{field}: {line}");
         let mut later = asks_as(&front, id(3), "clip");
@@ -174,37 +174,37 @@
             assert_eq!(read(viewer).expect("an answer").field("CSeq"), Some("3"), "{field}");
         }
         last += 1;
-        asked.tell(&changes(last, &[Record::idle(100 + i as u32)]));
+        asked.send(&changes(last, &[Record::draining(100 + i as u32)]));
     }
-    assert!(!old.waits() && !new.waits(), "the log that was followed is followed");
-    asked.end();
-    assert_eq!(old.asked().last, last, "all that it told was taken");
-    assert!(!new.waits());
+    assert!(!old.has_new_connection() && !new.has_new_connection(), "the log that was followed is followed");
+    asked.close();
+    assert_eq!(old.accept().last_event, last, "all that it told was taken");
+    assert!(!new.has_new_connection());
     // The good one, moved: taken after all.
     rewrite(&front, &moved(&|_| {}));
-    wait(&front.lines, "config-taken");
-    assert_eq!(new.asked().last, last);
+    wait_for_log_line(&front.log_lines, "config-taken");
+    assert_eq!(new.accept().last_event, last);
 }
 
 /// Figures that may differ wait, and are named: limits far beneath what stands end nothing.
 #[test]
 fn limits_beneath_what_stands_wait_for_the_next_start() {
     let (node, arrived) = holding();
-    let (old, new) = (Log::new(), Log::new());
+    let (old, new) = (ChangeLog::new(), ChangeLog::new());
     let mut config = config(&[node], old.address);
     classes(&mut config, &["lesson"]);
     let front = front(&config);
-    let asked = old.asked();
+    let asked = old.accept();
     let serves = |id: u64| {
         let mut viewer = asks_as(&front, id, "lesson");
-        let mut session = arrived.recv_timeout(PATIENCE).expect("arrives");
+        let mut session = arrived.recv_timeout(TIMEOUT).expect("arrives");
         session.plays();
         plays(&mut viewer);
         (viewer, session)
     };
     let mut standing: Vec<_> = (1..40).map(serves).collect();
     let mut open = asks_as(&front, 50, "lesson");
-    let mut held = arrived.recv_timeout(PATIENCE).expect("arrives");
+    let mut held = arrived.recv_timeout(TIMEOUT).expect("arrives");
     config["changelog"] = json!(new.address.to_string());
     config["limits"]["sockets"] = json!(18);
     config["seed"] = json!("0000000000000001");
@@ -212,7 +212,7 @@
     config["settings"]["n_instances"] = json!(7);
     config["settings"]["specifics"]["seats"] = json!([1]);
     rewrite(&front, &config.to_string());
-    let line = wait(&front.lines, "config-waits");
+    let line = wait_for_log_line(&front.log_lines, "config-waits");
     for field in [
         "limits.sockets",
         "seed",
@@ -222,8 +222,8 @@
     ] {
         assert!(line.contains(field), "{field}: {line}");
     }
-    asked.wait_until_left();
-    assert_eq!(new.asked().last, 3);
+    asked.wait_until_closed();
+    assert_eq!(new.accept().last_event, 3);
     held.plays();
     plays(&mut open);
     standing.extend((60..80).map(serves));
@@ -238,17 +238,17 @@
 /// A file that nobody writes to the end, or that is gone, holds nobody up.
 #[test]
 fn a_file_that_cannot_be_read_holds_nobody_up() {
-    let (node, _told) = node();
-    let log = Log::new();
+    let (node, _told) = start_node();
+    let log = ChangeLog::new();
     let good = config(&[node], log.address);
     let front = front(&good);
-    let mut asked = log.asked();
+    let mut asked = log.accept();
     let path = front.file.path().to_owned();
     let kept = |id: u64| {
         front.signal("SIGHUP");
-        let line = wait(&front.lines, "config-kept");
+        let line = wait_for_log_line(&front.log_lines, "config-kept");
         assert!(line.contains(&path.display().to_string()), "{line}");
-        assert!(is_served(&asks(&front, id)));
+        assert!(is_served(&request_session(&front, id)));
     };
     std::fs::remove_file(&path).expect("removed");
     kept(1);
@@ -262,9 +262,9 @@
     kept(4);
     std::fs::write(&path, good.to_string()).expect("writes");
     front.signal("SIGHUP");
-    wait(&front.lines, "config-taken");
-    asked.tell(&nothing(3));
-    assert!(!log.waits(), "the same log: asked once");
+    wait_for_log_line(&front.log_lines, "config-taken");
+    asked.send(&heartbeat(3));
+    assert!(!log.has_new_connection(), "the same log: asked once");
 }
 
 /// What cannot be used ends with 2 and one line that names file and field.
