--- a/crates/cli/tests/platform_drain.rs
+++ b/crates/cli/tests/platform_drain.rs
@@ -1,5 +1,5 @@
-//! Signals and the end of `pepperhook platform`, each looked at in the instant in which something is still owed: the test
-//! holds the configuration, a request's rest, the process itself or a FIN until the front is seen to be at that point.
+//! Signals to and shutdown of `pepperhook platform` while a request, a release or the start is unfinished. A test holds
+//! back the configuration, the rest of a request, the process itself or a FIN until the front has reached that point.
 
 #[path = "common/platform.rs"]
 mod harness;
@@ -16,14 +16,15 @@
 use std::thread::spawn;
 use std::time::{Duration, Instant};
 
-/// Requests of these ids are never answered by the node.
-const SILENT: &str = "5117";
+/// The node never answers set-ups whose ids begin with this.
+const UNANSWERED_PREFIX: &str = "5117";
 
-fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
-fn set_up(id: &str) -> Vec<u8> {
+/// A set-up request of a viewer, with 3 s to its deadline.
+fn set_up_request(id: &str) -> Vec<u8> {
     let fields = [
         ("CSeq", "1"),
         ("Session", id),
@@ -34,360 +35,410 @@
     message("SETUP rtsp://media/00000000000000f1 RTSP/1.0", &fields, b"an offer\r\n")
 }
 
+/// An OPTIONS request, which the front answers by itself.
 fn ping() -> Vec<u8> {
     message("OPTIONS rtsp://media/ping RTSP/1.0", &[("CSeq", "3")], b"")
 }
 
-/// A node that serves every set-up but the silent ones; it tells what it was sent.
-fn node() -> (SocketAddr, Receiver<Raw>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
-    let address = listener.local_addr().expect("an address");
-    let (tell, told) = channel();
+/// Starts a node that accepts every set-up except those with [`UNANSWERED_PREFIX`]; returns its address and the messages
+/// that it received.
+fn start_node() -> (SocketAddr, Receiver<Raw>) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind to a loopback port");
+    let address = listener.local_addr().expect("no valid address");
+    let (message_sender, received) = channel();
     spawn(move || {
         for stream in listener.incoming() {
-            let (Ok(mut stream), tell) = (stream, tell.clone()) else { return };
+            let (Ok(mut stream), message_sender) = (stream, message_sender.clone()) else { return };
             spawn(move || {
-                while let Ok(m) = read(&mut stream) {
-                    let session = m.field("Session").unwrap_or("").to_owned();
+                while let Ok(request) = read(&mut stream) {
+                    let session = request.field("Session").unwrap_or("").to_owned();
                     let answer = |number, body: &[u8]| {
                         message("RTSP/1.0 200 OK", &[("CSeq", number), ("Session", &session)], body)
                     };
-                    let bytes = match m.head.split(' ').next() {
-                        Some("SETUP") if !session.starts_with(SILENT) => answer("1", b"an answer\r\n"),
+                    let bytes = match request.head.split(' ').next() {
+                        Some("SETUP") if !session.starts_with(UNANSWERED_PREFIX) => {
+                            answer("1", b"an answer\r\n")
+                        }
                         Some("TEARDOWN") => answer("2", b""),
                         Some("OPTIONS") => answer("3", b""),
                         _ => Vec::new(),
                     };
-                    if stream.write_all(&bytes).is_err() || tell.send(m).is_err() {
+                    if stream.write_all(&bytes).is_err() || message_sender.send(request).is_err() {
                         return;
                     }
                 }
             });
         }
     });
-    (address, told)
+    (address, received)
 }
 
-fn starts(nodes: &[SocketAddr]) -> Front {
+/// Starts a front with these nodes and a change log without events.
+fn front_with_nodes(nodes: &[SocketAddr]) -> Front {
     front(&config(nodes, change_log(Vec::new()).0))
 }
 
-/// All whole messages up to the end of the connection, and how it ended.
-fn to_the_end(mut stream: TcpStream) -> (Vec<Raw>, std::io::ErrorKind) {
-    stream.set_read_timeout(Some(10 * SECOND)).expect("a time");
-    let mut all = Vec::new();
+/// Reads all complete messages up to the end of the connection; the error kind is `UnexpectedEof` after an orderly end.
+fn read_to_end(mut stream: TcpStream) -> (Vec<Raw>, std::io::ErrorKind) {
+    stream.set_read_timeout(Some(10 * SECOND)).expect("cannot set the read or write timeout");
+    let mut messages = Vec::new();
     loop {
         match read(&mut stream) {
-            Ok(m) => all.push(m),
-            Err(e) => return (all, e.kind()),
+            Ok(message) => messages.push(message),
+            Err(e) => return (messages, e.kind()),
         }
     }
 }
 
-/// The heads' status of answers to one set-up.
-fn answers(all: &[Raw], id: &str) -> Vec<u16> {
-    let to = all.iter().filter(|m| m.field("Session") == Some(id) && m.field("CSeq") == Some("1"));
-    to.filter_map(|m| m.head.strip_prefix("RTSP/1.0 ")?.get(..3)?.parse().ok())
-        .filter(|s| *s >= 200)
+/// Status codes of the final answers to one set-up.
+fn answer_statuses(messages: &[Raw], id: &str) -> Vec<u16> {
+    let answers = messages.iter().filter(|m| m.field("Session") == Some(id) && m.field("CSeq") == Some("1"));
+    answers
+        .filter_map(|m| m.head.strip_prefix("RTSP/1.0 ")?.get(..3)?.parse().ok())
+        .filter(|status| *status >= 200)
         .collect()
 }
 
-/// Waits for the end: the exit code.
-fn ends(child: &mut Child) -> Option<i32> {
-    let give_up = Instant::now() + 10 * SECOND;
+/// Waits up to 10 s for the end of the process; returns its exit code.
+fn wait_for_exit(child: &mut Child) -> Option<i32> {
+    let deadline = Instant::now() + 10 * SECOND;
     loop {
-        if let Some(status) = child.try_wait().expect("a child") {
+        if let Some(status) = child.try_wait().expect("cannot wait for the process") {
             return status.code();
         }
-        assert!(Instant::now() < give_up, "it does not end");
+        assert!(Instant::now() < deadline, "the process did not end within 10 s");
         std::thread::sleep(ms(2));
     }
 }
 
-/// The state letter of the process, as the system shows it.
-fn state(child: &Child) -> char {
-    let stat = std::fs::read_to_string(format!("/proc/{}/stat", child.id())).expect("a process");
-    stat.rsplit(") ").next().and_then(|s| s.chars().next()).expect("a state")
+/// State of the process as a letter of `/proc/PID/stat`, such as `T` for stopped.
+fn process_state(child: &Child) -> char {
+    let stat = std::fs::read_to_string(format!("/proc/{}/stat", child.id()))
+        .expect("cannot read the state of the process");
+    stat.rsplit(") ").next().and_then(|s| s.chars().next()).expect("no state in the process's status")
 }
 
 // ---- signals -----------------------------------------------------------------------------------
 
-/// A front whose configuration is a pipe: it is seen to read it, and goes on when it is written.
-struct Starting {
+/// A front whose configuration file is a pipe, so a test can hold it back while the front reads it.
+struct StartingFront {
     child: Child,
-    lines: Receiver<String>,
-    pipe: tempfile::TempDir,
+    log_lines: Receiver<String>,
+    /// The folder of the pipe.
+    folder: tempfile::TempDir,
 }
 
-impl Drop for Starting {
+impl Drop for StartingFront {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-impl Starting {
-    fn path(dir: &Path) -> std::path::PathBuf {
-        dir.join("config.json")
+impl StartingFront {
+    fn config_path(folder: &Path) -> std::path::PathBuf {
+        folder.join("config.json")
     }
 
     fn new() -> Self {
-        let pipe = tempfile::tempdir().expect("a folder");
-        let made = Command::new("mkfifo").arg(Self::path(pipe.path())).status().expect("runs");
-        assert!(made.success());
+        let folder = tempfile::tempdir().expect("cannot create a temporary folder");
+        let made = Command::new("mkfifo")
+            .arg(Self::config_path(folder.path()))
+            .status()
+            .expect("cannot run the command");
+        assert!(made.success(), "mkfifo failed");
         let mut child = Command::new(env!("CARGO_BIN_EXE_pepperhook"))
             .args(["platform", "--config"])
-            .arg(Self::path(pipe.path()))
+            .arg(Self::config_path(folder.path()))
             .env_remove("BALANCER_NAME")
             .env_remove("BALANCER_LISTEN")
             .env("NO_COLOR", "1")
             .stderr(Stdio::piped())
             .spawn()
-            .expect("starts");
-        let (tell, lines) = channel();
-        let stderr = child.stderr.take().expect("piped");
-        spawn(move || BufReader::new(stderr).lines().map_while(Result::ok).try_for_each(|l| tell.send(l)));
-        Self { child, lines, pipe }
+            .expect("cannot start the process");
+        let (line_sender, log_lines) = channel();
+        let stderr = child.stderr.take().expect("stderr is not piped");
+        spawn(move || {
+            BufReader::new(stderr).lines().map_while(Result::ok).try_for_each(|l| line_sender.send(l))
+        });
+        Self { child, log_lines, folder }
     }
 
-    /// Returns once the front has opened the pipe to read it.
-    fn reads(&self) -> std::fs::File {
-        std::fs::OpenOptions::new().write(true).open(Self::path(self.pipe.path())).expect("a reader")
+    /// Waits until the front has opened the pipe for reading; returns the end for writing.
+    fn wait_until_reading(&self) -> std::fs::File {
+        std::fs::OpenOptions::new()
+            .write(true)
+            .open(Self::config_path(self.folder.path()))
+            .expect("cannot open the pipe")
     }
 
     fn signal(&self, signal: nix::sys::signal::Signal) {
         let pid = nix::unistd::Pid::from_raw(self.child.id() as i32);
-        nix::sys::signal::kill(pid, signal).expect("sent");
+        nix::sys::signal::kill(pid, signal).expect("cannot send the signal");
     }
 }
 
+/// Address in the log line with which a front reports that it listens.
 fn address_of(line: &str) -> SocketAddr {
     let address = line.split("address=").nth(1).and_then(|a| a.split(' ').next());
-    address.and_then(|a| a.parse().ok()).expect("an address")
+    address.and_then(|a| a.parse().ok()).expect("no valid address")
 }
 
 #[test]
-fn a_sighup_while_the_configuration_is_first_read_ends_nothing_and_is_taken_afterwards() {
-    let (node, _told) = node();
+fn a_sighup_during_the_first_read_of_the_configuration_causes_a_reload_after_the_start() {
+    let (node, _received) = start_node();
     let text = config(&[node], change_log(Vec::new()).0).to_string();
-    let starting = Starting::new();
-    let mut pipe = starting.reads();
+    let starting = StartingFront::new();
+    let mut pipe = starting.wait_until_reading();
     starting.signal(nix::sys::signal::Signal::SIGHUP);
-    pipe.write_all(text.as_bytes()).expect("writes");
-    // It is read again, since it may have changed after it was read; a file has its place by then, as no pipe is waited
-    // for while others are served.
-    let file = starting.pipe.path().join("next.json");
-    std::fs::write(&file, &text).expect("writes");
-    std::fs::rename(&file, Starting::path(starting.pipe.path())).expect("has its place");
+    pipe.write_all(text.as_bytes()).expect("cannot write to the connection");
+    // The SIGHUP makes the front read the configuration again. A regular file must have replaced the pipe by then, because
+    // a front that serves does not wait for a pipe.
+    let file = starting.folder.path().join("next.json");
+    std::fs::write(&file, &text).expect("cannot write the file");
+    std::fs::rename(&file, StartingFront::config_path(starting.folder.path()))
+        .expect("cannot replace the file");
     drop(pipe);
-    let ready = wait_for_log_line(&starting.lines, "listening");
-    wait_for_log_line(&starting.lines, "config-taken");
-    let mut viewer = TcpStream::connect(address_of(&ready)).expect("connects");
-    viewer.write_all(&set_up("00000000000000a1")).expect("writes");
-    assert!(read(&mut viewer).expect("an answer").head.starts_with("RTSP/1.0 200"));
+    let ready = wait_for_log_line(&starting.log_lines, "listening");
+    wait_for_log_line(&starting.log_lines, "config-taken");
+    let mut viewer = TcpStream::connect(address_of(&ready)).expect("cannot connect to the front");
+    viewer.write_all(&set_up_request("00000000000000a1")).expect("cannot write to the connection");
+    assert!(read(&mut viewer).expect("no answer").head.starts_with("RTSP/1.0 200"));
 }
 
 #[test]
-fn a_sigterm_while_the_configuration_is_first_read_is_an_orderly_end() {
+fn a_sigterm_during_the_first_read_of_the_configuration_ends_the_process_with_exit_code_0() {
     let text = config(&[], change_log(Vec::new()).0).to_string();
     for signal in [nix::sys::signal::Signal::SIGTERM, nix::sys::signal::Signal::SIGINT] {
-        let mut starting = Starting::new();
-        let mut pipe = starting.reads();
+        let mut starting = StartingFront::new();
+        let mut pipe = starting.wait_until_reading();
         starting.signal(signal);
-        pipe.write_all(text.as_bytes()).expect("writes");
+        pipe.write_all(text.as_bytes()).expect("cannot write to the connection");
         drop(pipe);
-        assert_eq!(ends(&mut starting.child), Some(0), "{signal}");
+        assert_eq!(wait_for_exit(&mut starting.child), Some(0), "wrong exit code after {signal}");
     }
 }
 
 #[test]
-fn signals_after_sigterm_neither_end_it_sooner_nor_leave_anybody_without_an_answer() {
-    let (node, told) = node();
-    let mut front = starts(&[node]);
+fn signals_after_sigterm_do_not_shorten_the_shutdown_or_drop_requests() {
+    let (node, received) = start_node();
+    let mut front = front_with_nodes(&[node]);
     let mut viewer = front.connect();
-    let open = format!("{SILENT}0000000000a1");
-    viewer.write_all(&set_up(&open)).expect("writes");
-    assert!(told.iter().any(|m| m.field("Session") == Some(&open)), "it is out at the node");
+    let pending = format!("{UNANSWERED_PREFIX}0000000000a1");
+    viewer.write_all(&set_up_request(&pending)).expect("cannot write to the connection");
+    assert!(
+        received.iter().any(|m| m.field("Session") == Some(&pending)),
+        "the set-up did not reach the node"
+    );
     front.signal("SIGTERM");
     wait_for_log_line(&front.log_lines, "stopping");
     for signal in ["SIGTERM", "SIGINT", "SIGHUP", "SIGTERM"] {
         front.signal(signal);
     }
     wait_for_log_line(&front.log_lines, "config-taken");
-    viewer.write_all(&set_up("00000000000000a2")).expect("writes");
-    let (all, _) = to_the_end(viewer);
-    assert_eq!(answers(&all, "00000000000000a2"), [200]);
-    assert_eq!(answers(&all, &open), [500], "it may have run");
-    assert_eq!(ends(&mut front.child), Some(0));
+    viewer.write_all(&set_up_request("00000000000000a2")).expect("cannot write to the connection");
+    let (all, _) = read_to_end(viewer);
+    assert_eq!(answer_statuses(&all, "00000000000000a2"), [200]);
+    assert_eq!(answer_statuses(&all, &pending), [500], "the set-up may have run, therefore 500 is expected");
+    assert_eq!(wait_for_exit(&mut front.child), Some(0));
 }
 
-// ---- the end -----------------------------------------------------------------------------------
+// ---- shutdown ----------------------------------------------------------------------------------
 
-/// The front stands still from shortly after SIGTERM until its time to end has come; meanwhile requests come on a
-/// connection that it has and on new ones that only the machine has accepted. All of them have an answer.
+/// Guards against requests lost at shutdown: the front is stopped from shortly after SIGTERM until its grace period is
+/// over; meanwhile requests arrive on an accepted connection and on new ones in the listen queue. All are answered.
 #[test]
-fn what_the_machine_has_accepted_and_the_front_has_not_is_answered_at_the_end() {
-    let (node, _told) = node();
-    let mut front = starts(&[node]);
-    let mut old = front.connect();
-    old.write_all(&ping()).expect("writes");
-    read(&mut old).expect("a test passed");
+fn requests_on_connections_in_the_listen_queue_are_answered_at_shutdown() {
+    let (node, _received) = start_node();
+    let mut front = front_with_nodes(&[node]);
+    let mut accepted = front.connect();
+    accepted.write_all(&ping()).expect("cannot write to the connection");
+    read(&mut accepted).expect("no answer to the OPTIONS test");
     front.signal("SIGTERM");
     let signalled = Instant::now();
     wait_for_log_line(&front.log_lines, "stopping");
     front.signal("SIGSTOP");
-    while state(&front.child) != 'T' {
+    while process_state(&front.child) != 'T' {
         std::thread::yield_now();
     }
-    let mut clients = vec![(old, "00000000000000a0".to_owned())];
+    let mut clients = vec![(accepted, "00000000000000a0".to_owned())];
     clients.extend((1..9).map(|n| (front.connect(), format!("00000000000000a{n}"))));
     for (stream, id) in &mut clients {
-        let second = set_up(&id.replace('a', "b"));
-        stream.write_all(&[set_up(id), second].concat()).expect("writes");
+        let second = set_up_request(&id.replace('a', "b"));
+        stream.write_all(&[set_up_request(id), second].concat()).expect("cannot write to the connection");
     }
-    // The end has come for whoever has slept so long.
+    // The front's grace period is over by then.
     std::thread::sleep((signalled + ms(1_000)).saturating_duration_since(Instant::now()));
     front.signal("SIGCONT");
     for (stream, id) in clients {
-        let (all, end) = to_the_end(stream);
+        let (all, end) = read_to_end(stream);
         for id in [id.clone(), id.replace('a', "b")] {
-            // Served, if it was read before the front saw that its end has come.
-            let got = answers(&all, &id);
-            assert!(got == [503] || got == [200], "{id}: {got:?} of {all:?}, then {end:?}");
+            // 200 if the request was read before the front noticed the end of its grace period.
+            let statuses = answer_statuses(&all, &id);
+            assert!(
+                statuses == [503] || statuses == [200],
+                "set-up {id}: statuses are {statuses:?}, not one 503 or 200; messages: {all:?}, end: {end:?}"
+            );
         }
     }
-    assert_eq!(ends(&mut front.child), Some(0));
+    assert_eq!(wait_for_exit(&mut front.child), Some(0));
 }
 
-/// Half a request has come before SIGTERM, its rest comes when the front would have ended without it.
+/// Guards against a request cut off by shutdown: half of it arrives before SIGTERM and the rest when the front would have
+/// ended otherwise.
 #[test]
-fn a_request_that_is_half_written_at_sigterm_is_waited_for_and_answered() {
-    let (node, _told) = node();
-    let mut front = starts(&[node]);
+fn a_request_that_is_half_received_at_sigterm_is_answered() {
+    let (node, _received) = start_node();
+    let mut front = front_with_nodes(&[node]);
     let mut viewer = front.connect();
-    viewer.write_all(&ping()).expect("writes");
-    read(&mut viewer).expect("a test passed");
-    let request = set_up("00000000000000a1");
-    viewer.write_all(&request[..request.len() / 2]).expect("writes");
+    viewer.write_all(&ping()).expect("cannot write to the connection");
+    read(&mut viewer).expect("no answer to the OPTIONS test");
+    let request = set_up_request("00000000000000a1");
+    viewer.write_all(&request[..request.len() / 2]).expect("cannot write to the connection");
     front.signal("SIGTERM");
     let signalled = Instant::now();
     wait_for_log_line(&front.log_lines, "stopping");
     std::thread::sleep((signalled + ms(1_100)).saturating_duration_since(Instant::now()));
     let rest = viewer.write_all(&request[request.len() / 2..]);
-    let (all, end) = to_the_end(viewer);
-    // Served, if the front has come to its end late itself.
-    let got = answers(&all, "00000000000000a1");
-    assert!(got == [503] || got == [200], "{rest:?}, {got:?} of {all:?}, then {end:?}");
-    assert_eq!(ends(&mut front.child), Some(0));
-    // Half a message that never becomes whole holds nobody up for ever.
-    assert!(signalled.elapsed() < 3 * SECOND, "{:?}", signalled.elapsed());
+    let (all, end) = read_to_end(viewer);
+    // 200 if the front itself was late in noticing the end of its grace period.
+    let statuses = answer_statuses(&all, "00000000000000a1");
+    assert!(
+        statuses == [503] || statuses == [200],
+        "statuses are {statuses:?}, not one 503 or 200; write: {rest:?}, messages: {all:?}, end: {end:?}"
+    );
+    assert_eq!(wait_for_exit(&mut front.child), Some(0));
+    // A message that is never completed must not delay the end indefinitely.
+    assert!(
+        signalled.elapsed() < 3 * SECOND,
+        "the front ended {:?} after SIGTERM, not within 3 s",
+        signalled.elapsed()
+    );
 }
 
-/// The front shuts its side and reads on: what was on its way meanwhile resets no connection whose answers are unread.
+/// Guards against resets that discard unread answers: data that arrives at a closed socket resets the connection. The
+/// front therefore shuts down its sending side first and continues to read.
 #[test]
-fn the_front_shuts_its_side_first_and_reads_on_before_it_ends() {
-    let (node, _told) = node();
-    let mut seen = 0;
+fn the_front_half_closes_connections_and_reads_on_before_it_ends() {
+    let (node, _received) = start_node();
+    let mut observed = 0;
     for _ in 0..10 {
-        let mut front = starts(&[node]);
+        let mut front = front_with_nodes(&[node]);
         let mut viewer = front.connect();
         let id = "00000000000000a1";
-        viewer.write_all(&set_up(id)).expect("writes");
+        viewer.write_all(&set_up_request(id)).expect("cannot write to the connection");
         front.signal("SIGTERM");
-        // The answer stays unread until the front has shut its side, which shows itself as readiness alone.
+        // Reads the answer and then the end of the front's sending side.
         let mut all = vec![0; 64 * 1024];
-        let mut got = 0;
+        let mut length = 0;
         loop {
-            match viewer.read(&mut all[got..]).expect("an end in order") {
+            match viewer.read(&mut all[length..]).expect("the connection was reset") {
                 0 => break,
-                n => got += n,
+                n => length += n,
             }
         }
-        assert!(all[..got].starts_with(b"RTSP/1.0 200"));
-        // It crosses the front's end of the connection.
+        assert!(all[..length].starts_with(b"RTSP/1.0 200"), "the set-up was not accepted");
+        // Sent after the front's half-close, which it crosses.
         let crossed = viewer.write_all(&ping());
         let after = viewer.read(&mut all);
-        if front_socket_state(&front, &viewer).is_some_and(|h| h.owned) {
-            // The front had it all the time: it has read what came, and reset nothing.
-            assert!(crossed.is_ok() && matches!(after, Ok(0)), "{crossed:?}, {after:?}");
-            seen += 1;
+        if front_socket_state(&front, &viewer).is_some_and(|socket| socket.owned) {
+            // The front has the socket open still: it must have read the request without resetting the connection.
+            assert!(
+                crossed.is_ok() && matches!(after, Ok(0)),
+                "the connection was reset: write {crossed:?}, read {after:?}"
+            );
+            observed += 1;
         }
         drop(viewer);
-        assert_eq!(ends(&mut front.child), Some(0));
-        if seen >= 2 {
+        assert_eq!(wait_for_exit(&mut front.child), Some(0));
+        if observed >= 2 {
             return;
         }
     }
-    panic!("the front was over each time before its end of the connection was read; {seen} seen");
+    panic!(
+        "the front had ended in too many of 10 rounds before its socket was checked; it was open in {observed}, needed 2"
+    );
 }
 
-/// One viewer does not read, so that answers to it wait in the front; the other is owed an answer at its own time.
+/// Guards against one viewer affecting another at shutdown: one does not read its answers, which queue in the front, while
+/// the other has a set-up pending until its deadline.
 #[test]
-fn a_viewer_that_does_not_read_neither_holds_the_end_up_nor_takes_anothers_answer_along() {
-    let (node, told) = node();
-    let mut front = starts(&[node]);
-    let deaf = front.connect();
-    fill_answer_queue(&front, &deaf);
+fn a_viewer_that_does_not_read_neither_delays_shutdown_nor_costs_another_its_answer() {
+    let (node, received) = start_node();
+    let mut front = front_with_nodes(&[node]);
+    let unread = front.connect();
+    fill_answer_queue(&front, &unread);
     let mut viewer = front.connect();
-    let open = format!("{SILENT}0000000000a1");
-    viewer.write_all(&set_up(&open)).expect("writes");
-    assert!(told.iter().any(|m| m.field("Session") == Some(&open)), "it is out at the node");
+    let pending = format!("{UNANSWERED_PREFIX}0000000000a1");
+    viewer.write_all(&set_up_request(&pending)).expect("cannot write to the connection");
+    assert!(
+        received.iter().any(|m| m.field("Session") == Some(&pending)),
+        "the set-up did not reach the node"
+    );
     let mut quick = front.connect();
-    quick.write_all(&set_up("00000000000000a2")).expect("writes");
+    quick.write_all(&set_up_request("00000000000000a2")).expect("cannot write to the connection");
     front.signal("SIGTERM");
     let signalled = Instant::now();
-    let (all, _) = to_the_end(quick);
-    assert_eq!(answers(&all, "00000000000000a2"), [200]);
-    let (all, _) = to_the_end(viewer);
-    assert_eq!(answers(&all, &open), [500]);
-    assert_eq!(ends(&mut front.child), Some(0));
-    assert!(signalled.elapsed() < ms(3_700), "{:?}", signalled.elapsed());
-    drop(deaf);
+    let (all, _) = read_to_end(quick);
+    assert_eq!(answer_statuses(&all, "00000000000000a2"), [200]);
+    let (all, _) = read_to_end(viewer);
+    assert_eq!(answer_statuses(&all, &pending), [500]);
+    assert_eq!(wait_for_exit(&mut front.child), Some(0));
+    assert!(
+        signalled.elapsed() < ms(3_700),
+        "the front ended {:?} after SIGTERM, not within 3.7 s",
+        signalled.elapsed()
+    );
+    drop(unread);
 }
 
-/// Nothing is owed but to one that does not read: the end comes well before SIGKILL may.
+/// Only answers to a viewer that does not read are outstanding: the front must end well before the platform may send
+/// SIGKILL.
 #[test]
-fn a_viewer_that_does_not_read_is_not_waited_for_until_the_last_moment() {
-    let (node, _told) = node();
-    let mut front = starts(&[node]);
-    let deaf = front.connect();
-    fill_answer_queue(&front, &deaf);
+fn a_viewer_that_does_not_read_does_not_delay_shutdown_until_the_last_moment() {
+    let (node, _received) = start_node();
+    let mut front = front_with_nodes(&[node]);
+    let unread = front.connect();
+    fill_answer_queue(&front, &unread);
     front.signal("SIGTERM");
     let signalled = Instant::now();
-    assert_eq!(ends(&mut front.child), Some(0));
+    assert_eq!(wait_for_exit(&mut front.child), Some(0));
     let took = signalled.elapsed();
     println!("ended {took:?} after SIGTERM, with a viewer that reads nothing");
-    // SIGKILL may come after 3.7 s.
-    assert!(took < ms(3_200), "{took:?}");
+    // The platform may send SIGKILL after 3.7 s.
+    assert!(took < ms(3_200), "the front ended {took:?} after SIGTERM, not within 3.2 s");
 }
 
-/// A viewer that leaves its side open costs a planned restart a tenth of a second.
+/// A viewer that keeps its side of the connection open delays a planned restart by a tenth of a second only.
 #[test]
-fn an_end_without_open_requests_does_not_wait_for_long() {
-    let (node, _told) = node();
-    let mut front = starts(&[node]);
+fn shutdown_without_pending_requests_is_fast() {
+    let (node, _received) = start_node();
+    let mut front = front_with_nodes(&[node]);
     let mut viewer = front.connect();
-    viewer.write_all(&set_up("00000000000000a1")).expect("writes");
-    assert!(read(&mut viewer).expect("an answer").head.starts_with("RTSP/1.0 200"));
+    viewer.write_all(&set_up_request("00000000000000a1")).expect("cannot write to the connection");
+    assert!(read(&mut viewer).expect("no answer").head.starts_with("RTSP/1.0 200"));
     front.signal("SIGTERM");
     let signalled = Instant::now();
-    assert_eq!(ends(&mut front.child), Some(0));
+    assert_eq!(wait_for_exit(&mut front.child), Some(0));
     let took = signalled.elapsed();
     println!("ended {took:?} after SIGTERM, with a viewer that leaves its side open");
-    assert!((ms(900)..ms(2_200)).contains(&took), "{took:?}");
-    assert_eq!(to_the_end(viewer).1, std::io::ErrorKind::UnexpectedEof, "an end in order");
+    assert!(
+        (ms(900)..ms(2_200)).contains(&took),
+        "the front ended {took:?} after SIGTERM, not in 0.9 s to 2.2 s"
+    );
+    assert_eq!(read_to_end(viewer).1, std::io::ErrorKind::UnexpectedEof, "the connection was reset");
 }
 
-/// The same with nodes: what one says until the front has shut its side is read, and resets nothing.
+/// The same for connections to nodes: what a node sends until the front's half-close is read and resets nothing.
 #[test]
-fn connections_to_nodes_are_shut_and_read_on_too() {
+fn connections_to_nodes_are_half_closed_and_read_on_too() {
     for _ in 0..10 {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
-        let address = listener.local_addr().expect("an address");
-        let (tell, ended) = channel();
+        let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind to a loopback port");
+        let address = listener.local_addr().expect("no valid address");
+        let (end_sender, ended) = channel();
         spawn(move || {
             for stream in listener.incoming() {
-                let (Ok(mut stream), tell) = (stream, tell.clone()) else { return };
+                let (Ok(mut stream), end_sender) = (stream, end_sender.clone()) else { return };
                 spawn(move || {
                     let (node, front) = (stream.local_addr(), stream.peer_addr());
                     let (Ok(node), Ok(front)) = (node, front) else { return };
@@ -403,70 +454,74 @@
                             Err(e) => break e.kind(),
                         }
                     };
-                    // A note that crosses the front's end of the connection.
-                    let note =
+                    // Sent after the front's half-close, which it crosses.
+                    let announcement =
                         message("ANNOUNCE rtsp://media/00000000000000f1 RTSP/1.0", &[("CSeq", "9")], b"");
-                    let crossed = stream.write_all(&note);
+                    let crossed = stream.write_all(&announcement);
                     let after = stream.read(&mut [0; 64]);
-                    let owned = socket_state(front, node).is_some_and(|h| h.owned);
+                    let owned = socket_state(front, node).is_some_and(|socket| socket.owned);
                     let _ = tell.send((end, crossed.is_ok(), after.map_err(|e| e.kind()), owned));
                 });
             }
         });
-        let mut front = starts(&[address]);
+        let mut front = front_with_nodes(&[address]);
         let mut viewer = front.connect();
-        viewer.write_all(&set_up("00000000000000a1")).expect("writes");
-        assert!(read(&mut viewer).expect("an answer").head.starts_with("RTSP/1.0 200"));
+        viewer.write_all(&set_up_request("00000000000000a1")).expect("cannot write to the connection");
+        assert!(read(&mut viewer).expect("no answer").head.starts_with("RTSP/1.0 200"));
         front.signal("SIGTERM");
-        assert_eq!(ends(&mut front.child), Some(0));
-        let (end, crossed, after, owned) = ended.recv_timeout(5 * SECOND).expect("it ends");
+        assert_eq!(wait_for_exit(&mut front.child), Some(0));
+        let (end, crossed, after, owned) =
+            ended.recv_timeout(5 * SECOND).expect("the node's connection did not end");
         if owned {
-            // The front had it all the time: it has read what came.
+            // The front has the socket open still: it must have read the announcement.
             assert_eq!((end, crossed, after), (std::io::ErrorKind::UnexpectedEof, true, Ok(0)));
             return;
         }
     }
-    panic!("the front was over each time before its end of the connection was read");
+    panic!("the front had ended in all 10 rounds before its socket was checked");
 }
 
-/// A node ends its connection and takes no other, so that the front's dial is under way: its listen queue is full. The
-/// viewer's release waits for that dial when SIGTERM comes, and reaches the node before the front ends.
+/// Guards against a release lost at shutdown: a node closes its connection, and its listen queue is full, which leaves the
+/// front's new connection pending. The viewer's release waits for that connection when SIGTERM arrives, and must reach
+/// the node before the front ends.
 #[test]
-fn a_release_that_waits_for_a_dial_reaches_its_node_before_the_end() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
-    let address = listener.local_addr().expect("an address");
-    let mut v = config(&[address], change_log(Vec::new()).0);
-    v["settings"]["limits"]["probes"] = serde_json::json!(false);
-    v["settings"]["limits"]["dial_timeout_ns"] = serde_json::json!(3_000_000_000u64);
-    let mut front = front(&v);
+fn a_release_that_waits_for_a_connection_reaches_its_node_before_the_end() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind to a loopback port");
+    let address = listener.local_addr().expect("no valid address");
+    let mut configuration = config(&[address], change_log(Vec::new()).0);
+    configuration["settings"]["limits"]["probes"] = serde_json::json!(false);
+    configuration["settings"]["limits"]["dial_timeout_ns"] = serde_json::json!(3_000_000_000u64);
+    let mut front = front(&configuration);
     let id = "00000000000000a1";
     let mut viewer = front.connect();
-    viewer.write_all(&set_up(id)).expect("writes");
-    let (mut served, _) = listener.accept().expect("the front dials");
-    assert!(read(&mut served).expect("a message").head.starts_with("SETUP"));
+    viewer.write_all(&set_up_request(id)).expect("cannot write to the connection");
+    let (mut served, _) = listener.accept().expect("the front did not connect to the node");
+    assert!(read(&mut served).expect("no message arrived").head.starts_with("SETUP"));
     let fields = [("CSeq", "1"), ("Session", id)];
-    served.write_all(&message("RTSP/1.0 200 OK", &fields, b"an answer\r\n")).expect("writes");
-    assert!(read(&mut viewer).expect("an answer").head.starts_with("RTSP/1.0 200"));
+    served
+        .write_all(&message("RTSP/1.0 200 OK", &fields, b"an answer\r\n"))
+        .expect("cannot write to the connection");
+    assert!(read(&mut viewer).expect("no answer").head.starts_with("RTSP/1.0 200"));
     let mut queue = Vec::new();
     while let Ok(stream) = TcpStream::connect_timeout(&address, ms(200)) {
         queue.push(stream);
-        assert!(queue.len() < 5_000, "the listen queue has no end");
+        assert!(queue.len() < 5_000, "the listen queue is not full after 5000 connections");
     }
     drop(served);
-    let end =
+    let teardown =
         message("TEARDOWN rtsp://media/00000000000000f1 RTSP/1.0", &[("CSeq", "2"), ("Session", id)], b"");
-    viewer.write_all(&end).expect("writes");
-    assert_eq!(read(&mut viewer).expect("it is heard").field("CSeq"), Some("2"));
+    viewer.write_all(&teardown).expect("cannot write to the connection");
+    assert_eq!(read(&mut viewer).expect("the release was not answered").field("CSeq"), Some("2"));
     front.signal("SIGTERM");
     wait_for_log_line(&front.log_lines, "stopping");
     drop(queue);
-    let (tell, told) = channel();
+    let (message_sender, received) = channel();
     spawn(move || {
         for stream in listener.incoming() {
-            let (Ok(mut stream), tell) = (stream, tell.clone()) else { return };
+            let (Ok(mut stream), message_sender) = (stream, message_sender.clone()) else { return };
             spawn(move || {
-                while let Ok(m) = read(&mut stream) {
-                    if tell.send(m).is_err() {
+                while let Ok(message) = read(&mut stream) {
+                    if message_sender.send(message).is_err() {
                         return;
                     }
                 }
@@ -474,48 +529,49 @@
         }
     });
     let is_release = |m: &Raw| m.head.starts_with("TEARDOWN") && m.field("Session") == Some(id);
-    let give_up = Instant::now() + 5 * SECOND;
+    let deadline = Instant::now() + 5 * SECOND;
     let release = loop {
-        let left = give_up.saturating_duration_since(Instant::now());
-        match told.recv_timeout(left).expect("the release reaches the node") {
+        let left = deadline.saturating_duration_since(Instant::now());
+        match received.recv_timeout(left).expect("the release did not reach the node") {
             m if is_release(&m) => break m,
             _ => {}
         }
     };
     assert_eq!(release.field("Reason"), Some("cause=31"));
-    assert_eq!(ends(&mut front.child), Some(0));
+    assert_eq!(wait_for_exit(&mut front.child), Some(0));
 }
 
 // ---- starts ------------------------------------------------------------------------------------
 
-/// A port that is free, to start on it again and again.
-fn free() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("an address")
+/// An address with a free port.
+fn free_address() -> SocketAddr {
+    TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("no valid address")
 }
 
-/// Discovery refuses, or takes the connection and says nothing; clients come all the time. A front that was killed is
-/// ready at once all the same, and serves from what it was told at its start.
+/// Guards against a start that depends on discovery: the change log refuses connections, or accepts them and sends nothing,
+/// while clients connect all the time. A front that was killed is ready again at once and serves from the nodes in its
+/// configuration.
 #[test]
-fn a_killed_front_is_ready_at_once_without_discovery_and_serves_from_known() {
-    let (node, _told) = node();
-    let hangs = TcpListener::bind("127.0.0.1:0").expect("binds");
-    let logs = [free(), hangs.local_addr().expect("an address")];
-    let listen = free();
-    let over = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
+fn a_killed_front_is_ready_at_once_without_discovery_and_serves_from_its_configuration() {
+    let (node, _received) = start_node();
+    let silent_log = TcpListener::bind("127.0.0.1:0").expect("cannot bind to a loopback port");
+    let logs = [free_address(), silent_log.local_addr().expect("no valid address")];
+    let listen = free_address();
+    let finished = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
     let clients: Vec<_> = (0..8u64)
         .map(|n| {
-            let over = over.clone();
+            let finished = finished.clone();
             spawn(move || {
-                let mut k = n << 32;
-                while !over.load(std::sync::atomic::Ordering::SeqCst) {
-                    k += 1;
+                let mut id = n << 32;
+                while !finished.load(std::sync::atomic::Ordering::SeqCst) {
+                    id += 1;
                     let Ok(mut stream) = TcpStream::connect(listen) else {
-                        // Nobody listens: it is tried again in a while, as a client would.
+                        // Nothing listens: retries after a pause, as a client does.
                         std::thread::sleep(ms(2));
                         continue;
                     };
-                    stream.set_read_timeout(Some(5 * SECOND)).expect("a time");
-                    let _ = stream.write_all(&set_up(&format!("{k:016x}")));
+                    stream.set_read_timeout(Some(5 * SECOND)).expect("cannot set the read or write timeout");
+                    let _ = stream.write_all(&set_up_request(&format!("{id:016x}")));
                     let _ = read(&mut stream);
                 }
             })
@@ -523,22 +579,22 @@
         .collect();
     let mut took = Vec::new();
     for n in 0..20 {
-        let mut v = config(&[node], logs[n % 2]);
-        v["listen"] = serde_json::json!(listen.to_string());
+        let mut configuration = config(&[node], logs[n % 2]);
+        configuration["listen"] = serde_json::json!(listen.to_string());
         let began = Instant::now();
-        // Killed at the end of its turn, with clients on it.
-        let front = front(&v);
+        // Killed when it is dropped at the end of this round, while clients are connected.
+        let front = front(&configuration);
         let mut viewer = front.connect();
-        viewer.write_all(&ping()).expect("writes");
-        assert!(read(&mut viewer).expect("a test passed").head.starts_with("RTSP/1.0 200"));
+        viewer.write_all(&ping()).expect("cannot write to the connection");
+        assert!(read(&mut viewer).expect("no answer to the OPTIONS test").head.starts_with("RTSP/1.0 200"));
         took.push(began.elapsed());
-        viewer.write_all(&set_up(&format!("fe{n:014x}"))).expect("writes");
-        let answer = read(&mut viewer).expect("an answer").head;
-        assert!(answer.starts_with("RTSP/1.0 200"), "start {n}: {answer}");
+        viewer.write_all(&set_up_request(&format!("fe{n:014x}"))).expect("cannot write to the connection");
+        let answer = read(&mut viewer).expect("no answer").head;
+        assert!(answer.starts_with("RTSP/1.0 200"), "start {n}: the set-up was answered {answer}, not 200");
     }
-    over.store(true, std::sync::atomic::Ordering::SeqCst);
-    clients.into_iter().for_each(|c| c.join().expect("a client"));
+    finished.store(true, std::sync::atomic::Ordering::SeqCst);
+    clients.into_iter().for_each(|c| c.join().expect("the client thread panicked"));
     took.sort_unstable();
     println!("ready after {:?} (median), {:?} (most) of {} starts", took[10], took[19], took.len());
-    assert!(took[19] < 10 * SECOND, "{took:?}");
+    assert!(took[19] < 10 * SECOND, "a start took 10 s or more: {took:?}");
 }
