--- a/crates/cli/tests/platform_drain.rs
+++ b/crates/cli/tests/platform_drain.rs
@@ -356,7 +356,7 @@
         }
     }
     panic!(
-        "the front had ended in too many of 10 rounds before its socket was checked; it was open in {observed}, needed 2"
+        "the front still had its socket open in only {observed} of 10 rounds; 2 are needed for this check"
     );
 }
 
@@ -460,7 +460,7 @@
                     let crossed = stream.write_all(&announcement);
                     let after = stream.read(&mut [0; 64]);
                     let owned = socket_state(front, node).is_some_and(|socket| socket.owned);
-                    let _ = tell.send((end, crossed.is_ok(), after.map_err(|e| e.kind()), owned));
+                    let _ = end_sender.send((end, crossed.is_ok(), after.map_err(|e| e.kind()), owned));
                 });
             }
         });
