--- a/crates/cli/tests/platform_floods.rs
+++ b/crates/cli/tests/platform_floods.rs
@@ -1,5 +1,6 @@
-//! Floods of connections at `pepperhook platform`: who gives way, who never does, what happens when nobody can, and what
-//! a full table of descriptors does. Requests, halves of them and the limit on descriptors are held by the test.
+//! Floods of connections to `pepperhook platform`: which connections are evicted for new ones, which never are, what
+//! happens when none can be evicted, and what happens without free descriptors. The tests control when requests and their
+//! parts arrive, and the limit on descriptors.
 
 #[path = "common/platform.rs"]
 mod harness;
@@ -18,16 +19,19 @@
 use std::thread::spawn;
 use std::time::{Duration, Instant};
 
-/// The limit on descriptors in these tests; of it viewers have `PLACES`, and the eighth more that is a reserve.
+/// Limit on open descriptors in these tests.
 const DESCRIPTORS: usize = 64;
-const PLACES: usize = (DESCRIPTORS - 16) / 2;
-const RESERVE: usize = PLACES / 8;
+/// Number of viewer connections within [`DESCRIPTORS`].
+const VIEWER_SLOTS: usize = (DESCRIPTORS - 16) / 2;
+/// Number of further viewer connections as a reserve.
+const RESERVE_SLOTS: usize = VIEWER_SLOTS / 8;
 
-fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
-fn set_up(id: &str) -> Vec<u8> {
+/// A set-up request of a viewer, with 3 s to its deadline.
+fn set_up_request(id: &str) -> Vec<u8> {
     let fields = [
         ("CSeq", "1"),
         ("Session", id),
@@ -38,38 +42,43 @@
     message("SETUP rtsp://media/00000000000000f1 RTSP/1.0", &fields, b"an offer\r\n")
 }
 
+/// An OPTIONS request, which the front answers by itself.
 fn ping() -> Vec<u8> {
     message("OPTIONS rtsp://media/ping RTSP/1.0", &[("CSeq", "3")], b"")
 }
 
-/// A node that keeps set-ups of ids that begin with `5117` until `go` is set.
+/// A node that delays its answers to set-ups whose ids begin with `5117` until `release` is set.
 struct Node {
     address: SocketAddr,
-    told: Receiver<String>,
-    go: Arc<AtomicBool>,
+    /// Session ids of the set-ups that arrived.
+    set_ups: Receiver<String>,
+    release: Arc<AtomicBool>,
 }
 
-fn node() -> Node {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
-    let address = listener.local_addr().expect("an address");
-    let (tell, told) = channel();
-    let go = Arc::new(AtomicBool::new(false));
-    let gate = go.clone();
+fn start_node() -> Node {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind to a loopback port");
+    let address = listener.local_addr().expect("no valid address");
+    let (set_up_sender, set_ups) = channel();
+    let release = Arc::new(AtomicBool::new(false));
+    let released = release.clone();
     spawn(move || {
         for stream in listener.incoming() {
-            let (Ok(mut stream), tell, gate) = (stream, tell.clone(), gate.clone()) else { return };
+            let (Ok(mut stream), set_up_sender, released) = (stream, set_up_sender.clone(), released.clone())
+            else {
+                return;
+            };
             spawn(move || {
-                while let Ok(m) = read(&mut stream) {
-                    let session = m.field("Session").unwrap_or("").to_owned();
+                while let Ok(request) = read(&mut stream) {
+                    let session = request.field("Session").unwrap_or("").to_owned();
                     let answer = |number, body: &[u8]| {
                         message("RTSP/1.0 200 OK", &[("CSeq", number), ("Session", &session)], body)
                     };
-                    let bytes = match m.head.split(' ').next() {
+                    let bytes = match request.head.split(' ').next() {
                         Some("SETUP") => {
-                            if tell.send(session.clone()).is_err() {
+                            if set_up_sender.send(session.clone()).is_err() {
                                 return;
                             }
-                            while session.starts_with("5117") && !gate.load(Ordering::SeqCst) {
+                            while session.starts_with("5117") && !released.load(Ordering::SeqCst) {
                                 std::thread::sleep(ms(1));
                             }
                             answer("1", b"an answer\r\n")
@@ -85,129 +94,144 @@
             });
         }
     });
-    Node { address, told, go }
+    Node { address, set_ups, release }
 }
 
-fn small(nodes: &[SocketAddr], log: SocketAddr) -> Value {
-    let mut v = config(nodes, log);
-    v["limits"]["sockets"] = json!(DESCRIPTORS);
-    v
+/// Configuration with the limit [`DESCRIPTORS`].
+fn limited_config(nodes: &[SocketAddr], log: SocketAddr) -> Value {
+    let mut configuration = config(nodes, log);
+    configuration["limits"]["sockets"] = json!(DESCRIPTORS);
+    configuration
 }
 
-/// Asks on this connection; the answer's first line.
-fn asks(stream: &mut TcpStream, id: &str) -> std::io::Result<String> {
-    stream.write_all(&set_up(id))?;
+/// Requests a session on this connection and returns the head of the answer.
+fn request_session(stream: &mut TcpStream, id: &str) -> std::io::Result<String> {
+    stream.write_all(&set_up_request(id))?;
     Ok(read(stream)?.head)
 }
 
-fn descriptors(front: &Front) -> usize {
+/// Number of open descriptors of the front.
+fn open_descriptors(front: &Front) -> usize {
     std::fs::read_dir(format!("/proc/{}/fd", front.child.id())).map_or(0, Iterator::count)
 }
 
-/// Whether the front has ended the connection by now.
-fn is_ended(stream: &TcpStream) -> bool {
-    stream.set_nonblocking(true).expect("a mode");
-    let end = !matches!(stream.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock);
-    stream.set_nonblocking(false).expect("a mode");
-    end
+/// Whether the front has closed the connection.
+fn is_closed(stream: &TcpStream) -> bool {
+    stream.set_nonblocking(true).expect("cannot change the socket's blocking mode");
+    let closed = !matches!(stream.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock);
+    stream.set_nonblocking(false).expect("cannot change the socket's blocking mode");
+    closed
 }
 
-/// Connections with half a message, with an open request, with nothing: newcomers take the places of the last ones alone,
-/// and the others have their answers.
+/// Guards against eviction of busy connections: of connections with half a message, with a pending request and without
+/// either, new connections evict only the last kind, and the others get their answers.
 #[test]
-fn who_gives_way_has_nothing_under_way() {
-    let node = node();
-    let front = front(&small(&[node.address], change_log(Vec::new()).0));
+fn only_idle_connections_are_evicted_for_new_ones() {
+    let node = start_node();
+    let front = front(&limited_config(&[node.address], change_log(Vec::new()).0));
     let id = |kind: &str, n: usize| format!("{kind}{n:012x}");
-    // Half a message: nothing whole ever came on them.
-    let mut halves: Vec<_> = (0..8)
+    // Half a message each; no complete one ever arrived on them.
+    let mut half_sent: Vec<_> = (0..8)
         .map(|n| {
             let mut stream = front.connect();
-            let bytes = set_up(&id("4a1f", n));
-            stream.write_all(&bytes[..bytes.len() - 5]).expect("writes");
+            let bytes = set_up_request(&id("4a1f", n));
+            stream.write_all(&bytes[..bytes.len() - 5]).expect("cannot write to the connection");
             (stream, bytes)
         })
         .collect();
-    let mut open: Vec<_> = (0..8)
+    let mut pending: Vec<_> = (0..8)
         .map(|n| {
             let mut stream = front.connect();
-            stream.write_all(&set_up(&id("5117", n))).expect("writes");
+            stream.write_all(&set_up_request(&id("5117", n))).expect("cannot write to the connection");
             stream
         })
         .collect();
     for _ in 0..8 {
-        node.told.recv_timeout(5 * SECOND).expect("it is out at the node");
+        node.set_ups.recv_timeout(5 * SECOND).expect("the set-up did not reach the node");
     }
-    let idle: Vec<_> = (0..PLACES - 16)
+    let idle: Vec<_> = (0..VIEWER_SLOTS - 16)
         .map(|_| {
             let mut stream = front.connect();
-            stream.write_all(&ping()).expect("writes");
-            read(&mut stream).expect("a test passed");
+            stream.write_all(&ping()).expect("cannot write to the connection");
+            read(&mut stream).expect("no answer to the OPTIONS test");
             stream
         })
         .collect();
-    // One after the other: each takes the place of an idle one.
+    // One after the other: each evicts an idle connection.
     let mut new = Vec::new();
     for n in 0..idle.len() {
         let mut stream = front.connect();
-        assert!(asks(&mut stream, &id("aaaa", n)).expect("an answer").contains(" 200 "));
+        assert!(request_session(&mut stream, &id("aaaa", n)).expect("no answer").contains(" 200 "));
         new.push(stream);
     }
-    assert!(descriptors(&front) <= DESCRIPTORS);
-    for (n, (stream, bytes)) in halves.iter_mut().enumerate() {
-        assert!(!is_ended(stream), "half message {n} was turned away");
-        stream.write_all(&bytes[bytes.len() - 5..]).expect("writes");
-        assert!(read(stream).expect("an answer").head.contains(" 200 "), "half message {n}");
+    assert!(open_descriptors(&front) <= DESCRIPTORS, "more than {DESCRIPTORS} open descriptors");
+    for (n, (stream, bytes)) in half_sent.iter_mut().enumerate() {
+        assert!(!is_closed(stream), "connection {n} with half a message was evicted");
+        stream.write_all(&bytes[bytes.len() - 5..]).expect("cannot write to the connection");
+        assert!(
+            read(stream).expect("no answer").head.contains(" 200 "),
+            "request {n}, sent in halves, was not accepted"
+        );
     }
-    node.go.store(true, Ordering::SeqCst);
-    for (n, stream) in open.iter_mut().enumerate() {
-        assert!(read(stream).expect("an answer").head.contains(" 200 "), "open request {n}");
+    node.release.store(true, Ordering::SeqCst);
+    for (n, stream) in pending.iter_mut().enumerate() {
+        assert!(
+            read(stream).expect("no answer").head.contains(" 200 "),
+            "pending request {n} was not accepted"
+        );
     }
-    assert!(idle.iter().any(is_ended), "somebody has given way");
+    assert!(idle.iter().any(is_closed), "no idle connection was evicted");
 }
 
-/// The front stands still; meanwhile requests come on all connections that could give way, and newcomers. All of them are
-/// answered: who has written something is looked at before it gives way.
+/// Guards against eviction of a connection with an unread request: while the front is stopped, requests arrive on all
+/// connections that it could evict and on new ones. All are answered, because the front reads from a connection before
+/// it evicts it.
 #[test]
-fn who_has_written_what_nobody_has_read_yet_does_not_give_way() {
-    let node = node();
-    let front = front(&small(&[node.address], change_log(Vec::new()).0));
-    let mut idle: Vec<_> = (0..PLACES)
+fn a_connection_with_an_unread_request_is_not_evicted() {
+    let node = start_node();
+    let front = front(&limited_config(&[node.address], change_log(Vec::new()).0));
+    let mut idle: Vec<_> = (0..VIEWER_SLOTS)
         .map(|_| {
             let mut stream = front.connect();
-            stream.write_all(&ping()).expect("writes");
-            read(&mut stream).expect("a test passed");
+            stream.write_all(&ping()).expect("cannot write to the connection");
+            read(&mut stream).expect("no answer to the OPTIONS test");
             stream
         })
         .collect();
     front.signal("SIGSTOP");
     let stat = format!("/proc/{}/stat", front.child.id());
-    while !std::fs::read_to_string(&stat).expect("a process").contains(") T ") {
+    while !std::fs::read_to_string(&stat).expect("cannot read the state of the process").contains(") T ") {
         std::thread::yield_now();
     }
-    let mut new: Vec<_> = (0..PLACES).map(|_| front.connect()).collect();
-    idle.iter_mut().for_each(|stream| stream.write_all(&ping()).expect("writes"));
+    let mut new: Vec<_> = (0..VIEWER_SLOTS).map(|_| front.connect()).collect();
+    idle.iter_mut().for_each(|stream| stream.write_all(&ping()).expect("cannot write to the connection"));
     for (n, stream) in new.iter_mut().enumerate() {
-        stream.write_all(&set_up(&format!("00000000000000{n:02x}"))).expect("writes");
+        stream
+            .write_all(&set_up_request(&format!("00000000000000{n:02x}")))
+            .expect("cannot write to the connection");
     }
-    // Long enough for all of them to be quiet ones.
+    // Long enough that the front regards all of them as idle.
     std::thread::sleep(ms(50));
     front.signal("SIGCONT");
     for (n, stream) in idle.iter_mut().chain(&mut new).enumerate() {
         let answer = read(stream).unwrap_or_else(|e| panic!("connection {n} has no answer: {e}")).head;
-        assert!(answer.contains(" 200 ") || answer.contains(" 503 "), "connection {n}: {answer}");
+        assert!(
+            answer.contains(" 200 ") || answer.contains(" 503 "),
+            "connection {n} was answered {answer}, not 200 or 503"
+        );
     }
 }
 
-/// Who takes none of its answers keeps its place until they are past their time, and no longer.
+/// Guards against starvation of new connections: a viewer that does not read its answers keeps its connection only until
+/// these have timed out.
 #[test]
-fn viewers_that_do_not_read_keep_no_newcomer_away_for_ever() {
-    let node = node();
-    let mut v = config(&[node.address], change_log(Vec::new()).0);
-    // One place, and one in reserve.
-    v["limits"]["sockets"] = json!(19);
-    let front = front(&v);
-    let deaf: Vec<_> = (0..2)
+fn viewers_that_do_not_read_do_not_block_new_connections_indefinitely() {
+    let node = start_node();
+    let mut configuration = config(&[node.address], change_log(Vec::new()).0);
+    // Room for one viewer connection and one in reserve.
+    configuration["limits"]["sockets"] = json!(19);
+    let front = front(&configuration);
+    let not_reading: Vec<_> = (0..2)
         .map(|_| {
             let stream = front.connect();
             fill_answer_queue(&front, &stream);
@@ -215,186 +239,204 @@
         })
         .collect();
     let mut new = front.connect();
-    new.set_read_timeout(Some(15 * SECOND)).expect("a time");
-    new.write_all(&ping()).expect("writes");
+    new.set_read_timeout(Some(15 * SECOND)).expect("cannot set the read or write timeout");
+    new.write_all(&ping()).expect("cannot write to the connection");
     let began = Instant::now();
-    assert!(read(&mut new).expect("an answer").head.contains(" 200 "));
-    drop(deaf);
-    println!("a place among viewers that do not read was free after {:?}", began.elapsed());
+    assert!(read(&mut new).expect("no answer").head.contains(" 200 "));
+    drop(not_reading);
+    println!("the new connection was answered after {:?}, while two viewers did not read", began.elapsed());
 }
 
-/// Each message is whole soon, and each piece that comes ends within the next one: the connection is in order for as long
-/// as that goes on.
+/// Guards against a timeout that ignores progress: every piece completes one message and ends within the next. Since each
+/// message is complete in time, the connection stays open.
 #[test]
-fn a_viewer_whose_pieces_always_end_within_a_message_keeps_its_connection() {
-    let node = node();
+fn a_viewer_whose_writes_always_end_within_a_message_keeps_its_connection() {
+    let node = start_node();
     let front = front(&config(&[node.address], change_log(Vec::new()).0));
     let mut viewer = front.connect();
-    let whole = ping();
-    let (first, second) = whole.split_at(20);
+    let request = ping();
+    let (first, second) = request.split_at(20);
     let mut piece = first.to_vec();
     let began = Instant::now();
-    // Longer than the time for a first word, and for one message.
+    // Longer than the timeouts for the first message and for completing a message.
     while began.elapsed() < 3 * SECOND {
-        viewer.write_all(&piece).unwrap_or_else(|e| panic!("after {:?}: {e}", began.elapsed()));
+        viewer
+            .write_all(&piece)
+            .unwrap_or_else(|e| panic!("the connection ended after {:?}: {e}", began.elapsed()));
         if piece.len() > first.len() {
             read(&mut viewer).unwrap_or_else(|e| panic!("no answer after {:?}: {e}", began.elapsed()));
         }
         piece = [second, first].concat();
     }
-    viewer.write_all(second).expect("writes");
-    assert!(read(&mut viewer).expect("an answer").head.contains(" 200 "));
+    viewer.write_all(second).expect("cannot write to the connection");
+    assert!(read(&mut viewer).expect("no answer").head.contains(" 200 "));
 }
 
-/// Every place has an open request: newcomers wait where the machine has accepted them, none is closed, and all are
-/// answered as places become free.
+/// Guards against closing connections at capacity: every viewer connection has a pending request. New connections wait in
+/// the listen queue, none is closed, and all are answered as others end.
 #[test]
-fn when_nobody_can_give_way_newcomers_wait_and_none_is_closed() {
-    let node = node();
-    let front = front(&small(&[node.address], change_log(Vec::new()).0));
+fn when_no_connection_can_be_evicted_new_ones_wait_and_none_is_closed() {
+    let node = start_node();
+    let front = front(&limited_config(&[node.address], change_log(Vec::new()).0));
     let id = |kind: &str, n: usize| format!("{kind}{n:012x}");
-    let mut open: Vec<_> = (0..PLACES + RESERVE)
+    let mut pending: Vec<_> = (0..VIEWER_SLOTS + RESERVE_SLOTS)
         .map(|n| {
             let mut stream = front.connect();
-            stream.write_all(&set_up(&id("5117", n))).expect("writes");
+            stream.write_all(&set_up_request(&id("5117", n))).expect("cannot write to the connection");
             stream
         })
         .collect();
     for _ in 0..2 {
-        node.told.recv_timeout(5 * SECOND).expect("it is out at the node");
+        node.set_ups.recv_timeout(5 * SECOND).expect("the set-up did not reach the node");
     }
-    let mut waiting: Vec<_> = (0..PLACES)
+    let mut waiting: Vec<_> = (0..VIEWER_SLOTS)
         .map(|n| {
             let mut stream = front.connect();
-            stream.write_all(&set_up(&id("aaaa", n))).expect("writes");
+            stream.write_all(&set_up_request(&id("aaaa", n))).expect("cannot write to the connection");
             stream
         })
         .collect();
-    // Those that have places have their answers in the end, and go.
-    node.go.store(true, Ordering::SeqCst);
-    for (n, stream) in open.iter_mut().enumerate() {
-        let answer = read(stream).expect("an answer").head;
-        assert!(answer.starts_with("RTSP/1.0 "), "open request {n}: {answer}");
+    // The accepted connections get their answers and are closed.
+    node.release.store(true, Ordering::SeqCst);
+    for (n, stream) in pending.iter_mut().enumerate() {
+        let answer = read(stream).expect("no answer").head;
+        assert!(answer.starts_with("RTSP/1.0 "), "pending request {n} has no RTSP answer: {answer}");
     }
-    drop(open);
+    drop(pending);
     for (n, stream) in waiting.iter_mut().enumerate() {
-        let answer = read(stream).unwrap_or_else(|e| panic!("newcomer {n} has no answer: {e}")).head;
-        assert!(answer.starts_with("RTSP/1.0 "), "newcomer {n}: {answer}");
-        assert!(descriptors(&front) <= DESCRIPTORS);
+        let answer = read(stream).unwrap_or_else(|e| panic!("new connection {n} has no answer: {e}")).head;
+        assert!(answer.starts_with("RTSP/1.0 "), "new connection {n} has no RTSP answer: {answer}");
+        assert!(open_descriptors(&front) <= DESCRIPTORS, "more than {DESCRIPTORS} open descriptors");
     }
 }
 
-/// A machine's limit on the process, as the test sets it.
-fn limit(front: &Front, soft: usize) {
+/// Sets the soft limit on open descriptors of the running front.
+fn set_descriptor_limit(front: &Front, soft: usize) {
     let pid = front.child.id().to_string();
-    let done = Command::new("prlimit").args(["--pid", &pid, &format!("--nofile={soft}:")]).status();
-    assert!(done.expect("runs").success());
+    let status = Command::new("prlimit").args(["--pid", &pid, &format!("--nofile={soft}:")]).status();
+    assert!(status.expect("cannot run the command").success(), "prlimit failed");
 }
 
-/// Processor time of the process so far, in ticks of 10 ms.
-fn ticks(front: &Front) -> u64 {
-    let stat = std::fs::read_to_string(format!("/proc/{}/stat", front.child.id())).expect("a process");
-    let fields: Vec<_> = stat.rsplit(") ").next().expect("fields").split(' ').collect();
+/// Processor time of the front so far, in ticks of 10 ms.
+fn cpu_ticks(front: &Front) -> u64 {
+    let stat = std::fs::read_to_string(format!("/proc/{}/stat", front.child.id()))
+        .expect("cannot read the state of the process");
+    let fields: Vec<_> =
+        stat.rsplit(") ").next().expect("no fields in the process's status").split(' ').collect();
     [11, 12].iter().filter_map(|i| fields[*i].parse::<u64>().ok()).sum()
 }
 
-/// No descriptor is left: those who come wait, the front neither spins nor fills its log, and accepts again as soon as
-/// there is one.
+/// Guards against a busy loop without free descriptors: new connections wait, the front neither spins nor floods its log,
+/// and it accepts again as soon as a descriptor is free.
 #[test]
-fn without_a_descriptor_newcomers_wait_and_are_served_once_there_is_one() {
-    let node = node();
+fn without_free_descriptors_new_connections_wait_and_are_served_later() {
+    let node = start_node();
     let front = front(&config(&[node.address], change_log(Vec::new()).0));
     let mut first = front.connect();
-    assert!(asks(&mut first, "00000000000000a1").expect("an answer").contains(" 200 "));
-    limit(&front, 3);
+    assert!(request_session(&mut first, "00000000000000a1").expect("no answer").contains(" 200 "));
+    set_descriptor_limit(&front, 3);
     let mut waiting: Vec<_> = (0..4)
         .map(|n| {
             let mut stream = front.connect();
-            stream.write_all(&set_up(&format!("00000000000000b{n}"))).expect("writes");
+            stream
+                .write_all(&set_up_request(&format!("00000000000000b{n}")))
+                .expect("cannot write to the connection");
             stream
         })
         .collect();
     wait_for_log_line(&front.log_lines, "accept-failed");
-    // Connections that it has are served meanwhile. The node has one, too.
-    let began = (Instant::now(), ticks(&front));
+    // Accepted connections are served meanwhile; the connection to the node is open already.
+    let (began, ticks_before) = (Instant::now(), cpu_ticks(&front));
     let mut served = 0;
-    while began.0.elapsed() < 2 * SECOND {
-        first.write_all(&ping()).expect("writes");
-        assert!(read(&mut first).expect("an answer").head.contains(" 200 "));
+    while began.elapsed() < 2 * SECOND {
+        first.write_all(&ping()).expect("cannot write to the connection");
+        assert!(read(&mut first).expect("no answer").head.contains(" 200 "));
         served += 1;
         std::thread::sleep(ms(20));
     }
-    let spent = ticks(&front) - began.1;
-    assert!(spent < 100, "{spent} ticks of 10 ms in 2 s, {served} tests passed");
+    let spent = cpu_ticks(&front) - ticks_before;
+    assert!(
+        spent < 100,
+        "the front used {spent} ticks of 10 ms in 2 s, 100 or more, for {served} OPTIONS requests"
+    );
     let warnings = front.log_lines.try_iter().filter(|l| l.contains("accept-failed")).count();
-    assert!(warnings == 0, "{warnings} more warnings within 5 s");
-    assert!(!waiting.iter().any(is_ended), "a connection was closed");
-    limit(&front, 256);
+    assert!(warnings == 0, "{warnings} further accept-failed warnings within 5 s of the first");
+    assert!(!waiting.iter().any(is_closed), "a waiting connection was closed");
+    set_descriptor_limit(&front, 256);
     for (n, stream) in waiting.iter_mut().enumerate() {
-        let answer = read(stream).unwrap_or_else(|e| panic!("newcomer {n} has no answer: {e}")).head;
-        assert!(answer.contains(" 200 "), "newcomer {n}: {answer}");
+        let answer = read(stream).unwrap_or_else(|e| panic!("new connection {n} has no answer: {e}")).head;
+        assert!(answer.contains(" 200 "), "new connection {n} was answered {answer}, not 200");
     }
 }
 
-/// Twice as many idle clients as there are descriptors, for as long as discovery is down and after; nodes are dialled,
-/// clients come and are served, and the change log is asked as soon as it is back.
+/// Guards against idle clients using up the descriptors: there are twice as many of them as descriptors, while discovery
+/// is down and afterwards. The front still connects to nodes, serves other clients, and reconnects to the change log as
+/// soon as it is back.
 #[test]
-fn idle_clients_by_the_hundred_keep_neither_nodes_nor_discovery_nor_clients_away() {
-    let (one, two) = (node(), node());
-    let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
-    let log = listener.local_addr().expect("an address");
+fn hundreds_of_idle_clients_block_neither_nodes_nor_discovery_nor_clients() {
+    let (first, second) = (start_node(), start_node());
+    let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind to a loopback port");
+    let log = listener.local_addr().expect("no valid address");
     drop(listener);
-    let front = front(&small(&[one.address], log));
-    let over = Arc::new(AtomicBool::new(false));
+    let front = front(&limited_config(&[first.address], log));
+    let finished = Arc::new(AtomicBool::new(false));
     let refused = Arc::new(Mutex::new(0));
     let flood: Vec<_> = (0..2 * DESCRIPTORS)
         .map(|_| {
-            let (address, over, refused) = (front.address, over.clone(), refused.clone());
+            let (address, finished, refused) = (front.address, finished.clone(), refused.clone());
             spawn(move || {
-                while !over.load(Ordering::SeqCst) {
-                    // It says nothing, and comes again when it is turned away.
+                while !finished.load(Ordering::SeqCst) {
+                    // Sends nothing, and reconnects when the front closes its connection.
                     let Ok(mut stream) = TcpStream::connect(address) else {
-                        *refused.lock().expect("a lock") += 1;
+                        *refused.lock().expect("the mutex is poisoned") += 1;
                         return;
                     };
-                    stream.set_read_timeout(Some(ms(50))).expect("a time");
-                    let quiet = |e: &std::io::Error| e.kind() == ErrorKind::WouldBlock;
-                    while !over.load(Ordering::SeqCst) && stream.read(&mut [0]).is_err_and(|e| quiet(&e)) {}
+                    stream.set_read_timeout(Some(ms(50))).expect("cannot set the read or write timeout");
+                    let timed_out = |e: &std::io::Error| e.kind() == ErrorKind::WouldBlock;
+                    while !finished.load(Ordering::SeqCst)
+                        && stream.read(&mut [0]).is_err_and(|e| timed_out(&e))
+                    {}
                 }
             })
         })
         .collect();
-    let mut most = 0;
+    let mut most_descriptors = 0;
     let mut slowest = Duration::ZERO;
-    let mut served = |front: &Front, n: u64| {
+    let mut serve_client = |front: &Front, n: u64| {
         let began = Instant::now();
         let mut stream = front.connect();
-        let answer = asks(&mut stream, &format!("{n:016x}")).expect("an answer");
-        assert!(answer.contains(" 200 "), "client {n}: {answer}");
+        let answer = request_session(&mut stream, &format!("{n:016x}")).expect("no answer");
+        assert!(answer.contains(" 200 "), "client {n} was answered {answer}, not 200");
         slowest = slowest.max(began.elapsed());
-        most = most.max(descriptors(front));
+        most_descriptors = most_descriptors.max(open_descriptors(front));
     };
-    (1..21).for_each(|n| served(&front, n));
-    // Discovery is back, and tells of another node in place of the first.
-    let listener = TcpListener::bind(log).expect("binds again");
-    let back = Instant::now();
-    let (mut asked, _) = listener.accept().expect("the front asks");
-    asked.read_exact(&mut [0; 8]).expect("a number");
-    let asked_after = back.elapsed();
-    asked.write_all(&node_change(4, 0, 2, one.address)).expect("writes");
-    asked.write_all(&node_change(5, 9, 0, two.address)).expect("writes");
-    let give_up = Instant::now() + 5 * SECOND;
+    (1..21).for_each(|n| serve_client(&front, n));
+    // Discovery is back, and sends events that replace the first node by another.
+    let listener = TcpListener::bind(log).expect("cannot bind to the former port");
+    let back_since = Instant::now();
+    let (mut log_connection, _) =
+        listener.accept().expect("the front did not request events from the change log");
+    log_connection.read_exact(&mut [0; 8]).expect("no sequence number arrived");
+    let reconnected_after = back_since.elapsed();
+    log_connection.write_all(&node_change(4, 0, 2, first.address)).expect("cannot write to the connection");
+    log_connection.write_all(&node_change(5, 9, 0, second.address)).expect("cannot write to the connection");
+    let deadline = Instant::now() + 5 * SECOND;
     let mut n = 21;
-    while two.told.try_recv().is_err() {
+    while second.set_ups.try_recv().is_err() {
         let mut stream = front.connect();
-        asks(&mut stream, &format!("{n:016x}")).expect("an answer");
+        request_session(&mut stream, &format!("{n:016x}")).expect("no answer");
         n += 1;
-        assert!(Instant::now() < give_up, "the new node is not dialled");
+        assert!(Instant::now() < deadline, "no set-up reached the new node within 5 s");
     }
-    over.store(true, Ordering::SeqCst);
-    flood.into_iter().for_each(|f| f.join().expect("a client"));
-    println!("slowest client {slowest:?}, {most} descriptors at most, discovery asked after {asked_after:?}");
-    assert_eq!(*refused.lock().expect("a lock"), 0, "the machine turned a client away");
-    assert!(most <= DESCRIPTORS, "{most} descriptors");
-    assert!(asked_after < 3 * SECOND, "{asked_after:?}");
+    finished.store(true, Ordering::SeqCst);
+    flood.into_iter().for_each(|f| f.join().expect("the client thread panicked"));
+    println!(
+        "slowest client {slowest:?}, {most_descriptors} descriptors at most, reconnected to discovery after {reconnected_after:?}"
+    );
+    assert_eq!(*refused.lock().expect("the mutex is poisoned"), 0, "connections were refused");
+    assert!(most_descriptors <= DESCRIPTORS, "{most_descriptors} open descriptors, more than {DESCRIPTORS}");
+    assert!(
+        reconnected_after < 3 * SECOND,
+        "the front reconnected to the change log only after {reconnected_after:?}"
+    );
 }
