--- a/crates/cli/tests/common/log.rs
+++ b/crates/cli/tests/common/log.rs
@@ -99,7 +99,7 @@
 
 impl Record {
     pub fn new(id: u32, state: u8, address: SocketAddr) -> Self {
-        let SocketAddr::V4(address) = address else { panic!("IPv4") };
+        let SocketAddr::V4(address) = address else { panic!("not an IPv4 address") };
         Self { id, address, state, zone: 0, kind: 0, weight: 1_000, started_ms: 0 }
     }
 
--- a/crates/cli/tests/common/platform.rs
+++ b/crates/cli/tests/common/platform.rs
@@ -207,7 +207,7 @@
 
 /// A frame of the change log with an event that changes one node.
 pub fn node_change(number: u64, id: u32, state: u8, address: SocketAddr) -> Vec<u8> {
-    let SocketAddr::V4(v4) = address else { panic!("IPv4") };
+    let SocketAddr::V4(v4) = address else { panic!("not an IPv4 address") };
     let mut record = id.to_be_bytes().to_vec();
     record.extend(v4.ip().octets());
     record.extend(v4.port().to_be_bytes());
--- a/crates/cli/tests/platform_stops.rs
+++ b/crates/cli/tests/platform_stops.rs
@@ -1,240 +1,260 @@
 //! Planned restarts of `pepperhook platform` under load: dozens of processes are stopped at random moments while requests
-//! go on coming, as the platform's page on restarts says. What passed on the sockets is judged by a checker of its own.
+//! continue to arrive, as the platform's rules for restarts describe. A separate checker examines the traffic on the
+//! sockets.
 
 #[path = "stops/checker.rs"]
 mod checker;
 #[path = "stops/scene.rs"]
 mod scene;
 
-use checker::{Answer, Request, Stop, judge};
+use checker::{Answer, NodeEvent, NodeEventKind, Request, Stop, find_violations};
 use scene::*;
 use std::time::{Duration, Instant};
 
-/// One stop under load, by its seed; what the sockets showed.
-fn stopped(seed: u64) -> (Stop, Scene) {
-    let mut draw = Draw(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
+/// Performs one stop under load, determined by its seed.
+fn stop_under_load(seed: u64) -> (Stop, Scene) {
+    let mut random = Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
     let mut scene = Scene::start(seed);
     let began = Instant::now();
-    let signal = began + ms(120 + draw.below(180));
-    let last_new = signal + ms(200 + draw.below(200));
-    let last_old = last_new + ms(200);
-    // SIGHUP shortly before, or in the same moment; the new change log tells that a node drains.
-    let moves = seed % 2 == 0;
-    let hup = moves.then(|| signal - ms(draw.below(4) * 20));
+    let sigterm_at = began + ms(120 + random.below(180));
+    let last_connection_at = sigterm_at + ms(200 + random.below(200));
+    let last_request_at = last_connection_at + ms(200);
+    // SIGHUP shortly before SIGTERM, or at the same time; the new change log reports a draining node.
+    let moves_log = seed % 2 == 0;
+    let sighup_at = moves_log.then(|| sigterm_at - ms(random.below(4) * 20));
     let mut viewers = Vec::new();
     for n in 0..7 {
-        // Connections that stand, asked on until the very end.
+        // Existing connections, with requests until the very end.
         let mut plan = Plan::default();
-        let mut at = began + ms(draw.below(60));
-        while at < last_old - ms(5) {
-            plan.asks(at, 1 + draw.below(3) as usize, draw.below(3) == 0 && n % 2 == 0);
-            at += ms(25 + draw.below(120));
+        let mut at = began + ms(random.below(60));
+        while at < last_request_at - ms(5) {
+            plan.requests(at, 1 + random.below(3) as usize, random.below(3) == 0 && n % 2 == 0);
+            at += ms(25 + random.below(120));
         }
-        viewers.push(scene.viewer(began, plan));
+        viewers.push(scene.start_viewer(began, plan));
     }
     for _ in 0..2 {
-        // Half a message before the signal, the rest up to 0.2 s after it.
+        // Half a message before SIGTERM, the rest up to 0.2 s after it.
         let mut plan = Plan::default();
-        plan.halves(signal - ms(1 + draw.below(60)), signal + ms(draw.below(200)));
-        viewers.push(scene.viewer(began, plan));
-        // Two behind each other, the second one torn by the signal.
+        plan.halves(sigterm_at - ms(1 + random.below(60)), sigterm_at + ms(random.below(200)));
+        viewers.push(scene.start_viewer(began, plan));
+        // Two requests, the second of which is half sent at SIGTERM.
         let mut plan = Plan::default();
-        plan.asks(signal - ms(20 + draw.below(20)), 1, false);
-        plan.halves(signal - ms(draw.below(10)), signal + ms(draw.below(200)));
-        viewers.push(scene.viewer(began, plan));
+        plan.requests(sigterm_at - ms(20 + random.below(20)), 1, false);
+        plan.halves(sigterm_at - ms(random.below(10)), sigterm_at + ms(random.below(200)));
+        viewers.push(scene.start_viewer(began, plan));
     }
     for _ in 0..8 {
-        // Connections that come after the signal.
-        let at = signal + ms(draw.below(200 + 1).min((last_new - signal).as_millis() as u64));
+        // Connections that begin after SIGTERM.
+        let at =
+            sigterm_at + ms(random.below(200 + 1).min((last_connection_at - sigterm_at).as_millis() as u64));
         let mut plan = Plan::default();
-        plan.asks(at, 1 + draw.below(2) as usize, false);
-        plan.asks(at + ms(draw.below(200)), 1, false);
-        viewers.push(scene.viewer(at, plan));
+        plan.requests(at, 1 + random.below(2) as usize, false);
+        plan.requests(at + ms(random.below(200)), 1, false);
+        viewers.push(scene.start_viewer(at, plan));
     }
-    if let Some(at) = hup {
-        until(at);
+    if let Some(at) = sighup_at {
+        sleep_until(at);
         scene.move_change_log();
     }
-    until(signal);
+    sleep_until(sigterm_at);
     scene.front.signal("SIGTERM");
-    let (code, ended) = scene.front.ends();
-    let requests: Vec<Request> = viewers.into_iter().flat_map(|v| v.join().expect("a viewer")).collect();
-    if moves {
+    let (exit_code, ended) = scene.front.wait_for_exit();
+    let requests: Vec<Request> =
+        viewers.into_iter().flat_map(|v| v.join().expect("the viewer thread panicked")).collect();
+    if moves_log {
         assert!(
-            scene.moved_to.try_recv().is_ok(),
-            "seed {seed}: the change log was not asked at its new address"
+            scene.second_log_requests.try_recv().is_ok(),
+            "seed {seed}: the front did not connect to the second change log"
         );
     }
     let stop = Stop {
-        code,
+        exit_code,
         took: ended - scene.front.signalled(),
-        killed: DEADLINE + ms(700),
+        sigkill_after: DEADLINE + ms(700),
         requests,
-        nodes: scene.nodes.iter().flat_map(Node::log).collect(),
-        drained: scene.drained(),
+        node_events: scene.nodes.iter().flat_map(Node::events).collect(),
+        draining: scene.draining(),
     };
     (stop, scene)
 }
 
-/// Everything of a stop that the page asks for, and of the process that comes after it.
-fn whole(seed: u64) -> (usize, Duration) {
-    let (stop, scene) = stopped(seed);
-    assert_eq!(judge(&stop), Vec::<String>::new(), "seed {seed}");
+/// Performs a stop and checks it, and for every third seed the next process; returns the number of requests and the time
+/// that the front took to end.
+fn check_stop(seed: u64) -> (usize, Duration) {
+    let (stop, scene) = stop_under_load(seed);
+    assert_eq!(find_violations(&stop), Vec::<String>::new(), "violations with seed {seed}");
     let served: Vec<_> = stop.requests.iter().filter(|r| r.answers.iter().any(Answer::is_served)).collect();
-    assert!(served.len() >= 10, "seed {seed}: {} of {} served", served.len(), stop.requests.len());
+    assert!(
+        served.len() >= 10,
+        "seed {seed}: only {} of {} requests were served, not 10 or more",
+        served.len(),
+        stop.requests.len()
+    );
     if seed % 3 == 0 {
-        let standing: Vec<u64> = served.iter().map(|r| r.id).collect();
-        scene.taken_up(&standing);
+        let sessions: Vec<u64> = served.iter().map(|r| r.id).collect();
+        scene.assert_adopted_by_next_process(&sessions);
     }
     (stop.requests.len(), stop.took)
 }
 
 #[test]
-fn stops_under_load_lose_nothing_and_what_stands_is_taken_up_by_the_next_process() {
+fn stops_under_load_lose_nothing_and_the_next_process_adopts_the_sessions() {
     let began = Instant::now();
-    let each: Vec<_> = (0..6u64)
-        .map(|lane| std::thread::spawn(move || (0..7).map(|n| whole(1 + lane + 6 * n)).collect::<Vec<_>>()))
+    let workers: Vec<_> = (0..6u64)
+        .map(|worker| {
+            std::thread::spawn(move || (0..7).map(|n| check_stop(1 + worker + 6 * n)).collect::<Vec<_>>())
+        })
         .collect();
-    let all: Vec<_> = each.into_iter().flat_map(|lane| lane.join().expect("a lane")).collect();
-    let requests: usize = all.iter().map(|(n, _)| n).sum();
-    let slowest = all.iter().map(|(_, took)| *took).max().unwrap_or_default();
-    println!("{} stops, {requests} requests, ended {slowest:?} after SIGTERM at most", all.len());
-    assert!(began.elapsed() < Duration::from_secs(60), "{:?}", began.elapsed());
+    let results: Vec<_> =
+        workers.into_iter().flat_map(|worker| worker.join().expect("the worker thread panicked")).collect();
+    let requests: usize = results.iter().map(|(count, _)| count).sum();
+    let slowest = results.iter().map(|(_, took)| *took).max().unwrap_or_default();
+    println!("{} stops, {requests} requests, ended {slowest:?} after SIGTERM at most", results.len());
+    assert!(
+        began.elapsed() < Duration::from_secs(60),
+        "all stops took {:?}, not under 60 s",
+        began.elapsed()
+    );
 }
 
-/// How long a thread that was ready had to wait for a core.
-struct Stalls(std::sync::Arc<std::sync::Mutex<Duration>>);
+/// Measures the longest time that a ready thread had to wait for a core.
+struct SchedulingDelay(std::sync::Arc<std::sync::Mutex<Duration>>);
 
-impl Stalls {
+impl SchedulingDelay {
     fn new() -> Self {
         let longest = std::sync::Arc::<std::sync::Mutex<Duration>>::default();
-        let held = std::sync::Arc::downgrade(&longest);
+        let weak_longest = std::sync::Arc::downgrade(&longest);
         std::thread::spawn(move || {
-            while let Some(longest) = held.upgrade() {
+            while let Some(longest) = weak_longest.upgrade() {
                 let began = Instant::now();
                 std::thread::sleep(ms(1));
-                let late = began.elapsed().saturating_sub(ms(1));
-                let mut longest = longest.lock().expect("a lock");
-                *longest = longest.max(late);
+                let delay = began.elapsed().saturating_sub(ms(1));
+                let mut longest = longest.lock().expect("the mutex is poisoned");
+                *longest = longest.max(delay);
             }
         });
         Self(longest)
     }
 
     fn longest(&self) -> Duration {
-        *self.0.lock().expect("a lock")
+        *self.0.lock().expect("the mutex is poisoned")
     }
 }
 
-/// Who waits for longer than any class allows, at nodes that say nothing, has an answer before SIGKILL may come; who goes
-/// on asking for ever does not hold the end up, and is refused what could not be answered in time.
+/// Guards against requests that delay the end beyond SIGKILL: at nodes that do not answer, a request with a longer deadline
+/// than its class is answered before SIGKILL may come. A viewer that keeps sending requests does not delay the end; those
+/// that cannot be answered in time are refused.
 #[test]
-fn nobody_holds_the_end_up_and_who_would_wait_past_it_is_answered_before() {
+fn no_viewer_delays_the_end_and_requests_with_later_deadlines_are_answered_before_it() {
     let mut scene = Scene::start_silent(4_242);
     let began = Instant::now();
-    let signal = began + ms(200);
-    let stalls = Stalls::new();
+    let sigterm_at = began + ms(200);
+    let scheduling_delay = SchedulingDelay::new();
     let mut viewers = Vec::new();
-    for n in 0..4u64 {
+    for viewer in 0..4u64 {
         let mut plan = Plan::patient();
-        for k in 0..6 {
-            plan.asks(began + ms(20 + n + 60 * k), 1, false);
+        for request in 0..6 {
+            plan.requests(began + ms(20 + viewer + 60 * request), 1, false);
         }
-        viewers.push(scene.viewer(began, plan));
+        viewers.push(scene.start_viewer(began, plan));
     }
     let mut plan = Plan::patient();
-    // Few enough that a front without optimisation on a busy machine keeps up: it is the end that is looked at.
-    (0..100).for_each(|k| plan.asks(began + ms(10 + 16 * k), 1, false));
-    let flood = scene.viewer(began, plan);
-    until(signal);
+    // Few enough for an unoptimised front on a busy machine, because this test is about the end and not about overload.
+    (0..100).for_each(|request| plan.requests(began + ms(10 + 16 * request), 1, false));
+    let flood_viewer = scene.start_viewer(began, plan);
+    sleep_until(sigterm_at);
     scene.front.signal("SIGTERM");
-    let (code, ended) = scene.front.ends();
+    let (exit_code, ended) = scene.front.wait_for_exit();
     let took = ended - scene.front.signalled();
-    let mut requests: Vec<Request> = viewers.into_iter().flat_map(|v| v.join().expect("a viewer")).collect();
-    let flooded = flood.join().expect("a viewer");
-    let sent = flooded.len();
-    // What came while requests may come is owed an answer like any other's, and so is what the front took after it.
-    requests.extend(flooded.into_iter().filter(|r| r.sent.is_some_and(|at| at < ended - ms(60))));
-    assert!(sent > 50, "{sent} requests of the flood");
+    let mut requests: Vec<Request> =
+        viewers.into_iter().flat_map(|v| v.join().expect("the viewer thread panicked")).collect();
+    let flood = flood_viewer.join().expect("the viewer thread panicked");
+    let sent = flood.len();
+    // Requests that arrived while the front must accept them need an answer like any other, as do later ones that it read.
+    requests.extend(flood.into_iter().filter(|r| r.sent.is_some_and(|at| at < ended - ms(60))));
+    assert!(sent > 50, "the flood has only {sent} requests, not more than 50");
     let stop = Stop {
-        code,
+        exit_code,
         took,
-        // What the machine keeps back from processes that are ready is no fault of the front.
-        killed: DEADLINE + ms(700) + stalls.longest(),
+        // Delays by the machine's scheduling are not caused by the front.
+        sigkill_after: DEADLINE + ms(700) + scheduling_delay.longest(),
         requests,
-        nodes: scene.nodes.iter().flat_map(Node::log).collect(),
-        drained: None,
+        node_events: scene.nodes.iter().flat_map(Node::events).collect(),
+        draining: None,
     };
-    assert_eq!(judge(&stop), Vec::<String>::new());
+    assert_eq!(find_violations(&stop), Vec::<String>::new());
 }
 
-/// A stop in which all went well, as the checker is to see it.
-fn good() -> Stop {
-    let t = Instant::now();
+/// A stop without violations.
+fn valid_stop() -> Stop {
+    let sent = Instant::now();
     let request = |id: u64, status: u16| Request {
         id,
-        paid: id % 2 == 0,
+        at_most_once: id % 2 == 0,
         patience: ms(500),
-        sent: Some(t),
-        answers: vec![Answer { at: t + ms(20), status, body: made_for(id) }],
-        rest: 0,
+        sent: Some(sent),
+        answers: vec![Answer { at: sent + ms(20), status, body: answer_body(id) }],
+        incomplete_bytes: 0,
     };
     let mut refused = request(3, 503);
     refused.answers[0].body = Vec::new();
     let mut unsent = request(4, 500);
     (unsent.sent, unsent.answers) = (None, Vec::new());
-    let arrived = |id, how| checker::Word { at: t + ms(5), node: 0, id, how };
+    let event = |id, kind| NodeEvent { at: sent + ms(5), node: 0, id, kind };
     Stop {
-        code: Some(0),
+        exit_code: Some(0),
         took: ms(900),
-        killed: ms(1_300),
+        sigkill_after: ms(1_300),
         requests: vec![request(1, 200), request(2, 200), refused, unsent],
-        nodes: vec![
-            arrived(1, checker::How::Arrived),
-            arrived(1, checker::How::Served),
-            arrived(2, checker::How::Arrived),
-            arrived(2, checker::How::Served),
+        node_events: vec![
+            event(1, NodeEventKind::Arrived),
+            event(1, NodeEventKind::Served),
+            event(2, NodeEventKind::Arrived),
+            event(2, NodeEventKind::Served),
         ],
-        drained: None,
+        draining: None,
     }
 }
 
 #[test]
-fn the_checker_sees_violations_that_are_planted() {
-    assert_eq!(judge(&good()), Vec::<String>::new());
-    let faults = |change: &dyn Fn(&mut Stop)| {
-        let mut stop = good();
+fn the_checker_finds_injected_violations() {
+    assert_eq!(find_violations(&valid_stop()), Vec::<String>::new());
+    let violations = |change: &dyn Fn(&mut Stop)| {
+        let mut stop = valid_stop();
         change(&mut stop);
-        judge(&stop).join("; ")
+        find_violations(&stop).join("; ")
     };
-    let has = |what: &str, change: &dyn Fn(&mut Stop)| {
-        let found = faults(change);
-        assert!(found.contains(what), "{what:?} was not seen: {found:?}");
+    let assert_found = |expected: &str, change: &dyn Fn(&mut Stop)| {
+        let found = violations(change);
+        assert!(found.contains(expected), "the violation {expected:?} was not found, but {found:?}");
     };
-    has("has no answer", &|s| s.requests[0].answers.clear());
-    has("2 answers", &|s| {
+    assert_found("has no answer", &|s| s.requests[0].answers.clear());
+    assert_found("2 answers", &|s| {
         let again = s.requests[1].answers[0].clone();
         s.requests[1].answers.push(again);
     });
-    has("answered 1500 ms", &|s| s.requests[2].answers[0].at += ms(1_480));
-    has("not whole", &|s| s.requests[0].rest = 7);
-    has("no node made", &|s| s.requests[0].answers[0].body = made_for(2));
-    has("no node made", &|s| s.nodes.retain(|w| w.id != 2 || w.how != checker::How::Served));
-    has("exit code", &|s| s.code = Some(1));
-    has("exit code", &|s| s.code = None);
-    has("SIGKILL", &|s| s.took = ms(1_400));
-    has("may have run", &|s| {
+    assert_found("answered 1500 ms", &|s| s.requests[2].answers[0].at += ms(1_480));
+    assert_found("not a complete message", &|s| s.requests[0].incomplete_bytes = 7);
+    assert_found("no node sent", &|s| s.requests[0].answers[0].body = answer_body(2));
+    assert_found("no node sent", &|s| {
+        s.node_events.retain(|event| event.id != 2 || event.kind != NodeEventKind::Served);
+    });
+    assert_found("exit code", &|s| s.exit_code = Some(1));
+    assert_found("exit code", &|s| s.exit_code = None);
+    assert_found("SIGKILL", &|s| s.took = ms(1_400));
+    assert_found("may have run", &|s| {
         s.requests[1].answers[0] =
             Answer { status: 503, body: Vec::new(), ..s.requests[1].answers[0].clone() };
     });
-    has("never sent on", &|s| s.requests[2].answers[0].status = 500);
-    has("released at its node", &|s| {
-        let word = checker::Word { how: checker::How::Released, ..s.nodes[1].clone() };
-        s.nodes.push(word);
+    assert_found("never sent to a node", &|s| s.requests[2].answers[0].status = 500);
+    assert_found("released at its node", &|s| {
+        let release = NodeEvent { kind: NodeEventKind::Released, ..s.node_events[1].clone() };
+        s.node_events.push(release);
     });
-    // Given up at another node before it was served is no fault; served at two and cut at neither is one.
-    let elsewhere = |how| move |s: &Stop| checker::Word { how, node: 1, ..s.nodes[1].clone() };
-    has("stands at 2 nodes", &|s| s.nodes.push(elsewhere(checker::How::Served)(s)));
-    assert_eq!(faults(&|s| s.nodes.push(elsewhere(checker::How::Released)(s))), "");
-    has("that drains", &|s| s.drained = Some((0, s.nodes[0].at - ms(400))));
+    // A session served at two nodes and released at neither is a violation; a cancellation at another node is none.
+    let at_other_node = |kind| move |s: &Stop| NodeEvent { kind, node: 1, ..s.node_events[1].clone() };
+    assert_found("exists at 2 nodes", &|s| s.node_events.push(at_other_node(NodeEventKind::Served)(s)));
+    assert_eq!(violations(&|s| s.node_events.push(at_other_node(NodeEventKind::Released)(s))), "");
+    assert_found("sent to draining node", &|s| s.draining = Some((0, s.node_events[0].at - ms(400))));
 }
--- a/crates/cli/tests/platform_watch.rs
+++ b/crates/cli/tests/platform_watch.rs
@@ -389,7 +389,7 @@
     let (SocketAddr::V4(own), SocketAddr::V4(peer)) =
         (stream.local_addr().expect("no valid address"), stream.peer_addr().expect("no valid address"))
     else {
-        panic!("IPv4")
+        panic!("not IPv4 addresses")
     };
     let table_address =
         |a: SocketAddrV4| format!("{:08X}:{:04X}", u32::from_ne_bytes(a.ip().octets()), a.port());
--- a/crates/cli/tests/stops/checker.rs
+++ b/crates/cli/tests/stops/checker.rs
@@ -1,9 +1,9 @@
-//! Judges a stop from what passed on the sockets. It shares no code with the front.
+//! Checks a stop of a front by the traffic on the sockets. Shares no code with the front.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// An answer as a viewer read it.
+/// A final answer as a viewer received it.
 #[derive(Clone, Debug)]
 pub struct Answer {
     pub at: Instant,
@@ -17,127 +17,155 @@
     }
 }
 
-/// A request of a viewer.
+/// A set-up request of a viewer, and its outcome.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub id: u64,
-    /// Of a class that may not be repeated.
-    pub paid: bool,
-    /// How long its viewer waits.
+    /// Whether its class is `at_most_once`: it must not be repeated once it may have run.
+    pub at_most_once: bool,
+    /// Time from sending to its deadline.
     pub patience: Duration,
-    /// When its last byte was written, if the connection took it.
+    /// When its last byte was written; `None` if the write failed.
     pub sent: Option<Instant>,
-    /// Final answers to it, in their order.
+    /// Final answers to it, in order of arrival.
     pub answers: Vec<Answer>,
-    /// Bytes at the end of its connection that are no whole message.
-    pub rest: usize,
+    /// Number of bytes at the end of its connection that are not a complete message.
+    pub incomplete_bytes: usize,
 }
 
-/// What a node saw of a session.
+/// Kinds of events of a session at a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
-    /// Its set-up arrived.
+pub enum NodeEventKind {
+    /// The set-up arrived.
     Arrived,
-    /// The node answered it.
+    /// The node accepted the set-up.
     Served,
-    /// The node turned it away unseen.
-    TurnedAway,
-    /// The front gave it up or released it.
+    /// The node refused the set-up without running it.
+    Refused,
+    /// The front cancelled the set-up or released the session.
     Released,
 }
 
+/// An event of a session at a node.
 #[derive(Clone, Debug)]
-pub struct Word {
+pub struct NodeEvent {
     pub at: Instant,
     pub node: usize,
+    /// Id of the session.
     pub id: u64,
-    pub how: How,
+    pub kind: NodeEventKind,
 }
 
-/// A stop.
+/// A planned stop of a front under load.
 pub struct Stop {
-    /// The exit code, if it ended by itself.
-    pub code: Option<i32>,
-    /// From SIGTERM to the end.
+    /// The exit code; `None` if a signal ended the process.
+    pub exit_code: Option<i32>,
+    /// Time from SIGTERM to the end of the process.
     pub took: Duration,
-    /// SIGKILL comes no earlier after SIGTERM.
-    pub killed: Duration,
+    /// Shortest time from SIGTERM after which the platform sends SIGKILL.
+    pub sigkill_after: Duration,
     pub requests: Vec<Request>,
-    pub nodes: Vec<Word>,
-    /// A node that drains, and when the front was told.
-    pub drained: Option<(usize, Instant)>,
+    pub node_events: Vec<NodeEvent>,
+    /// The draining node, and when the front was signalled to use the change log that reports it.
+    pub draining: Option<(usize, Instant)>,
 }
 
-/// An answer earns nothing after the request's time, and it counts as lost after so much more.
-const LOST: Duration = Duration::from_millis(500);
-/// The slack of the rules on sockets.
-const SLACK: Duration = Duration::from_millis(50);
-/// From a word of the change log to what it says: its way, and a busy machine.
-const TOLD: Duration = Duration::from_millis(300);
+/// An answer is worthless after its request's deadline, and counts as lost this much later.
+const LOST_AFTER_DEADLINE: Duration = Duration::from_millis(500);
+/// Tolerance for measurements on sockets.
+const TOLERANCE: Duration = Duration::from_millis(50);
+/// Time from an event of the change log to its effect in the front: network and scheduling on a busy machine.
+const EVENT_DELAY: Duration = Duration::from_millis(300);
 
-/// All that a stop did wrong.
-pub fn judge(stop: &Stop) -> Vec<String> {
-    let mut faults = Vec::new();
-    let mut fault = |what: String| faults.push(what);
-    if stop.code != Some(0) {
-        fault(format!("exit code {:?}", stop.code));
+/// Returns all violations in a stop.
+pub fn find_violations(stop: &Stop) -> Vec<String> {
+    let mut violations = Vec::new();
+    let mut report = |violation: String| violations.push(violation);
+    if stop.exit_code != Some(0) {
+        report(format!("the exit code is {:?}, not 0", stop.exit_code));
     }
-    if stop.took > stop.killed + SLACK {
-        fault(format!("it ended {:?} after SIGTERM; SIGKILL may come after {:?}", stop.took, stop.killed));
+    if stop.took > stop.sigkill_after + TOLERANCE {
+        report(format!(
+            "the front ended {:?} after SIGTERM; SIGKILL may come after {:?}",
+            stop.took, stop.sigkill_after
+        ));
     }
-    for r in &stop.requests {
-        let (id, saw) = (r.id, |how| stop.nodes.iter().any(|w| w.id == r.id && w.how == how));
-        if r.rest > 0 {
-            fault(format!("{id:x}: the last {} bytes on its connection are not whole", r.rest));
+    for request in &stop.requests {
+        let (id, has_event) = (request.id, |kind| {
+            stop.node_events.iter().any(|event| event.id == request.id && event.kind == kind)
+        });
+        if request.incomplete_bytes > 0 {
+            report(format!(
+                "request {id:x}: the last {} bytes on its connection are not a complete message",
+                request.incomplete_bytes
+            ));
         }
-        let Some(sent) = r.sent else {
-            if !r.answers.is_empty() {
-                fault(format!("{id:x}: answered before it was sent"));
+        let Some(sent) = request.sent else {
+            if !request.answers.is_empty() {
+                report(format!("request {id:x} was answered although it was not sent completely"));
             }
             continue;
         };
-        let [answer] = &r.answers[..] else {
-            fault(match r.answers.len() {
-                0 => format!("{id:x} has no answer"),
-                n => format!("{id:x} has {n} answers"),
+        let [answer] = &request.answers[..] else {
+            report(match request.answers.len() {
+                0 => format!("request {id:x} has no answer"),
+                n => format!("request {id:x} has {n} answers"),
             });
             continue;
         };
         let took = answer.at - sent;
-        if took > r.patience + LOST {
-            fault(format!("{id:x} was answered {} ms after it was sent", took.as_millis()));
+        if took > request.patience + LOST_AFTER_DEADLINE {
+            report(format!(
+                "request {id:x} was answered {} ms after it was sent; its deadline is {} ms",
+                took.as_millis(),
+                request.patience.as_millis()
+            ));
         }
         match answer.status {
-            200 if answer.body != format!("answer for {id:016x}\r\n").into_bytes() || !saw(How::Served) => {
-                fault(format!("{id:x} is served with what no node made for it"));
+            200 if answer.body != format!("answer for {id:016x}\r\n").into_bytes()
+                || !has_event(NodeEventKind::Served) =>
+            {
+                report(format!("request {id:x} was answered with a body that no node sent for it"));
             }
-            // An attempt that was given up at one node and served at another stands at the other alone.
+            // A session that one node accepted and the front cancelled there exists only at the other node that accepted it.
             200 => {
-                let at = |node, how| stop.nodes.iter().any(|w| w.id == id && w.node == node && w.how == how);
-                let served: BTreeSet<usize> = stop
-                    .nodes
+                let has_event_at = |node, kind| {
+                    stop.node_events
+                        .iter()
+                        .any(|event| event.id == id && event.node == node && event.kind == kind)
+                };
+                let served_at: BTreeSet<usize> = stop
+                    .node_events
                     .iter()
-                    .filter(|w| w.id == id && w.how == How::Served)
-                    .map(|w| w.node)
+                    .filter(|event| event.id == id && event.kind == NodeEventKind::Served)
+                    .map(|event| event.node)
                     .collect();
-                match served.iter().filter(|node| !at(**node, How::Released)).count() {
-                    0 => fault(format!("{id:x} stands and was released at its node")),
+                match served_at.iter().filter(|node| !has_event_at(**node, NodeEventKind::Released)).count() {
+                    0 => report(format!("session {id:x} was answered with 200 and released at its node")),
                     1 => {}
-                    n => fault(format!("{id:x} stands at {n} nodes")),
+                    n => report(format!("session {id:x} exists at {n} nodes")),
                 }
             }
-            453 | 454 | 503 if r.paid && saw(How::Arrived) && !saw(How::TurnedAway) => {
-                fault(format!("{id:x} is refused though it may have run"));
+            453 | 454 | 503
+                if request.at_most_once
+                    && has_event(NodeEventKind::Arrived)
+                    && !has_event(NodeEventKind::Refused) =>
+            {
+                report(format!("request {id:x} was refused although it may have run"));
             }
             453 | 454 | 503 => {}
-            _ if !saw(How::Arrived) => fault(format!("{id:x} was never sent on and is answered as failed")),
+            _ if !has_event(NodeEventKind::Arrived) => {
+                report(format!("request {id:x} was never sent to a node and is answered as failed"));
+            }
             _ => {}
         }
     }
-    if let Some((node, at)) = stop.drained {
-        for w in stop.nodes.iter().filter(|w| w.node == node && w.how == How::Arrived && w.at > at + TOLD) {
-            fault(format!("{:x} was sent to a node that drains", w.id));
+    if let Some((node, at)) = stop.draining {
+        for event in stop.node_events.iter().filter(|event| {
+            event.node == node && event.kind == NodeEventKind::Arrived && event.at > at + EVENT_DELAY
+        }) {
+            report(format!("set-up {:x} was sent to draining node {node}", event.id));
         }
     }
-    faults
+    violations
 }
