--- a/crates/fleet/src/front.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,6 +1,6 @@
 //! One front's part.
 
-use crate::agreed::{Agreed, AgreedNote, AgreedSettings, AgreedShown, Force, Means, Said};
+use crate::agreement::{Agreed, AgreedNote, AgreedSettings, AgreedShown, Force, Means, Said};
 use crate::copies::Copies;
 use crate::readings::{Reading, Readings, SPACE};
 use pepperhook_duties::{Counters, Duty, DutyReport, DutyRow, DutyScheduler, DutyState, FleetClock, Target};
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -4,11 +4,11 @@
 //! of the view come out. The front's shell carries this out on sockets, and the rehearsal of many fronts in one
 //! process runs the same code on a network in memory.
 
-mod agreed;
+mod agreement;
 mod copies;
-mod front;
+mod fleet;
 mod readings;
 
-pub use agreed::{AgreedNote, AgreedSettings, AgreedShown, Force, Means};
-pub use front::{Fleet, MemberRow, Note, Out, READS, Settings, View};
+pub use agreement::{AgreedNote, AgreedSettings, AgreedShown, Force, Means};
+pub use fleet::{Fleet, MemberRow, Note, Out, READS, Settings, View};
 pub use readings::{Reading, SPACE};
--- a/crates/policy/src/governor.rs
+++ b/crates/policy/src/governor.rs
@@ -6,17 +6,17 @@
 
 use crate::answer::{Answer, Ask, Effect, MOST_NAME, Pace, Unfit};
 use crate::change::{Change, MOST_WHY, Made, Proof, SUBJECT, Steps, Undone, cut, derived};
+use crate::intersection::tighter;
 use crate::policy::Policy;
-use crate::tighter::tighter;
 use crate::trial::{History, Sums, Verdict};
 use pepperhook_agreement::{Command, Entry, Key, Operation, Outcome, Registers};
 use pepperhook_settings::Config;
 use std::collections::{BTreeMap, VecDeque};
 
-mod told;
+mod operators;
 mod view;
 
-use told::known;
+use operators::known;
 
 /// Changes that wait at a front at most.
 const MOST_WAITING: usize = 16;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -7,13 +7,13 @@
 mod answer;
 mod change;
 mod governor;
+mod intersection;
 mod policy;
-mod tighter;
 mod trial;
 
 pub use answer::{Answer, Ask, Effect, MOST_NAME, Pace, Unfit};
 pub use change::{Change, MOST_WHY, Made, Proof, SUBJECT, Steps, Undone, Unread};
 pub use governor::{Around, Fits, Governor};
+pub use intersection::{RULES, Rule, neighbours, tighter, within};
 pub use policy::{Difference, Fixed, MOST_ASKED, MOST_TEXT, Policy, PolicyError};
-pub use tighter::{RULES, Rule, neighbours, tighter, within};
 pub use trial::{Counts, Sums, Trial, Verdict, Watch};
