--- a/crates/fleet/src/agreement.rs
+++ b/crates/fleet/src/agreement.rs
@@ -1,6 +1,6 @@
-//! What the fleet agrees on, on a lane of the exchange: the log's part of this front, and the governor of its policy. What
-//! was agreed goes into force here first and is vouched for then; nothing is vouched for while a set-up is open that was
-//! taken under what stood before.
+//! Connects the replicated log of the agreement to the governor of the policy. An agreed policy is first activated on this
+//! front and only then confirmed to the log; it is not confirmed while a set-up is open that was accepted under an earlier
+//! policy.
 
 use pepperhook_agreement::node::{self, Node};
 use pepperhook_agreement::{
@@ -10,207 +10,222 @@
 use serde::Serialize;
 use std::collections::VecDeque;
 
-/// The register of the policy.
+/// The register that holds the policy.
 const POLICY: Subject = Subject { space: 1, number: 0 };
-/// Time between two looks of the governor, milliseconds.
-const GOVERN_MS: u64 = 100;
-/// What a hold has beside the longest patience at least, milliseconds.
-const BESIDE_MS: u64 = 1_000;
-/// Entries that wait to be vouched for at most; a front that is further behind vouches for the last of them alone.
-const MOST_DUE: usize = 64;
-
-/// What a front is told of the agreement at its start.
+/// Interval between two ticks of the governor, milliseconds.
+const GOVERNOR_TICK_MS: u64 = 100;
+/// By how much a lease must at least exceed the longest patience of a policy, milliseconds.
+const MIN_LEASE_MARGIN_MS: u64 = 1_000;
+/// Limit of the entries that wait to be confirmed. Beyond it the oldest is dropped: a later confirmation includes it.
+const MAX_UNCONFIRMED: usize = 64;
+
+/// Settings of the agreement on one front.
 #[derive(Clone, Debug)]
-pub struct AgreedSettings {
-    /// The log's part.
+pub struct AgreementSettings {
+    /// The node of the replicated log.
     pub node: node::Settings,
-    /// What the store of a voter has.
+    /// The stored state, if this front is a voter.
     pub kept: Option<StoredState>,
-    /// The policy of this front's file, if it may begin with it where none stands.
+    /// The policy in this front's file, if this front may propose it to a fleet that has none.
     pub seed: Option<Policy>,
-    /// The longest patience by the file, milliseconds.
+    /// The longest patience of a class in this front's file, milliseconds.
     pub patience_ms: u64,
-    /// A front that never heard of the voters serves by its file.
+    /// Whether the front serves by its file while it does not know the voters yet.
     pub serve_unknown: bool,
 }
 
-/// What the front's own engine says.
-pub trait Means {
-    /// Whether this front can go by a policy.
+/// What the agreement needs to know of the engine that runs under the policy.
+pub trait PolicyEngine {
+    /// Checks that this front can apply a policy.
     ///
     /// # Errors
-    /// Why not.
-    fn fits(&self, policy: &Policy) -> Result<(), String>;
-    /// The earliest entry by which anything is still decided here; `None` while something goes by the file.
-    fn decides_by(&self) -> Option<u64>;
+    /// The reason if it cannot.
+    fn check_policy(&self, policy: &Policy) -> Result<(), String>;
+    /// The oldest policy in use by an open set-up, as the log entry that activated it; `None` while a set-up still uses the
+    /// policy of the file.
+    fn oldest_entry_in_use(&self) -> Option<u64>;
 }
 
-/// A front that has no engine: nothing is open, and it can go by everything.
-pub struct NoMeans;
+/// Stands in until an engine is set: no set-up is open, and every policy can be applied.
+pub struct NoEngine;
 
-impl Means for NoMeans {
-    fn fits(&self, _: &Policy) -> Result<(), String> {
+impl PolicyEngine for NoEngine {
+    fn check_policy(&self, _: &Policy) -> Result<(), String> {
         Ok(())
     }
 
-    fn decides_by(&self) -> Option<u64> {
+    fn oldest_entry_in_use(&self) -> Option<u64> {
         Some(u64::MAX)
     }
 }
 
-/// The means, and the bound that the hold sets.
-struct Bounded<'a>(&'a dyn Means, u64);
+/// Checks a policy against the engine and against the length of the lease.
+struct PolicyCheck<'a> {
+    engine: &'a dyn PolicyEngine,
+    lease_ms: u64,
+}
 
-impl Fits for Bounded<'_> {
+impl Fits for PolicyCheck<'_> {
     fn fits(&self, policy: &Policy) -> Result<(), String> {
-        let longest = patience_ms(policy);
-        if longest.saturating_add(BESIDE_MS) > self.1 {
+        let longest = longest_patience_ms(policy);
+        if longest.saturating_add(MIN_LEASE_MARGIN_MS) > self.lease_ms {
             return Err(format!(
-                "a patience of {longest} ms is too long for the fleet's hold of {} ms",
-                self.1
+                "a patience of {longest} ms is too long for the fleet's hold of {} ms: \
+                 it must be at least {MIN_LEASE_MARGIN_MS} ms shorter",
+                self.lease_ms
             ));
         }
-        self.0.fits(policy)
+        self.engine.check_policy(policy)
     }
 }
 
-fn patience_ms(policy: &Policy) -> u64 {
+/// The longest patience of a class, milliseconds.
+fn longest_patience_ms(policy: &Policy) -> u64 {
     policy.fleet().classes.iter().map(|c| c.front.patience).max().unwrap_or(0) / 1_000_000
 }
 
-/// What comes out, to the fleet.
+/// Output of the agreement.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
-    /// To a front.
+pub enum AgreementOutput {
+    /// Send this message to this front.
     Send(u64, Vec<u8>),
-    /// To the store, in order.
+    /// Write this batch (its number, its operations) to the voter's store; batches are written in order.
     Write(u64, Vec<pepperhook_agreement::StoreOp>),
-    /// The store is to be put away and a new one made.
-    Remake,
-    /// This policy comes into force, before anything that follows is sent.
-    InForce(Force),
-    /// What came of an operator's wish of this key.
-    Told(u128, pepperhook_policy::Answer),
-    /// For the log.
-    Note(AgreedNote),
+    /// Rename the voter's store and create a new one.
+    RecreateStore,
+    /// Activate this policy before anything that follows is sent.
+    ActivatePolicy(ActivePolicy),
+    /// The answer to the operator's request with this key.
+    AnswerOperator(u128, pepperhook_policy::Answer),
+    /// A note for the log.
+    Note(AgreementNote),
 }
 
-/// A policy as it comes into force.
+/// A policy that this front activates.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Force {
-    /// The entry of the log that put it into force: by it requests are told apart.
+pub struct ActivePolicy {
+    /// The log entry that activated it. Requests are distinguished by the entry under which they were accepted.
     pub entry: u64,
     /// The policy's version.
     pub version: u64,
-    /// The step of its change.
+    /// The step of the change, as [`pepperhook_policy::Change::step`] names it.
     pub step: &'static str,
     /// The policy.
     pub policy: Policy,
 }
 
-/// For the log.
+/// A note for the log. Its `Debug` text leaves the process, so its variants keep their names.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum AgreedNote {
-    /// Of the log's part.
+pub enum AgreementNote {
+    /// A note of the node of the replicated log.
     Node(node::Note),
-    /// It holds, or no more.
+    /// This front got its lease (true) or lost it (false).
     Held(bool),
-    /// It cannot go by what was decided; why.
+    /// This front cannot apply the agreed policy, for this reason.
     Stuck(String),
 }
 
-/// For display.
+/// State of the agreement on this front, shown as JSON.
 #[derive(Clone, Debug, Serialize)]
-pub struct AgreedShown {
-    /// It votes now.
+#[serde(rename = "AgreedShown")]
+pub struct AgreementView {
+    /// Whether this front votes now.
     pub votes: bool,
-    /// It must not vote in this run any more.
+    /// Whether this front must not vote until it restarts.
     pub stopped: bool,
-    /// Number of the configuration of voters, 0 if it is not known yet.
+    /// Number of the configuration of voters; 0 if it is not known yet.
     pub config: u32,
     /// The voters.
     pub voters: Vec<u64>,
-    /// The leader that this voter follows.
+    /// The leader that this front follows as a voter.
     pub leader: Option<u64>,
-    /// The last entry here.
-    pub number: u64,
-    /// The highest that it has heard of.
-    pub known: u64,
-    /// Up to where this front goes by what was agreed.
-    pub vouched: u64,
-    /// Up to where every front that holds does.
-    pub settled: u64,
-    /// It holds for so long yet, milliseconds.
-    pub holds_ms: u64,
-    /// It takes no set-ups, since it cannot know what the fleet agreed.
+    /// Number of the last entry in this front's log.
+    #[serde(rename = "number")]
+    pub last_entry: u64,
+    /// Highest entry number known to this front.
+    #[serde(rename = "known")]
+    pub highest_known: u64,
+    /// The entry up to which this front has applied the log and confirmed that.
+    #[serde(rename = "vouched")]
+    pub confirmed: u64,
+    /// The entry up to which every front with a lease has confirmed.
+    #[serde(rename = "settled")]
+    pub stable: u64,
+    /// Remaining time of this front's lease, milliseconds.
+    #[serde(rename = "holds_ms")]
+    pub lease_remaining_ms: u64,
+    /// Whether it refuses set-ups because it may have missed an agreed change.
     pub fenced: bool,
-    /// What it has is not what was agreed.
+    /// Whether its log differs from the agreed one.
     pub forked: bool,
-    /// Version of the policy that this front goes by.
+    /// Version of the policy that is active on this front.
     pub version: Option<u64>,
-    /// The step of its change.
+    /// Step of that policy's change.
     pub step: Option<&'static str>,
-    /// The entry that put it into force.
-    pub entry: u64,
-    /// The policy, its step, who made it.
-    pub policy: Vec<(&'static str, String)>,
+    /// The log entry that activated that policy.
+    #[serde(rename = "entry")]
+    pub policy_entry: u64,
+    /// State of the policy and its change, as rows of name and value.
+    #[serde(rename = "policy")]
+    pub policy_rows: Vec<(&'static str, String)>,
 }
 
-/// This front's part.
-pub struct Agreed {
+/// The agreement on one front: the replicated log, the governor of the policy, and the confirmations between them.
+pub struct Agreement {
     node: Node,
     governor: Governor,
-    means: Box<dyn Means>,
-    hold_ms: u64,
+    engine: Box<dyn PolicyEngine>,
+    lease_ms: u64,
     patience_ms: u64,
     serve_unknown: bool,
-    /// Entries to be vouched for, each with the entry in force by then.
-    due: VecDeque<(u64, u64)>,
-    /// The entry in force.
-    force: u64,
-    governed_ms: u64,
-    /// What the store's policy brought, until the first look.
-    kept: Vec<Said>,
+    /// Entries to confirm, each with the entry whose policy was active when it was applied.
+    unconfirmed: VecDeque<(u64, u64)>,
+    /// The entry whose policy is active.
+    active_entry: u64,
+    governor_ticked_ms: u64,
+    /// Outputs that result from the stored state, until the first tick returns them.
+    startup_outputs: Vec<AgreementOutput>,
 }
 
-impl Agreed {
-    pub fn new(settings: AgreedSettings, now_ms: u64) -> Self {
+impl Agreement {
+    pub fn new(settings: AgreementSettings, now_ms: u64) -> Self {
         let me = settings.node.me;
-        let hold_ms = settings.node.lease_ms;
-        // A change waits for fronts that are cut off as long as their holds last, and some time for messages.
+        let lease_ms = settings.node.lease_ms;
+        // A change waits until the leases of fronts that are cut off expire, and some time for messages.
         let pace = Pace {
-            first_ms: u32::try_from(hold_ms.saturating_mul(4)).unwrap_or(u32::MAX),
+            first_ms: u32::try_from(lease_ms.saturating_mul(4)).unwrap_or(u32::MAX),
             ..Pace::default()
         };
         let mut new = Self {
             node: Node::new(settings.node, settings.kept, now_ms),
             governor: Governor::new(me, pace, settings.seed),
-            means: Box::new(NoMeans),
-            hold_ms,
+            engine: Box::new(NoEngine),
+            lease_ms,
             patience_ms: settings.patience_ms,
             serve_unknown: settings.serve_unknown,
-            due: VecDeque::new(),
-            force: 0,
-            governed_ms: 0,
-            kept: Vec::new(),
+            unconfirmed: VecDeque::new(),
+            active_entry: 0,
+            governor_ticked_ms: 0,
+            startup_outputs: Vec::new(),
         };
-        // What the store had is gone by before anything later.
-        let mut said = Vec::new();
-        new.replaced(now_ms, &mut said);
-        new.kept = said;
+        // The stored policy is activated before any later one.
+        let mut outputs = Vec::new();
+        new.replaced(now_ms, &mut outputs);
+        new.startup_outputs = outputs;
         new
     }
 
-    pub fn set_means(&mut self, means: Box<dyn Means>) {
-        self.means = means;
+    pub fn set_engine(&mut self, engine: Box<dyn PolicyEngine>) {
+        self.engine = engine;
     }
 
-    pub fn raise(&mut self, run: u64) {
+    pub fn raise_run(&mut self, run: u64) {
         self.node.raise_run(run);
     }
 
-    /// It cannot know what the fleet agreed, for as long as a request that is taken now may wait. One that objects to a
-    /// policy goes on by the former: nobody goes further than the step between while it holds.
+    /// Whether this front must refuse set-ups: its lease ends before a request accepted now could time out, so the fleet may
+    /// agree meanwhile on a change that this front does not know. A front that cannot apply a policy keeps the former one:
+    /// while it has its lease, no front goes beyond the first step of the change.
     pub fn fenced(&self, now_ms: u64) -> bool {
         if !self.node.knows_voters() {
             return !self.serve_unknown;
@@ -218,174 +233,192 @@
         !self.node.holds_lease(now_ms.saturating_add(self.patience_ms))
     }
 
-    pub fn tick(&mut self, now_ms: u64, out: &mut Vec<Said>) {
-        out.append(&mut self.kept);
-        let mut said = Vec::new();
-        self.node.tick(now_ms, &mut said);
-        self.take(now_ms, said, out);
-        if now_ms >= self.governed_ms.saturating_add(GOVERN_MS) {
-            self.governed_ms = now_ms;
+    pub fn tick(&mut self, now_ms: u64, out: &mut Vec<AgreementOutput>) {
+        out.append(&mut self.startup_outputs);
+        let mut outputs = Vec::new();
+        self.node.tick(now_ms, &mut outputs);
+        self.process(now_ms, outputs, out);
+        if now_ms >= self.governor_ticked_ms.saturating_add(GOVERNOR_TICK_MS) {
+            self.governor_ticked_ms = now_ms;
             let agreed = self.node.knows_voters() && !self.node.forked();
             let around = Around { agreed, leads: self.node.leads() };
-            let entry = self.register();
-            self.govern(now_ms, entry, out, |g, _, fits, effects| g.tick(now_ms, around, fits, effects));
+            let entry = self.policy_entry();
+            self.call_governor(now_ms, entry, out, |g, _, fits, effects| {
+                g.tick(now_ms, around, fits, effects)
+            });
         }
-        self.vouch();
+        self.confirm_unused();
     }
 
-    pub fn heard(&mut self, now_ms: u64, from: u64, run: u64, content: &[u8], out: &mut Vec<Said>) {
-        let mut said = Vec::new();
-        self.node.receive(now_ms, from, run, content, &mut said);
-        self.take(now_ms, said, out);
+    pub fn receive(
+        &mut self,
+        now_ms: u64,
+        from: u64,
+        run: u64,
+        content: &[u8],
+        out: &mut Vec<AgreementOutput>,
+    ) {
+        let mut outputs = Vec::new();
+        self.node.receive(now_ms, from, run, content, &mut outputs);
+        self.process(now_ms, outputs, out);
     }
 
-    pub fn written(&mut self, now_ms: u64, batch: u64, ok: bool, out: &mut Vec<Said>) {
-        let mut said = Vec::new();
-        self.node.written(now_ms, batch, ok, &mut said);
-        self.take(now_ms, said, out);
+    /// The voter's store has written a batch (`ok`) or failed to.
+    pub fn store_written(&mut self, now_ms: u64, batch: u64, ok: bool, out: &mut Vec<AgreementOutput>) {
+        let mut outputs = Vec::new();
+        self.node.written(now_ms, batch, ok, &mut outputs);
+        self.process(now_ms, outputs, out);
     }
 
-    pub fn remade(&mut self, kept: StoredState) {
+    /// The store was recreated with this state.
+    pub fn store_recreated(&mut self, kept: StoredState) {
         self.node.store_recreated(kept);
     }
 
-    pub fn ask(&mut self, now_ms: u64, ask: Ask, out: &mut Vec<Said>) {
-        let entry = self.register();
-        self.govern(now_ms, entry, out, |g, _, fits, effects| g.ask(now_ms, ask, fits, effects));
+    /// An operator requests a change of the policy.
+    pub fn request_policy_change(&mut self, now_ms: u64, ask: Ask, out: &mut Vec<AgreementOutput>) {
+        let entry = self.policy_entry();
+        self.call_governor(now_ms, entry, out, |g, _, fits, effects| g.ask(now_ms, ask, fits, effects));
     }
 
-    /// Asks for one voter more or less, or one in place of another.
+    /// Proposes to add a voter (the first of `change`), to remove one (the second), or both. Returns the proposed voters.
     ///
     /// # Errors
-    /// Why it cannot be asked for.
-    pub fn voters(
+    /// The reason why the change cannot be proposed.
+    pub fn request_voter_change(
         &mut self,
         now_ms: u64,
         key: Key,
         change: (Option<u64>, Option<u64>),
-        out: &mut Vec<Said>,
+        out: &mut Vec<AgreementOutput>,
     ) -> Result<Vec<u64>, String> {
         let config = self.node.registers().config().ok_or("the voters are not known here")?;
         let mut voters = config.voters.clone();
-        if let Some(goes) = change.1 {
+        if let Some(removed) = change.1 {
             let before = voters.len();
-            voters.retain(|v| v.front != goes);
+            voters.retain(|v| v.front != removed);
             if voters.len() == before {
-                return Err("this front does not vote".into());
+                return Err("the front to remove is not a voter".into());
             }
         }
-        if let Some(comes) = change.0 {
-            if voters.iter().any(|v| v.front == comes) {
-                return Err("this front votes already".into());
+        if let Some(added) = change.0 {
+            if voters.iter().any(|v| v.front == added) {
+                return Err("the front to add is a voter already".into());
             }
-            let store = self.node.store_of(comes).ok_or("no store of this front was heard of here: ask a front that votes, and see that it has a state-dir")?;
-            voters.push(VoterId { front: comes, store });
+            let store = self.node.store_of(added).ok_or("no store of this front was heard of here: ask a front that votes, and see that it has a state-dir")?;
+            voters.push(VoterId { front: added, store });
         }
         voters.sort_unstable();
         if !pepperhook_agreement::valid_voters(&voters) {
-            return Err("there are 1 to 7 voters".into());
+            return Err(format!("the change would leave {} voters: 1 to 7 are allowed", voters.len()));
         }
         let fronts = voters.iter().map(|v| v.front).collect();
         let operation = Operation::Voters { expects: config.number, voters };
         let command = Command { key, author: self.node.number(), operation };
-        let mut said = Vec::new();
-        self.node.propose(now_ms, command, &mut said);
-        self.take(now_ms, said, out);
+        let mut outputs = Vec::new();
+        self.node.propose(now_ms, command, &mut outputs);
+        self.process(now_ms, outputs, out);
         Ok(fronts)
     }
 
-    fn take(&mut self, now_ms: u64, said: Vec<node::Output>, out: &mut Vec<Said>) {
-        use node::Output as From;
-        for o in said {
-            match o {
-                From::Send { to, message } => out.push(Said::Send(to, message)),
-                From::Write { batch, ops } => out.push(Said::Write(batch, ops)),
-                From::Applied { entry, outcome } => self.applied(now_ms, &entry, outcome, out),
-                From::Replaced => self.replaced(now_ms, out),
-                From::Stable(number) => {
-                    self.govern(now_ms, number, out, |g, _, _, effects| g.settled(now_ms, number, effects));
+    fn process(&mut self, now_ms: u64, outputs: Vec<node::Output>, out: &mut Vec<AgreementOutput>) {
+        use node::Output;
+        for output in outputs {
+            match output {
+                Output::Send { to, message } => out.push(AgreementOutput::Send(to, message)),
+                Output::Write { batch, ops } => out.push(AgreementOutput::Write(batch, ops)),
+                Output::Applied { entry, outcome } => self.applied(now_ms, &entry, outcome, out),
+                Output::Replaced => self.replaced(now_ms, out),
+                Output::Stable(number) => {
+                    self.call_governor(now_ms, number, out, |g, _, _, effects| {
+                        g.settled(now_ms, number, effects)
+                    });
                 }
-                From::LeaseHeld(held) => out.push(Said::Note(AgreedNote::Held(held))),
-                // The governor looks at the register, and proposes again where it did not move.
-                From::Proposed { .. } => {}
-                From::RecreateStore => out.push(Said::Remake),
-                From::Note(note) => out.push(Said::Note(AgreedNote::Node(note))),
+                Output::LeaseHeld(held) => out.push(AgreementOutput::Note(AgreementNote::Held(held))),
+                // The governor watches the register and proposes again if it did not change.
+                Output::Proposed { .. } => {}
+                Output::RecreateStore => out.push(AgreementOutput::RecreateStore),
+                Output::Note(note) => out.push(AgreementOutput::Note(AgreementNote::Node(note))),
             }
         }
-        self.vouch();
+        self.confirm_unused();
     }
 
-    fn applied(&mut self, now_ms: u64, entry: &Entry, outcome: Outcome, out: &mut Vec<Said>) {
-        self.govern(now_ms, entry.number, out, |g, _, fits, effects| {
+    fn applied(&mut self, now_ms: u64, entry: &Entry, outcome: Outcome, out: &mut Vec<AgreementOutput>) {
+        self.call_governor(now_ms, entry.number, out, |g, _, fits, effects| {
             g.applied(now_ms, entry, &outcome, fits, effects);
         });
     }
 
-    fn replaced(&mut self, now_ms: u64, out: &mut Vec<Said>) {
+    fn replaced(&mut self, now_ms: u64, out: &mut Vec<AgreementOutput>) {
         let registers = self.node.registers();
         let entry = registers.get(POLICY).map_or(registers.number(), |r| r.number);
-        self.govern(now_ms, entry, out, |g, state, fits, effects| g.replaced(now_ms, state, fits, effects));
+        self.call_governor(now_ms, entry, out, |g, state, fits, effects| {
+            g.replaced(now_ms, state, fits, effects)
+        });
     }
 
-    /// The entry that wrote the policy's register, 0 for none.
-    fn register(&self) -> u64 {
+    /// The entry that wrote the policy's register; 0 if none did.
+    fn policy_entry(&self) -> u64 {
         self.node.registers().get(POLICY).map_or(0, |r| r.number)
     }
 
-    /// Calls the governor and carries out what it wants; a policy that it puts into force does so by this entry.
-    fn govern(
+    /// Calls the governor and executes its effects. A policy that it activates is recorded as activated by `entry`.
+    fn call_governor(
         &mut self,
         now_ms: u64,
         entry: u64,
-        out: &mut Vec<Said>,
+        out: &mut Vec<AgreementOutput>,
         call: impl FnOnce(&mut Governor, &Registers, &dyn Fits, &mut Vec<Effect>),
     ) {
         let mut effects = Vec::new();
-        let fits = Bounded(&*self.means, self.hold_ms);
+        let fits = PolicyCheck { engine: &*self.engine, lease_ms: self.lease_ms };
         call(&mut self.governor, self.node.registers(), &fits, &mut effects);
-        self.carry_out(now_ms, entry, effects, out);
+        self.execute(now_ms, entry, effects, out);
     }
 
-    fn carry_out(&mut self, now_ms: u64, entry: u64, effects: Vec<Effect>, out: &mut Vec<Said>) {
+    fn execute(&mut self, now_ms: u64, entry: u64, effects: Vec<Effect>, out: &mut Vec<AgreementOutput>) {
         for effect in effects {
             match effect {
                 Effect::Propose(command) => {
-                    let mut said = Vec::new();
-                    self.node.propose(now_ms, command, &mut said);
-                    self.take(now_ms, said, out);
+                    let mut outputs = Vec::new();
+                    self.node.propose(now_ms, command, &mut outputs);
+                    self.process(now_ms, outputs, out);
                 }
                 Effect::InForce { version, step, policy } => {
-                    self.force = entry;
-                    self.patience_ms = patience_ms(&policy).max(self.patience_ms);
-                    out.push(Said::InForce(Force { entry, version, step, policy }));
+                    self.active_entry = entry;
+                    self.patience_ms = longest_patience_ms(&policy).max(self.patience_ms);
+                    out.push(AgreementOutput::ActivatePolicy(ActivePolicy { entry, version, step, policy }));
                 }
                 Effect::Vouch(number) => {
-                    if self.due.len() >= MOST_DUE {
-                        self.due.pop_front();
+                    if self.unconfirmed.len() >= MAX_UNCONFIRMED {
+                        self.unconfirmed.pop_front();
                     }
-                    self.due.push_back((number, self.force));
+                    self.unconfirmed.push_back((number, self.active_entry));
                 }
-                Effect::Told { key, answer } => out.push(Said::Told(key, answer)),
-                Effect::Stuck(why) => out.push(Said::Note(AgreedNote::Stuck(why))),
+                Effect::Told { key, answer } => out.push(AgreementOutput::AnswerOperator(key, answer)),
+                Effect::Stuck(why) => out.push(AgreementOutput::Note(AgreementNote::Stuck(why))),
             }
         }
     }
 
-    /// Vouches for what nothing open here contradicts any more.
-    fn vouch(&mut self) {
-        let Some((_, first)) = self.due.front() else { return };
-        let by = self.means.decides_by().unwrap_or(0);
-        if by < *first {
+    /// Confirms the entries whose earlier policies no open set-up uses any more.
+    fn confirm_unused(&mut self) {
+        let Some((_, first)) = self.unconfirmed.front() else { return };
+        let oldest = self.engine.oldest_entry_in_use().unwrap_or(0);
+        if oldest < *first {
             return;
         }
-        while let Some((number, _)) = self.due.front().filter(|(_, force)| *force <= by).copied() {
+        while let Some((number, _)) =
+            self.unconfirmed.front().filter(|(_, active)| *active <= oldest).copied()
+        {
             self.node.confirm(number);
-            self.due.pop_front();
+            self.unconfirmed.pop_front();
         }
     }
 
-    /// The policy that stands or is being made: version, step, document.
-    pub fn in_force(&self) -> Option<(u64, &'static str, &Policy)> {
+    /// The policy that is active on this front: version, step, document.
+    pub fn active_policy(&self) -> Option<(u64, &'static str, &Policy)> {
         self.governor.in_force()
     }
 
@@ -393,25 +426,25 @@
         &self.governor
     }
 
-    pub fn shown(&self, now_ms: u64) -> AgreedShown {
+    pub fn view(&self, now_ms: u64) -> AgreementView {
         let v = self.node.view(now_ms);
-        AgreedShown {
+        AgreementView {
             votes: v.votes,
             stopped: v.stopped,
             config: v.config.as_ref().map_or(0, |c| c.number),
             voters: v.config.map_or_else(Vec::new, |c| c.voters.iter().map(|v| v.front).collect()),
             leader: v.leader.map(|l| l.front),
-            number: v.number,
-            known: v.known,
-            vouched: v.confirmed,
-            settled: v.stable,
-            holds_ms: v.lease_remaining_ms,
+            last_entry: v.number,
+            highest_known: v.known,
+            confirmed: v.confirmed,
+            stable: v.stable,
+            lease_remaining_ms: v.lease_remaining_ms,
             fenced: self.fenced(now_ms),
             forked: v.forked,
-            version: self.in_force().map(|(version, ..)| version),
-            step: self.in_force().map(|(_, step, _)| step),
-            entry: self.force,
-            policy: self.governor.rows(now_ms),
+            version: self.active_policy().map(|(version, ..)| version),
+            step: self.active_policy().map(|(_, step, _)| step),
+            policy_entry: self.active_entry,
+            policy_rows: self.governor.rows(now_ms),
         }
     }
 }
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,8 +1,10 @@
-//! One front's part.
+//! The state machine of one front: passes messages between the parts and turns their outputs into its own.
 
-use crate::agreement::{Agreed, AgreedNote, AgreedSettings, AgreedShown, Force, Means, Said};
+use crate::agreement::{
+    ActivePolicy, Agreement, AgreementNote, AgreementOutput, AgreementSettings, AgreementView, PolicyEngine,
+};
 use crate::copies::Copies;
-use crate::readings::{Reading, Readings, SPACE};
+use crate::readings::{READING_SPACE, Reading, Readings};
 use pepperhook_duties::{Counters, Duty, DutyReport, DutyRow, DutyScheduler, DutyState, FleetClock, Target};
 use pepperhook_exchange::{Exchange, Id, MAX_CHANNEL_MESSAGE_BYTES, MergeResult, Record, Records, Reject};
 use pepperhook_membership::{Change, Member, Membership};
@@ -10,96 +12,98 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Lane of membership: the sender's clock in eight bytes, then the protocol's message.
-const MEMBERSHIP: u8 = 1;
-/// Lane of claims about duties.
-const CLAIMS: u8 = 2;
-/// Lane of copies.
-const COPIES: u8 = 3;
-/// Lane of what the fleet agrees on.
-const AGREEMENT: u8 = 4;
-/// The kind of duty that reads a node's load: the first of the settings.
-pub const READS: u8 = 0;
-/// Bytes of the clock before a message of membership.
-const CLOCK: usize = 8;
-/// A change of the fleet's clock by more than this is a setting of it, milliseconds.
-const SET_MS: u64 = 200;
-/// A front that was not called for so long stood still, milliseconds ...
-const STILL_MS: u64 = 250;
-/// ... and listens for so long before it acts.
-const LISTENS_MS: u64 = 100;
-/// Readings are worthless to others after this time, milliseconds.
-const READING_LASTS_MS: u64 = 10_000;
-
-/// What a front is told of the fleet at its start.
+/// Channel of membership: the sender's clock in eight bytes, then the protocol's message.
+const MEMBERSHIP_CHANNEL: u8 = 1;
+/// Channel of reports about duties.
+const DUTY_CHANNEL: u8 = 2;
+/// Channel of the replica protocol.
+const COPIES_CHANNEL: u8 = 3;
+/// Channel of the agreement's log.
+const AGREEMENT_CHANNEL: u8 = 4;
+/// The kind of duty that reads a node's load; it is the first kind in the settings.
+pub const LOAD_READING_DUTY: u8 = 0;
+/// Length of the clock before a message of membership, bytes.
+const CLOCK_BYTES: usize = 8;
+/// Least change of the clock offset that is applied, milliseconds. Smaller ones are within the travel times of messages.
+const MIN_OFFSET_CHANGE_MS: u64 = 200;
+/// A pause between two ticks beyond this length means that the process was suspended, milliseconds.
+const SUSPENDED_MS: u64 = 250;
+/// Time for which a front begins no duty after it was suspended, milliseconds: it first processes the messages that arrived
+/// meanwhile.
+const CATCH_UP_MS: u64 = 100;
+/// Lifetime of a record of readings, milliseconds.
+const READING_LIFETIME_MS: u64 = 10_000;
+
+/// Settings of a front in the fleet.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The exchange; its peers are the seeds of membership.
+    /// Settings of the exchange; its peers are the seeds of membership.
     pub exchange: pepperhook_exchange::Settings,
-    /// Membership, where the fleet has one.
-    pub view: Option<View>,
-    /// Duties; they need a view.
+    /// Settings of membership; `None` for a fleet without it.
+    pub membership: Option<MembershipSettings>,
+    /// Settings of the duties; ignored without membership.
     pub duties: Option<pepperhook_duties::Settings>,
-    /// Copies; they need a view.
+    /// Settings of the copies; ignored without membership.
     pub copies: Option<pepperhook_replica::Settings>,
-    /// What the fleet agrees on; it needs a view.
-    pub agreed: Option<AgreedSettings>,
+    /// Settings of the agreement; ignored without membership.
+    pub agreement: Option<AgreementSettings>,
 }
 
-/// What membership is told.
+/// Settings of membership.
 #[derive(Clone, Copy, Debug)]
-pub struct View {
-    /// Where this front's datagrams come.
+pub struct MembershipSettings {
+    /// The address at which this front receives datagrams.
     pub address: SocketAddr,
-    /// Its weight in shared work.
+    /// This front's weight in the distribution of duties.
     pub weight: u16,
-    /// Fronts that are expected.
-    pub fronts: u32,
-    /// Time between two looks at a member, milliseconds.
-    pub period_ms: u64,
-    /// A suspect is given up after this time, milliseconds.
-    pub suspicion_ms: u64,
+    /// Number of fronts that are expected.
+    pub expected_fronts: u32,
+    /// Interval between two probes, milliseconds.
+    pub probe_period_ms: u64,
+    /// Time after which a suspected front is declared failed, milliseconds.
+    pub suspicion_timeout_ms: u64,
 }
 
-/// What is told to the log.
+/// A note for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Note {
-    /// The view changed.
-    View(Change),
-    /// This front's run was raised, since the others knew a later one.
-    Run(u64),
-    /// Of what the fleet agrees on.
-    Agreed(AgreedNote),
+    /// The view of the fleet's members changed.
+    ViewChanged(Change),
+    /// This front's run was raised to this number, because other fronts knew a later one.
+    RunRaised(u64),
+    /// A note of the agreement.
+    Agreement(AgreementNote),
 }
 
-/// What comes out.
+/// Output of a front, for its shell to execute in order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
-    /// Send this datagram.
+pub enum Output {
+    /// Send this datagram to this address.
     Send(SocketAddr, Vec<u8>),
-    /// A record is new or newer.
-    Changed(Record),
-    /// Do this duty in this round, within so many milliseconds.
-    Run(Duty, u64, u64),
-    /// Break it off.
-    Cancel(Duty, u64),
-    /// Another front saw this of a node, so many milliseconds ago.
-    Seen(Reading, u64),
-    /// This front goes on with what another held: keys and bodies.
+    /// This record of the exchange is new or has a newer version.
+    RecordChanged(Record),
+    /// Run this duty for this round, within this time in milliseconds; [`Fleet::finish_duty`] takes the result.
+    RunDuty(Duty, u64, u64),
+    /// Cancel this duty of this round.
+    CancelDuty(Duty, u64),
+    /// Another front shared this reading; the second value is its age, milliseconds.
+    ReadingReceived(Reading, u64),
+    /// This front took over these sessions of another front: keys and bodies.
     Adopted(Vec<(u64, Vec<u8>)>),
-    /// Another front goes on with these keys.
+    /// Another front took over the sessions with these keys.
     Lost(Vec<u64>),
-    /// An adopted key had ended already.
-    Ended(u64),
-    /// Write this to the store of what was promised, in order; [`Fleet::written`] takes the disk's answer.
-    Write(u64, Vec<pepperhook_agreement::StoreOp>),
-    /// Put that store away and make a new one; [`Fleet::remade`] takes it.
-    Remake,
-    /// A policy that the fleet agreed on comes into force, before anything that follows is sent.
-    InForce(Force),
-    /// What came of an operator's wish of this key.
-    Told(u128, pepperhook_policy::Answer),
-    /// For the log.
+    /// The adopted session with this key had ended before.
+    Deleted(u64),
+    /// Write this batch (its number, its operations) to the voter's store, in order; [`Fleet::store_written`] takes the
+    /// result.
+    WriteStore(u64, Vec<pepperhook_agreement::StoreOp>),
+    /// Rename the voter's store and create a new one; [`Fleet::store_recreated`] takes its state.
+    RecreateStore,
+    /// Activate this agreed policy before anything that follows is sent.
+    ActivatePolicy(ActivePolicy),
+    /// The answer to the operator's request with this key.
+    AnswerOperator(u128, pepperhook_policy::Answer),
+    /// A note for the log.
     Note(Note),
 }
 
@@ -112,84 +116,85 @@
     pub address: SocketAddr,
     /// Its run.
     pub run: u64,
-    /// Times it came back after it had been given up.
-    pub renewed: u32,
+    /// How often it rejoined after it had been declared failed.
+    #[serde(rename = "renewed")]
+    pub renewals: u32,
     /// Its weight.
     pub weight: u16,
-    /// It is this one.
+    /// Whether it is this front.
     pub own: bool,
 }
 
-/// One front among the others.
+/// One front as a member of the fleet.
 pub struct Fleet {
     exchange: Exchange,
     membership: Option<Membership>,
     duties: Option<DutyScheduler>,
     copies: Option<Copies>,
-    agreed: Option<Agreed>,
+    agreement: Option<Agreement>,
     clock: FleetClock,
-    /// The offset that the duties go by.
+    /// What is added to this front's clock to get the fleet's, milliseconds.
     offset_ms: i64,
     readings: Readings,
-    /// Kept fixed peers: the seeds.
+    /// The configured peers. They stay peers of the exchange whatever the view is.
     seeds: Vec<SocketAddr>,
     me: u64,
-    share_ms: u64,
-    /// The view changed since the last tick.
-    changed: bool,
-    /// No duty is begun before this, after this front stood still: what came meanwhile is heard first.
-    listens_ms: u64,
+    share_period_ms: u64,
+    /// The view changed since it was last applied.
+    view_changed: bool,
+    /// No duty is begun before this time: see [`CATCH_UP_MS`].
+    no_duties_before_ms: u64,
     ticked_ms: u64,
-    /// What is added to the clock so that it never goes back.
+    /// What is added to the system's clock to keep it from going back.
     shift_ms: u64,
     last_ms: u64,
 }
 
 impl Fleet {
-    /// A front that knows what its store kept. `now_ms` is Unix time.
+    /// Starts a front with the records from its store. `now_ms` is Unix time, milliseconds, here and in all methods.
     #[must_use]
     pub fn new(settings: Settings, kept: Vec<Record>, now_ms: u64) -> Self {
         let (me, run) = (settings.exchange.me, settings.exchange.run);
         let (seeds, seed) = (settings.exchange.peers.clone(), settings.exchange.seed);
-        let membership = settings.view.map(|v| {
+        let membership = settings.membership.map(|v| {
             let me = Member { front: me, run, renewals: 0, address: v.address, weight: v.weight };
             let settings = pepperhook_membership::Settings {
                 me,
                 seeds: seeds.clone(),
-                probe_period_ms: v.period_ms,
-                suspicion_timeout_ms: v.suspicion_ms,
-                expected_fronts: v.fronts,
-                max_message_bytes: MAX_CHANNEL_MESSAGE_BYTES - CLOCK,
+                probe_period_ms: v.probe_period_ms,
+                suspicion_timeout_ms: v.suspicion_timeout_ms,
+                expected_fronts: v.expected_fronts,
+                max_message_bytes: MAX_CHANNEL_MESSAGE_BYTES - CLOCK_BYTES,
                 rng_seed: seed,
             };
             Membership::new(settings, now_ms)
         });
-        let share_ms = settings
+        let share_period_ms = settings
             .duties
             .as_ref()
             .and_then(|d| d.kinds.iter().map(|k| k.period_ms).min())
-            .unwrap_or(READING_LASTS_MS);
+            .unwrap_or(READING_LIFETIME_MS);
         Self {
             exchange: Exchange::new(settings.exchange, kept, now_ms),
             duties: settings.duties.filter(|_| membership.is_some()).map(|d| DutyScheduler::new(d, now_ms)),
             copies: settings.copies.filter(|_| membership.is_some()).map(|c| Copies::new(c, now_ms)),
-            agreed: settings.agreed.filter(|_| membership.is_some()).map(|a| Agreed::new(a, now_ms)),
+            agreement: settings.agreement.filter(|_| membership.is_some()).map(|a| Agreement::new(a, now_ms)),
             membership,
             clock: FleetClock::default(),
             offset_ms: 0,
             readings: Readings::default(),
             seeds,
             me,
-            share_ms,
-            changed: false,
-            listens_ms: 0,
+            share_period_ms,
+            view_changed: false,
+            no_duties_before_ms: 0,
             ticked_ms: now_ms,
             shift_ms: 0,
             last_ms: now_ms,
         }
     }
 
-    /// This front's clock, made to go on where the system's went back.
+    /// The system's clock made monotonic: a step back is added to `shift_ms`.
     fn steady(&mut self, now_ms: u64) -> u64 {
         let mut steady = now_ms.saturating_add(self.shift_ms);
         if steady < self.last_ms {
@@ -205,364 +210,397 @@
         steady_ms.saturating_add_signed(self.offset_ms)
     }
 
-    // ---- what comes in -------------------------------------------------------------------------
+    // ---- inputs --------------------------------------------------------------------------------
 
-    /// Takes a datagram in.
+    /// Processes a datagram.
     ///
     /// # Errors
-    /// Why it was thrown away.
+    /// The reason if it is rejected.
     pub fn receive(
         &mut self,
         now_ms: u64,
         from: SocketAddr,
         datagram: &[u8],
-        out: &mut Vec<Out>,
+        out: &mut Vec<Output>,
     ) -> Result<(), Reject> {
         let now_ms = self.steady(now_ms);
-        let mut said = Vec::new();
-        let taken = self.exchange.receive(now_ms, from, datagram, &mut said);
-        self.exchanged(now_ms, said, out);
+        let mut outputs = Vec::new();
+        let taken = self.exchange.receive(now_ms, from, datagram, &mut outputs);
+        self.process_exchange(now_ms, outputs, out);
         taken
     }
 
-    /// Time passes. To be called every twenty milliseconds or so.
-    pub fn tick(&mut self, now_ms: u64, out: &mut Vec<Out>) {
+    /// Advances the time. To be called about every twenty milliseconds.
+    pub fn tick(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         let now_ms = self.steady(now_ms);
-        if now_ms > self.ticked_ms + STILL_MS {
-            self.listens_ms = now_ms + LISTENS_MS;
+        if now_ms > self.ticked_ms + SUSPENDED_MS {
+            self.no_duties_before_ms = now_ms + CATCH_UP_MS;
         }
         self.ticked_ms = now_ms;
-        let mut said = Vec::new();
-        self.exchange.tick(now_ms, &mut said);
-        self.exchanged(now_ms, said, out);
-        let mut said = Vec::new();
+        let mut outputs = Vec::new();
+        self.exchange.tick(now_ms, &mut outputs);
+        self.process_exchange(now_ms, outputs, out);
+        let mut outputs = Vec::new();
         if let Some(m) = &mut self.membership {
-            m.tick(now_ms, &mut said);
+            m.tick(now_ms, &mut outputs);
         }
-        self.viewed(now_ms, said, out);
-        self.set_clock(now_ms);
-        self.set_view(now_ms);
-        let said = self.copies.as_mut().map_or_else(Vec::new, |c| c.tick(now_ms));
-        self.copied(said, out);
-        self.with_agreed(out, |a, said| a.tick(now_ms, said));
+        self.process_membership(now_ms, outputs, out);
+        self.update_clock(now_ms);
+        self.apply_view(now_ms);
+        let outputs = self.copies.as_mut().map_or_else(Vec::new, |c| c.tick(now_ms));
+        self.process_replica(outputs, out);
+        self.call_agreement(out, |a, outputs| a.tick(now_ms, outputs));
         let fleet_ms = self.fleet_ms(now_ms);
-        let mut work = Vec::new();
-        if let Some(d) = self.duties.as_mut().filter(|_| now_ms >= self.listens_ms) {
-            d.wake(fleet_ms, &mut work);
+        let mut outputs = Vec::new();
+        if let Some(d) = self.duties.as_mut().filter(|_| now_ms >= self.no_duties_before_ms) {
+            d.wake(fleet_ms, &mut outputs);
         }
-        self.worked(work, out);
-        if let Some(told) = self.readings.due(fleet_ms, self.share_ms) {
-            let id = Id { space: SPACE, number: self.me };
-            if let Ok(body) = postcard::to_stdvec(&told) {
-                let mut said = Vec::new();
-                self.exchange.put(now_ms, id, now_ms + READING_LASTS_MS, body, &mut said);
-                self.exchanged(now_ms, said, out);
+        self.process_duties(outputs, out);
+        if let Some(shared) = self.readings.due(fleet_ms, self.share_period_ms) {
+            let id = Id { space: READING_SPACE, number: self.me };
+            if let Ok(body) = postcard::to_stdvec(&shared) {
+                let mut outputs = Vec::new();
+                self.exchange.put(now_ms, id, now_ms + READING_LIFETIME_MS, body, &mut outputs);
+                self.process_exchange(now_ms, outputs, out);
             }
         }
     }
 
-    /// A new version of a record, made here.
+    /// Stores a new version of a record, written by this front.
     pub fn put(
         &mut self,
         now_ms: u64,
         id: Id,
         expires_ms: u64,
         body: Vec<u8>,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Output>,
     ) -> MergeResult {
         let now_ms = self.steady(now_ms);
-        let mut said = Vec::new();
-        let merge = self.exchange.put(now_ms, id, expires_ms, body, &mut said);
-        self.exchanged(now_ms, said, out);
+        let mut outputs = Vec::new();
+        let merge = self.exchange.put(now_ms, id, expires_ms, body, &mut outputs);
+        self.process_exchange(now_ms, outputs, out);
         merge
     }
 
-    /// Keeps a body under a key where others have copies of it, or lets go of the key.
+    /// Replicates a session to other fronts, or removes it if there is no body.
     ///
     /// # Errors
-    /// When it is too long, or there is no room.
-    pub fn keep(
+    /// If the body is too long, or there is no room for it.
+    pub fn replicate(
         &mut self,
         now_ms: u64,
         key: u64,
         body: Option<Vec<u8>>,
     ) -> Result<(), pepperhook_replica::PutError> {
         let now_ms = self.steady(now_ms);
-        self.copies.as_mut().map_or(Ok(()), |c| c.keep(now_ms, key, body))
+        self.copies.as_mut().map_or(Ok(()), |c| c.put(now_ms, key, body))
     }
 
-    /// What this front's engine says of policies; before it is set, a front can go by any.
-    pub fn set_means(&mut self, means: Box<dyn Means>) {
-        if let Some(a) = &mut self.agreed {
-            a.set_means(means);
+    /// Sets the engine that runs under the agreed policy. Until then, every policy counts as applicable.
+    pub fn set_engine(&mut self, engine: Box<dyn PolicyEngine>) {
+        if let Some(a) = &mut self.agreement {
+            a.set_engine(engine);
         }
     }
 
-    /// The disk's answer to [`Out::Write`].
-    pub fn written(&mut self, now_ms: u64, batch: u64, ok: bool, out: &mut Vec<Out>) {
+    /// Takes the result of [`Output::WriteStore`]: `ok` if the batch is durable.
+    pub fn store_written(&mut self, now_ms: u64, batch: u64, ok: bool, out: &mut Vec<Output>) {
         let now_ms = self.steady(now_ms);
-        self.with_agreed(out, |a, said| a.written(now_ms, batch, ok, said));
+        self.call_agreement(out, |a, outputs| a.store_written(now_ms, batch, ok, outputs));
     }
 
-    /// The store that [`Out::Remake`] asked for.
-    pub fn remade(&mut self, kept: pepperhook_agreement::StoredState) {
-        if let Some(a) = &mut self.agreed {
-            a.remade(kept);
+    /// Takes the state of the store that [`Output::RecreateStore`] requested.
+    pub fn store_recreated(&mut self, kept: pepperhook_agreement::StoredState) {
+        if let Some(a) = &mut self.agreement {
+            a.store_recreated(kept);
         }
     }
 
-    /// An operator asks for another policy; what comes of it is [`Out::Told`] under its key.
-    pub fn ask_policy(&mut self, now_ms: u64, ask: pepperhook_policy::Ask, out: &mut Vec<Out>) {
+    /// An operator requests a change of the policy; [`Output::AnswerOperator`] with the key of the request answers it.
+    pub fn request_policy_change(&mut self, now_ms: u64, ask: pepperhook_policy::Ask, out: &mut Vec<Output>) {
         let now_ms = self.steady(now_ms);
-        self.with_agreed(out, |a, said| a.ask(now_ms, ask, said));
+        self.call_agreement(out, |a, outputs| a.request_policy_change(now_ms, ask, outputs));
     }
 
-    /// An operator asks for another set of voters: one that comes, one that goes, or both. Returns those that are asked for.
+    /// An operator requests to add a voter (the first of `change`), to remove one (the second), or both. Returns the requested
+    /// set of voters.
     ///
     /// # Errors
-    /// Why it cannot be asked for.
-    pub fn ask_voters(
+    /// The reason why the change cannot be proposed.
+    pub fn request_voter_change(
         &mut self,
         now_ms: u64,
         key: u128,
         change: (Option<u64>, Option<u64>),
-        out: &mut Vec<Out>,
+        out: &mut Vec<Output>,
     ) -> Result<Vec<u64>, String> {
         let now_ms = self.steady(now_ms);
-        let mut asked = Err("this front takes no part in an agreement".to_owned());
-        self.with_agreed(out, |a, said| {
-            asked = a.voters(now_ms, pepperhook_agreement::Key(key), change, said)
+        let mut requested = Err("this front takes no part in an agreement".to_owned());
+        self.call_agreement(out, |a, outputs| {
+            requested = a.request_voter_change(now_ms, pepperhook_agreement::Key(key), change, outputs)
         });
-        asked
+        requested
     }
 
-    /// This front cannot know what the fleet agreed on, and must take no set-ups.
+    /// Whether this front must refuse set-ups because it may have missed an agreed change.
     #[must_use]
     pub fn fenced(&self, now_ms: u64) -> bool {
         let steady = now_ms.saturating_add(self.shift_ms);
-        self.agreed.as_ref().is_some_and(|a| a.fenced(steady))
+        self.agreement.as_ref().is_some_and(|a| a.fenced(steady))
     }
 
-    /// Duties of a kind are done on these from now on.
-    pub fn set_targets(&mut self, now_ms: u64, kind: u8, targets: &[Target], out: &mut Vec<Out>) {
+    /// Sets the targets of a kind of duty.
+    pub fn set_targets(&mut self, now_ms: u64, kind: u8, targets: &[Target], out: &mut Vec<Output>) {
         let fleet_ms = {
             let steady = self.steady(now_ms);
             self.fleet_ms(steady)
         };
-        if kind == READS {
-            let there: BTreeSet<u64> = targets.iter().map(|t| t.id).collect();
-            self.readings.keep(|node| there.contains(&node));
+        if kind == LOAD_READING_DUTY {
+            let nodes: BTreeSet<u64> = targets.iter().map(|t| t.id).collect();
+            self.readings.retain(|node| nodes.contains(&node));
         }
-        let mut work = Vec::new();
+        let mut outputs = Vec::new();
         if let Some(d) = &mut self.duties {
-            d.set_targets(fleet_ms, kind, targets, &mut work);
+            d.set_targets(fleet_ms, kind, targets, &mut outputs);
         }
-        self.worked(work, out);
+        self.process_duties(outputs, out);
     }
 
-    /// A duty has ended; `reading` is what it told of its target (life and values), if it is of that kind.
-    pub fn finished(
+    /// Takes the end of a duty: whether it was `done`, and the `reading` (the node's incarnation and its load values) that a
+    /// load reading brought.
+    pub fn finish_duty(
         &mut self,
         now_ms: u64,
         duty: Duty,
         round: u64,
         done: bool,
         reading: Option<(u64, Vec<f32>)>,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Output>,
     ) {
         let steady = self.steady(now_ms);
         let fleet_ms = self.fleet_ms(steady);
-        if let Some((life, values)) = reading {
-            let reading = Reading { node: duty.target, life, at_ms: fleet_ms, values };
-            self.readings.take(fleet_ms, &reading);
-            self.readings.own(reading);
+        if let Some((incarnation, values)) = reading {
+            let reading = Reading { node: duty.target, incarnation, at_ms: fleet_ms, values };
+            self.readings.store(fleet_ms, &reading);
+            self.readings.share(reading);
         }
-        let mut work = Vec::new();
+        let mut outputs = Vec::new();
         if let Some(d) = &mut self.duties {
-            d.finish(fleet_ms, duty, round, done, &mut work);
+            d.finish(fleet_ms, duty, round, done, &mut outputs);
         }
-        self.worked(work, out);
+        self.process_duties(outputs, out);
     }
 
-    /// Somebody wants a duty done now: true if it is, else the last reading has to do.
-    pub fn ask(&mut self, now_ms: u64, duty: Duty, out: &mut Vec<Out>) -> bool {
+    /// Requests a duty outside its schedule. False if it is not run now: the caller has to use the last reading.
+    pub fn request_duty(&mut self, now_ms: u64, duty: Duty, out: &mut Vec<Output>) -> bool {
         let steady = self.steady(now_ms);
         let fleet_ms = self.fleet_ms(steady);
-        let mut work = Vec::new();
-        let done = self.duties.as_mut().is_some_and(|d| d.request(fleet_ms, duty, &mut work));
-        self.worked(work, out);
-        done
+        let mut outputs = Vec::new();
+        let accepted = self.duties.as_mut().is_some_and(|d| d.request(fleet_ms, duty, &mut outputs));
+        self.process_duties(outputs, out);
+        accepted
     }
 
-    /// This front goes: the others are told, and no duty is begun any more.
-    pub fn leave(&mut self, now_ms: u64, out: &mut Vec<Out>) {
+    /// This front leaves the fleet: it notifies the other fronts and begins no more duties.
+    pub fn leave(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         let now_ms = self.steady(now_ms);
         if let Some(d) = &mut self.duties {
             d.stop();
         }
-        let mut said = Vec::new();
+        let mut outputs = Vec::new();
         if let Some(m) = &mut self.membership {
-            m.leave(&mut said);
+            m.leave(&mut outputs);
         }
-        self.viewed(now_ms, said, out);
+        self.process_membership(now_ms, outputs, out);
     }
 
-    // ---- between the parts ---------------------------------------------------------------------
+    // ---- messages between the parts ------------------------------------------------------------
 
-    fn exchanged(&mut self, now_ms: u64, said: Vec<pepperhook_exchange::Output>, out: &mut Vec<Out>) {
-        use pepperhook_exchange::Output as Said;
-        for o in said {
-            match o {
-                Said::Send(to, datagram) => out.push(Out::Send(to, datagram)),
-                Said::Changed(record) if record.id.space == SPACE => self.read(now_ms, &record, out),
-                Said::Changed(record) => out.push(Out::Changed(record)),
-                Said::Received { sender, run, channel: AGREEMENT, content, .. } => {
-                    self.with_agreed(out, |a, said| a.heard(now_ms, sender, run, &content, said));
+    fn process_exchange(
+        &mut self,
+        now_ms: u64,
+        outputs: Vec<pepperhook_exchange::Output>,
+        out: &mut Vec<Output>,
+    ) {
+        use pepperhook_exchange::Output as Part;
+        for output in outputs {
+            match output {
+                Part::Send(to, datagram) => out.push(Output::Send(to, datagram)),
+                Part::Changed(record) if record.id.space == READING_SPACE => {
+                    self.receive_readings(now_ms, &record, out)
                 }
-                Said::Received { sender, channel, content, .. } => {
-                    self.heard(now_ms, sender, channel, &content, out);
+                Part::Changed(record) => out.push(Output::RecordChanged(record)),
+                Part::Received { sender, run, channel: AGREEMENT_CHANNEL, content, .. } => {
+                    self.call_agreement(out, |a, outputs| a.receive(now_ms, sender, run, &content, outputs));
                 }
-                Said::RunRaised(run) => {
-                    out.push(Out::Note(Note::Run(run)));
+                Part::Received { sender, channel, content, .. } => {
+                    self.receive_on_channel(now_ms, sender, channel, &content, out);
+                }
+                Part::RunRaised(run) => {
+                    out.push(Output::Note(Note::RunRaised(run)));
                     if let Some(c) = &mut self.copies {
-                        c.raise(run);
+                        c.raise_run(run);
                     }
-                    if let Some(a) = &mut self.agreed {
-                        a.raise(run);
+                    if let Some(a) = &mut self.agreement {
+                        a.raise_run(run);
                     }
-                    let mut said = Vec::new();
+                    let mut outputs = Vec::new();
                     if let Some(m) = &mut self.membership {
-                        m.raise_run(run, &mut said);
+                        m.raise_run(run, &mut outputs);
                     }
-                    self.viewed(now_ms, said, out);
+                    self.process_membership(now_ms, outputs, out);
                 }
             }
         }
     }
 
-    fn heard(&mut self, now_ms: u64, sender: u64, lane: u8, content: &[u8], out: &mut Vec<Out>) {
-        match lane {
-            MEMBERSHIP => {
-                let Some((clock, message)) = content.split_first_chunk::<CLOCK>() else { return };
-                let mut said = Vec::new();
+    fn receive_on_channel(
+        &mut self,
+        now_ms: u64,
+        sender: u64,
+        channel: u8,
+        content: &[u8],
+        out: &mut Vec<Output>,
+    ) {
+        match channel {
+            MEMBERSHIP_CHANNEL => {
+                let Some((clock, message)) = content.split_first_chunk::<CLOCK_BYTES>() else { return };
+                let mut outputs = Vec::new();
                 let Some(m) = &mut self.membership else { return };
-                // What is refused is counted there; nobody is answered.
-                if m.receive(sender, message, &mut said).is_ok() {
+                // Membership counts rejected messages itself; they are not answered.
+                if m.receive(sender, message, &mut outputs).is_ok() {
                     self.clock.observe(sender, u64::from_be_bytes(*clock), now_ms);
                 }
-                self.viewed(now_ms, said, out);
+                self.process_membership(now_ms, outputs, out);
             }
-            CLAIMS => {
-                let Ok(claim) = postcard::from_bytes::<DutyReport>(content) else { return };
+            DUTY_CHANNEL => {
+                let Ok(report) = postcard::from_bytes::<DutyReport>(content) else { return };
                 let fleet_ms = self.fleet_ms(now_ms);
                 if let Some(d) = &mut self.duties {
-                    // What is passed over is counted there.
-                    let _ = d.receive_report(fleet_ms, sender, claim);
+                    // The scheduler counts ignored reports itself.
+                    let _ = d.receive_report(fleet_ms, sender, report);
                 }
             }
-            COPIES => {
-                let said = self.copies.as_mut().map_or_else(Vec::new, |c| c.heard(now_ms, sender, content));
-                self.copied(said, out);
+            COPIES_CHANNEL => {
+                let outputs =
+                    self.copies.as_mut().map_or_else(Vec::new, |c| c.receive(now_ms, sender, content));
+                self.process_replica(outputs, out);
             }
             _ => {}
         }
     }
 
-    /// Sends a message on a lane of the exchange.
-    fn carry(&mut self, now_ms: u64, to: SocketAddr, lane: u8, content: &[u8], out: &mut Vec<Out>) {
+    /// Sends a message on a channel of the exchange.
+    fn send_on_channel(
+        &mut self,
+        now_ms: u64,
+        to: SocketAddr,
+        channel: u8,
+        content: &[u8],
+        out: &mut Vec<Output>,
+    ) {
         let mut sent = Vec::new();
-        self.exchange.send_on_channel(to, lane, content, &mut sent);
-        self.exchanged(now_ms, sent, out);
+        self.exchange.send_on_channel(to, channel, content, &mut sent);
+        self.process_exchange(now_ms, sent, out);
     }
 
-    fn copied(&mut self, said: Vec<pepperhook_replica::Output>, out: &mut Vec<Out>) {
-        use pepperhook_replica::Output as Said;
-        if said.is_empty() {
+    fn process_replica(&mut self, outputs: Vec<pepperhook_replica::Output>, out: &mut Vec<Output>) {
+        use pepperhook_replica::Output as Part;
+        if outputs.is_empty() {
             return;
         }
         let view = self.view();
-        for o in said {
-            match o {
-                Said::Send(to, message) => {
-                    let content = self.copies.as_ref().and_then(|c| c.content(&message));
+        for output in outputs {
+            match output {
+                Part::Send(to, message) => {
+                    let content = self.copies.as_ref().and_then(|c| c.encode(&message));
                     if let Some((at, content)) = view.get(&to).map(|m| m.address).zip(content) {
-                        self.carry(self.last_ms, at, COPIES, &content, out);
+                        self.send_on_channel(self.last_ms, at, COPIES_CHANNEL, &content, out);
                     }
                 }
-                Said::Adopted(_, keys) => out.push(Out::Adopted(keys)),
-                Said::Lost(_, keys) => out.push(Out::Lost(keys)),
-                Said::Deleted(_, key) => out.push(Out::Ended(key)),
+                Part::Adopted(_, keys) => out.push(Output::Adopted(keys)),
+                Part::Lost(_, keys) => out.push(Output::Lost(keys)),
+                Part::Deleted(_, key) => out.push(Output::Deleted(key)),
             }
         }
     }
 
-    /// Calls the agreement's part and hands on what it says.
-    fn with_agreed(&mut self, out: &mut Vec<Out>, call: impl FnOnce(&mut Agreed, &mut Vec<Said>)) {
-        let mut said = Vec::new();
-        let Some(agreed) = &mut self.agreed else { return };
-        call(agreed, &mut said);
-        if said.is_empty() {
+    /// Calls the agreement and processes its outputs.
+    fn call_agreement(
+        &mut self,
+        out: &mut Vec<Output>,
+        call: impl FnOnce(&mut Agreement, &mut Vec<AgreementOutput>),
+    ) {
+        let mut outputs = Vec::new();
+        let Some(agreement) = &mut self.agreement else { return };
+        call(agreement, &mut outputs);
+        if outputs.is_empty() {
             return;
         }
         let view = self.view();
-        for o in said {
-            match o {
-                Said::Send(to, message) => {
+        for output in outputs {
+            match output {
+                AgreementOutput::Send(to, message) => {
                     if let Some(at) = view.get(&to).map(|m| m.address) {
-                        self.carry(self.last_ms, at, AGREEMENT, &message, out);
+                        self.send_on_channel(self.last_ms, at, AGREEMENT_CHANNEL, &message, out);
                     }
                 }
-                Said::Write(batch, ops) => out.push(Out::Write(batch, ops)),
-                Said::Remake => out.push(Out::Remake),
-                Said::InForce(force) => out.push(Out::InForce(force)),
-                Said::Told(key, answer) => out.push(Out::Told(key, answer)),
-                Said::Note(note) => out.push(Out::Note(Note::Agreed(note))),
+                AgreementOutput::Write(batch, ops) => out.push(Output::WriteStore(batch, ops)),
+                AgreementOutput::RecreateStore => out.push(Output::RecreateStore),
+                AgreementOutput::ActivatePolicy(active) => out.push(Output::ActivatePolicy(active)),
+                AgreementOutput::AnswerOperator(key, answer) => out.push(Output::AnswerOperator(key, answer)),
+                AgreementOutput::Note(note) => out.push(Output::Note(Note::Agreement(note))),
             }
         }
     }
 
-    fn viewed(&mut self, now_ms: u64, said: Vec<pepperhook_membership::Output>, out: &mut Vec<Out>) {
-        use pepperhook_membership::Output as Said;
-        for o in said {
-            match o {
-                Said::Send(to, message) => {
+    fn process_membership(
+        &mut self,
+        now_ms: u64,
+        outputs: Vec<pepperhook_membership::Output>,
+        out: &mut Vec<Output>,
+    ) {
+        use pepperhook_membership::Output as Part;
+        for output in outputs {
+            match output {
+                Part::Send(to, message) => {
                     let mut content = now_ms.to_be_bytes().to_vec();
                     content.extend_from_slice(&message);
-                    self.carry(now_ms, to, MEMBERSHIP, &content, out);
+                    self.send_on_channel(now_ms, to, MEMBERSHIP_CHANNEL, &content, out);
                 }
-                Said::Changed(change) => {
-                    self.changed = true;
-                    out.push(Out::Note(Note::View(change)));
+                Part::Changed(change) => {
+                    self.view_changed = true;
+                    out.push(Output::Note(Note::ViewChanged(change)));
                 }
             }
         }
     }
 
-    /// Puts a changed view into force; many changes at once count as one.
-    fn set_view(&mut self, now_ms: u64) {
-        if !std::mem::take(&mut self.changed) {
+    /// Passes a changed view to the other parts, once for all changes since the last call.
+    fn apply_view(&mut self, now_ms: u64) {
+        if !std::mem::take(&mut self.view_changed) {
             return;
         }
         let view = self.view();
-        let there: BTreeSet<SocketAddr> =
+        let peers: BTreeSet<SocketAddr> =
             view.values().map(|m| m.address).chain(self.seeds.clone()).collect();
         let own = self.membership.as_ref().map(|m| m.me().address);
-        self.exchange.set_peers(there.into_iter().filter(|a| Some(*a) != own).collect());
+        self.exchange.set_peers(peers.into_iter().filter(|a| Some(*a) != own).collect());
         if let Some(c) = &mut self.copies {
             c.set_view(&view);
         }
         self.clock.retain(|front| view.contains_key(&front));
-        self.set_clock(now_ms);
+        self.update_clock(now_ms);
         let fleet_ms = self.fleet_ms(now_ms);
         if let Some(d) = &mut self.duties {
             d.set_view(fleet_ms, view.iter().map(|(front, m)| (*front, m.weight)).collect());
         }
     }
 
-    /// Goes by the fleet's clock as it is now. It is set only when it is off by more than messages' times.
-    fn set_clock(&mut self, now_ms: u64) {
+    /// Applies the present offset of the fleet's clock if it differs by more than [`MIN_OFFSET_CHANGE_MS`].
+    fn update_clock(&mut self, now_ms: u64) {
         let offset = self.clock.offset_ms();
-        if offset.abs_diff(self.offset_ms) > SET_MS {
+        if offset.abs_diff(self.offset_ms) > MIN_OFFSET_CHANGE_MS {
             self.offset_ms = offset;
             let fleet_ms = self.fleet_ms(now_ms);
             if let Some(d) = &mut self.duties {
@@ -571,89 +609,90 @@
         }
     }
 
-    fn worked(&mut self, work: Vec<pepperhook_duties::Output>, out: &mut Vec<Out>) {
-        use pepperhook_duties::Output as Work;
-        for o in work {
-            match o {
-                Work::Run { duty, round, timeout_ms } => out.push(Out::Run(duty, round, timeout_ms)),
-                Work::Cancel { duty, round } => out.push(Out::Cancel(duty, round)),
-                Work::Report { to: fronts, report: claim } => {
-                    let Ok(content) = postcard::to_stdvec(&claim) else { continue };
+    fn process_duties(&mut self, outputs: Vec<pepperhook_duties::Output>, out: &mut Vec<Output>) {
+        use pepperhook_duties::Output as Part;
+        for output in outputs {
+            match output {
+                Part::Run { duty, round, timeout_ms } => out.push(Output::RunDuty(duty, round, timeout_ms)),
+                Part::Cancel { duty, round } => out.push(Output::CancelDuty(duty, round)),
+                Part::Report { to: fronts, report } => {
+                    let Ok(content) = postcard::to_stdvec(&report) else { continue };
                     let view = self.view();
                     let mut sent = Vec::new();
                     for at in fronts.iter().filter_map(|f| view.get(f)).map(|m| m.address) {
-                        self.exchange.send_on_channel(at, CLAIMS, &content, &mut sent);
+                        self.exchange.send_on_channel(at, DUTY_CHANNEL, &content, &mut sent);
                     }
-                    self.exchanged(self.last_ms, sent, out);
+                    self.process_exchange(self.last_ms, sent, out);
                 }
             }
         }
     }
 
-    fn read(&mut self, now_ms: u64, record: &Record, out: &mut Vec<Out>) {
+    fn receive_readings(&mut self, now_ms: u64, record: &Record, out: &mut Vec<Output>) {
         if record.id.number == self.me {
             return;
         }
-        let Ok(told) = postcard::from_bytes::<Vec<Reading>>(&record.body) else { return };
+        let Ok(readings) = postcard::from_bytes::<Vec<Reading>>(&record.body) else { return };
         let fleet_ms = self.fleet_ms(now_ms);
-        for reading in told {
-            if self.readings.take(fleet_ms, &reading) {
+        for reading in readings {
+            if self.readings.store(fleet_ms, &reading) {
                 if let Some(d) = &mut self.duties {
-                    // Whoever read the node has done that round's duty: a second way on which that is heard.
-                    let duty = Duty { kind: READS, target: reading.node };
+                    // The author of a reading has done that round's duty: this reports it even if its duty report was lost.
+                    let duty = Duty { kind: LOAD_READING_DUTY, target: reading.node };
                     let round = d.round_at(duty, reading.at_ms);
-                    let claim = DutyReport { duty, round, incarnation: reading.life, state: DutyState::Done };
-                    let _ = d.receive_report(fleet_ms, record.id.number, claim);
+                    let report =
+                        DutyReport { duty, round, incarnation: reading.incarnation, state: DutyState::Done };
+                    let _ = d.receive_report(fleet_ms, record.id.number, report);
                 }
                 let age_ms = fleet_ms.saturating_sub(reading.at_ms);
-                out.push(Out::Seen(reading, age_ms));
+                out.push(Output::ReadingReceived(reading, age_ms));
             }
         }
     }
 
-    // ---- what is shown -------------------------------------------------------------------------
+    // ---- queries -------------------------------------------------------------------------------
 
-    /// The fronts in the view, this one among them.
+    /// The members of the fleet in this front's view, this front included.
     #[must_use]
     pub fn view(&self) -> BTreeMap<u64, Member> {
         self.membership.as_ref().map(Membership::view).unwrap_or_default()
     }
 
-    /// The same for the console.
+    /// The members for the console.
     #[must_use]
     pub fn member_rows(&self) -> Vec<MemberRow> {
         let row = |m: Member| MemberRow {
             front: m.front,
             address: m.address,
             run: m.run,
-            renewed: m.renewals,
+            renewals: m.renewals,
             weight: m.weight,
             own: m.front == self.me,
         };
         self.view().into_values().map(row).collect()
     }
 
-    /// Duties and why this front does or leaves them, at a moment of its clock.
+    /// The duties, each with the reason why this front runs it or not.
     #[must_use]
     pub fn duty_rows(&self, now_ms: u64) -> Vec<DutyRow> {
         let fleet_ms = self.fleet_ms(now_ms.saturating_add(self.shift_ms));
         self.duties.as_ref().map(|d| d.rows(fleet_ms)).unwrap_or_default()
     }
 
-    /// What became of duties here.
+    /// Counters of this front's duties.
     #[must_use]
     pub fn duty_counters(&self) -> Option<&Counters> {
         self.duties.as_ref().map(DutyScheduler::counters)
     }
 
-    /// The last reading of a node, taken here or elsewhere, and its age in milliseconds.
+    /// The latest reading of a node, taken by any front, and its age in milliseconds.
     #[must_use]
-    pub fn latest(&self, now_ms: u64, node: u64) -> Option<(&Reading, u64)> {
+    pub fn latest_reading(&self, now_ms: u64, node: u64) -> Option<(&Reading, u64)> {
         let fleet_ms = self.fleet_ms(now_ms.saturating_add(self.shift_ms));
         self.readings.latest(node).map(|r| (r, fleet_ms.saturating_sub(r.at_ms)))
     }
 
-    /// Streams that this front writes or keeps for others, and what was done; `None` where there are no copies.
+    /// The streams that this front writes or holds for other fronts, and counters; `None` without copies.
     #[must_use]
     pub fn copies(
         &self,
@@ -663,23 +702,23 @@
         self.copies.as_ref().map(|c| (c.rows(steady), c.counters()))
     }
 
-    /// What the fleet agrees on; `None` where it does not.
+    /// The state of the agreement; `None` without an agreement.
     #[must_use]
-    pub fn agreed(&self, now_ms: u64) -> Option<AgreedShown> {
+    pub fn agreement(&self, now_ms: u64) -> Option<AgreementView> {
         let steady = now_ms.saturating_add(self.shift_ms);
-        self.agreed.as_ref().map(|a| a.shown(steady))
+        self.agreement.as_ref().map(|a| a.view(steady))
     }
 
-    /// The policy that this front goes by, as it was agreed on: version, step, document.
+    /// The agreed policy that is active on this front: version, step, document.
     #[must_use]
-    pub fn policy(&self) -> Option<(u64, &'static str, &pepperhook_policy::Policy)> {
-        self.agreed.as_ref().and_then(Agreed::in_force)
+    pub fn active_policy(&self) -> Option<(u64, &'static str, &pepperhook_policy::Policy)> {
+        self.agreement.as_ref().and_then(Agreement::active_policy)
     }
 
-    /// The figures in which a file and the policy that stands differ.
+    /// The settings in which a file differs from the agreed policy.
     #[must_use]
-    pub fn differs(&self, file: &pepperhook_settings::Config) -> Vec<pepperhook_policy::Difference> {
-        self.agreed.as_ref().map_or_else(Vec::new, |a| a.governor().differs(file))
+    pub fn differences_from(&self, file: &pepperhook_settings::Config) -> Vec<pepperhook_policy::Difference> {
+        self.agreement.as_ref().map_or_else(Vec::new, |a| a.governor().differs(file))
     }
 
     /// What is added to this front's clock to get the fleet's, milliseconds.
@@ -688,21 +727,21 @@
         self.offset_ms
     }
 
-    /// Records that are held.
+    /// The records of the exchange.
     #[must_use]
     pub fn records(&self) -> &Records {
         self.exchange.records()
     }
 
-    /// What was sent, taken and thrown away.
+    /// Counters of the exchange: datagrams sent, accepted and rejected.
     #[must_use]
-    pub fn counters(&self) -> &pepperhook_exchange::Counters {
+    pub fn exchange_counters(&self) -> &pepperhook_exchange::Counters {
         self.exchange.counters()
     }
 
-    /// Messages of membership that were refused.
+    /// Number of membership messages that were rejected.
     #[must_use]
-    pub fn refused(&self) -> u64 {
+    pub fn rejected_membership_messages(&self) -> u64 {
         self.membership.as_ref().map_or(0, Membership::rejected_messages)
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,14 +1,15 @@
-//! One front among the others: exchange, membership, duties, copies and what is agreed on put together, without I/O.
+//! One front as a member of the fleet: a state machine without I/O that joins the exchange of records, membership, duties,
+//! copies of sessions, and the agreement on the policy.
 //!
-//! Datagrams, time and the ends of duties go in; datagrams, duties to be run, readings that others took and changes
-//! of the view come out. The front's shell carries this out on sockets, and the rehearsal of many fronts in one
-//! process runs the same code on a network in memory.
+//! Its inputs are datagrams, the time, and results of duties. Its outputs are datagrams, duties to run, readings from other
+//! fronts, and changes of the view. The front's shell executes the outputs on sockets; the rehearsal runs many fronts in one
+//! process on a simulated network with the same code.
 
 mod agreement;
 mod copies;
 mod fleet;
 mod readings;
 
-pub use agreement::{AgreedNote, AgreedSettings, AgreedShown, Force, Means};
-pub use fleet::{Fleet, MemberRow, Note, Out, READS, Settings, View};
-pub use readings::{Reading, SPACE};
+pub use agreement::{ActivePolicy, AgreementNote, AgreementSettings, AgreementView, PolicyEngine};
+pub use fleet::{Fleet, LOAD_READING_DUTY, MemberRow, MembershipSettings, Note, Output, Settings};
+pub use readings::{READING_SPACE, Reading};
--- a/crates/fleet/src/readings.rs
+++ b/crates/fleet/src/readings.rs
@@ -1,83 +1,87 @@
-//! What fronts saw of nodes, told to the others with the moment at which it was seen.
+//! Load readings of nodes, taken by this front or shared by other fronts as records of the exchange.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The records' space: soft, since the next reading takes its place.
-pub const SPACE: u8 = pepperhook_exchange::FIRST_EPHEMERAL_SPACE;
-/// Values of one reading at most.
-const MOST_VALUES: usize = 8;
-/// Readings told in one record at most; with three values each they fit.
-const MOST_TOLD: usize = 26;
-/// A reading older than this says nothing any more, milliseconds.
-const OLDEST_MS: u64 = 30_000;
-/// Nodes of which readings are kept at most.
-const MOST_NODES: usize = 16_384;
+/// Space of the records that carry readings. It is ephemeral, since the next reading replaces each one.
+pub const READING_SPACE: u8 = pepperhook_exchange::FIRST_EPHEMERAL_SPACE;
+/// Limit of the values in one reading.
+const MAX_VALUES: usize = 8;
+/// Limit of the readings in one record. With three values each, so many fit.
+const MAX_SHARED_READINGS: usize = 26;
+/// Age from which a reading is rejected as stale, milliseconds.
+const MAX_AGE_MS: u64 = 30_000;
+/// How far a reading's time may lie in the future, milliseconds; clocks of fronts differ a little.
+const MAX_CLOCK_SKEW_MS: u64 = 1_000;
+/// Limit of the nodes whose readings are stored.
+const MAX_NODES: usize = 16_384;
 
-/// What was seen of a node.
+/// Load values of a node at one moment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Reading {
     /// The node.
     pub node: u64,
-    /// Which life of it.
-    pub life: u64,
-    /// When, by the fleet's clock, milliseconds.
+    /// The node's incarnation, which changes with each restart.
+    pub incarnation: u64,
+    /// When the values were read, by the fleet's clock, Unix milliseconds.
     pub at_ms: u64,
-    /// Values in an order on which all fronts agree; NaN for one that is missing.
+    /// The values, in an order that is the same on all fronts; NaN for a missing one.
     pub values: Vec<f32>,
 }
 
-/// Readings that came and those that are to be told.
+/// The latest reading of each node, and this front's own readings that are to be shared.
 #[derive(Default)]
 pub struct Readings {
     latest: BTreeMap<u64, Reading>,
     own: VecDeque<Reading>,
-    fresh: bool,
-    told_ms: u64,
+    /// `own` changed since it was last shared.
+    unshared: bool,
+    shared_ms: u64,
 }
 
 impl Readings {
-    /// Takes in a reading; true if it is newer than what was known, and not too old or of the future.
-    pub fn take(&mut self, now_ms: u64, reading: &Reading) -> bool {
-        let old = reading.at_ms.saturating_add(OLDEST_MS) < now_ms;
-        let future = reading.at_ms > now_ms.saturating_add(1_000);
+    /// Stores a reading; false if it is stale, in the future, too long, not newer than the stored one, or if there is no
+    /// room for another node.
+    pub fn store(&mut self, now_ms: u64, reading: &Reading) -> bool {
+        let stale = reading.at_ms.saturating_add(MAX_AGE_MS) < now_ms;
+        let future = reading.at_ms > now_ms.saturating_add(MAX_CLOCK_SKEW_MS);
         let known = self.latest.get(&reading.node).is_some_and(|r| r.at_ms >= reading.at_ms);
-        let full = self.latest.len() >= MOST_NODES && !self.latest.contains_key(&reading.node);
-        if old || future || known || full || reading.values.len() > MOST_VALUES {
+        let full = self.latest.len() >= MAX_NODES && !self.latest.contains_key(&reading.node);
+        if stale || future || known || full || reading.values.len() > MAX_VALUES {
             return false;
         }
         self.latest.insert(reading.node, reading.clone());
         true
     }
 
-    /// A reading taken here: it will be told.
-    pub fn own(&mut self, reading: Reading) {
+    /// Queues a reading that this front took to be shared.
+    pub fn share(&mut self, reading: Reading) {
         self.own.retain(|r| r.node != reading.node);
         self.own.push_back(reading);
-        while self.own.len() > MOST_TOLD {
+        while self.own.len() > MAX_SHARED_READINGS {
             self.own.pop_front();
         }
-        self.fresh = true;
+        self.unshared = true;
     }
 
-    /// What is to be told now: own readings of the last period again and again, so that a lost datagram matters
-    /// little.
+    /// The readings to share now, if any are new and a tenth of the period has passed since the last call that returned
+    /// some. They include all own readings of the last period, so that a lost datagram matters little.
     pub fn due(&mut self, now_ms: u64, period_ms: u64) -> Option<Vec<Reading>> {
-        if !self.fresh || now_ms < self.told_ms.saturating_add(period_ms / 10) {
+        if !self.unshared || now_ms < self.shared_ms.saturating_add(period_ms / 10) {
             return None;
         }
-        (self.fresh, self.told_ms) = (false, now_ms);
+        (self.unshared, self.shared_ms) = (false, now_ms);
         self.own.retain(|r| r.at_ms.saturating_add(period_ms) >= now_ms);
         Some(self.own.iter().cloned().collect())
     }
 
-    /// The last reading of a node.
+    /// The latest reading of a node.
     pub fn latest(&self, node: u64) -> Option<&Reading> {
         self.latest.get(&node)
     }
 
-    /// Only these nodes' readings are kept.
-    pub fn keep(&mut self, there: impl Fn(u64) -> bool) {
-        self.latest.retain(|node, _| there(*node));
+    /// Removes the readings of nodes for which the predicate is false.
+    pub fn retain(&mut self, keep: impl Fn(u64) -> bool) {
+        self.latest.retain(|node, _| keep(*node));
     }
 }
--- a/crates/front/src/agreement.rs
+++ b/crates/front/src/agreement.rs
@@ -6,7 +6,7 @@
 use crate::fleet_io::call_fleet;
 use crate::shell::Shell;
 use pepperhook_agreement::{Store, StoreError, StoreOp, StoredState};
-use pepperhook_fleet::{AgreedNote, AgreedSettings, Force, Means};
+use pepperhook_fleet::{ActivePolicy, AgreementNote, AgreementSettings, PolicyEngine};
 use pepperhook_policy::{Answer, Ask, Policy};
 use pepperhook_settings::{ClassSettings, Config, name_hash};
 use serde_json::json;
@@ -88,7 +88,7 @@
 ///
 /// # Errors
 /// If the store cannot be opened, or the configuration makes no valid policy.
-pub fn prepare(config: &Config, run: u64) -> io::Result<Option<(AgreedSettings, Option<VoterStore>)>> {
+pub fn prepare(config: &Config, run: u64) -> io::Result<Option<(AgreementSettings, Option<VoterStore>)>> {
     let Some(a) = &config.agreement else { return Ok(None) };
     let (me, ms) = (name_hash(&config.name), |ns: u64| ns / 1_000_000);
     let opened = match &config.state_dir {
@@ -105,7 +105,7 @@
     // A voter proposes the policy in its configuration file if the fleet has none yet.
     let seed = voters.contains(&me).then(|| Policy::from_config(config)).transpose();
     let seed = seed.map_err(|e| io::Error::new(io::ErrorKind::InvalidInput, e.to_string()))?;
-    let settings = AgreedSettings {
+    let settings = AgreementSettings {
         node: pepperhook_agreement::node::Settings {
             me,
             run,
@@ -178,7 +178,7 @@
                     }
                     Err(_) => false,
                 };
-                call_fleet(&shell, |fleet, now_ms, out| fleet.written(now_ms, batch, ok, out));
+                call_fleet(&shell, |fleet, now_ms, out| fleet.store_written(now_ms, batch, ok, out));
             }
             StoreJob::Replace => {
                 let VoterStore { store, path } = voter_store;
@@ -189,7 +189,7 @@
                 match tokio::task::spawn_blocking(replace).await {
                     Ok(Ok((store, kept))) => {
                         voter_store = VoterStore { store: Arc::new(store), path };
-                        call_fleet(&shell, |fleet, _, _| fleet.remade(kept));
+                        call_fleet(&shell, |fleet, _, _| fleet.store_recreated(kept));
                     }
                     Ok(Err(e)) => {
                         error!(event = "agreement-disk", %e, "no new voter's store could be created: this front does not vote");
@@ -218,8 +218,8 @@
 }
 
 /// Puts an agreed policy into force in the engine.
-pub fn apply_policy(shell: &Rc<Shell>, force: Force) {
-    let Force { entry, version, step, policy } = force;
+pub fn apply_policy(shell: &Rc<Shell>, force: ActivePolicy) {
+    let ActivePolicy { entry, version, step, policy } = force;
     match merge_policy(&shell.config, &policy) {
         Ok((settings, classes, tenants)) => {
             info!(event = "policy-in-force", version, step, entry, "an agreed policy is in force");
@@ -243,14 +243,14 @@
 /// Checks policies against this front's engine, for the agreement.
 pub struct EnginePolicyCheck(pub Weak<Shell>);
 
-impl Means for EnginePolicyCheck {
-    fn fits(&self, policy: &Policy) -> Result<(), String> {
+impl PolicyEngine for EnginePolicyCheck {
+    fn check_policy(&self, policy: &Policy) -> Result<(), String> {
         let Some(shell) = self.0.upgrade() else { return Ok(()) };
         let (settings, classes, tenants) = merge_policy(&shell.config, policy)?;
         shell.engine(|e, _| e.can_go_by(&settings, &classes, &tenants)).map_err(|e| e.0)
     }
 
-    fn decides_by(&self) -> Option<u64> {
+    fn oldest_entry_in_use(&self) -> Option<u64> {
         self.0.upgrade().and_then(|shell| shell.engine(|e, _| e.decides_by()))
     }
 }
@@ -268,39 +268,39 @@
 }
 
 /// Logs a note of the agreement.
-pub fn log_note(note: &AgreedNote) {
+pub fn log_note(note: &AgreementNote) {
     use pepperhook_agreement::node::Note;
     match note {
-        AgreedNote::Held(true) => {
+        AgreementNote::Held(true) => {
             info!(
                 event = "agreement-holds",
                 "this front holds a lease: no later change takes effect without its confirmation"
             )
         }
-        AgreedNote::Held(false) => {
+        AgreementNote::Held(false) => {
             warn!(
                 event = "agreement-hold-lost",
                 "this front's lease expired and no majority of the voters renews it: set-ups are refused"
             );
         }
-        AgreedNote::Stuck(reason) => {
+        AgreementNote::Stuck(reason) => {
             warn!(
                 event = "policy-stuck",
                 why = reason,
                 "this front cannot apply the agreed policy: set-ups are refused"
             );
         }
-        AgreedNote::Node(note @ Note::Forked { .. }) => {
+        AgreementNote::Node(note @ Note::Forked { .. }) => {
             error!(
                 event = "agreement-forked",
                 ?note,
                 "this front's log differs from the agreed one: it is not used"
             );
         }
-        AgreedNote::Node(note @ (Note::Disk | Note::Broken | Note::OldStore)) => {
+        AgreementNote::Node(note @ (Note::Disk | Note::Broken | Note::OldStore)) => {
             error!(event = "agreement-votes-no-more", ?note, "this front does not vote until restart");
         }
-        AgreedNote::Node(note) => info!(event = "agreement", ?note, "the state of the agreement changed"),
+        AgreementNote::Node(note) => info!(event = "agreement", ?note, "the state of the agreement changed"),
     }
 }
 
@@ -323,7 +323,7 @@
 /// completed or undone. `None` if too many operators wait, or the front stops.
 pub async fn request_policy_change(shell: &Rc<Shell>, ask: Ask, wait: bool) -> Option<Answer> {
     let mut answers = shell.fleet_io.agreement.subscribe(ask.key)?;
-    call_fleet(shell, |fleet, now_ms, out| fleet.ask_policy(now_ms, ask, out));
+    call_fleet(shell, |fleet, now_ms, out| fleet.request_policy_change(now_ms, ask, out));
     loop {
         match answers.recv().await? {
             Answer::Accepted { .. } if wait => {}
--- a/crates/front/src/console_policy.rs
+++ b/crates/front/src/console_policy.rs
@@ -123,7 +123,8 @@
         return Err(bad_query("'add' or 'remove' names a front"));
     }
     let key = idempotency_key(query)?;
-    let requested = call_fleet(shell, |fleet, now_ms, out| fleet.ask_voters(now_ms, key, change, out));
+    let requested =
+        call_fleet(shell, |fleet, now_ms, out| fleet.request_voter_change(now_ms, key, change, out));
     let fronts = requested.map_err(|reason| Problem::new(409, "voters", "Not these voters", reason))?;
     Ok(response(202, "application/json", json!({"key": format!("{key:032x}"), "asked": fronts}).to_string()))
 }
--- a/crates/front/src/engine/view.rs
+++ b/crates/front/src/engine/view.rs
@@ -73,7 +73,7 @@
     pub holds: Vec<ReservationRow>,
     /// What the fleet agrees on, where it does.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub agreement: Option<pepperhook_fleet::AgreedShown>,
+    pub agreement: Option<pepperhook_fleet::AgreementView>,
     /// Copies on other fronts and of other fronts, where there are any.
     pub replica: Option<ReplicaShown>,
     /// Agreed policies, where one ever came or the front was fenced.
--- a/crates/front/src/fleet_io.rs
+++ b/crates/front/src/fleet_io.rs
@@ -8,7 +8,7 @@
 use pepperhook::{ServerId, ServerState};
 use pepperhook_duties::{Duty, DutyKind, Target, TargetState};
 use pepperhook_exchange::{Id, Keys, MergeResult, Record, Store};
-use pepperhook_fleet::{AgreedShown, Fleet, Note, Out, READS, Settings, View};
+use pepperhook_fleet::{AgreementView, Fleet, LOAD_READING_DUTY, MembershipSettings, Note, Output, Settings};
 use pepperhook_membership::Change;
 use pepperhook_peaks::{AdmissionError, Announcement};
 use pepperhook_replica::StreamRow;
@@ -111,12 +111,12 @@
             seed: rand::random(),
         };
         let address = socket.as_ref().map(|s| s.local_addr()).transpose()?;
-        let view = exchange_config.zip(address).map(|(section, address)| View {
+        let view = exchange_config.zip(address).map(|(section, address)| MembershipSettings {
             address: section.advertise.unwrap_or(address),
             weight: section.weight,
-            fronts,
-            period_ms: section.probe_interval / 1_000_000,
-            suspicion_ms: section.suspicion_timeout / 1_000_000,
+            expected_fronts: fronts,
+            probe_period_ms: section.probe_interval / 1_000_000,
+            suspicion_timeout_ms: section.suspicion_timeout / 1_000_000,
         });
         let duties =
             exchange_config.zip(config.duties.as_ref()).map(|(section, d)| pepperhook_duties::Settings {
@@ -141,7 +141,7 @@
         let voter_store = voter_store.flatten();
         let (agreement, jobs) = AgreementIo::new(voter_store.as_ref());
         let voter_store = RefCell::new(voter_store.zip(jobs));
-        let settings = Settings { exchange, view, duties, copies, agreed };
+        let settings = Settings { exchange, membership: view, duties, copies, agreement: agreed };
         let fleet = RefCell::new(Fleet::new(settings, kept, now_ms));
         let loss = exchange_config.map_or(0.0, |section| section.simulated_loss);
         let (running, checking, warnings) = (RefCell::default(), RefCell::default(), Cell::new(0));
@@ -165,12 +165,12 @@
     /// Fills in the parts of the snapshot that are about the fleet.
     pub fn fill_snapshot(&self, now_ms: u64, snapshot: &mut Snapshot) {
         let fleet = self.fleet.borrow();
-        snapshot.exchange = Some(fleet.counters().clone());
+        snapshot.exchange = Some(fleet.exchange_counters().clone());
         snapshot.members = fleet.member_rows();
         snapshot.duty_counters = fleet.duty_counters().cloned();
         snapshot.clock_offset_ms = fleet.offset_ms();
         snapshot.replica = self.replica_shown(now_ms);
-        snapshot.agreement = fleet.agreed(now_ms);
+        snapshot.agreement = fleet.agreement(now_ms);
         let names: HashMap<u64, &str> = snapshot
             .nodes
             .iter()
@@ -195,11 +195,12 @@
         &self,
         now_ms: u64,
         config: &Config,
-    ) -> Option<(AgreedShown, Option<(u64, &'static str, String)>, Vec<String>)> {
+    ) -> Option<(AgreementView, Option<(u64, &'static str, String)>, Vec<String>)> {
         let fleet = self.fleet.borrow();
-        let force = fleet.policy().map(|(version, step, policy)| (version, step, policy.text().to_owned()));
-        let differs = fleet.differs(config).iter().map(ToString::to_string).collect();
-        Some((fleet.agreed(now_ms)?, force, differs))
+        let force =
+            fleet.active_policy().map(|(version, step, policy)| (version, step, policy.text().to_owned()));
+        let differs = fleet.differences_from(config).iter().map(ToString::to_string).collect();
+        Some((fleet.agreement(now_ms)?, force, differs))
     }
 
     /// Streams of copies, for the console.
@@ -239,7 +240,7 @@
     }
 }
 
-/// The kinds of duty, in the order of [`READS`] and [`SESSION_LIST_DUTY`].
+/// The kinds of duty, in the order of [`LOAD_READING_DUTY`] and [`SESSION_LIST_DUTY`].
 fn duty_kinds(d: &DutySettings) -> Vec<DutyKind> {
     let ms = |ns: u64| ns / 1_000_000;
     let probes = DutyKind {
@@ -348,13 +349,13 @@
         ));
     }
     for output in &out {
-        if let Out::Changed(record) = output {
+        if let Output::RecordChanged(record) = output {
             persist(fleet_io.store.clone(), record.clone()).await.map_err(AnnounceError::Store)?;
         }
     }
     shell.drive(Input::Peak(peak));
     for output in out {
-        if let Out::Send(to, datagram) = output {
+        if let Output::Send(to, datagram) = output {
             fleet_io.send(to, &datagram);
         }
     }
@@ -392,13 +393,13 @@
 }
 
 /// Calls the fleet and executes what it returns.
-pub fn call_fleet<R>(shell: &Rc<Shell>, call: impl FnOnce(&mut Fleet, u64, &mut Vec<Out>) -> R) -> R {
+pub fn call_fleet<R>(shell: &Rc<Shell>, call: impl FnOnce(&mut Fleet, u64, &mut Vec<Output>) -> R) -> R {
     let mut out = Vec::new();
     let result = call(&mut shell.fleet_io.fleet.borrow_mut(), shell.fleet_clock.now_ms(), &mut out);
     for output in out {
         match output {
-            Out::Send(to, datagram) => shell.fleet_io.send(to, &datagram),
-            Out::Changed(record) => {
+            Output::Send(to, datagram) => shell.fleet_io.send(to, &datagram),
+            Output::RecordChanged(record) => {
                 apply_record(shell, &record);
                 if record.id.is_ephemeral() {
                     continue;
@@ -413,27 +414,28 @@
                     }
                 });
             }
-            Out::Run(duty, round, limit_ms) => {
+            Output::RunDuty(duty, round, limit_ms) => {
                 let limit = Duration::from_millis(limit_ms);
                 match duty.kind {
                     SESSION_LIST_DUTY => run_session_list(shell, duty, round, limit),
                     _ => run_probe(shell, duty, round, limit),
                 }
             }
-            Out::Cancel(duty, round) => {
+            Output::CancelDuty(duty, round) => {
                 if let Some(task) = shell.fleet_io.running.borrow_mut().remove(&(duty, round)) {
                     task.abort();
                 }
             }
-            Out::Seen(reading, age_ms) => {
+            Output::ReadingReceived(reading, age_ms) => {
                 if shell.config.duties.as_ref().is_some_and(|d| d.share_readings) {
                     let load = load_report(&reading.values);
-                    let input = Input::Seen(server_id(reading.node), reading.life, age_ms * 1_000_000, load);
+                    let input =
+                        Input::Seen(server_id(reading.node), reading.incarnation, age_ms * 1_000_000, load);
                     shell.drive(input);
                 }
             }
-            Out::Adopted(keys) => store_adopted(shell, keys),
-            Out::Lost(keys) => {
+            Output::Adopted(keys) => store_adopted(shell, keys),
+            Output::Lost(keys) => {
                 let mut adopted = shell.fleet_io.adopted.borrow_mut();
                 keys.iter().for_each(|key| {
                     adopted.remove(key);
@@ -444,20 +446,20 @@
                     "another front has taken these sessions over"
                 );
             }
-            Out::Ended(key) => {
+            Output::Deleted(key) => {
                 shell.fleet_io.adopted.borrow_mut().remove(&key);
             }
-            Out::Write(batch, ops) => {
+            Output::WriteStore(batch, ops) => {
                 if !shell.fleet_io.agreement.enqueue(StoreJob::Write(batch, ops)) {
                     report_failed_write(shell, batch);
                 }
             }
-            Out::Remake => {
+            Output::RecreateStore => {
                 shell.fleet_io.agreement.enqueue(StoreJob::Replace);
             }
-            Out::InForce(force) => agreement::apply_policy(shell, force),
-            Out::Told(key, answer) => shell.fleet_io.agreement.deliver_answer(key, &answer),
-            Out::Note(note) => log_note(&note),
+            Output::ActivatePolicy(force) => agreement::apply_policy(shell, force),
+            Output::AnswerOperator(key, answer) => shell.fleet_io.agreement.deliver_answer(key, &answer),
+            Output::Note(note) => log_note(&note),
         }
     }
     agreement::update_fence(shell);
@@ -468,14 +470,14 @@
 fn report_failed_write(shell: &Rc<Shell>, batch: u64) {
     let shell = shell.clone();
     spawn_local(async move {
-        call_fleet(&shell, |fleet, now_ms, out| fleet.written(now_ms, batch, false, out));
+        call_fleet(&shell, |fleet, now_ms, out| fleet.store_written(now_ms, batch, false, out));
     });
 }
 
 /// Connects the agreement with the engine and starts the task of the voter's store. `None` without an agreement or a store.
 pub fn start_agreement(shell: &Rc<Shell>) -> Option<JoinHandle<()>> {
     shell.config.agreement.as_ref()?;
-    shell.fleet_io.fleet.borrow_mut().set_means(Box::new(EnginePolicyCheck(Rc::downgrade(shell))));
+    shell.fleet_io.fleet.borrow_mut().set_engine(Box::new(EnginePolicyCheck(Rc::downgrade(shell))));
     agreement::update_fence(shell);
     let (voter_store, jobs) = shell.fleet_io.voter_store.borrow_mut().take()?;
     Some(spawn_local(agreement::run_store(shell.clone(), voter_store, jobs)))
@@ -510,7 +512,7 @@
 pub fn replicate_session(shell: &Rc<Shell>, key: u64, copied: Option<&Copied>) {
     // A session that cannot be encoded must not look like one that ended: its last copies stay.
     let Ok(body) = copied.map(postcard::to_stdvec).transpose() else { return };
-    let kept = shell.fleet_io.fleet.borrow_mut().keep(shell.fleet_clock.now_ms(), key, body);
+    let kept = shell.fleet_io.fleet.borrow_mut().replicate(shell.fleet_clock.now_ms(), key, body);
     if let Err(reason) = kept {
         let warnings = shell.fleet_io.warnings.replace(shell.fleet_io.warnings.get() + 1);
         if warnings % 1_000 == 0 {
@@ -522,21 +524,21 @@
 /// Logs a note of the fleet.
 fn log_note(note: &Note) {
     match note {
-        Note::View(Change::Up(m)) => {
+        Note::ViewChanged(Change::Up(m)) => {
             info!(event = "member-up", front = m.front, address = %m.address, run = m.run, "a front has joined");
         }
-        Note::View(Change::Down(m)) => {
+        Note::ViewChanged(Change::Down(m)) => {
             info!(event = "member-down", front = m.front, address = %m.address, run = m.run, "a front has left or failed");
         }
-        Note::View(Change::Rejoined(m)) => {
+        Note::ViewChanged(Change::Rejoined(m)) => {
             warn!(
                 event = "member-rejoined",
                 renewed = m.renewals,
                 "the other fronts had declared this front failed; it rejoined"
             );
         }
-        Note::Agreed(note) => agreement::log_note(note),
-        Note::Run(run) => {
+        Note::Agreement(note) => agreement::log_note(note),
+        Note::RunRaised(run) => {
             warn!(
                 event = "run-raised",
                 run,
@@ -580,7 +582,9 @@
                 .filter(|_| shell.config.duties.as_ref().is_some_and(|d| d.share_readings));
             let done = report.is_some();
             shell.drive(Input::Probed(node, report));
-            call_fleet(&shell, |fleet, now_ms, out| fleet.finished(now_ms, duty, round, done, reading, out));
+            call_fleet(&shell, |fleet, now_ms, out| {
+                fleet.finish_duty(now_ms, duty, round, done, reading, out)
+            });
         })
     };
     shell.fleet_io.running.borrow_mut().insert((duty, round), task);
@@ -591,8 +595,8 @@
 pub fn request_probe(shell: &Rc<Shell>, node: ServerId) {
     let shell = shell.clone();
     spawn_local(async move {
-        let duty = Duty { kind: READS, target: u64::from(node.0) };
-        if !call_fleet(&shell, |fleet, now_ms, out| fleet.ask(now_ms, duty, out)) {
+        let duty = Duty { kind: LOAD_READING_DUTY, target: u64::from(node.0) };
+        if !call_fleet(&shell, |fleet, now_ms, out| fleet.request_duty(now_ms, duty, out)) {
             shell.drive(Input::Probed(node, Some(LoadReport::default())));
         }
     });
@@ -609,7 +613,7 @@
         Some(Target { id: u64::from(n.entry.server.0), state, incarnation: life(n) })
     };
     let targets: Vec<Target> = shell.engine(|e, _| e.nodes().filter_map(target).collect());
-    for kind in [READS, SESSION_LIST_DUTY] {
+    for kind in [LOAD_READING_DUTY, SESSION_LIST_DUTY] {
         call_fleet(shell, |fleet, now_ms, out| fleet.set_targets(now_ms, kind, &targets, out));
     }
 }
@@ -636,7 +640,7 @@
                     });
                 }
             }
-            call_fleet(&shell, |fleet, now_ms, out| fleet.finished(now_ms, duty, round, done, None, out));
+            call_fleet(&shell, |fleet, now_ms, out| fleet.finish_duty(now_ms, duty, round, done, None, out));
         })
     };
     shell.fleet_io.running.borrow_mut().insert((duty, round), task);
--- a/crates/rehearse/src/duties/net.rs
+++ b/crates/rehearse/src/duties/net.rs
@@ -3,7 +3,7 @@
 use super::coverage::{Life, Probe};
 use pepperhook_duties::{Counters, DEFAULT_WEIGHT, Duty, DutyKind, Target, TargetState};
 use pepperhook_exchange::Keys;
-use pepperhook_fleet::{Fleet, Note, Out, Settings, View};
+use pepperhook_fleet::{Fleet, MembershipSettings, Note, Output, Settings};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -266,7 +266,7 @@
             let clock = self.clock(i);
             let Some(fleet) = &self.hosts[i].fleet else { continue };
             for (n, _) in self.nodes.iter().enumerate().filter(|(_, n)| n.up && !n.draining) {
-                if let Some((_, age)) = fleet.latest(clock, n as u64) {
+                if let Some((_, age)) = fleet.latest_reading(clock, n as u64) {
                     self.ages_ms.push(age);
                 }
                 if let Some(at) = self.own_at.get(&(i, n as u64)) {
@@ -318,7 +318,7 @@
                     self.own_at.insert((front, duty.target), self.now_ms);
                 }
                 self.with(front, |fleet, clock, out| {
-                    fleet.finished(clock, duty, round, done, reading, out);
+                    fleet.finish_duty(clock, duty, round, done, reading, out);
                 });
             }
         }
@@ -331,24 +331,27 @@
     }
 
     /// Calls a front and carries out what it says.
-    fn with(&mut self, i: usize, call: impl FnOnce(&mut Fleet, u64, &mut Vec<Out>)) {
+    fn with(&mut self, i: usize, call: impl FnOnce(&mut Fleet, u64, &mut Vec<Output>)) {
         let (clock, mut out) = (self.clock(i), Vec::new());
         let Some(fleet) = &mut self.hosts[i].fleet else { return };
         call(fleet, clock, &mut out);
         for o in out {
             match o {
-                Out::Send(to, datagram) => self.send(i, to, datagram),
-                Out::Run(duty, round, _) => self.begin(i, duty, round),
-                Out::Cancel(duty, round) => {
+                Output::Send(to, datagram) => self.send(i, to, datagram),
+                Output::RunDuty(duty, round, _) => self.begin(i, duty, round),
+                Output::CancelDuty(duty, round) => {
                     if self.hosts[i].running.remove(&(duty, round)) {
                         self.leave_node(duty.target);
                     }
                 }
-                Out::Note(note) => self.notes.push((self.now_ms, i, note)),
+                Output::Note(note) => self.notes.push((self.now_ms, i, note)),
                 // These fronts have no copies, and agree on nothing.
-                Out::Adopted(_) | Out::Lost(_) | Out::Ended(_) => {}
-                Out::Write(..) | Out::Remake | Out::InForce(_) | Out::Told(..) => {}
-                Out::Changed(_) | Out::Seen(..) => {}
+                Output::Adopted(_) | Output::Lost(_) | Output::Deleted(_) => {}
+                Output::WriteStore(..)
+                | Output::RecreateStore
+                | Output::ActivatePolicy(_)
+                | Output::AnswerOperator(..) => {}
+                Output::RecordChanged(_) | Output::ReadingReceived(..) => {}
             }
         }
     }
@@ -410,15 +413,15 @@
                 fanout: 2,
                 seed,
             },
-            view: Some(View {
+            membership: Some(MembershipSettings {
                 address: address(i),
                 weight: DEFAULT_WEIGHT,
-                fronts: o.fronts as u32,
-                period_ms: 1_000,
-                suspicion_ms: o.suspicion_ms,
+                expected_fronts: o.fronts as u32,
+                probe_period_ms: 1_000,
+                suspicion_timeout_ms: o.suspicion_ms,
             }),
             copies: None,
-            agreed: None,
+            agreement: None,
             duties: Some(pepperhook_duties::Settings {
                 me: number(i),
                 weight: DEFAULT_WEIGHT,
@@ -465,8 +468,8 @@
     fn down(&mut self, i: usize) {
         let host = &mut self.hosts[i];
         if let Some(fleet) = host.fleet.take() {
-            host.sent.0 += fleet.counters().sent;
-            host.sent.1 += fleet.counters().sent_bytes;
+            host.sent.0 += fleet.exchange_counters().sent;
+            host.sent.1 += fleet.exchange_counters().sent_bytes;
         }
         let running = std::mem::take(&mut host.running);
         host.generation += 1;
@@ -566,7 +569,10 @@
     #[must_use]
     pub fn sent(&self) -> (u64, u64) {
         self.hosts.iter().fold((0, 0), |sum, h| {
-            let now = h.fleet.as_ref().map_or((0, 0), |f| (f.counters().sent, f.counters().sent_bytes));
+            let now = h
+                .fleet
+                .as_ref()
+                .map_or((0, 0), |f| (f.exchange_counters().sent, f.exchange_counters().sent_bytes));
             (sum.0 + h.sent.0 + now.0, sum.1 + h.sent.1 + now.1)
         })
     }
--- a/crates/rehearse/tests/duties.rs
+++ b/crates/rehearse/tests/duties.rs
@@ -238,7 +238,8 @@
     net.run(20_000);
     assert!((0..6).all(|i| net.view(i) == [0, 1, 2, 3, 4, 5, 7]), "a wrong key is no member");
     assert_eq!(net.view(6), [6]);
-    let rejected = net.front(0).expect("front 0").counters().rejected.get("key").copied().unwrap_or(0);
+    let rejected =
+        net.front(0).expect("front 0").exchange_counters().rejected.get("key").copied().unwrap_or(0);
     assert!(rejected > 0);
     let c = coverage(&net, 15_000);
     // The stranger asks nodes for itself, within its own part of the bound.
@@ -252,7 +253,7 @@
     net.run(12_000);
     let heard = net.tap.take().expect("what passed");
     assert!(heard.len() > 1_000);
-    let before = net.front(2).expect("front 2").counters().rejected.clone();
+    let before = net.front(2).expect("front 2").exchange_counters().rejected.clone();
     for (n, (from, datagram)) in heard.iter().enumerate() {
         // Each once more, from its own and from another's address, cut short, and blown up.
         net.inject(2, *from, datagram.clone());
@@ -263,7 +264,7 @@
         }
     }
     net.run(30_000);
-    let after = &net.front(2).expect("front 2").counters().rejected;
+    let after = &net.front(2).expect("front 2").exchange_counters().rejected;
     let more = |why: &str| after.get(why).copied().unwrap_or(0) - before.get(why).copied().unwrap_or(0);
     assert!(more("replay") > 500 && more("form") > 500, "{after:?}");
     let c = coverage(&net, 12_000);
