--- a/crates/fleet/src/agreement.rs
+++ b/crates/fleet/src/agreement.rs
@@ -6,7 +6,7 @@
 use pepperhook_agreement::{
     Command, Entry, Key, Operation, Outcome, Registers, StoredState, Subject, VoterId,
 };
-use pepperhook_policy::{Around, Ask, Effect, Fits, Governor, Pace, Policy};
+use pepperhook_policy::{Context, Effect, Governor, Policy, PolicyChecker, PolicyRequest, Timing};
 use serde::Serialize;
 use std::collections::VecDeque;
 
@@ -60,13 +60,13 @@
 }
 
 /// Checks a policy against the engine and against the length of the lease.
-struct PolicyCheck<'a> {
+struct EngineAndLeaseCheck<'a> {
     engine: &'a dyn PolicyEngine,
     lease_ms: u64,
 }
 
-impl Fits for PolicyCheck<'_> {
-    fn fits(&self, policy: &Policy) -> Result<(), String> {
+impl PolicyChecker for EngineAndLeaseCheck<'_> {
+    fn check_policy(&self, policy: &Policy) -> Result<(), String> {
         let longest = longest_patience_ms(policy);
         if longest.saturating_add(MIN_LEASE_MARGIN_MS) > self.lease_ms {
             return Err(format!(
@@ -108,7 +108,7 @@
     pub entry: u64,
     /// The policy's version.
     pub version: u64,
-    /// The step of the change, as [`pepperhook_policy::Change::step`] names it.
+    /// The step of the change, as [`pepperhook_policy::RegisterState::step`] names it.
     pub step: &'static str,
     /// The policy.
     pub policy: Policy,
@@ -192,13 +192,13 @@
         let me = settings.node.me;
         let lease_ms = settings.node.lease_ms;
         // A change waits until the leases of fronts that are cut off expire, and some time for messages.
-        let pace = Pace {
-            first_ms: u32::try_from(lease_ms.saturating_mul(4)).unwrap_or(u32::MAX),
-            ..Pace::default()
+        let timing = Timing {
+            first_step_timeout_ms: u32::try_from(lease_ms.saturating_mul(4)).unwrap_or(u32::MAX),
+            ..Timing::default()
         };
         let mut new = Self {
             node: Node::new(settings.node, settings.kept, now_ms),
-            governor: Governor::new(me, pace, settings.seed),
+            governor: Governor::new(me, timing, settings.seed),
             engine: Box::new(NoEngine),
             lease_ms,
             patience_ms: settings.patience_ms,
@@ -240,11 +240,11 @@
         self.process(now_ms, outputs, out);
         if now_ms >= self.governor_ticked_ms.saturating_add(GOVERNOR_TICK_MS) {
             self.governor_ticked_ms = now_ms;
-            let agreed = self.node.knows_voters() && !self.node.forked();
-            let around = Around { agreed, leads: self.node.leads() };
+            let register_known = self.node.knows_voters() && !self.node.forked();
+            let context = Context { register_known, is_leader: self.node.leads() };
             let entry = self.policy_entry();
-            self.call_governor(now_ms, entry, out, |g, _, fits, effects| {
-                g.tick(now_ms, around, fits, effects)
+            self.call_governor(now_ms, entry, out, |g, _, checker, effects| {
+                g.tick(now_ms, context, checker, effects)
             });
         }
         self.confirm_unused();
@@ -276,9 +276,16 @@
     }
 
     /// An operator requests a change of the policy.
-    pub fn request_policy_change(&mut self, now_ms: u64, ask: Ask, out: &mut Vec<AgreementOutput>) {
+    pub fn request_policy_change(
+        &mut self,
+        now_ms: u64,
+        request: PolicyRequest,
+        out: &mut Vec<AgreementOutput>,
+    ) {
         let entry = self.policy_entry();
-        self.call_governor(now_ms, entry, out, |g, _, fits, effects| g.ask(now_ms, ask, fits, effects));
+        self.call_governor(now_ms, entry, out, |g, _, checker, effects| {
+            g.request_change(now_ms, request, checker, effects)
+        });
     }
 
     /// Proposes to add a voter (the first of `change`), to remove one (the second), or both. Returns the proposed voters.
@@ -331,7 +338,7 @@
                 Output::Replaced => self.replaced(now_ms, out),
                 Output::Stable(number) => {
                     self.call_governor(now_ms, number, out, |g, _, _, effects| {
-                        g.settled(now_ms, number, effects)
+                        g.entry_stable(now_ms, number, effects)
                     });
                 }
                 Output::LeaseHeld(held) => out.push(AgreementOutput::Note(AgreementNote::Held(held))),
@@ -345,16 +352,16 @@
     }
 
     fn applied(&mut self, now_ms: u64, entry: &Entry, outcome: Outcome, out: &mut Vec<AgreementOutput>) {
-        self.call_governor(now_ms, entry.number, out, |g, _, fits, effects| {
-            g.applied(now_ms, entry, &outcome, fits, effects);
+        self.call_governor(now_ms, entry.number, out, |g, _, checker, effects| {
+            g.entry_applied(now_ms, entry, &outcome, checker, effects);
         });
     }
 
     fn replaced(&mut self, now_ms: u64, out: &mut Vec<AgreementOutput>) {
         let registers = self.node.registers();
         let entry = registers.get(POLICY).map_or(registers.number(), |r| r.number);
-        self.call_governor(now_ms, entry, out, |g, state, fits, effects| {
-            g.replaced(now_ms, state, fits, effects)
+        self.call_governor(now_ms, entry, out, |g, state, checker, effects| {
+            g.load_snapshot(now_ms, state, checker, effects)
         });
     }
 
@@ -369,11 +376,11 @@
         now_ms: u64,
         entry: u64,
         out: &mut Vec<AgreementOutput>,
-        call: impl FnOnce(&mut Governor, &Registers, &dyn Fits, &mut Vec<Effect>),
+        call: impl FnOnce(&mut Governor, &Registers, &dyn PolicyChecker, &mut Vec<Effect>),
     ) {
         let mut effects = Vec::new();
-        let fits = PolicyCheck { engine: &*self.engine, lease_ms: self.lease_ms };
-        call(&mut self.governor, self.node.registers(), &fits, &mut effects);
+        let checker = EngineAndLeaseCheck { engine: &*self.engine, lease_ms: self.lease_ms };
+        call(&mut self.governor, self.node.registers(), &checker, &mut effects);
         self.execute(now_ms, entry, effects, out);
     }
 
@@ -385,19 +392,19 @@
                     self.node.propose(now_ms, command, &mut outputs);
                     self.process(now_ms, outputs, out);
                 }
-                Effect::InForce { version, step, policy } => {
+                Effect::Activate { version, step, policy } => {
                     self.active_entry = entry;
                     self.patience_ms = longest_patience_ms(&policy).max(self.patience_ms);
                     out.push(AgreementOutput::ActivatePolicy(ActivePolicy { entry, version, step, policy }));
                 }
-                Effect::Vouch(number) => {
+                Effect::Confirm(number) => {
                     if self.unconfirmed.len() >= MAX_UNCONFIRMED {
                         self.unconfirmed.pop_front();
                     }
                     self.unconfirmed.push_back((number, self.active_entry));
                 }
-                Effect::Told { key, answer } => out.push(AgreementOutput::AnswerOperator(key, answer)),
-                Effect::Stuck(why) => out.push(AgreementOutput::Note(AgreementNote::Stuck(why))),
+                Effect::Answer { key, answer } => out.push(AgreementOutput::AnswerOperator(key, answer)),
+                Effect::CannotApply(reason) => out.push(AgreementOutput::Note(AgreementNote::Stuck(reason))),
             }
         }
     }
@@ -419,7 +426,7 @@
 
     /// The policy that is active on this front: version, step, document.
     pub fn active_policy(&self) -> Option<(u64, &'static str, &Policy)> {
-        self.governor.in_force()
+        self.governor.active_policy()
     }
 
     pub fn governor(&self) -> &Governor {
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -317,9 +317,14 @@
     }
 
     /// An operator requests a change of the policy; [`Output::AnswerOperator`] with the key of the request answers it.
-    pub fn request_policy_change(&mut self, now_ms: u64, ask: pepperhook_policy::Ask, out: &mut Vec<Output>) {
+    pub fn request_policy_change(
+        &mut self,
+        now_ms: u64,
+        request: pepperhook_policy::PolicyRequest,
+        out: &mut Vec<Output>,
+    ) {
         let now_ms = self.steady(now_ms);
-        self.call_agreement(out, |a, outputs| a.request_policy_change(now_ms, ask, outputs));
+        self.call_agreement(out, |a, outputs| a.request_policy_change(now_ms, request, outputs));
     }
 
     /// An operator requests to add a voter (the first of `change`), to remove one (the second), or both. Returns the requested
@@ -718,7 +723,7 @@
     /// The settings in which a file differs from the agreed policy.
     #[must_use]
     pub fn differences_from(&self, file: &pepperhook_settings::Config) -> Vec<pepperhook_policy::Difference> {
-        self.agreement.as_ref().map_or_else(Vec::new, |a| a.governor().differs(file))
+        self.agreement.as_ref().map_or_else(Vec::new, |a| a.governor().differences_from(file))
     }
 
     /// What is added to this front's clock to get the fleet's, milliseconds.
--- a/crates/front/src/agreement.rs
+++ b/crates/front/src/agreement.rs
@@ -7,7 +7,7 @@
 use crate::shell::Shell;
 use pepperhook_agreement::{Store, StoreError, StoreOp, StoredState};
 use pepperhook_fleet::{ActivePolicy, AgreementNote, AgreementSettings, PolicyEngine};
-use pepperhook_policy::{Answer, Ask, Policy};
+use pepperhook_policy::{Answer, Policy, PolicyRequest};
 use pepperhook_settings::{ClassSettings, Config, name_hash};
 use serde_json::json;
 use std::cell::{Cell, RefCell};
@@ -208,7 +208,7 @@
 /// Applies a policy to this front's configuration. A class that the policy closes is left out, and the engine then accepts
 /// no new sessions of it.
 fn merge_policy(config: &Config, policy: &Policy) -> Result<MergedPolicy, String> {
-    let mut merged = policy.over(config)?;
+    let mut merged = policy.apply_to(config)?;
     let open: Vec<bool> = merged.classes.iter().map(|c| !c.closed).collect();
     let mut keep = open.iter();
     merged.classes.retain(|_| keep.next().copied().unwrap_or(false));
@@ -225,7 +225,7 @@
             info!(event = "policy-in-force", version, step, entry, "an agreed policy is in force");
             shell.drive(Input::Policy { version: entry, settings, classes, tenants });
         }
-        // `fits` has accepted the policy before, so this is a defect of the program. A policy that is not in force here is
+        // `check_policy` has accepted the policy before, so this is a defect of the program. A policy that is not in force here is
         // never confirmed to the other fronts.
         Err(reason) => {
             error!(
@@ -321,7 +321,7 @@
 
 /// Requests a change of the policy and waits for the answer: that it is accepted or refused, or with `wait`, that it is
 /// completed or undone. `None` if too many operators wait, or the front stops.
-pub async fn request_policy_change(shell: &Rc<Shell>, ask: Ask, wait: bool) -> Option<Answer> {
+pub async fn request_policy_change(shell: &Rc<Shell>, ask: PolicyRequest, wait: bool) -> Option<Answer> {
     let mut answers = shell.fleet_io.agreement.subscribe(ask.key)?;
     call_fleet(shell, |fleet, now_ms, out| fleet.request_policy_change(now_ms, ask, out));
     loop {
--- a/crates/front/src/console_policy.rs
+++ b/crates/front/src/console_policy.rs
@@ -8,7 +8,7 @@
 use crate::shell::Shell;
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response};
-use pepperhook_policy::{Answer, Ask};
+use pepperhook_policy::{Answer, PolicyRequest};
 use pepperhook_settings::name_hash;
 use pepperhook_signalling::Problem;
 use serde_json::json;
@@ -76,10 +76,10 @@
     bytes: &[u8],
 ) -> Result<Response<ResponseBody>, Problem> {
     let against = query.get("against").and_then(|v| v.parse().ok());
-    let ask = Ask {
+    let ask = PolicyRequest {
         key: idempotency_key(query)?,
         name: query.get("by").cloned().ok_or_else(|| bad_query("'by' names who asks"))?,
-        against: against.ok_or_else(|| bad_query("'against' is the version that was looked at"))?,
+        base_version: against.ok_or_else(|| bad_query("'against' is the version that was looked at"))?,
         text: String::from_utf8(bytes.to_vec())
             .map_err(|_| bad_query("the body must be the policy's text in UTF-8"))?,
         dry_run: is_yes(query, "dry-run"),
@@ -100,15 +100,15 @@
     };
     match &answer {
         Answer::Accepted { .. } => success(202, "accepted"),
-        Answer::Stands { .. } => success(200, "stands"),
-        Answer::Dry { .. } => success(200, "dry-run"),
-        Answer::Same { .. } => success(200, "same"),
-        Answer::Keeping { .. } => success(202, "keeping"),
+        Answer::Completed { .. } => success(200, "stands"),
+        Answer::DryRun { .. } => success(200, "dry-run"),
+        Answer::Unchanged { .. } => success(200, "same"),
+        Answer::EndingTrial { .. } => success(202, "keeping"),
         Answer::Undone(_) => refused(409, "undone", "Undone"),
         Answer::Conflict { .. } => refused(409, "conflict", "Conflict"),
-        Answer::UnderWay { .. } => refused(409, "under-way", "A change is under way"),
+        Answer::ChangeInProgress { .. } => refused(409, "under-way", "A change is under way"),
         Answer::Refused(_) => refused(422, "policy", "Not a policy"),
-        Answer::Unfit(_) => refused(422, "unfit", "It cannot be gone by"),
+        Answer::Inapplicable(_) => refused(422, "unfit", "It cannot be gone by"),
         Answer::NotAgreed => refused(503, "not-agreed", "No policy is agreed on"),
         Answer::Busy => refused(503, "busy", "Busy"),
         Answer::Unknown => refused(504, "unknown", "Not known"),
--- a/crates/policy/src/answer.rs
+++ b/crates/policy/src/answer.rs
@@ -1,134 +1,141 @@
-//! What operators ask and are told, and what a governor wants done.
+//! Requests of operators, their answers, and the effects of a governor.
 
-use crate::change::{Made, Undone};
+use crate::change::{Origin, UndoneChange};
 use crate::policy::{Difference, Policy};
 use crate::trial::Trial;
 use pepperhook_agreement::Command;
 use std::fmt;
 
-/// Bytes of an operator's name at most.
-pub const MOST_NAME: usize = 64;
+/// Limit of an operator's name, bytes.
+pub const MAX_OPERATOR_BYTES: usize = 64;
 
-/// Times of a governor, ms.
+/// Times of a governor, milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Pace {
-    /// A first step that stood so long without being settled is undone. Long against the hold, so that a front that is down
-    /// does not undo a change.
-    pub first_ms: u32,
-    /// Where the leader does not drive a step the author does after half this time, the others after one to four times it.
-    pub drive_ms: u64,
-    /// What was proposed is proposed again after this time if the register has not moved.
-    pub again_ms: u64,
-    /// An operator is told that nothing is known of a change after this time.
-    pub ask_ms: u64,
+pub struct Timing {
+    /// A first step whose entry is not stable after this time is rolled back. It is several times the lease, so that a front
+    /// that is down does not cause that: its lease expires first.
+    pub first_step_timeout_ms: u32,
+    /// Delay before fronts other than the leader propose the next step: half of it for the change's author, one to four times
+    /// it for the others.
+    pub proposal_delay_ms: u64,
+    /// Interval at which a proposal is repeated while the register does not change.
+    pub repeat_ms: u64,
+    /// Time after which a request without a decision is answered with [`Answer::Unknown`].
+    pub answer_timeout_ms: u64,
 }
 
-impl Default for Pace {
+impl Default for Timing {
     fn default() -> Self {
-        Self { first_ms: 30_000, drive_ms: 500, again_ms: 3_000, ask_ms: 10_000 }
+        Self {
+            first_step_timeout_ms: 30_000,
+            proposal_delay_ms: 500,
+            repeat_ms: 3_000,
+            answer_timeout_ms: 10_000,
+        }
     }
 }
 
-/// An operator's wish.
+/// An operator's request for another policy.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
-    /// Names the change. Drawn once; the same when the same change is asked for again, at any front.
+pub struct PolicyRequest {
+    /// Idempotency key: random, and the same when the request is repeated, at any front.
     pub key: u128,
-    /// The operator, as they call themselves.
+    /// The operator's name.
     pub name: String,
-    /// The version that the operator looked at.
-    pub against: u64,
-    /// The whole policy, in the settings' form.
+    /// The version from which the operator started.
+    pub base_version: u64,
+    /// The whole policy, in the syntax of the settings.
     pub text: String,
-    /// Only says what would be.
+    /// Check the request and describe the change without making it.
     pub dry_run: bool,
-    /// Undo the change if service becomes worse by it.
+    /// Reverse the change if the service becomes worse.
     pub trial: Option<Trial>,
 }
 
-/// Why a front cannot go by a policy.
+/// A front that cannot apply a policy, and why.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Unfit {
+pub struct Inapplicable {
     /// The front.
     pub front: u64,
-    /// Its reason.
-    pub why: String,
+    /// The reason.
+    pub reason: String,
 }
 
-/// What an operator is told.
+/// Answer to an operator's request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Answer {
-    /// The first step is decided. [`Answer::Stands`] or [`Answer::Undone`] follows.
+    /// The first step is decided. [`Answer::Completed`] or [`Answer::Undone`] follows.
     Accepted {
-        /// The version that the change makes.
+        /// The version of the new policy.
         version: u64,
-        /// Number of the entry.
-        number: u64,
+        /// Number of the step's log entry.
+        entry: u64,
     },
-    /// The change is through: the policy stands.
-    Stands {
+    /// The change is completed: the policy is active on all fronts.
+    Completed {
         /// Its version.
         version: u64,
     },
-    /// The change was undone: the one before stands.
-    Undone(Undone),
-    /// What would be. Nothing was proposed.
-    Dry {
-        /// The version that the change would make.
+    /// The change was undone: the former policy is active.
+    Undone(UndoneChange),
+    /// Result of a dry run. Nothing was proposed.
+    DryRun {
+        /// The version that the new policy would have.
         version: u64,
-        /// What it changes.
+        /// The settings that it would change.
         changes: Vec<Difference>,
-        /// What the first step changes.
+        /// The settings that the first step would change.
         first: Vec<Difference>,
     },
-    /// The policy that was asked for stands.
-    Same {
+    /// The requested policy is already active.
+    Unchanged {
         /// Its version.
         version: u64,
     },
-    /// The version that was looked at no longer stands.
+    /// The version from which the operator started is not the active one.
     Conflict {
-        /// The one who asked.
-        asked: Made,
-        /// The version that they looked at.
-        against: u64,
-        /// The version that stands, or that is being made.
-        stands: u64,
-        /// Who made it.
-        made: Made,
+        /// Who made the request.
+        requester: Origin,
+        /// The version from which the operator started.
+        base_version: u64,
+        /// The active version, or the version of the change in progress.
+        current_version: u64,
+        /// Who requested that.
+        origin: Origin,
     },
-    /// A change is under way; ask again when it is through.
-    UnderWay {
-        /// The version that it makes.
+    /// Another change is in progress; the request can be repeated when it is completed.
+    ChangeInProgress {
+        /// The version of that change.
         version: u64,
-        /// Its step.
+        /// Its step, as [`crate::RegisterState::step`] names it.
         step: &'static str,
-        /// Who asked for it.
-        made: Made,
+        /// Who requested it.
+        origin: Origin,
     },
-    /// The trial of this version is being ended: it stands. [`Answer::Stands`] follows for who asked for it.
-    Keeping {
+    /// The trial of this version is being ended and the version kept. The requester of the change gets
+    /// [`Answer::Completed`].
+    EndingTrial {
         /// The version.
         version: u64,
     },
-    /// The document is none, or changes what it may not; why, with lines where there are any.
+    /// The request is invalid, or changes what must not change; the reason, with line numbers if it concerns the text.
     Refused(String),
-    /// This front cannot go by it.
-    Unfit(Unfit),
-    /// The fleet has not agreed on a policy yet, or this edition cannot read what it agreed on.
+    /// This front cannot apply the policy.
+    Inapplicable(Inapplicable),
+    /// The fleet has not agreed on a policy yet, or this release cannot read it.
     NotAgreed,
-    /// Too many changes wait at this front.
+    /// Too many requests are pending at this front.
     Busy,
-    /// It is not known whether it was decided: ask again with the same key.
+    /// The outcome is unknown; the request can be repeated with the same key.
     Unknown,
 }
 
-fn lines(f: &mut fmt::Formatter<'_>, head: &str, all: &[Difference]) -> fmt::Result {
+fn write_differences(f: &mut fmt::Formatter<'_>, head: &str, all: &[Difference]) -> fmt::Result {
     write!(f, "\n  {head}:")?;
     all.iter().try_for_each(|d| write!(f, "\n    {d}"))
 }
 
-impl fmt::Display for Made {
+impl fmt::Display for Origin {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} (at front {})", self.name, self.front)
     }
@@ -137,32 +144,34 @@
 impl fmt::Display for Answer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Accepted { version, number } => write!(f, "accepted as version {version}, entry {number}"),
-            Self::Stands { version } => write!(f, "version {version} stands everywhere"),
-            Self::Undone(u) => write!(f, "version {} was undone by front {}: {}", u.version, u.by, u.why),
-            Self::Dry { version, changes, first } => {
+            Self::Accepted { version, entry } => write!(f, "accepted as version {version}, entry {entry}"),
+            Self::Completed { version } => write!(f, "version {version} stands everywhere"),
+            Self::Undone(u) => write!(f, "version {} was undone by front {}: {}", u.version, u.by, u.reason),
+            Self::DryRun { version, changes, first } => {
                 write!(f, "would be version {version}")?;
-                lines(f, "it changes", changes)?;
-                lines(f, "of that in the first step", first)
+                write_differences(f, "it changes", changes)?;
+                write_differences(f, "of that in the first step", first)
             }
-            Self::Same { version } => {
+            Self::Unchanged { version } => {
                 write!(f, "nothing to change: version {version} stands and says the same")
             }
-            Self::Conflict { asked, against, stands, made } => write!(
+            Self::Conflict { requester, base_version, current_version, origin } => write!(
                 f,
-                "conflict: {asked} changed version {against}, but version {stands} by {made} came before"
+                "conflict: {requester} changed version {base_version}, but version {current_version} by {origin} came before"
             ),
-            Self::UnderWay { version, step, made } => {
+            Self::ChangeInProgress { version, step, origin } => {
                 write!(
                     f,
-                    "version {version} by {made} is under way, step {step}: ask again when it is through"
+                    "version {version} by {origin} is under way, step {step}: ask again when it is through"
                 )
             }
-            Self::Keeping { version } => {
+            Self::EndingTrial { version } => {
                 write!(f, "the trial of version {version} is being ended, it stands")
             }
-            Self::Refused(why) => write!(f, "refused: {}", why.trim_end()),
-            Self::Unfit(Unfit { front, why }) => write!(f, "refused: front {front} cannot go by it: {why}"),
+            Self::Refused(reason) => write!(f, "refused: {}", reason.trim_end()),
+            Self::Inapplicable(Inapplicable { front, reason }) => {
+                write!(f, "refused: front {front} cannot go by it: {reason}")
+            }
             Self::NotAgreed => write!(f, "the fleet has agreed on no policy that this front can read"),
             Self::Busy => write!(f, "too many changes wait at this front"),
             Self::Unknown => write!(f, "not known whether it was decided: ask again with the same key"),
@@ -170,29 +179,29 @@
     }
 }
 
-/// What a governor wants done, in this order.
+/// An effect that the governor's caller executes, in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
-    /// Propose this to the agreement.
+    /// Propose this command to the agreement.
     Propose(Command),
-    /// The front goes by this policy from now on. It has to be carried out before any [`Effect::Vouch`] that follows.
-    InForce {
-        /// The version that stands or is being made.
+    /// Apply this policy from now on. It must be applied before any [`Effect::Confirm`] that follows is executed.
+    Activate {
+        /// The policy's version, or that of the change in progress.
         version: u64,
-        /// The step, as [`crate::Change::step`] has it.
+        /// The step, as [`crate::RegisterState::step`] names it.
         step: &'static str,
         /// The policy.
         policy: Policy,
     },
-    /// The front goes by all entries up to this.
-    Vouch(u64),
-    /// The answer to the ask of this key.
-    Told {
+    /// Confirm that this front has applied all entries up to this one.
+    Confirm(u64),
+    /// Answer the request with this key.
+    Answer {
         /// The key.
         key: u128,
         /// The answer.
         answer: Answer,
     },
-    /// The front cannot go by what was decided; why. It vouches for nothing until that changes.
-    Stuck(String),
+    /// The front cannot apply the agreed policy, for this reason. It confirms no entry until that changes.
+    CannotApply(String),
 }
--- a/crates/policy/src/change.rs
+++ b/crates/policy/src/change.rs
@@ -1,208 +1,213 @@
-//! What the register of the policy says: which policy stands, or which step of a change.
+//! Contents of the policy's register: the active policy, or the present step of a change.
 
-use crate::policy::{MOST_TEXT, Policy};
-use crate::trial::{Counts, Trial};
+use crate::policy::{MAX_POLICY_BYTES, Policy};
+use crate::trial::{RequestCounts, Trial};
 use pepperhook_agreement::{MAX_BODY_BYTES, Subject};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The register of the policy.
+/// The register that holds the policy.
 pub const SUBJECT: Subject = Subject { space: 1, number: 0 };
-/// Bytes of a reason that are kept at most.
-pub const MOST_WHY: usize = 256;
+/// Limit of a stored reason, bytes.
+pub const MAX_REASON_BYTES: usize = 256;
 
-/// Who made a policy or asked for a change.
+/// Who requested a policy.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Made {
-    /// Names the change; drawn by who asks, the same when they ask again.
+pub struct Origin {
+    /// Idempotency key of the request: random, and the same when the request is repeated.
     pub key: u128,
-    /// The front that was asked.
+    /// The front that received the request.
     pub front: u64,
-    /// The operator, as they call themselves.
+    /// The operator's name, as given in the request.
     pub name: String,
 }
 
-/// A change that was undone, and why.
+/// A change that was rolled back or reversed, and why.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Undone {
-    /// The version it would have been.
+pub struct UndoneChange {
+    /// The version that the change made or would have made.
     pub version: u64,
-    /// Who asked for it.
-    pub made: Made,
+    /// Who requested it.
+    pub origin: Origin,
     /// The front that undid it.
     pub by: u64,
-    /// Its reason.
-    pub why: String,
+    /// That front's reason.
+    pub reason: String,
 }
 
-/// A trial with what it compares to.
+/// A trial and the counts that it compares with.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Proof {
+pub struct TrialBaseline {
     /// The trial.
     pub trial: Trial,
-    /// What it watches, over its time before the change.
-    pub before: Counts,
+    /// The watched requests in a period of the trial's length before the change.
+    pub before: RequestCounts,
 }
 
-/// A change under way.
+/// A change in progress.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Steps {
-    /// The version that it makes.
+pub struct PolicyChange {
+    /// The version of the new policy.
     pub version: u64,
-    /// Who asked for it.
-    pub made: Made,
-    /// The version that it comes after.
+    /// Who requested it.
+    pub origin: Origin,
+    /// The version of the old policy.
     pub old_version: u64,
-    /// Who made that.
-    pub old_made: Made,
-    /// The policy that it comes after.
+    /// Who requested the old policy.
+    pub old_origin: Origin,
+    /// Canonical text of the old policy.
     pub old: String,
-    /// The policy that it makes.
+    /// Canonical text of the new policy.
     pub new: String,
-    /// The first step is undone where it has stood so long without being settled.
-    pub first_ms: u32,
-    /// Judged by service before it stands.
-    pub proof: Option<Proof>,
-    /// The change that this one undoes, since its trial went badly.
-    pub undoes: Option<Undone>,
+    /// Time after which the first step is rolled back if its entry is not stable, milliseconds.
+    pub first_step_timeout_ms: u32,
+    /// The trial to pass before the change is completed, if any.
+    pub baseline: Option<TrialBaseline>,
+    /// The change that this one reverses because its trial failed.
+    pub undoes: Option<UndoneChange>,
 }
 
-/// What the register says.
+/// Contents of the register. A version is active everywhere once its entry is stable.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Change {
-    /// No change is under way.
-    Stands {
-        /// The version that stands.
+pub enum RegisterState {
+    /// No change is in progress.
+    Active {
+        /// The active version.
         version: u64,
-        /// The highest version that was ever asked for.
-        last: u64,
-        /// The policy.
+        /// The highest version that any change has used.
+        highest_version: u64,
+        /// Canonical text of the policy.
         policy: String,
-        /// Who made it.
-        made: Made,
-        /// The change that was undone last, if none was made since.
-        undone: Option<Undone>,
+        /// Who requested it.
+        origin: Origin,
+        /// The last change that was undone, if none was completed since.
+        undone: Option<UndoneChange>,
     },
-    /// Everyone goes by the tighter of both. It can be undone.
-    First(Steps),
-    /// Everyone goes by the new one. Only forward.
-    Second(Steps),
-    /// Everyone goes by the new one, and service is watched.
+    /// All fronts apply the intersection of the old and the new policy. The change can still be rolled back.
+    FirstStep(PolicyChange),
+    /// All fronts apply the new policy. The change can no longer be rolled back.
+    SecondStep(PolicyChange),
+    /// All fronts apply the new policy while the trial measures the service.
     Trial {
         /// The change.
-        steps: Steps,
-        /// The sums that are watched, as the trial began.
-        from: Counts,
+        steps: PolicyChange,
+        /// The watched totals at the start of the trial.
+        from: RequestCounts,
     },
-    /// Everyone goes by the old one again; another change can begin only once nobody goes by the tighter any more.
-    Back {
+    /// All fronts apply the old policy again. The next change has to wait until no front applies the intersection any more.
+    Rollback {
         /// The change.
-        steps: Steps,
-        /// The front that undid it.
+        steps: PolicyChange,
+        /// The front that rolled it back.
         by: u64,
-        /// Its reason.
-        why: String,
+        /// That front's reason.
+        reason: String,
     },
 }
 
-/// Bytes that are no such thing, or of a later edition.
+/// The register's bytes are invalid, or a later release wrote them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the register of the policy says what this edition cannot read")]
-pub struct Unread;
+pub struct UnreadableRegister;
 
 #[derive(Serialize, Deserialize)]
 enum Wire {
-    V1(Change),
+    V1(RegisterState),
 }
 
-impl Change {
-    /// The bytes of a command's body; `None` if they are too many.
+impl RegisterState {
+    /// Encodes the state as a command's body; `None` if that is too long.
     #[must_use]
     pub fn encode(&self) -> Option<Vec<u8>> {
         let bytes = postcard::to_stdvec(&Wire::V1(self.clone())).ok()?;
         (bytes.len() <= MAX_BODY_BYTES).then_some(bytes)
     }
 
-    /// Reads them.
+    /// Decodes a command's body.
     ///
     /// # Errors
-    /// They are none, too many, of a later edition, or hold a policy that is none.
-    pub fn decode(bytes: &[u8]) -> Result<Self, Unread> {
+    /// If the bytes are invalid or too many, of a later release, or hold too long a policy.
+    pub fn decode(bytes: &[u8]) -> Result<Self, UnreadableRegister> {
         if bytes.len() > MAX_BODY_BYTES {
-            return Err(Unread);
+            return Err(UnreadableRegister);
         }
-        let (Wire::V1(change), rest) = postcard::take_from_bytes(bytes).map_err(|_| Unread)?;
+        let (Wire::V1(change), rest) = postcard::take_from_bytes(bytes).map_err(|_| UnreadableRegister)?;
         let texts: &[&str] = match &change {
-            Self::Stands { policy, .. } => &[policy],
-            Self::First(s) | Self::Second(s) | Self::Trial { steps: s, .. } | Self::Back { steps: s, .. } => {
-                &[&s.old, &s.new]
-            }
+            Self::Active { policy, .. } => &[policy],
+            Self::FirstStep(s)
+            | Self::SecondStep(s)
+            | Self::Trial { steps: s, .. }
+            | Self::Rollback { steps: s, .. } => &[&s.old, &s.new],
         };
-        let fits = rest.is_empty() && texts.iter().all(|t| t.len() <= MOST_TEXT);
-        if fits { Ok(change) } else { Err(Unread) }
+        let fits = rest.is_empty() && texts.iter().all(|t| t.len() <= MAX_POLICY_BYTES);
+        if fits { Ok(change) } else { Err(UnreadableRegister) }
     }
 
-    /// The step's name.
+    /// The step's name, as operators see it.
     #[must_use]
     pub fn step(&self) -> &'static str {
         match self {
-            Self::Stands { .. } => "stands",
-            Self::First(_) => "first",
-            Self::Second(_) => "second",
+            Self::Active { .. } => "stands",
+            Self::FirstStep(_) => "first",
+            Self::SecondStep(_) => "second",
             Self::Trial { .. } => "trial",
-            Self::Back { .. } => "back",
+            Self::Rollback { .. } => "back",
         }
     }
 
-    /// The version that stands or is being made.
+    /// The active version, or the version of the change in progress.
     #[must_use]
     pub fn version(&self) -> u64 {
         match self {
-            Self::Stands { version, .. } => *version,
-            Self::First(s) | Self::Second(s) | Self::Trial { steps: s, .. } | Self::Back { steps: s, .. } => {
-                s.version
-            }
+            Self::Active { version, .. } => *version,
+            Self::FirstStep(s)
+            | Self::SecondStep(s)
+            | Self::Trial { steps: s, .. }
+            | Self::Rollback { steps: s, .. } => s.version,
         }
     }
 
-    /// Who made what stands or asked for what is being made.
+    /// Who requested the active policy, or the change in progress.
     #[must_use]
-    pub fn made(&self) -> &Made {
+    pub fn origin(&self) -> &Origin {
         match self {
-            Self::Stands { made, .. } => made,
-            Self::First(s) | Self::Second(s) | Self::Trial { steps: s, .. } | Self::Back { steps: s, .. } => {
-                &s.made
-            }
+            Self::Active { origin, .. } => origin,
+            Self::FirstStep(s)
+            | Self::SecondStep(s)
+            | Self::Trial { steps: s, .. }
+            | Self::Rollback { steps: s, .. } => &s.origin,
         }
     }
 
-    /// The policies: the one that stands or stood, and the one that is to stand. Those that are known are not read again.
-    pub(crate) fn policies(&self, known: &[&Policy]) -> Result<(Policy, Policy), Unread> {
+    /// The old and the new policy; both are the active one if no change is in progress. Those among `known` are not parsed
+    /// again.
+    pub(crate) fn policies(&self, known: &[&Policy]) -> Result<(Policy, Policy), UnreadableRegister> {
         let read = |text: &str| match known.iter().find(|p| p.text() == text) {
             Some(policy) => Ok((*policy).clone()),
-            None => Policy::stored(text).map_err(|_| Unread),
+            None => Policy::from_canonical(text).map_err(|_| UnreadableRegister),
         };
         match self {
-            Self::Stands { policy, .. } => read(policy).map(|p| (p.clone(), p)),
-            Self::First(s) | Self::Second(s) | Self::Trial { steps: s, .. } | Self::Back { steps: s, .. } => {
-                Ok((read(&s.old)?, read(&s.new)?))
-            }
+            Self::Active { policy, .. } => read(policy).map(|p| (p.clone(), p)),
+            Self::FirstStep(s)
+            | Self::SecondStep(s)
+            | Self::Trial { steps: s, .. }
+            | Self::Rollback { steps: s, .. } => Ok((read(&s.old)?, read(&s.new)?)),
         }
     }
 }
 
-/// Cuts a text to so many bytes, between characters.
-pub(crate) fn cut(text: &str, most: usize) -> String {
-    let mut end = text.len().min(most);
+/// Truncates a text to at most `limit` bytes at a character boundary.
+pub(crate) fn truncate(text: &str, limit: usize) -> String {
+    let mut end = text.len().min(limit);
     while !text.is_char_boundary(end) {
         end -= 1;
     }
     text.get(..end).unwrap_or_default().to_owned()
 }
 
-/// A key that follows from what it follows: FNV-1a of 128 bits (Fowler, Noll, Vo) over the parts. Whoever drives a step
-/// derives the same, so that many of them are one.
-pub(crate) fn derived(parts: &[u128]) -> u128 {
+/// Derives a command's key as the 128-bit FNV-1a hash (Fowler, Noll, Vo) of the parts. All fronts that propose a step derive
+/// the same key, so the step is applied once.
+pub(crate) fn derive_key(parts: &[u128]) -> u128 {
     let bytes = parts.iter().flat_map(|p| p.to_be_bytes());
     bytes.fold(0x6c62_272e_07bb_0142_62b8_2175_6295_c58d, |hash: u128, byte| {
         (hash ^ u128::from(byte)).wrapping_mul(0x0000_0000_0100_0000_0000_0000_0000_013b)
--- a/crates/policy/src/governor.rs
+++ b/crates/policy/src/governor.rs
@@ -1,14 +1,18 @@
-//! One front's part in the changes of the policy.
+//! The governor: one front's part in a change of the policy.
 //!
-//! Two rules hold a change together. A front vouches for an entry only once it goes by it, and a step is driven only once
-//! the entry of the step before is settled: then every front that holds goes by that step, and who does not hold is fenced.
-//! Who drives does not matter: commands apply only to the entry that they follow, and their keys follow from it.
+//! Two rules keep the fronts consistent. A front confirms an entry only after it has applied it, and the next step is proposed
+//! only when the entry of the former step is stable: then every front with a lease has applied that step, and a front
+//! without a lease is fenced. Any front may propose a step: a command is applied only if the register was not written since
+//! the entry that the command expects, and its key is derived from that entry, so all fronts propose the same command.
 
-use crate::answer::{Answer, Ask, Effect, MOST_NAME, Pace, Unfit};
-use crate::change::{Change, MOST_WHY, Made, Proof, SUBJECT, Steps, Undone, cut, derived};
-use crate::intersection::tighter;
+use crate::answer::{Answer, Effect, Inapplicable, MAX_OPERATOR_BYTES, PolicyRequest, Timing};
+use crate::change::{
+    MAX_REASON_BYTES, Origin, PolicyChange, RegisterState, SUBJECT, TrialBaseline, UndoneChange, derive_key,
+    truncate,
+};
+use crate::intersection::intersect;
 use crate::policy::Policy;
-use crate::trial::{History, Sums, Verdict};
+use crate::trial::{History, ServiceTotals, Verdict};
 use pepperhook_agreement::{Command, Entry, Key, Operation, Outcome, Registers};
 use pepperhook_settings::Config;
 use std::collections::{BTreeMap, VecDeque};
@@ -16,329 +20,382 @@
 mod operators;
 mod view;
 
-use operators::known;
+use operators::answer_from_register;
 
-/// Changes that wait at a front at most.
-const MOST_WAITING: usize = 16;
-/// Answers that are remembered for those who ask again.
-const MOST_ANSWERS: usize = 64;
-/// A first step's time, ms, whatever the register says.
-const FIRST_MS: (u64, u64) = (1_000, 600_000);
+/// Limit of the requests that wait for an answer at one front.
+const MAX_PENDING_REQUESTS: usize = 16;
+/// Limit of the answers that are stored for repeated requests.
+const MAX_STORED_ANSWERS: usize = 64;
+/// Allowed timeouts of a first step, milliseconds. The register's value is clamped to them.
+const FIRST_STEP_RANGE_MS: (u64, u64) = (1_000, 600_000);
 
-/// What a front's own means say of a policy.
-pub trait Fits {
-    /// Whether this front can go by it.
+/// Checks whether a front can apply a policy.
+pub trait PolicyChecker {
+    /// Checks that this front can apply the policy.
     ///
     /// # Errors
-    /// Why not.
-    fn fits(&self, policy: &Policy) -> Result<(), String>;
+    /// The reason if it cannot.
+    fn check_policy(&self, policy: &Policy) -> Result<(), String>;
 }
 
-impl Fits for Config {
-    fn fits(&self, policy: &Policy) -> Result<(), String> {
-        policy.over(self).map(drop)
+impl PolicyChecker for Config {
+    fn check_policy(&self, policy: &Policy) -> Result<(), String> {
+        policy.apply_to(self).map(drop)
     }
 }
 
-/// What the caller knows of the front.
+/// State of the front that the caller knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Around {
-    /// The fleet agrees: the register that it knows is the register, also if it is empty.
-    pub agreed: bool,
-    /// The front leads the voters: it drives without delay.
-    pub leads: bool,
+pub struct Context {
+    /// Whether this front takes part in the agreement, so that its copy of the register is the agreed one, even if empty.
+    pub register_known: bool,
+    /// Whether the front leads the voters. The leader proposes the next step without delay.
+    pub is_leader: bool,
 }
 
-/// What the register says, read.
+/// The decoded register.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct At {
-    number: u64,
-    change: Change,
+struct CurrentRegister {
+    /// The entry that wrote the register.
+    entry: u64,
+    state: RegisterState,
     old: Policy,
     new: Policy,
+    /// When this front applied the entry.
     since_ms: u64,
-    settled_ms: Option<u64>,
+    /// When this front learned that the entry is stable.
+    stable_since_ms: Option<u64>,
 }
 
-/// Steps that follow one another; part of the keys.
+/// Kinds of proposals. The numbers are part of the commands' keys.
 #[derive(Clone, Copy, Debug)]
-enum Next {
-    Seed = 1,
-    Second = 2,
-    Through = 3,
-    Back = 4,
-    Gone = 5,
-    First = 6,
+enum ProposalKind {
+    InitialPolicy = 1,
+    SecondStep = 2,
+    Complete = 3,
+    Rollback = 4,
+    RollbackDone = 5,
+    FirstStep = 6,
     Trial = 7,
     Undo = 8,
-    Keep = 9,
+    EndTrial = 9,
 }
 
-/// A change that was asked for here and is not through.
+/// A request received by this front that has no final answer yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Waiting {
-    made: Made,
-    against: u64,
+struct PendingRequest {
+    origin: Origin,
+    base_version: u64,
     since_ms: u64,
     accepted: bool,
-    /// The key of its command.
+    /// Key of the proposed command.
     command: u128,
 }
 
-/// One front's part.
+/// The governor of one front.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Governor {
     me: u64,
-    pace: Pace,
-    seed: Option<Policy>,
-    around: Around,
-    /// Since when the fleet agrees.
-    agreed_ms: Option<u64>,
-    /// The entry that wrote the register, 0 for none.
+    timing: Timing,
+    initial_policy: Option<Policy>,
+    context: Context,
+    /// When the agreed register was first known.
+    known_since_ms: Option<u64>,
+    /// The entry that wrote the register; 0 if none did.
     register: u64,
-    at: Option<At>,
-    unread: bool,
-    force: Option<(u64, &'static str, Policy)>,
-    stuck: Option<String>,
+    current: Option<CurrentRegister>,
+    unreadable: bool,
+    active: Option<(u64, &'static str, Policy)>,
+    inapplicable: Option<String>,
     checked_ms: u64,
-    seen: u64,
-    vouched: u64,
-    settled: u64,
-    /// The entry behind which something was proposed, and when.
+    last_applied: u64,
+    confirmed: u64,
+    stable: u64,
+    /// The register's entry at the last proposal, and the time of that.
     proposed: Option<(u64, u64)>,
-    waiting: BTreeMap<u128, Waiting>,
+    pending: BTreeMap<u128, PendingRequest>,
     answers: VecDeque<(u128, Answer)>,
     history: History,
 }
 
 impl Governor {
-    /// A front that knows of nothing yet. `seed` is the policy of its file, if it may begin with it where none stands.
+    /// A governor without any state. `initial_policy` is the policy in the front's file, if this front may propose it to a fleet
+    /// that has none.
     #[must_use]
-    pub fn new(me: u64, pace: Pace, seed: Option<Policy>) -> Self {
+    pub fn new(me: u64, timing: Timing, initial_policy: Option<Policy>) -> Self {
         Self {
             me,
-            pace,
-            seed,
-            around: Around::default(),
-            agreed_ms: None,
+            timing,
+            initial_policy,
+            context: Context::default(),
+            known_since_ms: None,
             register: 0,
-            at: None,
-            unread: false,
-            force: None,
-            stuck: None,
+            current: None,
+            unreadable: false,
+            active: None,
+            inapplicable: None,
             checked_ms: 0,
-            seen: 0,
-            vouched: 0,
-            settled: 0,
+            last_applied: 0,
+            confirmed: 0,
+            stable: 0,
             proposed: None,
-            waiting: BTreeMap::new(),
+            pending: BTreeMap::new(),
             answers: VecDeque::new(),
             history: History::default(),
         }
     }
 
-    /// The next entry of the log, and what its command came to.
-    pub fn applied(
+    /// Processes the next entry of the log and the outcome of its command.
+    pub fn entry_applied(
         &mut self,
         now_ms: u64,
         entry: &Entry,
         outcome: &Outcome,
-        fits: &dyn Fits,
+        checker: &dyn PolicyChecker,
         out: &mut Vec<Effect>,
     ) {
-        if entry.number <= self.seen {
+        if entry.number <= self.last_applied {
             return;
         }
-        self.seen = entry.number;
+        self.last_applied = entry.number;
         if let Operation::Put { subject: SUBJECT, expects, body } = &entry.command.operation {
-            // A command that comes a second time has its first outcome again and changes nothing.
+            // A repeated command has its first outcome again and changes nothing.
             if *outcome == Outcome::Applied && *expects == self.register {
-                self.adopt(now_ms, entry.number, body, fits, out);
+                self.read_register(now_ms, entry.number, body, checker, out);
             } else {
-                self.lost(entry.command.key.0, outcome, out);
+                self.command_rejected(entry.command.key.0, outcome, out);
             }
         }
-        self.vouch(out);
+        self.confirm(out);
     }
 
-    /// The state was replaced by a snapshot, or this is what the front begins with.
-    pub fn replaced(&mut self, now_ms: u64, state: &Registers, fits: &dyn Fits, out: &mut Vec<Effect>) {
+    /// Loads the registers at the start, or from a snapshot.
+    pub fn load_snapshot(
+        &mut self,
+        now_ms: u64,
+        state: &Registers,
+        checker: &dyn PolicyChecker,
+        out: &mut Vec<Effect>,
+    ) {
         let register = state.get(SUBJECT).map(|r| (r.number, r.body.as_slice()));
-        self.replaced_up_to(now_ms, state.number(), register, fits, out);
+        self.load_register(now_ms, state.number(), register, checker, out);
     }
 
-    /// As [`Self::replaced`]: the state is that after this entry; `register` is the entry that wrote the policy's register,
-    /// and what it says.
-    pub fn replaced_up_to(
+    /// As [`Self::load_snapshot`], for the state after entry `number`; `register` is the entry that wrote the policy's
+    /// register, and the register's bytes.
+    pub fn load_register(
         &mut self,
         now_ms: u64,
         number: u64,
         register: Option<(u64, &[u8])>,
-        fits: &dyn Fits,
+        checker: &dyn PolicyChecker,
         out: &mut Vec<Effect>,
     ) {
-        self.seen = self.seen.max(number);
+        self.last_applied = self.last_applied.max(number);
         match register {
-            Some((at, body)) if at != self.register || self.unread => self.adopt(now_ms, at, body, fits, out),
+            Some((entry, body)) if entry != self.register || self.unreadable => {
+                self.read_register(now_ms, entry, body, checker, out)
+            }
             Some(_) => {}
-            None => (self.at, self.register, self.unread, self.stuck) = (None, 0, false, None),
+            None => {
+                (self.current, self.register, self.unreadable, self.inapplicable) = (None, 0, false, None)
+            }
         }
-        self.tell(out);
-        self.vouch(out);
+        self.answer_requesters(out);
+        self.confirm(out);
     }
 
-    /// Every front that holds vouches for this entry or a later one.
-    pub fn settled(&mut self, now_ms: u64, number: u64, out: &mut Vec<Effect>) {
-        self.settled = self.settled.max(number);
-        let settled = self.settled;
-        if let Some(at) = self.at.as_mut().filter(|at| at.settled_ms.is_none() && at.number <= settled) {
-            at.settled_ms = Some(now_ms);
+    /// Every front with a lease has confirmed this entry or a later one.
+    pub fn entry_stable(&mut self, now_ms: u64, number: u64, out: &mut Vec<Effect>) {
+        self.stable = self.stable.max(number);
+        let settled = self.stable;
+        if let Some(current) = self
+            .current
+            .as_mut()
+            .filter(|current| current.stable_since_ms.is_none() && current.entry <= settled)
+        {
+            current.stable_since_ms = Some(now_ms);
         }
-        self.drive(now_ms, out);
+        self.propose_next_step(now_ms, out);
     }
 
-    /// Time has passed. Every 200 ms or so.
-    pub fn tick(&mut self, now_ms: u64, around: Around, fits: &dyn Fits, out: &mut Vec<Effect>) {
-        self.around = around;
-        if around.agreed && self.agreed_ms.is_none() {
-            self.agreed_ms = Some(now_ms);
+    /// Advances the time. To be called about every 200 ms.
+    pub fn tick(
+        &mut self,
+        now_ms: u64,
+        context: Context,
+        checker: &dyn PolicyChecker,
+        out: &mut Vec<Effect>,
+    ) {
+        self.context = context;
+        if context.register_known && self.known_since_ms.is_none() {
+            self.known_since_ms = Some(now_ms);
         }
-        if self.stuck.is_some() && now_ms.saturating_sub(self.checked_ms) >= self.pace.again_ms {
-            self.go(now_ms, fits, out);
-            self.vouch(out);
+        if self.inapplicable.is_some() && now_ms.saturating_sub(self.checked_ms) >= self.timing.repeat_ms {
+            self.activate(now_ms, checker, out);
+            self.confirm(out);
         }
-        self.drive(now_ms, out);
-        let most = self.pace.ask_ms;
-        let over = |w: &Waiting| !w.accepted && now_ms.saturating_sub(w.since_ms) >= most;
-        let late: Vec<u128> = self.waiting.iter().filter(|(_, w)| over(w)).map(|(k, _)| *k).collect();
-        for key in late {
-            // Not remembered: who asks again has it proposed again.
-            self.waiting.remove(&key);
-            out.push(Effect::Told { key, answer: Answer::Unknown });
+        self.propose_next_step(now_ms, out);
+        let timeout_ms = self.timing.answer_timeout_ms;
+        let timed_out = |w: &PendingRequest| !w.accepted && now_ms.saturating_sub(w.since_ms) >= timeout_ms;
+        let expired: Vec<u128> = self.pending.iter().filter(|(_, w)| timed_out(w)).map(|(k, _)| *k).collect();
+        for key in expired {
+            // This answer is not stored: a repeated request is proposed again.
+            self.pending.remove(&key);
+            out.push(Effect::Answer { key, answer: Answer::Unknown });
         }
     }
 
-    /// An operator asks for a change. What comes of it is told under its key, at once or later.
-    pub fn ask(&mut self, now_ms: u64, ask: Ask, fits: &dyn Fits, out: &mut Vec<Effect>) {
-        let key = ask.key;
-        if let Some((_, answer)) = self.answers.iter().find(|(k, _)| *k == key && !ask.dry_run) {
-            out.push(Effect::Told { key, answer: answer.clone() });
+    /// Processes an operator's request. [`Effect::Answer`] with its key follows at once or later.
+    pub fn request_change(
+        &mut self,
+        now_ms: u64,
+        request: PolicyRequest,
+        checker: &dyn PolicyChecker,
+        out: &mut Vec<Effect>,
+    ) {
+        let key = request.key;
+        if let Some((_, answer)) = self.answers.iter().find(|(k, _)| *k == key && !request.dry_run) {
+            out.push(Effect::Answer { key, answer: answer.clone() });
             return;
         }
-        // Whoever asks again waits for the one answer.
-        if self.waiting.contains_key(&key) {
+        // A repeated request gets the answer to the first.
+        if self.pending.contains_key(&key) {
             return;
         }
-        if let Err(answer) = self.checked(now_ms, ask, fits, out) {
-            out.push(Effect::Told { key, answer });
+        if let Err(answer) = self.try_request(now_ms, request, checker, out) {
+            out.push(Effect::Answer { key, answer });
         }
     }
 
-    fn checked(
+    fn try_request(
         &mut self,
         now_ms: u64,
-        ask: Ask,
-        fits: &dyn Fits,
+        request: PolicyRequest,
+        checker: &dyn PolicyChecker,
         out: &mut Vec<Effect>,
     ) -> Result<(), Answer> {
-        let refused = |why: &dyn std::fmt::Display| Answer::Refused(why.to_string());
-        if ask.name.is_empty() || ask.name.len() > MOST_NAME || ask.name.chars().any(char::is_control) {
-            return Err(refused(&format!("a name has 1 to {MOST_NAME} bytes and no control characters")));
+        let refused = |reason: &dyn std::fmt::Display| Answer::Refused(reason.to_string());
+        if request.name.is_empty()
+            || request.name.len() > MAX_OPERATOR_BYTES
+            || request.name.chars().any(char::is_control)
+        {
+            return Err(refused(&format!(
+                "a name has 1 to {MAX_OPERATOR_BYTES} bytes and no control characters"
+            )));
         }
-        let at = self.at.as_ref().filter(|_| !self.unread).ok_or(Answer::NotAgreed)?;
-        // Asked before, at this front or another, and known from the register.
-        if !ask.dry_run {
-            if let Some(answer) = known(at, ask.key) {
+        let current = self.current.as_ref().filter(|_| !self.unreadable).ok_or(Answer::NotAgreed)?;
+        // The register shows that this request was made before, at this front or another.
+        if !request.dry_run {
+            if let Some(answer) = answer_from_register(current, request.key) {
                 if let Answer::Accepted { .. } = answer {
-                    let made = at.change.made().clone();
-                    let (against, since_ms) = (ask.against, now_ms);
-                    let waiting = Waiting { made, against, since_ms, accepted: true, command: 0 };
-                    self.waiting.insert(ask.key, waiting);
+                    let origin = current.state.origin().clone();
+                    let (base_version, since_ms) = (request.base_version, now_ms);
+                    let pending =
+                        PendingRequest { origin, base_version, since_ms, accepted: true, command: 0 };
+                    self.pending.insert(request.key, pending);
                 }
                 return Err(answer);
             }
         }
-        let made = Made { key: ask.key, front: self.me, name: ask.name };
-        let Change::Stands { version, last, made: old_made, .. } = &at.change else {
-            let (version, step) = (at.change.version(), at.change.step());
-            return Err(Answer::UnderWay { version, step, made: at.change.made().clone() });
+        let origin = Origin { key: request.key, front: self.me, name: request.name };
+        let RegisterState::Active { version, highest_version, origin: old_origin, .. } = &current.state
+        else {
+            let (version, step) = (current.state.version(), current.state.step());
+            return Err(Answer::ChangeInProgress { version, step, origin: current.state.origin().clone() });
         };
-        if ask.against != *version {
-            let (stands, by) = (*version, old_made.clone());
-            return Err(Answer::Conflict { asked: made, against: ask.against, stands, made: by });
+        if request.base_version != *version {
+            let (current_version, by) = (*version, old_origin.clone());
+            return Err(Answer::Conflict {
+                requester: origin,
+                base_version: request.base_version,
+                current_version,
+                origin: by,
+            });
         }
-        let new = Policy::parse("policy", &ask.text).map_err(|e| refused(&e))?;
-        let new = at.old.then(&new).map_err(|e| refused(&e))?;
-        if new == at.old {
-            return Err(Answer::Same { version: *version });
+        let new = Policy::parse("policy", &request.text).map_err(|e| refused(&e))?;
+        let new = current.old.successor(&new).map_err(|e| refused(&e))?;
+        if new == current.old {
+            return Err(Answer::Unchanged { version: *version });
         }
-        let both = tighter(&at.old, &new).map_err(|e| refused(&e))?;
-        for policy in [&both, &new] {
-            fits.fits(policy).map_err(|why| Answer::Unfit(Unfit { front: self.me, why }))?;
+        let intersection = intersect(&current.old, &new).map_err(|e| refused(&e))?;
+        for policy in [&intersection, &new] {
+            checker
+                .check_policy(policy)
+                .map_err(|reason| Answer::Inapplicable(Inapplicable { front: self.me, reason }))?;
         }
-        let proof = match ask.trial {
+        let baseline = match request.trial {
             None => None,
-            Some(trial) if !trial.is_sound() => {
+            Some(trial) if !trial.is_valid() => {
                 return Err(refused(
                     &"a trial takes 10 s to an hour, and a loss of 1,000 thousandths at most",
                 ));
             }
-            Some(trial) => match self.history.before(now_ms, &trial) {
-                Some(before) => Some(Proof { trial, before }),
+            Some(trial) => match self.history.baseline(now_ms, &trial) {
+                Some(before) => Some(TrialBaseline { trial, before }),
                 None => {
                     return Err(refused(&"this front has not known service for as long as the trial takes"));
                 }
             },
         };
-        let number = last.saturating_add(1);
-        if ask.dry_run {
-            let (changes, first) = (at.old.differences(&new), at.old.differences(&both));
-            return Err(Answer::Dry { version: number, changes, first });
+        let number = highest_version.saturating_add(1);
+        if request.dry_run {
+            let (changes, first) = (current.old.differences(&new), current.old.differences(&intersection));
+            return Err(Answer::DryRun { version: number, changes, first });
         }
-        if self.waiting.len() >= MOST_WAITING {
+        if self.pending.len() >= MAX_PENDING_REQUESTS {
             return Err(Answer::Busy);
         }
-        let steps = Steps {
+        let steps = PolicyChange {
             version: number,
-            made: made.clone(),
+            origin: origin.clone(),
             old_version: *version,
-            old_made: old_made.clone(),
-            old: at.old.text().to_owned(),
+            old_origin: old_origin.clone(),
+            old: current.old.text().to_owned(),
             new: new.text().to_owned(),
-            first_ms: self.pace.first_ms,
-            proof,
+            first_step_timeout_ms: self.timing.first_step_timeout_ms,
+            baseline,
             undoes: None,
         };
-        let expects = at.number;
-        let body = Change::First(steps).encode().ok_or_else(|| refused(&"the change is too long"))?;
-        // One key never stands for commands that expect different entries: the agreement answers a key that came before
-        // with its first outcome.
-        let command = derived(&[ask.key, u128::from(expects), Next::First as u128]);
-        let waiting = Waiting { made, against: ask.against, since_ms: now_ms, accepted: false, command };
-        self.waiting.insert(ask.key, waiting);
+        let expects = current.entry;
+        let body =
+            RegisterState::FirstStep(steps).encode().ok_or_else(|| refused(&"the change is too long"))?;
+        // The key depends on the expected entry, because the agreement answers a repeated key with its first outcome.
+        let command = derive_key(&[request.key, u128::from(expects), ProposalKind::FirstStep as u128]);
+        let pending = PendingRequest {
+            origin,
+            base_version: request.base_version,
+            since_ms: now_ms,
+            accepted: false,
+            command,
+        };
+        self.pending.insert(request.key, pending);
         out.push(self.put(Key(command), expects, body));
         Ok(())
     }
 
-    /// What the whole fleet served until now, as this front knows it. Once a second or so.
-    pub fn served(&mut self, now_ms: u64, sums: Sums) {
-        self.history.served(now_ms, sums);
+    /// Records the totals of the whole fleet's service, as this front knows them. To be called about once a second.
+    pub fn record_service(&mut self, now_ms: u64, totals: ServiceTotals) {
+        self.history.record_service(now_ms, totals);
     }
 
-    /// An operator ends the trial of this version: it stands.
-    pub fn keep(&mut self, key: u128, version: u64, out: &mut Vec<Effect>) {
-        let answer = match self.at.as_ref().map(|at| &at.change) {
-            Some(Change::Trial { steps, .. }) if steps.version == version => match through(steps).encode() {
-                Some(body) => {
-                    let command = derived(&[key, u128::from(self.register), Next::Keep as u128]);
-                    out.push(self.put(Key(command), self.register, body));
-                    Answer::Keeping { version }
+    /// An operator ends the trial of this version and keeps the version.
+    pub fn end_trial(&mut self, key: u128, version: u64, out: &mut Vec<Effect>) {
+        let answer = match self.current.as_ref().map(|current| &current.state) {
+            Some(RegisterState::Trial { steps, .. }) if steps.version == version => {
+                match completed(steps).encode() {
+                    Some(body) => {
+                        let command =
+                            derive_key(&[key, u128::from(self.register), ProposalKind::EndTrial as u128]);
+                        out.push(self.put(Key(command), self.register, body));
+                        Answer::EndingTrial { version }
+                    }
+                    None => Answer::Refused("the policy is too long".into()),
                 }
-                None => Answer::Refused("the policy is too long".into()),
-            },
+            }
             _ => Answer::Refused(format!("no trial of version {version} is under way")),
         };
-        out.push(Effect::Told { key, answer });
+        out.push(Effect::Answer { key, answer });
     }
 
     fn put(&self, key: Key, expects: u64, body: Vec<u8>) -> Effect {
@@ -346,217 +403,263 @@
         Effect::Propose(Command { key, author: self.me, operation })
     }
 
-    /// The register has a new body.
-    fn adopt(&mut self, now_ms: u64, number: u64, body: &[u8], fits: &dyn Fits, out: &mut Vec<Effect>) {
-        self.stuck = None;
-        self.unread = false;
+    /// Decodes and applies a new body of the register.
+    fn read_register(
+        &mut self,
+        now_ms: u64,
+        number: u64,
+        body: &[u8],
+        checker: &dyn PolicyChecker,
+        out: &mut Vec<Effect>,
+    ) {
+        self.inapplicable = None;
+        self.unreadable = false;
         self.proposed = None;
         self.register = number;
         if body.is_empty() {
-            // Cleared, as if never written. The front goes by what it went by.
-            (self.at, self.register) = (None, 0);
+            // Cleared, as if it was never written. The front keeps its active policy.
+            (self.current, self.register) = (None, 0);
             return;
         }
-        let known: Vec<&Policy> = self.at.iter().flat_map(|at| [&at.old, &at.new]).collect();
-        let read = Change::decode(body).and_then(|change| change.policies(&known).map(|p| (change, p)));
-        let Ok((change, (old, new))) = read else {
-            // All fronts of this edition are fenced with it: better than going by something else than the others.
-            self.unread = true;
-            let why = "the register of the policy says what this edition cannot read".to_owned();
-            out.push(Effect::Stuck(why));
+        let known: Vec<&Policy> =
+            self.current.iter().flat_map(|current| [&current.old, &current.new]).collect();
+        let read = RegisterState::decode(body).and_then(|state| state.policies(&known).map(|p| (state, p)));
+        let Ok((state, (old, new))) = read else {
+            // All fronts of this release are fenced then, rather than apply another policy than the fronts that can read it.
+            self.unreadable = true;
+            let reason = "the register of the policy says what this edition cannot read".to_owned();
+            out.push(Effect::CannotApply(reason));
             return;
         };
-        let settled_ms = (self.settled >= number).then_some(now_ms);
-        self.at = Some(At { number, change, old, new, since_ms: now_ms, settled_ms });
-        self.go(now_ms, fits, out);
-        self.tell(out);
+        let stable_since_ms = (self.stable >= number).then_some(now_ms);
+        self.current =
+            Some(CurrentRegister { entry: number, state, old, new, since_ms: now_ms, stable_since_ms });
+        self.activate(now_ms, checker, out);
+        self.answer_requesters(out);
     }
 
-    /// Goes by what the register says, or says why it cannot.
-    fn go(&mut self, now_ms: u64, fits: &dyn Fits, out: &mut Vec<Effect>) {
-        let Some(at) = &self.at else { return };
+    /// Activates the policy that the register's step requires, or reports why this front cannot apply it.
+    fn activate(&mut self, now_ms: u64, checker: &dyn PolicyChecker, out: &mut Vec<Effect>) {
+        let Some(current) = &self.current else { return };
         self.checked_ms = now_ms;
-        let both;
-        let target = match &at.change {
-            Change::Stands { .. } | Change::Back { .. } => Ok(&at.old),
-            Change::Second(_) | Change::Trial { .. } => Ok(&at.new),
-            Change::First(_) => match tighter(&at.old, &at.new) {
+        let intersection;
+        let target = match &current.state {
+            RegisterState::Active { .. } | RegisterState::Rollback { .. } => Ok(&current.old),
+            RegisterState::SecondStep(_) | RegisterState::Trial { .. } => Ok(&current.new),
+            RegisterState::FirstStep(_) => match intersect(&current.old, &current.new) {
                 Ok(policy) => {
-                    both = policy;
-                    // After the first step it goes only forward: who cannot go by the last says so now.
-                    fits.fits(&at.new).map(|()| &both)
+                    intersection = policy;
+                    // The second step cannot be rolled back, so the new policy is checked now too.
+                    checker.check_policy(&current.new).map(|()| &intersection)
                 }
                 Err(fixed) => Err(fixed.to_string()),
             },
         };
-        let fit = target.and_then(|policy| fits.fits(policy).map(|()| policy));
-        let (version, step) = match &at.change {
-            Change::Back { steps, .. } => (steps.old_version, at.change.step()),
-            change => (change.version(), change.step()),
+        let applicable = target.and_then(|policy| checker.check_policy(policy).map(|()| policy));
+        let (version, step) = match &current.state {
+            RegisterState::Rollback { steps, .. } => (steps.old_version, current.state.step()),
+            state => (state.version(), state.step()),
         };
-        match fit {
+        match applicable {
             Ok(policy) => {
-                self.stuck = None;
+                self.inapplicable = None;
                 let next = Some((version, step, policy.clone()));
-                if self.force != next {
-                    out.push(Effect::InForce { version, step, policy: policy.clone() });
-                    self.force = next;
+                if self.active != next {
+                    out.push(Effect::Activate { version, step, policy: policy.clone() });
+                    self.active = next;
                 }
             }
-            Err(why) => {
-                let why = cut(&why, MOST_WHY);
-                if self.stuck.as_ref() != Some(&why) {
-                    out.push(Effect::Stuck(why.clone()));
+            Err(reason) => {
+                let reason = truncate(&reason, MAX_REASON_BYTES);
+                if self.inapplicable.as_ref() != Some(&reason) {
+                    out.push(Effect::CannotApply(reason.clone()));
                 }
-                self.stuck = Some(why);
+                self.inapplicable = Some(reason);
             }
         }
     }
 
-    fn vouch(&mut self, out: &mut Vec<Effect>) {
-        if self.stuck.is_none() && !self.unread && self.seen > self.vouched {
-            self.vouched = self.seen;
-            out.push(Effect::Vouch(self.seen));
+    fn confirm(&mut self, out: &mut Vec<Effect>) {
+        if self.inapplicable.is_none() && !self.unreadable && self.last_applied > self.confirmed {
+            self.confirmed = self.last_applied;
+            out.push(Effect::Confirm(self.last_applied));
         }
     }
 
-    /// Proposes what comes next, where it is due here.
-    fn drive(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
+    /// Proposes the next step if it is this front's turn.
+    fn propose_next_step(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
         let number = self.register;
-        if self.unread || !self.around.agreed {
+        if self.unreadable || !self.context.register_known {
             return;
         }
-        if self
-            .proposed
-            .is_some_and(|(at, ms)| at == number && now_ms.saturating_sub(ms) < self.pace.again_ms)
-        {
+        if self.proposed.is_some_and(|(entry, at_ms)| {
+            entry == number && now_ms.saturating_sub(at_ms) < self.timing.repeat_ms
+        }) {
             return;
         }
-        let Some((next, mine, body)) = self.next(now_ms) else { return };
-        let Some(body) = body.encode() else { return };
-        // An objection and a seed are this front's own; all else is the same whoever drives it.
-        let own = if mine { u128::from(self.me) + 1 } else { 0 };
-        // Where nothing stands, what came before tells two beginnings apart.
-        let of = self.at.as_ref().map_or(u128::from(self.seen), |at| at.change.made().key);
-        let key = derived(&[of, u128::from(number), next as u128, own]);
+        let Some((kind, specific, state)) = self.next_step(now_ms) else { return };
+        let Some(body) = state.encode() else { return };
+        // Rollbacks, reversals after a trial and initial policies are specific to this front; all other commands are the
+        // same on every front.
+        let own = if specific { u128::from(self.me) + 1 } else { 0 };
+        // If there is no policy, the last applied entry distinguishes the key from that of an earlier initial policy.
+        let origin_key =
+            self.current.as_ref().map_or(u128::from(self.last_applied), |current| current.state.origin().key);
+        let key = derive_key(&[origin_key, u128::from(number), kind as u128, own]);
         self.proposed = Some((number, now_ms));
         out.push(self.put(Key(key), number, body));
     }
 
-    /// The leader drives at once, the author if nothing came of that, then the others, each at a moment of its own: one of
-    /// them is enough.
-    fn turn(&self, author: u64) -> u64 {
-        if self.around.leads {
+    /// Delay before this front proposes a step, milliseconds: none for the leader, a short one for the change's author, and a
+    /// longer one that differs between the other fronts, because one proposal is enough.
+    fn proposal_delay_ms(&self, author: u64) -> u64 {
+        if self.context.is_leader {
             return 0;
         }
         if author == self.me {
-            return self.pace.drive_ms / 2;
+            return self.timing.proposal_delay_ms / 2;
         }
-        let lot = derived(&[u128::from(self.me), u128::from(self.register)]) >> 64;
-        let spread = u64::try_from(lot).unwrap_or(0) % self.pace.drive_ms.saturating_mul(3).max(1);
-        self.pace.drive_ms.saturating_add(spread)
+        let hash = derive_key(&[u128::from(self.me), u128::from(self.register)]) >> 64;
+        let spread =
+            u64::try_from(hash).unwrap_or(0) % self.timing.proposal_delay_ms.saturating_mul(3).max(1);
+        self.timing.proposal_delay_ms.saturating_add(spread)
     }
 
-    fn next(&self, now_ms: u64) -> Option<(Next, bool, Change)> {
-        let Some(at) = &self.at else {
-            let policy = self.seed.as_ref()?.text().to_owned();
-            if now_ms < self.agreed_ms?.saturating_add(self.turn(u64::MAX)) {
+    fn next_step(&self, now_ms: u64) -> Option<(ProposalKind, bool, RegisterState)> {
+        let Some(current) = &self.current else {
+            let policy = self.initial_policy.as_ref()?.text().to_owned();
+            if now_ms < self.known_since_ms?.saturating_add(self.proposal_delay_ms(u64::MAX)) {
                 return None;
             }
-            let made = Made { key: 0, front: self.me, name: "settings".into() };
+            let origin = Origin { key: 0, front: self.me, name: "settings".into() };
             return Some((
-                Next::Seed,
+                ProposalKind::InitialPolicy,
                 true,
-                Change::Stands { version: 1, last: 1, policy, made, undone: None },
+                RegisterState::Active { version: 1, highest_version: 1, policy, origin, undone: None },
             ));
         };
         let passed = |since: u64, time: u64| now_ms >= since.saturating_add(time);
-        let turn = self.turn(at.change.made().front);
-        let settled = at.settled_ms.is_some_and(|since| passed(since, turn));
-        match &at.change {
-            Change::Stands { .. } => None,
-            Change::First(steps) => {
-                let back = |why: String| Change::Back { steps: steps.clone(), by: self.me, why };
-                if let Some(why) = &self.stuck {
-                    return passed(at.since_ms, turn / 4).then(|| (Next::Back, true, back(why.clone())));
+        let delay_ms = self.proposal_delay_ms(current.state.origin().front);
+        let due = current.stable_since_ms.is_some_and(|since| passed(since, delay_ms));
+        match &current.state {
+            RegisterState::Active { .. } => None,
+            RegisterState::FirstStep(steps) => {
+                let back =
+                    |reason: String| RegisterState::Rollback { steps: steps.clone(), by: self.me, reason };
+                if let Some(reason) = &self.inapplicable {
+                    return passed(current.since_ms, delay_ms / 4)
+                        .then(|| (ProposalKind::Rollback, true, back(reason.clone())));
                 }
-                if at.settled_ms.is_some() {
-                    return settled.then(|| (Next::Second, false, Change::Second(steps.clone())));
+                if current.stable_since_ms.is_some() {
+                    return due.then(|| {
+                        (ProposalKind::SecondStep, false, RegisterState::SecondStep(steps.clone()))
+                    });
                 }
-                let first_ms = u64::from(steps.first_ms).clamp(FIRST_MS.0, FIRST_MS.1);
-                let why = || {
-                    let after = first_ms / 1_000;
+                let first_step_timeout_ms = u64::from(steps.first_step_timeout_ms)
+                    .clamp(FIRST_STEP_RANGE_MS.0, FIRST_STEP_RANGE_MS.1);
+                let reason = || {
+                    let after = first_step_timeout_ms / 1_000;
                     format!(
                         "not settled after {after} s: a front does not go by the first step, or voters are missing"
                     )
                 };
-                passed(at.since_ms, first_ms.saturating_add(turn)).then(|| (Next::Back, true, back(why())))
+                passed(current.since_ms, first_step_timeout_ms.saturating_add(delay_ms))
+                    .then(|| (ProposalKind::Rollback, true, back(reason())))
             }
-            Change::Second(s) => match &s.proof {
-                None => settled.then(|| (Next::Through, false, through(s))),
-                Some(proof) => {
-                    let from = proof.trial.of(self.history.last());
-                    // Who does not know the sums leaves it to others; if nobody does the change goes unjudged.
-                    if from.of < proof.before.of {
-                        let late = settled && passed(at.since_ms, proof.trial.time_ms());
-                        return late.then(|| (Next::Through, false, through(s)));
+            RegisterState::SecondStep(s) => match &s.baseline {
+                None => due.then(|| (ProposalKind::Complete, false, completed(s))),
+                Some(baseline) => {
+                    let from = baseline.trial.select(self.history.last());
+                    // A front without the totals leaves the step to others. If no front has them, the change is completed
+                    // without a trial.
+                    if from.total < baseline.before.total {
+                        let late = due && passed(current.since_ms, baseline.trial.duration_ms());
+                        return late.then(|| (ProposalKind::Complete, false, completed(s)));
                     }
-                    settled.then(|| (Next::Trial, false, Change::Trial { steps: s.clone(), from }))
+                    due.then(|| (ProposalKind::Trial, false, RegisterState::Trial { steps: s.clone(), from }))
                 }
             },
-            Change::Trial { steps: s, from } => {
-                let Some(proof) = &s.proof else { return Some((Next::Through, false, through(s))) };
-                if !passed(at.since_ms, proof.trial.time_ms().saturating_add(turn)) {
+            RegisterState::Trial { steps: s, from } => {
+                let Some(baseline) = &s.baseline else {
+                    return Some((ProposalKind::Complete, false, completed(s)));
+                };
+                if !passed(current.since_ms, baseline.trial.duration_ms().saturating_add(delay_ms)) {
                     return None;
                 }
-                let after = proof.trial.of(self.history.last()).since(*from);
-                // Sums that went back are those of a front that was lost: nothing can be said.
-                let verdict = after.map_or(Verdict::Few, |after| proof.trial.judge(proof.before, after));
+                let after = baseline.trial.select(self.history.last()).since(*from);
+                // The totals go back if those of a front were lost: no comparison is possible then.
+                let verdict = after
+                    .map_or(Verdict::TooFewRequests, |after| baseline.trial.evaluate(baseline.before, after));
                 let undo = match verdict {
-                    Verdict::Worse(why) => self.undo(at, s, &why),
-                    Verdict::Kept => None,
-                    // Another front may know more.
-                    Verdict::Few if !passed(at.since_ms, proof.trial.time_ms().saturating_mul(2)) => {
+                    Verdict::Worse(reason) => self.reverse_change(current, s, &reason),
+                    Verdict::NotWorse => None,
+                    // Another front may have counted enough.
+                    Verdict::TooFewRequests
+                        if !passed(current.since_ms, baseline.trial.duration_ms().saturating_mul(2)) =>
+                    {
                         return None;
                     }
-                    Verdict::Few => None,
+                    Verdict::TooFewRequests => None,
                 };
-                Some(undo.map_or_else(|| (Next::Through, false, through(s)), |undo| (Next::Undo, true, undo)))
+                Some(undo.map_or_else(
+                    || (ProposalKind::Complete, false, completed(s)),
+                    |undo| (ProposalKind::Undo, true, undo),
+                ))
             }
-            Change::Back { steps: s, by, why } => settled.then(|| {
-                let undone = Undone { version: s.version, made: s.made.clone(), by: *by, why: why.clone() };
-                let (version, policy, made) = (s.old_version, s.old.clone(), s.old_made.clone());
+            RegisterState::Rollback { steps: s, by, reason } => due.then(|| {
+                let undone = UndoneChange {
+                    version: s.version,
+                    origin: s.origin.clone(),
+                    by: *by,
+                    reason: reason.clone(),
+                };
+                let (version, policy, origin) = (s.old_version, s.old.clone(), s.old_origin.clone());
                 (
-                    Next::Gone,
+                    ProposalKind::RollbackDone,
                     false,
-                    Change::Stands { version, last: s.version, policy, made, undone: Some(undone) },
+                    RegisterState::Active {
+                        version,
+                        highest_version: s.version,
+                        policy,
+                        origin,
+                        undone: Some(undone),
+                    },
                 )
             }),
         }
     }
 
-    /// Back to what stood before, by the same steps. Classes that the new one has stay, closed.
-    fn undo(&self, at: &At, s: &Steps, why: &str) -> Option<Change> {
-        let new = at.new.then(&at.old).ok()?;
-        let key = derived(&[s.made.key, u128::from(at.number), Next::Undo as u128]);
-        let undoes =
-            Undone { version: s.version, made: s.made.clone(), by: self.me, why: cut(why, MOST_WHY) };
-        Some(Change::First(Steps {
+    /// A change that restores the former policy by the same steps. Classes that only the new policy has stay as closed.
+    fn reverse_change(
+        &self,
+        current: &CurrentRegister,
+        s: &PolicyChange,
+        reason: &str,
+    ) -> Option<RegisterState> {
+        let new = current.new.successor(&current.old).ok()?;
+        let key = derive_key(&[s.origin.key, u128::from(current.entry), ProposalKind::Undo as u128]);
+        let undoes = UndoneChange {
+            version: s.version,
+            origin: s.origin.clone(),
+            by: self.me,
+            reason: truncate(reason, MAX_REASON_BYTES),
+        };
+        Some(RegisterState::FirstStep(PolicyChange {
             version: s.version.saturating_add(1),
-            made: Made { key, front: self.me, name: "trial".into() },
+            origin: Origin { key, front: self.me, name: "trial".into() },
             old_version: s.version,
-            old_made: s.made.clone(),
+            old_origin: s.origin.clone(),
             old: s.new.clone(),
             new: new.text().to_owned(),
-            first_ms: s.first_ms,
-            proof: None,
+            first_step_timeout_ms: s.first_step_timeout_ms,
+            baseline: None,
             undoes: Some(undoes),
         }))
     }
 }
 
-/// The change is through.
-fn through(s: &Steps) -> Change {
-    let (version, policy, made) = (s.version, s.new.clone(), s.made.clone());
-    Change::Stands { version, last: version, policy, made, undone: s.undoes.clone() }
+/// The register's state after a completed change.
+fn completed(s: &PolicyChange) -> RegisterState {
+    let (version, policy, origin) = (s.version, s.new.clone(), s.origin.clone());
+    RegisterState::Active { version, highest_version: version, policy, origin, undone: s.undoes.clone() }
 }
--- a/crates/policy/src/governor/operators.rs
+++ b/crates/policy/src/governor/operators.rs
@@ -1,81 +1,87 @@
-//! What those who asked are told.
+//! Answers to the operators' requests that are pending at this front.
 
-use super::{At, Governor, MOST_ANSWERS, Waiting};
+use super::{CurrentRegister, Governor, MAX_STORED_ANSWERS, PendingRequest};
 use crate::answer::{Answer, Effect};
-use crate::change::Change;
+use crate::change::RegisterState;
 use pepperhook_agreement::Outcome;
 
 impl Governor {
-    /// Tells who asked here how far their change is.
-    pub(super) fn tell(&mut self, out: &mut Vec<Effect>) {
-        // An accepted change that the register knows nothing of went by in a snapshot.
-        let of = |key: u128, w: &Waiting| {
-            let answer = self.at.as_ref().and_then(|at| known(at, key));
-            answer.or_else(|| w.accepted.then_some(Answer::Unknown))
+    /// Answers the pending requests whose outcome the register shows.
+    pub(super) fn answer_requesters(&mut self, out: &mut Vec<Effect>) {
+        // An accepted change that the register does not show was completed or undone, and followed by another, before a
+        // snapshot: its outcome is unknown.
+        let outcome_of = |key: u128, request: &PendingRequest| {
+            let answer = self.current.as_ref().and_then(|current| answer_from_register(current, key));
+            answer.or_else(|| request.accepted.then_some(Answer::Unknown))
         };
-        let told: Vec<(u128, Answer)> =
-            self.waiting.iter().filter_map(|(key, w)| of(*key, w).map(|answer| (*key, answer))).collect();
-        for (key, answer) in told {
+        let answers: Vec<(u128, Answer)> = self
+            .pending
+            .iter()
+            .filter_map(|(key, w)| outcome_of(*key, w).map(|answer| (*key, answer)))
+            .collect();
+        for (key, answer) in answers {
             if answer == Answer::Unknown {
-                self.waiting.remove(&key);
-                out.push(Effect::Told { key, answer });
+                self.pending.remove(&key);
+                out.push(Effect::Answer { key, answer });
                 continue;
             }
             if let Answer::Accepted { .. } = answer {
-                match self.waiting.get_mut(&key) {
-                    Some(waiting) if !waiting.accepted => waiting.accepted = true,
+                match self.pending.get_mut(&key) {
+                    Some(request) if !request.accepted => request.accepted = true,
                     _ => continue,
                 }
-                out.push(Effect::Told { key, answer });
+                out.push(Effect::Answer { key, answer });
             } else {
-                self.done(key, answer, out);
+                self.finish_request(key, answer, out);
             }
         }
     }
 
-    /// A command of the policy's register changed nothing.
-    pub(super) fn lost(&mut self, command: u128, outcome: &Outcome, out: &mut Vec<Effect>) {
-        let mine = self.waiting.iter().find(|(_, w)| !w.accepted && w.command == command);
-        let Some((key, waiting)) = mine else { return };
+    /// A command for the policy's register was not applied: answers its requester.
+    pub(super) fn command_rejected(&mut self, command: u128, outcome: &Outcome, out: &mut Vec<Effect>) {
+        let request = self.pending.iter().find(|(_, w)| !w.accepted && w.command == command);
+        let Some((key, request)) = request else { return };
         let key = *key;
-        let answer = match (&self.at, outcome) {
+        let answer = match (&self.current, outcome) {
             (_, Outcome::Full) => Answer::Refused("the agreed state has no room for it".into()),
-            (Some(at), _) => Answer::Conflict {
-                asked: waiting.made.clone(),
-                against: waiting.against,
-                stands: at.change.version(),
-                made: at.change.made().clone(),
+            (Some(current), _) => Answer::Conflict {
+                requester: request.origin.clone(),
+                base_version: request.base_version,
+                current_version: current.state.version(),
+                origin: current.state.origin().clone(),
             },
             (None, _) => Answer::NotAgreed,
         };
-        self.done(key, answer, out);
+        self.finish_request(key, answer, out);
     }
 
-    fn done(&mut self, key: u128, answer: Answer, out: &mut Vec<Effect>) {
-        self.waiting.remove(&key);
-        if self.answers.len() >= MOST_ANSWERS {
+    fn finish_request(&mut self, key: u128, answer: Answer, out: &mut Vec<Effect>) {
+        self.pending.remove(&key);
+        if self.answers.len() >= MAX_STORED_ANSWERS {
             self.answers.pop_front();
         }
         self.answers.push_back((key, answer.clone()));
-        out.push(Effect::Told { key, answer });
+        out.push(Effect::Answer { key, answer });
     }
 }
 
-/// What the register says of a change.
-pub(super) fn known(at: &At, key: u128) -> Option<Answer> {
-    match &at.change {
-        Change::Stands { undone: Some(undone), .. } if undone.made.key == key => {
+/// The answer to the request with this key, if the register shows it.
+pub(super) fn answer_from_register(current: &CurrentRegister, key: u128) -> Option<Answer> {
+    match &current.state {
+        RegisterState::Active { undone: Some(undone), .. } if undone.origin.key == key => {
             Some(Answer::Undone(undone.clone()))
         }
-        Change::Stands { version, made, .. } if made.key == key => Some(Answer::Stands { version: *version }),
-        Change::Stands { .. } => None,
-        Change::First(s)
-        | Change::Second(s)
-        | Change::Trial { steps: s, .. }
-        | Change::Back { steps: s, .. } => {
-            let undone = s.undoes.as_ref().filter(|u| u.made.key == key).map(|u| u.version);
-            let version = undone.or_else(|| (s.made.key == key).then_some(s.version))?;
-            Some(Answer::Accepted { version, number: at.number })
+        RegisterState::Active { version, origin, .. } if origin.key == key => {
+            Some(Answer::Completed { version: *version })
+        }
+        RegisterState::Active { .. } => None,
+        RegisterState::FirstStep(s)
+        | RegisterState::SecondStep(s)
+        | RegisterState::Trial { steps: s, .. }
+        | RegisterState::Rollback { steps: s, .. } => {
+            let undone = s.undoes.as_ref().filter(|u| u.origin.key == key).map(|u| u.version);
+            let version = undone.or_else(|| (s.origin.key == key).then_some(s.version))?;
+            Some(Answer::Accepted { version, entry: current.entry })
         }
     }
 }
--- a/crates/policy/src/governor/view.rs
+++ b/crates/policy/src/governor/view.rs
@@ -1,74 +1,76 @@
-//! What a governor shows.
+//! Queries on a governor.
 
 use super::Governor;
-use crate::change::Change;
+use crate::change::RegisterState;
 use crate::policy::{Difference, Policy};
 use pepperhook_settings::Config;
 
 impl Governor {
-    /// The figures in which a file and the policy that stands differ.
+    /// The settings in which a file differs from the active policy, or during a change, from the old one.
     #[must_use]
-    pub fn differs(&self, file: &Config) -> Vec<Difference> {
-        let stands = self.at.as_ref().map(|at| &at.old);
+    pub fn differences_from(&self, file: &Config) -> Vec<Difference> {
+        let agreed = self.current.as_ref().map(|current| &current.old);
         let file = Policy::from_config(file).ok();
-        file.zip(stands).map_or_else(Vec::new, |(file, stands)| file.differences(stands))
+        file.zip(agreed).map_or_else(Vec::new, |(file, agreed)| file.differences(agreed))
     }
 
-    /// The policy that the front goes by: version, step, document.
+    /// The policy that this front applies: version, step, document.
     #[must_use]
-    pub fn in_force(&self) -> Option<(u64, &'static str, &Policy)> {
-        self.force.as_ref().map(|(version, step, policy)| (*version, *step, policy))
+    pub fn active_policy(&self) -> Option<(u64, &'static str, &Policy)> {
+        self.active.as_ref().map(|(version, step, policy)| (*version, *step, policy))
     }
 
-    /// Why the front cannot go by what was decided.
+    /// Why the front cannot apply the agreed policy, if so.
     #[must_use]
-    pub fn stuck(&self) -> Option<&str> {
-        self.stuck.as_deref()
+    pub fn inapplicable_reason(&self) -> Option<&str> {
+        self.inapplicable.as_deref()
     }
 
-    /// For display: what stands or is under way, and how this front goes by it.
+    /// Rows of name and value for display: the policy or its change, and this front's state in it.
     #[must_use]
     pub fn rows(&self, now_ms: u64) -> Vec<(&'static str, String)> {
         let mut rows = Vec::new();
-        match &self.at {
+        match &self.current {
             None => rows.push(("policy", "none is agreed on".to_owned())),
-            Some(at) => {
-                let change = &at.change;
+            Some(current) => {
+                let change = &current.state;
                 rows.push(("policy", format!("version {}, {}", change.version(), change.step())));
-                rows.push(("by", change.made().to_string()));
-                let for_s = now_ms.saturating_sub(at.since_ms) / 1_000;
-                let settled = if at.settled_ms.is_some() { "settled" } else { "not settled" };
-                rows.push(("entry", format!("{}, {settled}, for {for_s} s", at.number)));
-                if let Change::Trial { steps, from } = change {
-                    if let Some(proof) = &steps.proof {
-                        let (b, now) = (proof.before, proof.trial.of(self.history.last()).since(*from));
+                rows.push(("by", change.origin().to_string()));
+                let for_s = now_ms.saturating_sub(current.since_ms) / 1_000;
+                let settled = if current.stable_since_ms.is_some() { "settled" } else { "not settled" };
+                rows.push(("entry", format!("{}, {settled}, for {for_s} s", current.entry)));
+                if let RegisterState::Trial { steps, from } = change {
+                    if let Some(baseline) = &steps.baseline {
+                        let (b, now) =
+                            (baseline.before, baseline.trial.select(self.history.last()).since(*from));
                         let now =
-                            now.map_or_else(|| "not known".into(), |c| format!("{} of {}", c.well, c.of));
+                            now.map_or_else(|| "not known".into(), |c| format!("{} of {}", c.good, c.total));
                         let what = format!(
                             "for {} s; went well: {} of {} before, {now} since",
-                            proof.trial.time_ms() / 1_000,
-                            b.well,
-                            b.of
+                            baseline.trial.duration_ms() / 1_000,
+                            b.good,
+                            b.total
                         );
                         rows.push(("trial", what));
                     }
                 }
-                if let Change::Stands { undone: Some(u), .. } = change {
-                    let what = format!("version {} by {}, by front {}: {}", u.version, u.made, u.by, u.why);
+                if let RegisterState::Active { undone: Some(u), .. } = change {
+                    let what =
+                        format!("version {} by {}, by front {}: {}", u.version, u.origin, u.by, u.reason);
                     rows.push(("undone", what));
                 }
             }
         }
-        if let Some((version, step, _)) = &self.force {
+        if let Some((version, step, _)) = &self.active {
             rows.push(("in force", format!("version {version}, {step}")));
         }
-        if self.unread {
+        if self.unreadable {
             rows.push(("stuck", "a later edition wrote what this one cannot read".into()));
         }
-        if let Some(why) = &self.stuck {
-            rows.push(("stuck", why.clone()));
+        if let Some(reason) = &self.inapplicable {
+            rows.push(("stuck", reason.clone()));
         }
-        rows.push(("vouches for", self.vouched.to_string()));
+        rows.push(("vouches for", self.confirmed.to_string()));
         rows
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,10 @@
-//! The fleet's policy: a numbered document, and its change in steps that hold everywhere or nowhere. No I/O.
+//! The fleet's policy: a versioned document that all fronts agree on, and its change in two steps. No I/O.
 //!
-//! `docs/policy.md` has the design, what is promised and what is not. A [`Policy`] is the fleet's part of the settings.
-//! [`tighter`] of two is one under which nothing that adds up over the fleet exceeds either. A [`Change`] goes from one to
-//! the other by way of it, on one register of the agreed log; a [`Governor`] is one front's part in that.
+//! A [`Policy`] is the part of the settings that is common to the fleet. To change it, all fronts first apply the
+//! intersection of the old and the new policy (see [`intersect`]), and only when all have done so the new one. In between, a
+//! change can be rolled back. One register of the agreed log holds the policy or the present step of its change, as a
+//! [`RegisterState`]; a [`Governor`] on each front applies what the register says and proposes the next step. A change may
+//! be made on [`Trial`], to be reversed if service becomes worse. `docs/policy.md` describes the design and its guarantees.
 
 mod answer;
 mod change;
@@ -11,9 +13,12 @@
 mod policy;
 mod trial;
 
-pub use answer::{Answer, Ask, Effect, MOST_NAME, Pace, Unfit};
-pub use change::{Change, MOST_WHY, Made, Proof, SUBJECT, Steps, Undone, Unread};
-pub use governor::{Around, Fits, Governor};
-pub use intersection::{RULES, Rule, neighbours, tighter, within};
-pub use policy::{Difference, Fixed, MOST_ASKED, MOST_TEXT, Policy, PolicyError};
-pub use trial::{Counts, Sums, Trial, Verdict, Watch};
+pub use answer::{Answer, Effect, Inapplicable, MAX_OPERATOR_BYTES, PolicyRequest, Timing};
+pub use change::{
+    MAX_REASON_BYTES, Origin, PolicyChange, RegisterState, SUBJECT, TrialBaseline, UndoneChange,
+    UnreadableRegister,
+};
+pub use governor::{Context, Governor, PolicyChecker};
+pub use intersection::{RULES, Rule, can_coexist, intersect, is_within};
+pub use policy::{Difference, ImmutableField, MAX_POLICY_BYTES, MAX_REQUEST_BYTES, Policy, PolicyError};
+pub use trial::{RequestCounts, ServiceTotals, Trial, TrialMetric, Verdict};
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,4 +1,4 @@
-//! The document: the fleet's part of the settings, in their form.
+//! The policy document: the part of the settings that is common to the fleet, in the same syntax.
 
 use pepperhook_agreement::MAX_BODY_BYTES;
 use pepperhook_settings::{Config, FleetClass, FleetSettings};
@@ -8,61 +8,61 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Bytes of the text that an operator hands in at most, comments and all.
-pub const MOST_ASKED: usize = MAX_BODY_BYTES;
-/// Bytes of a policy as it is written by [`Policy::text`] at most: a step of a change carries two, and the names.
-pub const MOST_TEXT: usize = 7 * 1024 + 256;
-/// Faults of a document that are told at most.
-const MOST_FAULTS: usize = 8;
+/// Limit of the text that an operator submits, bytes, including comments.
+pub const MAX_REQUEST_BYTES: usize = MAX_BODY_BYTES;
+/// Limit of a policy's canonical text, bytes. The register holds two of them during a change, and the names.
+pub const MAX_POLICY_BYTES: usize = 7 * 1024 + 256;
+/// Limit of the faults that an error lists.
+const MAX_REPORTED_FAULTS: usize = 8;
 
-/// Why a document is none.
+/// Why a text is not a valid policy.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PolicyError {
-    /// It is too long, as handed in or as written.
-    #[error("the policy has {bytes} bytes, {most} at most")]
+    /// It is too long, as submitted or in canonical form.
+    #[error("the policy has {bytes} bytes, {limit} at most")]
     TooLong {
-        /// So many bytes.
+        /// Its length, bytes.
         bytes: usize,
-        /// So many are allowed.
-        most: usize,
+        /// The limit, bytes.
+        limit: usize,
     },
-    /// Its faults, with line and column.
+    /// Its faults, each with line and column.
     #[error("{0}")]
     Faults(String),
-    /// It does not read as it is written, so that two fronts could read it as different ones.
+    /// It differs from its canonical form, so two fronts could read it differently.
     #[error("the policy does not read as it is written")]
-    Unstable,
+    NotCanonical,
 }
 
-/// What a policy may never change while fronts run.
+/// An attempt to change a field that must not change while fronts run.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Error)]
-#[error("{field} may not change while fronts run: {why}")]
-pub struct Fixed {
-    /// The field.
+#[error("{field} may not change while fronts run: {reason}")]
+pub struct ImmutableField {
+    /// The field, such as `class replay: live`.
     pub field: String,
-    /// Why not.
-    pub why: String,
+    /// Why it must not change.
+    pub reason: String,
 }
 
-/// A figure in which two documents differ.
+/// A setting in which two documents differ.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Difference {
-    /// The figure, such as `class replay: aim`.
+    /// The setting, such as `class replay: aim`.
     pub field: String,
-    /// In the one; `None` where it lacks the figure.
-    pub one: Option<String>,
-    /// In the other.
-    pub other: Option<String>,
+    /// Its value in the first document; `None` if that lacks it.
+    pub left: Option<String>,
+    /// Its value in the second document; `None` if that lacks it.
+    pub right: Option<String>,
 }
 
 impl fmt::Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let side = |value: &Option<String>| value.clone().unwrap_or_else(|| "nothing".into());
-        write!(f, "{}: {} -> {}", self.field, side(&self.one), side(&self.other))
+        write!(f, "{}: {} -> {}", self.field, side(&self.left), side(&self.right))
     }
 }
 
-/// The fleet's policy. Two are the same if they are written the same.
+/// A policy. Two are equal if their canonical texts are.
 #[derive(Clone)]
 pub struct Policy {
     text: Arc<str>,
@@ -90,93 +90,94 @@
 }
 
 impl Policy {
-    /// Reads what an operator wrote; `name` is for messages.
+    /// Parses a text that an operator wrote; `name` is the document's name in error messages.
     ///
     /// # Errors
-    /// Too long, or every fault with its line, the first eight of them.
+    /// If the text is too long, or its faults with their lines; at most eight are listed.
     pub fn parse(name: &str, text: &str) -> Result<Self, PolicyError> {
-        if text.len() > MOST_ASKED {
-            return Err(PolicyError::TooLong { bytes: text.len(), most: MOST_ASKED });
+        if text.len() > MAX_REQUEST_BYTES {
+            return Err(PolicyError::TooLong { bytes: text.len(), limit: MAX_REQUEST_BYTES });
         }
         match FleetSettings::parse(name, text) {
             Ok(fleet) => Self::from_fleet(&fleet),
             Err(mut faults) => {
-                let more = faults.errors.len().saturating_sub(MOST_FAULTS);
-                faults.errors.truncate(MOST_FAULTS);
+                let more = faults.errors.len().saturating_sub(MAX_REPORTED_FAULTS);
+                faults.errors.truncate(MAX_REPORTED_FAULTS);
                 let more = if more > 0 { format!("and {more} more\n") } else { String::new() };
                 Err(PolicyError::Faults(format!("{faults}{more}")))
             }
         }
     }
 
-    /// Reads what [`Self::text`] wrote.
+    /// Parses a canonical text, as [`Self::text`] returns it.
     ///
     /// # Errors
-    /// Anything else.
-    pub fn stored(text: &str) -> Result<Self, PolicyError> {
-        if text.len() > MOST_TEXT {
-            return Err(PolicyError::TooLong { bytes: text.len(), most: MOST_TEXT });
+    /// If the text is too long or not canonical.
+    pub fn from_canonical(text: &str) -> Result<Self, PolicyError> {
+        if text.len() > MAX_POLICY_BYTES {
+            return Err(PolicyError::TooLong { bytes: text.len(), limit: MAX_POLICY_BYTES });
         }
-        let fleet = FleetSettings::parse("policy", text).map_err(|_| PolicyError::Unstable)?;
+        let fleet = FleetSettings::parse("policy", text).map_err(|_| PolicyError::NotCanonical)?;
         if fleet.text() != text {
-            return Err(PolicyError::Unstable);
+            return Err(PolicyError::NotCanonical);
         }
         Ok(Self { text: text.into(), fleet: Arc::new(fleet) })
     }
 
-    /// The fleet's part of a front's settings.
+    /// Extracts the policy from a front's settings.
     ///
     /// # Errors
-    /// It is too long.
+    /// If it is too long.
     pub fn from_config(config: &Config) -> Result<Self, PolicyError> {
         Self::from_fleet(&config.fleet_settings())
     }
 
     pub(crate) fn from_fleet(fleet: &FleetSettings) -> Result<Self, PolicyError> {
         fleet.validate().map_err(PolicyError::Faults)?;
-        Self::stored(&fleet.text())
+        Self::from_canonical(&fleet.text())
     }
 
-    /// The policy as text that reads as the same.
+    /// The canonical text, which parses to the same policy.
     #[must_use]
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// Its figures.
+    /// The settings in this policy.
     #[must_use]
     pub fn fleet(&self) -> &FleetSettings {
         &self.fleet
     }
 
-    /// A front's settings under this policy.
+    /// A front's settings with this policy applied.
     ///
     /// # Errors
-    /// Why that front cannot go by it.
-    pub fn over(&self, config: &Config) -> Result<Config, String> {
+    /// The reason if that front cannot apply it.
+    pub fn apply_to(&self, config: &Config) -> Result<Config, String> {
         config.with_fleet_settings(&self.fleet)
     }
 
-    /// What `asked` means as the policy after this one: classes and tenants keep their places, since sessions and
-    /// messages name them by these; one that is left out stays, closed or with a quota of 0, and new ones come last.
+    /// The policy that follows this one if `requested` is asked for. Classes and tenants keep their indices, since sessions
+    /// and messages refer to them by index: a class that `requested` lacks stays as closed, a tenant that it lacks stays
+    /// with a quota of 0, and new ones are appended.
     ///
     /// # Errors
-    /// It changes what may not change while fronts run.
-    pub fn then(&self, asked: &Self) -> Result<Self, Fixed> {
-        fixed(&self.fleet, &asked.fleet)?;
-        let mut fleet = (*asked.fleet).clone();
-        let place = |name: &str| self.fleet.classes.iter().position(|c| c.front.name == name);
+    /// If it changes a field that must not change while fronts run.
+    pub fn successor(&self, requested: &Self) -> Result<Self, ImmutableField> {
+        check_immutable(&self.fleet, &requested.fleet)?;
+        let mut fleet = (*requested.fleet).clone();
+        let index = |name: &str| self.fleet.classes.iter().position(|c| c.front.name == name);
         let mut classes = self.fleet.classes.clone();
         classes.iter_mut().for_each(|c| c.front.closed = true);
-        for class in &asked.fleet.classes {
-            match place(&class.front.name).and_then(|at| classes.get_mut(at)) {
+        for class in &requested.fleet.classes {
+            match index(&class.front.name).and_then(|at| classes.get_mut(at)) {
                 Some(there) => *there = class.clone(),
                 None => classes.push(class.clone()),
             }
         }
         let mut tenants = self.fleet.tenants.clone();
         tenants.iter_mut().for_each(|(_, t)| t.quota_per_s = 0.0);
-        for (name, tenant) in &asked.fleet.tenants {
+        for (name, tenant) in &requested.fleet.tenants {
             let at = self.fleet.tenants.iter().position(|(n, _)| n == name);
             match at.and_then(|at| tenants.get_mut(at)) {
                 Some((_, there)) => *there = tenant.clone(),
@@ -184,14 +185,14 @@
             }
         }
         (fleet.classes, fleet.tenants) = (classes, tenants);
-        let unfit = |e: PolicyError| Fixed {
+        let invalid = |e: PolicyError| ImmutableField {
             field: "the policy".into(),
-            why: format!("with the classes and tenants that stay closed: {e}"),
+            reason: format!("with the classes and tenants that stay closed: {e}"),
         };
-        Self::from_fleet(&fleet).map_err(unfit)
+        Self::from_fleet(&fleet).map_err(invalid)
     }
 
-    /// The figures in which another differs.
+    /// The settings in which `other` differs.
     #[must_use]
     pub fn differences(&self, other: &Self) -> Vec<Difference> {
         let mut all: BTreeMap<String, (Option<String>, Option<String>)> = BTreeMap::new();
@@ -201,28 +202,28 @@
         for (field, value) in other.fleet.figures() {
             all.entry(field).or_default().1 = Some(value);
         }
-        let differ = all.into_iter().filter(|(_, (one, other))| one != other);
-        differ.map(|(field, (one, other))| Difference { field, one, other }).collect()
+        let differ = all.into_iter().filter(|(_, (left, right))| left != right);
+        differ.map(|(field, (left, right))| Difference { field, left, right }).collect()
     }
 }
 
-/// What may never change while fronts run.
-pub(crate) fn fixed(old: &FleetSettings, new: &FleetSettings) -> Result<(), Fixed> {
+/// Checks that no field changes that must not change while fronts run.
+pub(crate) fn check_immutable(old: &FleetSettings, new: &FleetSettings) -> Result<(), ImmutableField> {
     if old.ladder.len() != new.ladder.len() {
-        let why = format!(
+        let reason = format!(
             "sessions, nodes and messages name rungs by their place, and {} stand where {} are asked for",
             old.ladder.len(),
             new.ladder.len()
         );
-        return Err(Fixed { field: "ladder".into(), why });
+        return Err(ImmutableField { field: "ladder".into(), reason });
     }
     for class in &new.classes {
         let name = &class.front.name;
         let Some(was) = old.classes.iter().find(|c| c.front.name == *name) else { continue };
-        let is = |c: &FleetClass| [("live", c.class.live), ("ingest", c.front.ingest)];
-        if let Some(((field, _), _)) = is(class).iter().zip(is(was)).find(|(is, was)| *is != was) {
-            let why = "sessions under way were set up as what the class is; make another class".into();
-            return Err(Fixed { field: format!("class {name}: {field}"), why });
+        let flags = |c: &FleetClass| [("live", c.class.live), ("ingest", c.front.ingest)];
+        if let Some(((field, _), _)) = flags(class).iter().zip(flags(was)).find(|(new, old)| *new != old) {
+            let reason = "sessions under way were set up as what the class is; make another class".into();
+            return Err(ImmutableField { field: format!("class {name}: {field}"), reason });
         }
     }
     Ok(())
--- a/crates/policy/src/trial.rs
+++ b/crates/policy/src/trial.rs
@@ -1,155 +1,162 @@
-//! Whether service has become worse since a change: two shares compared, with a bound on noise.
+//! Trials: detect whether the service has become worse since a change, by comparing the shares of good requests before and
+//! after it with a statistical test.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Seconds of a trial.
-const TIME_S: (u32, u32) = (10, 3_600);
-/// Requests on either side that a share is judged by at least.
-const LEAST_REQUESTS: u64 = 200;
-/// Worse counts only beyond so many standard errors: one time in 740 by chance, if requests end independently.
-const NOISE: f64 = 3.0;
-/// Samples of sums that are kept, and classes in one.
-const MOST_SAMPLES: usize = 128;
-/// Classes of a sample at most.
-const MOST_CLASSES: usize = 256;
-
-/// Requests, and those of them that went well.
+/// Allowed duration of a trial, seconds.
+const DURATION_RANGE_S: (u32, u32) = (10, 3_600);
+/// Least number of requests before and after the change for a comparison.
+const MIN_REQUESTS: u64 = 200;
+/// Least loss that counts as worse, standard errors. Chance alone exceeds it once in 740 trials if requests end
+/// independently.
+const MIN_STANDARD_ERRORS: f64 = 3.0;
+/// Limit of the stored samples of totals.
+const MAX_SAMPLES: usize = 128;
+/// Limit of the classes in one sample.
+const MAX_CLASSES: usize = 256;
+
+/// Number of requests, and of the good ones among them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Counts {
-    /// All.
-    pub of: u64,
-    /// Those that went well.
-    pub well: u64,
+pub struct RequestCounts {
+    /// All requests.
+    pub total: u64,
+    /// The good ones.
+    pub good: u64,
 }
 
-/// What the whole fleet served, counted up since it began, as this front knows it from the others' replicated sums.
+/// Totals of the whole fleet's service since its start, as this front knows them from the other fronts' shared totals.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Sums {
-    /// Requests, and those answered within their class's aim.
-    pub in_time: Counts,
-    /// Requests, and those that were not refused.
-    pub taken: Counts,
-    /// As `in_time`, by class.
-    pub classes: BTreeMap<String, Counts>,
+pub struct ServiceTotals {
+    /// Requests; good are those answered within their class's aim.
+    pub in_time: RequestCounts,
+    /// Requests; good are those that were not refused.
+    pub accepted: RequestCounts,
+    /// As `in_time`, by class name.
+    pub classes: BTreeMap<String, RequestCounts>,
 }
 
-/// The share that a trial watches.
+/// The share of requests that a trial measures.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Watch {
+pub enum TrialMetric {
     /// Requests answered within their class's aim.
     InTime,
     /// Requests that were not refused.
-    Taken,
+    Accepted,
     /// Requests of one class answered within its aim.
     Class(String),
 }
 
-/// A change that is undone if service becomes worse by it.
+/// Conditions under which a change is reversed because the service became worse.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Trial {
-    /// What is watched.
-    pub watch: Watch,
-    /// For so long, before the change and after it, seconds.
-    pub time_s: u32,
-    /// A loss of less than so many thousandths does not count.
-    pub least: u16,
+    /// What is measured.
+    pub metric: TrialMetric,
+    /// Length of the period before the change and of the one after it, seconds.
+    pub duration_s: u32,
+    /// Least loss of the share that counts, thousandths.
+    pub min_loss_permille: u16,
 }
 
-/// What a trial came to.
+/// Result of a trial.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Not worse, or not by more than noise.
-    Kept,
-    /// Too few requests to say.
-    Few,
-    /// Worse; in words.
+    /// Not worse, or not significantly.
+    NotWorse,
+    /// Too few requests for a comparison.
+    TooFewRequests,
+    /// Worse, with a description.
     Worse(String),
 }
 
 impl Trial {
-    /// Whether it can be carried out.
-    pub(crate) fn is_sound(&self) -> bool {
-        let named = !matches!(&self.watch, Watch::Class(name) if name.len() > crate::MOST_WHY);
-        named && (TIME_S.0..=TIME_S.1).contains(&self.time_s) && self.least <= 1_000
+    /// Whether its values are within their limits.
+    pub(crate) fn is_valid(&self) -> bool {
+        let named = !matches!(&self.metric, TrialMetric::Class(name) if name.len() > crate::MAX_REASON_BYTES);
+        named
+            && (DURATION_RANGE_S.0..=DURATION_RANGE_S.1).contains(&self.duration_s)
+            && self.min_loss_permille <= 1_000
     }
 
-    pub(crate) fn time_ms(&self) -> u64 {
-        u64::from(self.time_s.clamp(TIME_S.0, TIME_S.1)) * 1_000
+    pub(crate) fn duration_ms(&self) -> u64 {
+        u64::from(self.duration_s.clamp(DURATION_RANGE_S.0, DURATION_RANGE_S.1)) * 1_000
     }
 
-    /// The counts that it watches.
+    /// The counts that it measures.
     #[must_use]
-    pub fn of(&self, sums: &Sums) -> Counts {
-        match &self.watch {
-            Watch::InTime => sums.in_time,
-            Watch::Taken => sums.taken,
-            Watch::Class(name) => sums.classes.get(name).copied().unwrap_or_default(),
+    pub fn select(&self, sums: &ServiceTotals) -> RequestCounts {
+        match &self.metric {
+            TrialMetric::InTime => sums.in_time,
+            TrialMetric::Accepted => sums.accepted,
+            TrialMetric::Class(name) => sums.classes.get(name).copied().unwrap_or_default(),
         }
     }
 
-    /// Compares two shares by the two-proportion z test with a pooled share, one-sided (NIST/SEMATECH e-Handbook of
-    /// Statistical Methods, 7.3.3). It takes requests to end independently; as they come in clumps, 3 standard errors and
-    /// a least loss are asked for.
+    /// Compares two shares by the one-sided two-proportion z test with a pooled share (NIST/SEMATECH e-Handbook of
+    /// Statistical Methods, 7.3.3). The test assumes that requests end independently. In fact they are correlated, so three
+    /// standard errors and a least loss are required.
     #[must_use]
-    pub fn judge(&self, before: Counts, after: Counts) -> Verdict {
-        if before.of < LEAST_REQUESTS || after.of < LEAST_REQUESTS {
-            return Verdict::Few;
+    pub fn evaluate(&self, before: RequestCounts, after: RequestCounts) -> Verdict {
+        if before.total < MIN_REQUESTS || after.total < MIN_REQUESTS {
+            return Verdict::TooFewRequests;
         }
-        let share = |c: Counts| c.well.min(c.of) as f64 / c.of as f64;
-        let (n, m) = (before.of as f64, after.of as f64);
+        let share = |c: RequestCounts| c.good.min(c.total) as f64 / c.total as f64;
+        let (n, m) = (before.total as f64, after.total as f64);
         let (p, q) = (share(before), share(after));
         let pooled = (p * n + q * m) / (n + m);
         let error = (pooled * (1.0 - pooled) * (1.0 / n + 1.0 / m)).sqrt();
         let lost = p - q;
-        // Without any variance there is no loss either.
-        if error > 0.0 && lost / error >= NOISE && lost * 1_000.0 >= f64::from(self.least) {
-            let what = match &self.watch {
-                Watch::InTime => "in time".to_owned(),
-                Watch::Taken => "not refused".to_owned(),
-                Watch::Class(name) => format!("of class {name} in time"),
+        // If all requests were good, or none, the error is 0 and there is no loss.
+        if error > 0.0
+            && lost / error >= MIN_STANDARD_ERRORS
+            && lost * 1_000.0 >= f64::from(self.min_loss_permille)
+        {
+            let what = match &self.metric {
+                TrialMetric::InTime => "in time".to_owned(),
+                TrialMetric::Accepted => "not refused".to_owned(),
+                TrialMetric::Class(name) => format!("of class {name} in time"),
             };
             let (p, q) = (p * 100.0, q * 100.0);
             return Verdict::Worse(format!(
                 "{what}: {q:.1}% of {} after, {p:.1}% of {} before, {:.1} standard errors",
-                after.of,
-                before.of,
+                after.total,
+                before.total,
                 lost / error
             ));
         }
-        Verdict::Kept
+        Verdict::NotWorse
     }
 }
 
-impl Counts {
-    /// What came since; `None` if the sums went back, as when a front's are lost.
+impl RequestCounts {
+    /// The requests since an earlier moment; `None` if the totals went back, as they do when a front's totals are lost.
     #[must_use]
     pub fn since(self, then: Self) -> Option<Self> {
-        Some(Self { of: self.of.checked_sub(then.of)?, well: self.well.checked_sub(then.well)? })
+        Some(Self { total: self.total.checked_sub(then.total)?, good: self.good.checked_sub(then.good)? })
     }
 }
 
-/// Sums of the last hour or so, at most [`MOST_SAMPLES`].
+/// Samples of the totals of about the last hour, at most [`MAX_SAMPLES`], each with its time in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct History {
-    samples: VecDeque<(u64, Sums)>,
-    last: Sums,
+    samples: VecDeque<(u64, ServiceTotals)>,
+    last: ServiceTotals,
 }
 
 impl History {
-    pub(crate) fn served(&mut self, now_ms: u64, sums: Sums) {
-        let apart = u64::from(TIME_S.1) * 1_000 / (MOST_SAMPLES as u64 - 1);
-        // The first minutes are kept closer, so that a short trial has a before.
-        let near = self.samples.len() < MOST_SAMPLES / 2;
+    pub(crate) fn record_service(&mut self, now_ms: u64, sums: ServiceTotals) {
+        let interval_ms = u64::from(DURATION_RANGE_S.1) * 1_000 / (MAX_SAMPLES as u64 - 1);
+        // The first samples are taken at shorter intervals, so that a short trial finds a baseline.
+        let dense = self.samples.len() < MAX_SAMPLES / 2;
         let due = self
             .samples
             .back()
-            .is_none_or(|(at, _)| now_ms.saturating_sub(*at) >= if near { 1_000 } else { apart });
-        if sums.classes.len() > MOST_CLASSES {
+            .is_none_or(|(at, _)| now_ms.saturating_sub(*at) >= if dense { 1_000 } else { interval_ms });
+        if sums.classes.len() > MAX_CLASSES {
             return;
         }
         if due {
-            if self.samples.len() >= MOST_SAMPLES {
+            if self.samples.len() >= MAX_SAMPLES {
                 self.samples.pop_front();
             }
             self.samples.push_back((now_ms, sums.clone()));
@@ -157,15 +164,16 @@
         self.last = sums;
     }
 
-    pub(crate) fn last(&self) -> &Sums {
+    pub(crate) fn last(&self) -> &ServiceTotals {
         &self.last
     }
 
-    /// What a trial would watch, over its time until now; `None` if this front has not known the sums for so long.
-    pub(crate) fn before(&self, now_ms: u64, trial: &Trial) -> Option<Counts> {
-        let from = now_ms.checked_sub(trial.time_ms())?;
+    /// The requests that a trial measures, over a period of its length until now; `None` if the samples do not reach back that
+    /// far.
+    pub(crate) fn baseline(&self, now_ms: u64, trial: &Trial) -> Option<RequestCounts> {
+        let from = now_ms.checked_sub(trial.duration_ms())?;
         let (_, then) = self.samples.iter().rev().find(|(at, _)| *at <= from)?;
-        trial.of(&self.last).since(trial.of(then))
+        trial.select(&self.last).since(trial.select(then))
     }
 }
 
@@ -174,33 +182,38 @@
     use super::*;
 
     fn trial(least: u16) -> Trial {
-        Trial { watch: Watch::InTime, time_s: 60, least }
+        Trial { metric: TrialMetric::InTime, duration_s: 60, min_loss_permille: least }
     }
 
-    fn counts(well: u64, of: u64) -> Counts {
-        Counts { of, well }
+    fn counts(well: u64, of: u64) -> RequestCounts {
+        RequestCounts { total: of, good: well }
     }
 
     #[test]
     fn worse_is_told_from_noise() {
-        // By hand: 990 and 960 of 1,000 pool to 0.975; 0.03 / sqrt(0.975 * 0.025 * 0.002) = 4.297.
-        let Verdict::Worse(why) = trial(10).judge(counts(990, 1_000), counts(960, 1_000)) else {
+        // Calculated by hand: 990 and 960 of 1,000 have a pooled share of 0.975; 0.03 / sqrt(0.975 * 0.025 * 0.002) = 4.297.
+        let Verdict::Worse(reason) = trial(10).evaluate(counts(990, 1_000), counts(960, 1_000)) else {
             panic!("worse")
         };
-        assert_eq!(why, "in time: 96.0% of 1000 after, 99.0% of 1000 before, 4.3 standard errors");
+        assert_eq!(reason, "in time: 96.0% of 1000 after, 99.0% of 1000 before, 4.3 standard errors");
         // 990 and 978: 0.012 / sqrt(0.984 * 0.016 * 0.002) = 2.14.
-        assert_eq!(trial(10).judge(counts(990, 1_000), counts(978, 1_000)), Verdict::Kept);
+        assert_eq!(trial(10).evaluate(counts(990, 1_000), counts(978, 1_000)), Verdict::NotWorse);
         assert_eq!(
-            trial(40).judge(counts(990, 1_000), counts(960, 1_000)),
-            Verdict::Kept,
+            trial(40).evaluate(counts(990, 1_000), counts(960, 1_000)),
+            Verdict::NotWorse,
             "less than what counts"
         );
-        assert_eq!(trial(0).judge(counts(960, 1_000), counts(990, 1_000)), Verdict::Kept, "better");
-        assert_eq!(trial(0).judge(counts(1_000, 1_000), counts(1_000, 1_000)), Verdict::Kept, "no variance");
-        assert_eq!(trial(0).judge(counts(199, 199), counts(0, 1_000)), Verdict::Few);
+        assert_eq!(trial(0).evaluate(counts(960, 1_000), counts(990, 1_000)), Verdict::NotWorse, "better");
+        assert_eq!(
+            trial(0).evaluate(counts(1_000, 1_000), counts(1_000, 1_000)),
+            Verdict::NotWorse,
+            "no variance"
+        );
+        assert_eq!(trial(0).evaluate(counts(199, 199), counts(0, 1_000)), Verdict::TooFewRequests);
     }
 
-    /// Both sides drawn from one share: worse is found about as rarely as the bound says.
+    /// Draws both sides with the same share of good requests: the trial finds them worse about as rarely as three standard
+    /// errors imply.
     #[test]
     fn chance_alone_is_rarely_called_worse() {
         let mut x = 1u64;
@@ -216,7 +229,7 @@
         let runs = 4_000;
         let worse = (0..runs).filter(|_| {
             let (a, b) = (counts(well(1_000), 1_000), counts(well(1_000), 1_000));
-            matches!(trial(0).judge(a, b), Verdict::Worse(_))
+            matches!(trial(0).evaluate(a, b), Verdict::Worse(_))
         });
         let worse = worse.count();
         // 5.4 are expected of 4,000.
@@ -226,17 +239,17 @@
     #[test]
     fn sums_that_went_back_or_are_too_young_say_nothing() {
         let mut h = History::default();
-        let sums = |of| Sums { in_time: counts(of, of), ..Sums::default() };
+        let sums = |of| ServiceTotals { in_time: counts(of, of), ..ServiceTotals::default() };
         for s in 0..100u64 {
-            h.served(s * 1_000, sums(s * 10));
+            h.record_service(s * 1_000, sums(s * 10));
         }
-        assert_eq!(h.before(99_000, &trial(0)).map(|c| c.of > 500), Some(true));
-        assert_eq!(h.before(59_000, &trial(0)), None);
-        h.served(100_000, sums(3));
-        assert_eq!(h.before(100_000, &trial(0)), None);
+        assert_eq!(h.baseline(99_000, &trial(0)).map(|c| c.total > 500), Some(true));
+        assert_eq!(h.baseline(59_000, &trial(0)), None);
+        h.record_service(100_000, sums(3));
+        assert_eq!(h.baseline(100_000, &trial(0)), None);
         for s in 100..1_000_000u64 {
-            h.served(s * 1_000, sums(s));
+            h.record_service(s * 1_000, sums(s));
         }
-        assert!(h.samples.len() <= MOST_SAMPLES);
+        assert!(h.samples.len() <= MAX_SAMPLES);
     }
 }
--- a/crates/policy/tests/documents.rs
+++ b/crates/policy/tests/documents.rs
@@ -1,11 +1,12 @@
-//! Documents: what is written reads the same, and what the tighter of two promises.
+//! Policy documents: the canonical text parses to the same policy, the intersection of two policies is within both, and
+//! sizes are limited.
 
 use pepperhook::{Class, DedupScope, Idempotency, Prices, RetryBudget, Rules, Rung, Tenant};
 use pepperhook_policy::{
-    Change, Counts, MOST_ASKED, MOST_TEXT, MOST_WHY, Made, Policy, PolicyError, Proof, RULES, Rule, Steps,
-    Trial, Undone, Watch,
+    MAX_POLICY_BYTES, MAX_REASON_BYTES, MAX_REQUEST_BYTES, Origin, Policy, PolicyChange, PolicyError, RULES,
+    RegisterState, RequestCounts, Rule, Trial, TrialBaseline, TrialMetric, UndoneChange,
 };
-use pepperhook_policy::{neighbours, tighter, within};
+use pepperhook_policy::{can_coexist, intersect, is_within};
 use pepperhook_settings::{ClassSettings, Config, FleetClass, FleetSettings, ReservationSettings};
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -20,7 +21,7 @@
 }
 
 fn time() -> impl Strategy<Value = u64> {
-    // Some are whole seconds or the like, some are not; settings read times as numbers of 53 bits.
+    // Both round and odd values; the settings' parser reads times as floating-point numbers, exact to 53 bits.
     prop_oneof![
         0u64..1 << 53,
         (0u64..100_000).prop_map(|t| t * 1_000_000),
@@ -131,7 +132,8 @@
     fleet().prop_filter_map("rungs ascend", valid)
 }
 
-/// A copy in which one figure out of four is another's: neighbours are rare among documents drawn apart.
+/// A policy and a copy in which about a quarter of the settings are another policy's. Of two independent policies, one is
+/// rarely within the other.
 fn pair() -> impl Strategy<Value = (Policy, Policy)> {
     (drawn(), drawn(), any::<bool>(), any::<u32>()).prop_map(|(a, b, apart, bits)| {
         if apart {
@@ -164,73 +166,74 @@
         let text = f.text();
         let read = policy(&text);
         prop_assert_eq!(read.text(), &text);
-        prop_assert_eq!(Policy::stored(&text), Ok(read));
+        prop_assert_eq!(Policy::from_canonical(&text), Ok(read));
     }
 
     #[test]
     fn the_tighter_of_two_is_within_both_and_valid((a, b) in pair()) {
-        let both = tighter(&a, &b).expect("they differ in nothing that is fixed");
-        prop_assert!(within(&both, &a) && within(&both, &b), "{both:?}");
-        prop_assert!(neighbours(&both, &a) && neighbours(&b, &both));
-        prop_assert_eq!(Policy::stored(both.text()), Ok(both.clone()));
-        // Again: nothing is left to tighten.
-        prop_assert_eq!(tighter(&a, &a), Ok(a.clone()));
-        prop_assert!(within(&tighter(&both, &b).expect("both"), &both));
-        prop_assert_eq!(tighter(&both, &a).map(|p| p.text().to_owned()), Ok(both.text().to_owned()));
+        let both = intersect(&a, &b).expect("they differ in nothing that is fixed");
+        prop_assert!(is_within(&both, &a) && is_within(&both, &b), "{both:?}");
+        prop_assert!(can_coexist(&both, &a) && can_coexist(&b, &both));
+        prop_assert_eq!(Policy::from_canonical(both.text()), Ok(both.clone()));
+        // Intersecting again changes nothing.
+        prop_assert_eq!(intersect(&a, &a), Ok(a.clone()));
+        prop_assert!(is_within(&intersect(&both, &b).expect("both"), &both));
+        prop_assert_eq!(intersect(&both, &a).map(|p| p.text().to_owned()), Ok(both.text().to_owned()));
     }
 
     #[test]
     fn the_tighter_of_two_is_the_same_both_ways_where_figures_have_an_order((a, b) in pair()) {
-        let (one, other) = (tighter(&a, &b).expect("one"), tighter(&b, &a).expect("other"));
-        // Both ways allow the same: a class that one lacks is closed in the other.
-        prop_assert!(within(&one, &other) && within(&other, &one));
+        let (one, other) = (intersect(&a, &b).expect("one"), intersect(&b, &a).expect("other"));
+        // Both results allow the same: a class that one of them lacks is closed in the other.
+        prop_assert!(is_within(&one, &other) && is_within(&other, &one));
         let ordered = |field: &str| {
             let rule = |(_, keyword, rule): &&(&str, &str, Rule)| {
-                (field == *keyword || field.ends_with(&format!(": {keyword}"))) && *rule != Rule::Old
+                (field == *keyword || field.ends_with(&format!(": {keyword}"))) && *rule != Rule::KeepOld
             };
             RULES.iter().any(|r| rule(&r))
         };
         for d in one.differences(&other) {
             if ordered(&d.field) {
-                prop_assert!(d.one.is_none() || d.other.is_none(), "{d}");
+                prop_assert!(d.left.is_none() || d.right.is_none(), "{d}");
             }
         }
     }
 
     #[test]
     fn the_next_policy_keeps_every_place((a, b) in pair()) {
-        let new = a.then(&b).expect("nothing fixed differs");
+        let new = a.successor(&b).expect("nothing fixed differs");
         let names = |p: &Policy| p.fleet().classes.iter().map(|c| c.front.name.clone()).collect::<Vec<_>>();
         prop_assert!(names(&new).starts_with(&names(&a)));
-        let both = tighter(&a, &new).expect("both");
-        // Nobody's first step has a class or a tenant that the standing policy lacks.
+        let both = intersect(&a, &new).expect("both");
+        // The first step has no class and no tenant that the old policy lacks.
         prop_assert_eq!(names(&both), names(&a));
-        prop_assert!(neighbours(&a, &both) && neighbours(&both, &new));
-        prop_assert_eq!(a.then(&new), Ok(new));
+        prop_assert!(can_coexist(&a, &both) && can_coexist(&both, &new));
+        prop_assert_eq!(a.successor(&new), Ok(new));
     }
 
     #[test]
     fn whatever_bytes_come_cost_little_and_break_nothing(bytes in vec(any::<u8>(), 0..2_000)) {
-        let _ = Change::decode(&bytes);
-        let _ = Policy::stored(&String::from_utf8_lossy(&bytes));
+        let _ = RegisterState::decode(&bytes);
+        let _ = Policy::from_canonical(&String::from_utf8_lossy(&bytes));
         let _ = Policy::parse("policy", &String::from_utf8_lossy(&bytes));
     }
 
     #[test]
     fn a_broken_body_is_unread_or_another_change(at in 0usize..3_000, bit in 0u8..8) {
-        let (a, made) = (policy(TEXT), Made { key: 7, front: 3, name: "ana".into() });
-        let change = Change::Stands { version: 3, last: 4, policy: a.text().into(), made, undone: None };
+        let (a, origin) = (policy(TEXT), Origin { key: 7, front: 3, name: "ana".into() });
+        let change = RegisterState::Active { version: 3, highest_version: 4, policy: a.text().into(), origin, undone: None };
         let mut bytes = change.encode().expect("a body");
         let at = at % bytes.len();
         bytes[at] ^= 1 << bit;
-        prop_assert_ne!(Change::decode(&bytes), Ok(change));
+        prop_assert_ne!(RegisterState::decode(&bytes), Ok(change));
     }
 }
 
 #[test]
 fn what_may_not_change_is_named() {
     let old = policy(TEXT);
-    let asked = |from: &str, to: &str| old.then(&policy(&TEXT.replace(from, to))).expect_err("fixed").field;
+    let asked =
+        |from: &str, to: &str| old.successor(&policy(&TEXT.replace(from, to))).expect_err("fixed").field;
     assert_eq!(asked("rung 1200 1.5\n", ""), "ladder");
     assert_eq!(asked("live yes\n", ""), "class live # 1: live");
     assert_eq!(asked("aim 800ms", "aim 800ms\ningest yes"), "class replay: ingest");
@@ -246,13 +249,13 @@
     let cut = TEXT.find("section class replay").expect("replay");
     let end = TEXT.find("section class \"live").expect("live");
     let without = format!("{}section class vod\naim 1s\npatience 2s\n{}", &TEXT[..cut], &TEXT[end..]);
-    let new = old.then(&policy(&without.replace("tenant acme", "tenant other"))).expect("a policy");
+    let new = old.successor(&policy(&without.replace("tenant acme", "tenant other"))).expect("a policy");
     let classes = |p: &Policy| -> Vec<(String, bool)> {
         p.fleet().classes.iter().map(|c| (c.front.name.clone(), c.front.closed)).collect()
     };
     let named = |name: &str, closed: bool| (name.to_owned(), closed);
     assert_eq!(classes(&new), [named("replay", true), named("live # 1", false), named("vod", false)]);
-    let both = tighter(&old, &new).expect("both");
+    let both = intersect(&old, &new).expect("both");
     assert_eq!(classes(&both), [named("replay", true), named("live # 1", false)]);
     let quotas =
         |p: &Policy| p.fleet().tenants.iter().map(|(n, t)| (n.clone(), t.quota_per_s)).collect::<Vec<_>>();
@@ -264,8 +267,8 @@
 fn a_class_that_no_rung_suits_takes_nothing_new_in_between() {
     let low = policy(&TEXT.replace("live yes\nfloor 1", "live yes\nfloor 0\ntop 0"));
     let high = policy(&TEXT.replace("live yes\nfloor 1", "live yes\nfloor 2"));
-    assert!(!neighbours(&low, &high));
-    let both = tighter(&low, &high).expect("both");
+    assert!(!can_coexist(&low, &high));
+    let both = intersect(&low, &high).expect("both");
     let class = &both.fleet().classes[1];
     assert!(class.front.closed && class.class.lowest_rung == 2 && class.class.highest_rung == 2);
 }
@@ -274,7 +277,7 @@
 fn the_ration_in_between_is_no_more_than_either() {
     let budget = |text: &str| policy(&TEXT.replace("budget 3 0.2 10s", text));
     let both = |a: &str, b: &str| {
-        let p = tighter(&budget(a), &budget(b)).expect("both");
+        let p = intersect(&budget(a), &budget(b)).expect("both");
         p.fleet().rules.retry_budget.map(|b| (b.min_retries, b.retry_ratio, b.window / 1_000_000_000))
     };
     assert_eq!(both("budget 3 0.2 10s", "budget 5 0.1 10s"), Some((3.0, 0.1, 10)));
@@ -282,12 +285,12 @@
     assert_eq!(both("budget 3 0.2 10s", ""), Some((3.0, 0.2, 10)));
 }
 
-/// Windows of attempts counted out: a ration that lies within another grants no more in any window of that.
+/// Counts the retries in each window: a retry budget that is within another grants no more in any window of that one.
 #[test]
 fn a_ration_within_another_grants_no_more() {
     let text =
         |free: u32, share: f64, window: u32| TEXT.replace("3 0.2 10s", &format!("{free} {share} {window}s"));
-    // One attempt wanted each second, sessions taken as the pattern says: how many are granted at each second.
+    // With one retry wanted each second, and sessions accepted by the pattern: the number granted in each second.
     let grants = |free: u32, share: f64, window: usize, sessions: &[u32]| {
         let mut granted = vec![0u32; sessions.len()];
         for at in 0..sessions.len() {
@@ -300,7 +303,7 @@
     };
     let sessions: Vec<u32> = (0..60u32).map(|s| if (s / 7) % 2 == 0 { 9 } else { 0 }).collect();
     for (a, b) in [((3, 0.2, 10), (5, 0.1, 20)), ((1, 0.5, 5), (4, 0.1, 5)), ((8, 0.0, 30), (2, 0.3, 4))] {
-        let both = tighter(&policy(&text(a.0, a.1, a.2)), &policy(&text(b.0, b.1, b.2))).expect("both");
+        let both = intersect(&policy(&text(a.0, a.1, a.2)), &policy(&text(b.0, b.1, b.2))).expect("both");
         let r = both.fleet().rules.retry_budget.expect("a ration");
         let window = (r.window / 1_000_000_000) as usize;
         let granted = grants(r.min_retries as u32, r.retry_ratio, window, &sessions);
@@ -334,37 +337,49 @@
 
 #[test]
 fn documents_and_bodies_are_bounded() {
-    let long = "#".repeat(MOST_ASKED + 1);
+    let long = "#".repeat(MAX_REQUEST_BYTES + 1);
     assert!(matches!(Policy::parse("p", &long), Err(PolicyError::TooLong { .. })));
     let tenants: String = (0..800).map(|i| format!("section tenant t{i}\nquota 1\n")).collect();
     let long = format!("{TEXT}{tenants}").replace("section rules", "section rules");
     assert!(matches!(Policy::parse("p", &long), Err(PolicyError::TooLong { .. })));
-    // The longest that are allowed fit into one body, with the longest names and reason.
-    let most = |c: &str| c.repeat(MOST_TEXT);
-    let made = Made { key: u128::MAX, front: u64::MAX, name: "n".repeat(pepperhook_policy::MOST_NAME) };
-    let why = "w".repeat(MOST_WHY);
-    let trial = Trial { watch: Watch::Class("c".repeat(MOST_WHY)), time_s: u32::MAX, least: u16::MAX };
-    let undone = Undone { version: u64::MAX, made: made.clone(), by: u64::MAX, why: why.clone() };
-    let steps = Steps {
+    // The longest policies allowed fit into one body, together with the longest names and reason.
+    let most = |c: &str| c.repeat(MAX_POLICY_BYTES);
+    let origin =
+        Origin { key: u128::MAX, front: u64::MAX, name: "n".repeat(pepperhook_policy::MAX_OPERATOR_BYTES) };
+    let reason = "w".repeat(MAX_REASON_BYTES);
+    let trial = Trial {
+        metric: TrialMetric::Class("c".repeat(MAX_REASON_BYTES)),
+        duration_s: u32::MAX,
+        min_loss_permille: u16::MAX,
+    };
+    let undone =
+        UndoneChange { version: u64::MAX, origin: origin.clone(), by: u64::MAX, reason: reason.clone() };
+    let steps = PolicyChange {
         version: u64::MAX,
-        made: made.clone(),
+        origin: origin.clone(),
         old_version: u64::MAX,
-        old_made: made.clone(),
+        old_origin: origin.clone(),
         old: most("a"),
         new: most("b"),
-        first_ms: u32::MAX,
-        proof: Some(Proof { trial, before: Counts { of: u64::MAX, well: u64::MAX } }),
+        first_step_timeout_ms: u32::MAX,
+        baseline: Some(TrialBaseline { trial, before: RequestCounts { total: u64::MAX, good: u64::MAX } }),
         undoes: Some(undone),
     };
-    let back = Change::Back { steps, by: u64::MAX, why: why.clone() };
+    let back = RegisterState::Rollback { steps, by: u64::MAX, reason: reason.clone() };
     let body = back.encode().expect("it fits");
-    assert_eq!(Change::decode(&body), Ok(back));
-    let undone = Some(Undone { version: u64::MAX, made: made.clone(), by: u64::MAX, why });
-    let stands = Change::Stands { version: u64::MAX, last: u64::MAX, policy: most("a"), made, undone };
+    assert_eq!(RegisterState::decode(&body), Ok(back));
+    let undone = Some(UndoneChange { version: u64::MAX, origin: origin.clone(), by: u64::MAX, reason });
+    let stands = RegisterState::Active {
+        version: u64::MAX,
+        highest_version: u64::MAX,
+        policy: most("a"),
+        origin,
+        undone,
+    };
     assert!(stands.encode().is_some());
-    // Many faults are told in part.
+    // Only the first of many faults are listed.
     let bad: String = (0..3_000).map(|i| format!("x{i}\n")).collect();
-    let e = Policy::parse("p", &bad[..MOST_ASKED.min(bad.len())]).expect_err("faults").to_string();
+    let e = Policy::parse("p", &bad[..MAX_REQUEST_BYTES.min(bad.len())]).expect_err("faults").to_string();
     assert!(e.contains("more") && e.len() < 8_000, "{} bytes", e.len());
 }
 
@@ -377,7 +392,7 @@
     let seed = Policy::from_config(&config).expect("a policy");
     assert_eq!(seed, policy(TEXT));
     let wider = policy(&TEXT.replace("quota 40", "quota 80"));
-    assert_eq!(wider.over(&config).expect("it fits").decisions.tenants[0].quota_per_s, 80.0);
+    assert_eq!(wider.apply_to(&config).expect("it fits").decisions.tenants[0].quota_per_s, 80.0);
     let other = policy(&TEXT.replace("class replay", "class vod"));
-    assert!(other.over(&config).expect_err("no class").contains("title t is of class replay"));
+    assert!(other.apply_to(&config).expect_err("no class").contains("title t is of class replay"));
 }
--- a/crates/policy/tests/governor.rs
+++ b/crates/policy/tests/governor.rs
@@ -1,7 +1,10 @@
-//! A governor alone: what it takes from the log, its bounds, and bytes that are no change.
+//! A single governor: how it processes log entries, its limits, and register bytes that it cannot decode.
 
 use pepperhook_agreement::{Command, Entry, Key, Operation, Outcome, Registers, Subject};
-use pepperhook_policy::{Answer, Around, Ask, Change, Effect, Fits, Governor, Made, Pace, Policy, SUBJECT};
+use pepperhook_policy::{
+    Answer, Context, Effect, Governor, Origin, Policy, PolicyChecker, PolicyRequest, RegisterState, SUBJECT,
+    Timing,
+};
 use pepperhook_settings::Config;
 
 const OWN: &str = "name f\nlisten 127.0.0.1:0\nzones z\nzone z\nracks 3\ncells 9\ninventory n.csv\n";
@@ -9,10 +12,10 @@
 patience 4s\nsection rules\ncold-share 0.4\ncold 12s\nfall-multiple 2.5\nfall-window 2s\n";
 const MORE: &str = "section kind k\nstreams 3\nsection title t\nhome 0\ncopies 1\nclass replay\n";
 
-struct Any;
+struct AcceptsAll;
 
-impl Fits for Any {
-    fn fits(&self, _: &Policy) -> Result<(), String> {
+impl PolicyChecker for AcceptsAll {
+    fn check_policy(&self, _: &Policy) -> Result<(), String> {
         Ok(())
     }
 }
@@ -23,11 +26,13 @@
 
 fn stands(version: u64, text: &str) -> Vec<u8> {
     let policy = Policy::parse("policy", text).expect("a policy").text().to_owned();
-    let made = Made { key: version.into(), front: 9, name: "ana".into() };
-    Change::Stands { version, last: version, policy, made, undone: None }.encode().expect("a body")
+    let origin = Origin { key: version.into(), front: 9, name: "ana".into() };
+    RegisterState::Active { version, highest_version: version, policy, origin, undone: None }
+        .encode()
+        .expect("a body")
 }
 
-/// A front, the log, and what came of it.
+/// One front's governor and the agreed registers.
 struct One {
     governor: Governor,
     state: Registers,
@@ -35,7 +40,8 @@
 
 impl One {
     fn new() -> Self {
-        let mut one = Self { governor: Governor::new(1, Pace::default(), None), state: Registers::default() };
+        let mut one =
+            Self { governor: Governor::new(1, Timing::default(), None), state: Registers::default() };
         one.decide(put(1, 0, stands(1, TEXT)));
         one
     }
@@ -43,14 +49,21 @@
     fn decide(&mut self, command: Command) -> (Entry, Vec<Effect>) {
         let (entry, outcome) = self.state.apply(command);
         let mut out = vec![];
-        self.governor.applied(0, &entry, &outcome, &Any, &mut out);
+        self.governor.entry_applied(0, &entry, &outcome, &AcceptsAll, &mut out);
         (entry, out)
     }
 
     fn ask(&mut self, now: u64, key: u128, text: &str) -> Vec<Effect> {
-        let ask = Ask { key, name: "ana".into(), against: 1, text: text.into(), dry_run: false, trial: None };
+        let ask = PolicyRequest {
+            key,
+            name: "ana".into(),
+            base_version: 1,
+            text: text.into(),
+            dry_run: false,
+            trial: None,
+        };
         let mut out = vec![];
-        self.governor.ask(now, ask, &Any, &mut out);
+        self.governor.request_change(now, ask, &AcceptsAll, &mut out);
         out
     }
 }
@@ -60,8 +73,8 @@
     let mut one = One::new();
     let other = Operation::Put { subject: Subject { space: 2, number: 0 }, expects: 0, body: vec![1] };
     let (entry, out) = one.decide(Command { key: Key(5), author: 2, operation: other });
-    assert_eq!(out, [Effect::Vouch(entry.number)]);
-    assert_eq!(one.governor.in_force().map(|f| (f.0, f.1)), Some((1, "stands")));
+    assert_eq!(out, [Effect::Confirm(entry.number)]);
+    assert_eq!(one.governor.active_policy().map(|f| (f.0, f.1)), Some((1, "stands")));
 }
 
 #[test]
@@ -71,11 +84,11 @@
     one.decide(second.clone());
     one.decide(put(3, 2, stands(3, TEXT)));
     let (entry, out) = one.decide(second);
-    assert_eq!(out, [Effect::Vouch(entry.number)]);
-    assert_eq!(one.governor.in_force().map(|f| f.0), Some(3));
-    // An entry that was handed in already is passed over.
+    assert_eq!(out, [Effect::Confirm(entry.number)]);
+    assert_eq!(one.governor.active_policy().map(|f| f.0), Some(3));
+    // An entry that was processed before is ignored.
     let mut out = vec![];
-    one.governor.applied(0, &entry, &Outcome::Applied, &Any, &mut out);
+    one.governor.entry_applied(0, &entry, &Outcome::Applied, &AcceptsAll, &mut out);
     assert!(out.is_empty());
 }
 
@@ -83,14 +96,16 @@
 fn a_body_that_cannot_be_read_stops_the_front_until_one_can() {
     let mut one = One::new();
     let (_, out) = one.decide(put(2, 1, vec![9, 9, 9]));
-    assert!(matches!(&out[..], [Effect::Stuck(_)]), "{out:?}");
+    assert!(matches!(&out[..], [Effect::CannotApply(_)]), "{out:?}");
     let told = one.ask(0, 7, &TEXT.replace("800ms", "700ms"));
-    assert!(matches!(&told[..], [Effect::Told { answer: Answer::NotAgreed, .. }]), "{told:?}");
+    assert!(matches!(&told[..], [Effect::Answer { answer: Answer::NotAgreed, .. }]), "{told:?}");
     let mut out = vec![];
-    one.governor.tick(60_000, Around { agreed: true, leads: true }, &Any, &mut out);
+    one.governor.tick(60_000, Context { register_known: true, is_leader: true }, &AcceptsAll, &mut out);
     assert!(out.is_empty(), "{out:?}");
     let (entry, out) = one.decide(put(3, 2, stands(2, &TEXT.replace("800ms", "700ms"))));
-    assert!(matches!(&out[..], [Effect::InForce { version: 2, .. }, Effect::Vouch(n)] if *n == entry.number));
+    assert!(
+        matches!(&out[..], [Effect::Activate { version: 2, .. }, Effect::Confirm(n)] if *n == entry.number)
+    );
 }
 
 #[test]
@@ -101,14 +116,14 @@
     for key in 100..200 {
         match &one.ask(0, key, &text)[..] {
             [Effect::Propose(_)] => proposed += 1,
-            [Effect::Told { answer: Answer::Busy, .. }] => busy += 1,
+            [Effect::Answer { answer: Answer::Busy, .. }] => busy += 1,
             other => panic!("{other:?}"),
         }
     }
     assert_eq!((proposed, busy), (16, 84));
     let mut out = vec![];
-    one.governor.tick(10_000, Around { agreed: true, leads: false }, &Any, &mut out);
-    let unknown = out.iter().filter(|e| matches!(e, Effect::Told { answer: Answer::Unknown, .. }));
+    one.governor.tick(10_000, Context { register_known: true, is_leader: false }, &AcceptsAll, &mut out);
+    let unknown = out.iter().filter(|e| matches!(e, Effect::Answer { answer: Answer::Unknown, .. }));
     assert_eq!(unknown.count(), 16);
     assert!(matches!(&one.ask(10_000, 300, &text)[..], [Effect::Propose(_)]), "there is room again");
 }
@@ -118,14 +133,14 @@
     let mut one = One::new();
     let Some(Effect::Propose(first)) = one.ask(0, 7, &TEXT.replace("800ms", "700ms")).pop() else { panic!() };
     one.decide(first);
-    let around = Around { agreed: true, leads: true };
+    let context = Context { register_known: true, is_leader: true };
     let mut proposals = vec![];
     let mut out = vec![];
-    one.governor.tick(100, around, &Any, &mut out);
-    assert!(out.is_empty(), "nothing is settled: {out:?}");
+    one.governor.tick(100, context, &AcceptsAll, &mut out);
+    assert!(out.is_empty(), "no entry is stable: {out:?}");
     for now in (200..7_000).step_by(200) {
-        one.governor.settled(now, 2, &mut out);
-        one.governor.tick(now, around, &Any, &mut out);
+        one.governor.entry_stable(now, 2, &mut out);
+        one.governor.tick(now, context, &AcceptsAll, &mut out);
         proposals.extend(out.drain(..).map(|e| (now, e)));
     }
     let at: Vec<u64> = proposals.iter().map(|(now, _)| *now).collect();
@@ -140,21 +155,21 @@
     let one = One::new();
     let file = |text: &str| Config::parse("front.conf", &format!("{OWN}{text}{MORE}")).expect("settings");
     let config = file(&TEXT.replace("aim 800ms", "aim 600ms"));
-    let said: Vec<String> = one.governor.differs(&config).iter().map(ToString::to_string).collect();
+    let said: Vec<String> = one.governor.differences_from(&config).iter().map(ToString::to_string).collect();
     assert_eq!(said, ["class replay: aim: 600ms -> 800ms"]);
-    // Its title is of a class that the policy lacks.
-    let mut governor = Governor::new(2, Pace::default(), None);
+    // The front's file has a title of a class that the policy lacks.
+    let mut governor = Governor::new(2, Timing::default(), None);
     let mut state = Registers::default();
     state.apply(put(1, 0, stands(1, &TEXT.replace("class replay", "class vod"))));
     let mut out = vec![];
-    governor.replaced(0, &state, &config, &mut out);
-    let why = "title t is of class replay, which the policy does not have";
-    assert_eq!(out, [Effect::Stuck(why.into())]);
-    assert_eq!(governor.stuck(), Some(why));
-    // Its file is mended.
+    governor.load_snapshot(0, &state, &config, &mut out);
+    let reason = "title t is of class replay, which the policy does not have";
+    assert_eq!(out, [Effect::CannotApply(reason.into())]);
+    assert_eq!(governor.inapplicable_reason(), Some(reason));
+    // The front's file is corrected.
     let mut out = vec![];
     let mended =
         Config::parse("front.conf", &format!("{OWN}{TEXT}section kind k\nstreams 3\n")).expect("settings");
-    governor.tick(5_000, Around { agreed: true, leads: false }, &mended, &mut out);
-    assert!(matches!(&out[..], [Effect::InForce { version: 1, .. }, Effect::Vouch(1)]), "{out:?}");
+    governor.tick(5_000, Context { register_known: true, is_leader: false }, &mended, &mut out);
+    assert!(matches!(&out[..], [Effect::Activate { version: 1, .. }, Effect::Confirm(1)]), "{out:?}");
 }
