--- a/crates/policy/src/change.rs
+++ b/crates/policy/src/change.rs
@@ -107,7 +107,7 @@
 
 /// The register's bytes are invalid, or a later release wrote them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the register of the policy says what this edition cannot read")]
+#[error("this release cannot decode the policy's register; a later release may have written it")]
 pub struct UnreadableRegister;
 
 #[derive(Serialize, Deserialize)]
--- a/crates/policy/src/governor.rs
+++ b/crates/policy/src/governor.rs
@@ -7,8 +7,8 @@
 
 use crate::answer::{Answer, Effect, Inapplicable, MAX_OPERATOR_BYTES, PolicyRequest, Timing};
 use crate::change::{
-    MAX_REASON_BYTES, Origin, PolicyChange, RegisterState, SUBJECT, TrialBaseline, UndoneChange, derive_key,
-    truncate,
+    MAX_REASON_BYTES, Origin, PolicyChange, RegisterState, SUBJECT, TrialBaseline, UndoneChange,
+    UnreadableRegister, derive_key, truncate,
 };
 use crate::intersection::intersect;
 use crate::policy::Policy;
@@ -208,11 +208,11 @@
     /// Every front with a lease has confirmed this entry or a later one.
     pub fn entry_stable(&mut self, now_ms: u64, number: u64, out: &mut Vec<Effect>) {
         self.stable = self.stable.max(number);
-        let settled = self.stable;
+        let stable = self.stable;
         if let Some(current) = self
             .current
             .as_mut()
-            .filter(|current| current.stable_since_ms.is_none() && current.entry <= settled)
+            .filter(|current| current.stable_since_ms.is_none() && current.entry <= stable)
         {
             current.stable_since_ms = Some(now_ms);
         }
@@ -281,7 +281,8 @@
             || request.name.chars().any(char::is_control)
         {
             return Err(refused(&format!(
-                "a name has 1 to {MAX_OPERATOR_BYTES} bytes and no control characters"
+                "the operator's name has {} bytes: it must have 1 to {MAX_OPERATOR_BYTES} and no control characters",
+                request.name.len()
             )));
         }
         let current = self.current.as_ref().filter(|_| !self.unreadable).ok_or(Answer::NotAgreed)?;
@@ -327,9 +328,11 @@
         let baseline = match request.trial {
             None => None,
             Some(trial) if !trial.is_valid() => {
-                return Err(refused(
-                    &"a trial takes 10 s to an hour, and a loss of 1,000 thousandths at most",
-                ));
+                return Err(refused(&format!(
+                    "the trial lasts {} s with a least loss of {} thousandths: \
+                     allowed are 10 to 3600 s, at most 1000 thousandths, and a class name of at most {MAX_REASON_BYTES} bytes",
+                    trial.duration_s, trial.min_loss_permille
+                )));
             }
             Some(trial) => match self.history.baseline(now_ms, &trial) {
                 Some(before) => Some(TrialBaseline { trial, before }),
@@ -427,7 +430,7 @@
         let Ok((state, (old, new))) = read else {
             // All fronts of this release are fenced then, rather than apply another policy than the fronts that can read it.
             self.unreadable = true;
-            let reason = "the register of the policy says what this edition cannot read".to_owned();
+            let reason = UnreadableRegister.to_string();
             out.push(Effect::CannotApply(reason));
             return;
         };
--- a/crates/policy/src/governor/view.rs
+++ b/crates/policy/src/governor/view.rs
@@ -65,7 +65,11 @@
             rows.push(("in force", format!("version {version}, {step}")));
         }
         if self.unreadable {
-            rows.push(("stuck", "a later edition wrote what this one cannot read".into()));
+            rows.push((
+                "stuck",
+                "this release cannot decode the policy's register; a later release may have written it"
+                    .into(),
+            ));
         }
         if let Some(reason) = &self.inapplicable {
             rows.push(("stuck", reason.clone()));
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PolicyError {
     /// It is too long, as submitted or in canonical form.
-    #[error("the policy has {bytes} bytes, {limit} at most")]
+    #[error("the policy has {bytes} bytes; at most {limit} are allowed")]
     TooLong {
         /// Its length, bytes.
         bytes: usize,
@@ -30,7 +30,7 @@
     #[error("{0}")]
     Faults(String),
     /// It differs from its canonical form, so two fronts could read it differently.
-    #[error("the policy does not read as it is written")]
+    #[error("the policy's text is not in canonical form")]
     NotCanonical,
 }
 
@@ -187,7 +187,7 @@
         (fleet.classes, fleet.tenants) = (classes, tenants);
         let invalid = |e: PolicyError| ImmutableField {
             field: "the policy".into(),
-            reason: format!("with the classes and tenants that stay closed: {e}"),
+            reason: format!("with the former classes and tenants, which stay as closed: {e}"),
         };
         Self::from_fleet(&fleet).map_err(invalid)
     }
@@ -211,7 +211,7 @@
 pub(crate) fn check_immutable(old: &FleetSettings, new: &FleetSettings) -> Result<(), ImmutableField> {
     if old.ladder.len() != new.ladder.len() {
         let reason = format!(
-            "sessions, nodes and messages name rungs by their place, and {} stand where {} are asked for",
+            "sessions, nodes and messages refer to rungs by index; the policy has {} rungs, the requested one {}",
             old.ladder.len(),
             new.ladder.len()
         );
@@ -222,7 +222,8 @@
         let Some(was) = old.classes.iter().find(|c| c.front.name == *name) else { continue };
         let flags = |c: &FleetClass| [("live", c.class.live), ("ingest", c.front.ingest)];
         if let Some(((field, _), _)) = flags(class).iter().zip(flags(was)).find(|(new, old)| *new != old) {
-            let reason = "sessions under way were set up as what the class is; make another class".into();
+            let reason =
+                "sessions in progress depend on the former value; define another class instead".into();
             return Err(ImmutableField { field: format!("class {name}: {field}"), reason });
         }
     }
--- a/crates/policy/tests/transcripts.rs
+++ b/crates/policy/tests/transcripts.rs
@@ -134,19 +134,19 @@
                         .map(|(n, t)| format!("{n} {}", t.quota_per_s))
                         .collect();
                     self.log_line(&format!(
-                        "front {me} goes by version {version}, {step}: quotas {}",
+                        "front {me} applies version {version}, {step}: quotas {}",
                         quotas.join(", ")
                     ));
                 }
                 Effect::Confirm(number) => {
                     self.fronts[i].confirmed = number;
-                    self.log_line(&format!("front {me} vouches for entry {number}"));
+                    self.log_line(&format!("front {me} confirms entry {number}"));
                 }
                 Effect::Answer { key, answer } => {
-                    self.log_line(&format!("front {me} tells who asked with key {key}: {answer}"))
+                    self.log_line(&format!("front {me} answers key {key}: {answer}"))
                 }
                 Effect::CannotApply(reason) => {
-                    self.log_line(&format!("front {me} cannot go by what was decided: {reason}"))
+                    self.log_line(&format!("front {me} cannot apply the agreed policy: {reason}"))
                 }
             }
         }
@@ -206,7 +206,7 @@
             let turned = f.had_lease != holds;
             f.had_lease = holds;
             if turned {
-                let what = if holds { "holds again" } else { "has no hold any more: it is fenced" };
+                let what = if holds { "has its lease again" } else { "has lost its lease: it is fenced" };
                 self.log_line(&format!("front {} {what}", i + 1));
             }
         }
@@ -218,7 +218,7 @@
         let least = self.fronts.iter().filter(|f| f.had_lease).map(|f| f.confirmed).min().unwrap_or(all);
         if self.has_majority && least > self.stable {
             self.stable = least;
-            self.log_line(&format!("entry {least} is settled"));
+            self.log_line(&format!("entry {least} is stable"));
         }
         for i in 0..self.fronts.len() {
             let (settled, f) = (self.stable, &mut self.fronts[i]);
