--- a/crates/fleet/src/agreement.rs
+++ b/crates/fleet/src/agreement.rs
@@ -25,13 +25,13 @@
     /// The node of the replicated log.
     pub node: node::Settings,
     /// The stored state, if this front is a voter.
-    pub kept: Option<StoredState>,
+    pub stored_state: Option<StoredState>,
     /// The policy in this front's file, if this front may propose it to a fleet that has none.
-    pub seed: Option<Policy>,
+    pub initial_policy: Option<Policy>,
     /// The longest patience of a class in this front's file, milliseconds.
     pub patience_ms: u64,
     /// Whether the front serves by its file while it does not know the voters yet.
-    pub serve_unknown: bool,
+    pub serve_before_contact: bool,
 }
 
 /// What the agreement needs to know of the engine that runs under the policy.
@@ -176,8 +176,9 @@
     governor: Governor,
     engine: Box<dyn PolicyEngine>,
     lease_ms: u64,
+    /// The longest patience of a class in the file or in any policy activated since, milliseconds.
     patience_ms: u64,
-    serve_unknown: bool,
+    serve_before_contact: bool,
     /// Entries to confirm, each with the entry whose policy was active when it was applied.
     unconfirmed: VecDeque<(u64, u64)>,
     /// The entry whose policy is active.
@@ -197,12 +198,12 @@
             ..Timing::default()
         };
         let mut new = Self {
-            node: Node::new(settings.node, settings.kept, now_ms),
-            governor: Governor::new(me, timing, settings.seed),
+            node: Node::new(settings.node, settings.stored_state, now_ms),
+            governor: Governor::new(me, timing, settings.initial_policy),
             engine: Box::new(NoEngine),
             lease_ms,
             patience_ms: settings.patience_ms,
-            serve_unknown: settings.serve_unknown,
+            serve_before_contact: settings.serve_before_contact,
             unconfirmed: VecDeque::new(),
             active_entry: 0,
             governor_ticked_ms: 0,
@@ -228,7 +229,7 @@
     /// while it has its lease, no front goes beyond the first step of the change.
     pub fn fenced(&self, now_ms: u64) -> bool {
         if !self.node.knows_voters() {
-            return !self.serve_unknown;
+            return !self.serve_before_contact;
         }
         !self.node.holds_lease(now_ms.saturating_add(self.patience_ms))
     }
@@ -271,8 +272,8 @@
     }
 
     /// The store was recreated with this state.
-    pub fn store_recreated(&mut self, kept: StoredState) {
-        self.node.store_recreated(kept);
+    pub fn store_recreated(&mut self, state: StoredState) {
+        self.node.store_recreated(state);
     }
 
     /// An operator requests a change of the policy.
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -153,7 +153,7 @@
 impl Fleet {
     /// Starts a front with the records from its store. `now_ms` is Unix time, milliseconds, here and in all methods.
     #[must_use]
-    pub fn new(settings: Settings, kept: Vec<Record>, now_ms: u64) -> Self {
+    pub fn new(settings: Settings, stored: Vec<Record>, now_ms: u64) -> Self {
         let (me, run) = (settings.exchange.me, settings.exchange.run);
         let (seeds, seed) = (settings.exchange.peers.clone(), settings.exchange.seed);
         let membership = settings.membership.map(|v| {
@@ -175,7 +175,7 @@
             .and_then(|d| d.kinds.iter().map(|k| k.period_ms).min())
             .unwrap_or(READING_LIFETIME_MS);
         Self {
-            exchange: Exchange::new(settings.exchange, kept, now_ms),
+            exchange: Exchange::new(settings.exchange, stored, now_ms),
             duties: settings.duties.filter(|_| membership.is_some()).map(|d| DutyScheduler::new(d, now_ms)),
             copies: settings.copies.filter(|_| membership.is_some()).map(|c| Copies::new(c, now_ms)),
             agreement: settings.agreement.filter(|_| membership.is_some()).map(|a| Agreement::new(a, now_ms)),
@@ -310,9 +310,9 @@
     }
 
     /// Takes the state of the store that [`Output::RecreateStore`] requested.
-    pub fn store_recreated(&mut self, kept: pepperhook_agreement::StoredState) {
+    pub fn store_recreated(&mut self, state: pepperhook_agreement::StoredState) {
         if let Some(a) = &mut self.agreement {
-            a.store_recreated(kept);
+            a.store_recreated(state);
         }
     }
 
--- a/crates/front/src/agreement.rs
+++ b/crates/front/src/agreement.rs
@@ -115,10 +115,10 @@
             proposal_timeout_ms: PROPOSAL_TIMEOUT_MS,
             seed: rand::random(),
         },
-        kept,
-        seed,
+        stored_state: kept,
+        initial_policy: seed,
         patience_ms: ms(config.classes.iter().map(|c| c.patience).max().unwrap_or(0)),
-        serve_unknown: a.serve_before_contact,
+        serve_before_contact: a.serve_before_contact,
     };
     Ok(Some((settings, voter_store)))
 }
--- a/crates/policy/src/answer.rs
+++ b/crates/policy/src/answer.rs
@@ -15,8 +15,8 @@
     /// A first step whose entry is not stable after this time is rolled back. It is several times the lease, so that a front
     /// that is down does not cause that: its lease expires first.
     pub first_step_timeout_ms: u32,
-    /// Delay before fronts other than the leader propose the next step: half of it for the change's author, one to four times
-    /// it for the others.
+    /// Delay before fronts other than the leader propose the next step: half of it for the change's author, one to four
+    /// times it for the others.
     pub proposal_delay_ms: u64,
     /// Interval at which a proposal is repeated while the register does not change.
     pub repeat_ms: u64,
--- a/crates/policy/src/governor.rs
+++ b/crates/policy/src/governor.rs
@@ -1,9 +1,10 @@
 //! The governor: one front's part in a change of the policy.
 //!
-//! Two rules keep the fronts consistent. A front confirms an entry only after it has applied it, and the next step is proposed
-//! only when the entry of the former step is stable: then every front with a lease has applied that step, and a front
-//! without a lease is fenced. Any front may propose a step: a command is applied only if the register was not written since
-//! the entry that the command expects, and its key is derived from that entry, so all fronts propose the same command.
+//! Two rules keep the fronts consistent. A front confirms an entry only after it has applied it, and the next step is
+//! proposed only when the entry of the former step is stable: then every front with a lease has applied that step, and a
+//! front without a lease is fenced. Any front may propose a step: a command is applied only if the register was not
+//! written since the entry that the command expects, and its key is derived from that entry, so all fronts propose the
+//! same command.
 
 use crate::answer::{Answer, Effect, Inapplicable, MAX_OPERATOR_BYTES, PolicyRequest, Timing};
 use crate::change::{
@@ -87,6 +88,7 @@
     origin: Origin,
     base_version: u64,
     since_ms: u64,
+    /// The register has shown its first step, and the requester was answered so.
     accepted: bool,
     /// Key of the proposed command.
     command: u128,
@@ -104,23 +106,32 @@
     /// The entry that wrote the register; 0 if none did.
     register: u64,
     current: Option<CurrentRegister>,
+    /// The register's bytes could not be decoded.
     unreadable: bool,
+    /// The policy that this front applies: version, step, document.
     active: Option<(u64, &'static str, Policy)>,
+    /// Why this front cannot apply the policy that the register requires, if so.
     inapplicable: Option<String>,
+    /// When it was last checked whether this front can apply that policy.
     checked_ms: u64,
+    /// The last entry that this front processed.
     last_applied: u64,
+    /// The last entry that this front confirmed.
     confirmed: u64,
+    /// The last entry known to be confirmed by every front with a lease.
     stable: u64,
     /// The register's entry at the last proposal, and the time of that.
     proposed: Option<(u64, u64)>,
+    /// Requests without a final answer, by key.
     pending: BTreeMap<u128, PendingRequest>,
+    /// Final answers, by key, oldest first.
     answers: VecDeque<(u128, Answer)>,
     history: History,
 }
 
 impl Governor {
-    /// A governor without any state. `initial_policy` is the policy in the front's file, if this front may propose it to a fleet
-    /// that has none.
+    /// A governor without any state. `initial_policy` is the policy in the front's file, if this front may propose it to a
+    /// fleet that has none.
     #[must_use]
     pub fn new(me: u64, timing: Timing, initial_policy: Option<Policy>) -> Self {
         Self {
@@ -513,8 +524,8 @@
         out.push(self.put(Key(key), number, body));
     }
 
-    /// Delay before this front proposes a step, milliseconds: none for the leader, a short one for the change's author, and a
-    /// longer one that differs between the other fronts, because one proposal is enough.
+    /// Delay before this front proposes a step, milliseconds: none for the leader, a short one for the change's author, and
+    /// a longer one that differs between the other fronts, because one proposal is enough.
     fn proposal_delay_ms(&self, author: u64) -> u64 {
         if self.context.is_leader {
             return 0;
--- a/crates/policy/src/trial.rs
+++ b/crates/policy/src/trial.rs
@@ -168,8 +168,8 @@
         &self.last
     }
 
-    /// The requests that a trial measures, over a period of its length until now; `None` if the samples do not reach back that
-    /// far.
+    /// The requests that a trial measures, over a period of its length until now; `None` if the samples do not reach back
+    /// that far.
     pub(crate) fn baseline(&self, now_ms: u64, trial: &Trial) -> Option<RequestCounts> {
         let from = now_ms.checked_sub(trial.duration_ms())?;
         let (_, then) = self.samples.iter().rev().find(|(at, _)| *at <= from)?;
--- a/crates/policy/tests/documents.rs
+++ b/crates/policy/tests/documents.rs
@@ -369,14 +369,14 @@
     let body = back.encode().expect("it fits");
     assert_eq!(RegisterState::decode(&body), Ok(back));
     let undone = Some(UndoneChange { version: u64::MAX, origin: origin.clone(), by: u64::MAX, reason });
-    let stands = RegisterState::Active {
+    let active = RegisterState::Active {
         version: u64::MAX,
         highest_version: u64::MAX,
         policy: most("a"),
         origin,
         undone,
     };
-    assert!(stands.encode().is_some());
+    assert!(active.encode().is_some());
     // Only the first of many faults are listed.
     let bad: String = (0..3_000).map(|i| format!("x{i}\n")).collect();
     let e = Policy::parse("p", &bad[..MAX_REQUEST_BYTES.min(bad.len())]).expect_err("faults").to_string();
--- a/crates/policy/tests/governor.rs
+++ b/crates/policy/tests/governor.rs
@@ -24,7 +24,7 @@
     Command { key: Key(key), author: 9, operation: Operation::Put { subject: SUBJECT, expects, body } }
 }
 
-fn stands(version: u64, text: &str) -> Vec<u8> {
+fn active_state(version: u64, text: &str) -> Vec<u8> {
     let policy = Policy::parse("policy", text).expect("a policy").text().to_owned();
     let origin = Origin { key: version.into(), front: 9, name: "ana".into() };
     RegisterState::Active { version, highest_version: version, policy, origin, undone: None }
@@ -33,17 +33,17 @@
 }
 
 /// One front's governor and the agreed registers.
-struct One {
+struct Bench {
     governor: Governor,
     state: Registers,
 }
 
-impl One {
+impl Bench {
     fn new() -> Self {
-        let mut one =
+        let mut bench =
             Self { governor: Governor::new(1, Timing::default(), None), state: Registers::default() };
-        one.decide(put(1, 0, stands(1, TEXT)));
-        one
+        bench.decide(put(1, 0, active_state(1, TEXT)));
+        bench
     }
 
     fn decide(&mut self, command: Command) -> (Entry, Vec<Effect>) {
@@ -70,39 +70,39 @@
 
 #[test]
 fn what_others_write_is_vouched_for_and_changes_nothing() {
-    let mut one = One::new();
+    let mut bench = Bench::new();
     let other = Operation::Put { subject: Subject { space: 2, number: 0 }, expects: 0, body: vec![1] };
-    let (entry, out) = one.decide(Command { key: Key(5), author: 2, operation: other });
+    let (entry, out) = bench.decide(Command { key: Key(5), author: 2, operation: other });
     assert_eq!(out, [Effect::Confirm(entry.number)]);
-    assert_eq!(one.governor.active_policy().map(|f| (f.0, f.1)), Some((1, "stands")));
+    assert_eq!(bench.governor.active_policy().map(|f| (f.0, f.1)), Some((1, "stands")));
 }
 
 #[test]
 fn a_command_that_comes_again_changes_nothing() {
-    let mut one = One::new();
-    let second = put(2, 1, stands(2, &TEXT.replace("800ms", "700ms")));
-    one.decide(second.clone());
-    one.decide(put(3, 2, stands(3, TEXT)));
-    let (entry, out) = one.decide(second);
+    let mut bench = Bench::new();
+    let second = put(2, 1, active_state(2, &TEXT.replace("800ms", "700ms")));
+    bench.decide(second.clone());
+    bench.decide(put(3, 2, active_state(3, TEXT)));
+    let (entry, out) = bench.decide(second);
     assert_eq!(out, [Effect::Confirm(entry.number)]);
-    assert_eq!(one.governor.active_policy().map(|f| f.0), Some(3));
+    assert_eq!(bench.governor.active_policy().map(|f| f.0), Some(3));
     // An entry that was processed before is ignored.
     let mut out = vec![];
-    one.governor.entry_applied(0, &entry, &Outcome::Applied, &AcceptsAll, &mut out);
+    bench.governor.entry_applied(0, &entry, &Outcome::Applied, &AcceptsAll, &mut out);
     assert!(out.is_empty());
 }
 
 #[test]
 fn a_body_that_cannot_be_read_stops_the_front_until_one_can() {
-    let mut one = One::new();
-    let (_, out) = one.decide(put(2, 1, vec![9, 9, 9]));
+    let mut bench = Bench::new();
+    let (_, out) = bench.decide(put(2, 1, vec![9, 9, 9]));
     assert!(matches!(&out[..], [Effect::CannotApply(_)]), "{out:?}");
-    let told = one.ask(0, 7, &TEXT.replace("800ms", "700ms"));
-    assert!(matches!(&told[..], [Effect::Answer { answer: Answer::NotAgreed, .. }]), "{told:?}");
+    let answers = bench.ask(0, 7, &TEXT.replace("800ms", "700ms"));
+    assert!(matches!(&answers[..], [Effect::Answer { answer: Answer::NotAgreed, .. }]), "{answers:?}");
     let mut out = vec![];
-    one.governor.tick(60_000, Context { register_known: true, is_leader: true }, &AcceptsAll, &mut out);
+    bench.governor.tick(60_000, Context { register_known: true, is_leader: true }, &AcceptsAll, &mut out);
     assert!(out.is_empty(), "{out:?}");
-    let (entry, out) = one.decide(put(3, 2, stands(2, &TEXT.replace("800ms", "700ms"))));
+    let (entry, out) = bench.decide(put(3, 2, active_state(2, &TEXT.replace("800ms", "700ms"))));
     assert!(
         matches!(&out[..], [Effect::Activate { version: 2, .. }, Effect::Confirm(n)] if *n == entry.number)
     );
@@ -110,11 +110,11 @@
 
 #[test]
 fn a_flood_of_changes_is_bounded_and_each_is_answered() {
-    let mut one = One::new();
+    let mut bench = Bench::new();
     let text = TEXT.replace("800ms", "700ms");
     let (mut proposed, mut busy) = (0, 0);
     for key in 100..200 {
-        match &one.ask(0, key, &text)[..] {
+        match &bench.ask(0, key, &text)[..] {
             [Effect::Propose(_)] => proposed += 1,
             [Effect::Answer { answer: Answer::Busy, .. }] => busy += 1,
             other => panic!("{other:?}"),
@@ -122,25 +122,27 @@
     }
     assert_eq!((proposed, busy), (16, 84));
     let mut out = vec![];
-    one.governor.tick(10_000, Context { register_known: true, is_leader: false }, &AcceptsAll, &mut out);
+    bench.governor.tick(10_000, Context { register_known: true, is_leader: false }, &AcceptsAll, &mut out);
     let unknown = out.iter().filter(|e| matches!(e, Effect::Answer { answer: Answer::Unknown, .. }));
     assert_eq!(unknown.count(), 16);
-    assert!(matches!(&one.ask(10_000, 300, &text)[..], [Effect::Propose(_)]), "there is room again");
+    assert!(matches!(&bench.ask(10_000, 300, &text)[..], [Effect::Propose(_)]), "there is room again");
 }
 
 #[test]
 fn what_stands_is_driven_by_nobody_and_what_is_proposed_is_proposed_again_now_and_then() {
-    let mut one = One::new();
-    let Some(Effect::Propose(first)) = one.ask(0, 7, &TEXT.replace("800ms", "700ms")).pop() else { panic!() };
-    one.decide(first);
+    let mut bench = Bench::new();
+    let Some(Effect::Propose(first)) = bench.ask(0, 7, &TEXT.replace("800ms", "700ms")).pop() else {
+        panic!()
+    };
+    bench.decide(first);
     let context = Context { register_known: true, is_leader: true };
     let mut proposals = vec![];
     let mut out = vec![];
-    one.governor.tick(100, context, &AcceptsAll, &mut out);
+    bench.governor.tick(100, context, &AcceptsAll, &mut out);
     assert!(out.is_empty(), "no entry is stable: {out:?}");
     for now in (200..7_000).step_by(200) {
-        one.governor.entry_stable(now, 2, &mut out);
-        one.governor.tick(now, context, &AcceptsAll, &mut out);
+        bench.governor.entry_stable(now, 2, &mut out);
+        bench.governor.tick(now, context, &AcceptsAll, &mut out);
         proposals.extend(out.drain(..).map(|e| (now, e)));
     }
     let at: Vec<u64> = proposals.iter().map(|(now, _)| *now).collect();
@@ -152,15 +154,16 @@
 
 #[test]
 fn a_front_says_in_what_its_file_differs_and_what_it_cannot_go_by() {
-    let one = One::new();
+    let bench = Bench::new();
     let file = |text: &str| Config::parse("front.conf", &format!("{OWN}{text}{MORE}")).expect("settings");
     let config = file(&TEXT.replace("aim 800ms", "aim 600ms"));
-    let said: Vec<String> = one.governor.differences_from(&config).iter().map(ToString::to_string).collect();
-    assert_eq!(said, ["class replay: aim: 600ms -> 800ms"]);
+    let differences: Vec<String> =
+        bench.governor.differences_from(&config).iter().map(ToString::to_string).collect();
+    assert_eq!(differences, ["class replay: aim: 600ms -> 800ms"]);
     // The front's file has a title of a class that the policy lacks.
     let mut governor = Governor::new(2, Timing::default(), None);
     let mut state = Registers::default();
-    state.apply(put(1, 0, stands(1, &TEXT.replace("class replay", "class vod"))));
+    state.apply(put(1, 0, active_state(1, &TEXT.replace("class replay", "class vod"))));
     let mut out = vec![];
     governor.load_snapshot(0, &state, &config, &mut out);
     let reason = "title t is of class replay, which the policy does not have";
--- a/crates/policy/tests/steps.rs
+++ b/crates/policy/tests/steps.rs
@@ -199,12 +199,12 @@
 
     fn entry(w: &World, command: Command) -> (Entry, Outcome) {
         let number = w.log.len() as u64 + 1;
-        let stands = applied_entries(w).last().map_or(0, |e| e.number);
+        let present = applied_entries(w).last().map_or(0, |e| e.number);
         let before = w.log.iter().find(|e| e.0.command.key == command.key).map(|e| e.1);
         let Operation::Put { expects, .. } = &command.operation else {
             panic!("no other command is proposed")
         };
-        let now = if *expects == stands { Outcome::Applied } else { Outcome::Stale(0) };
+        let now = if *expects == present { Outcome::Applied } else { Outcome::Stale(0) };
         (Entry { number, hash: ZERO_HASH, command }, before.unwrap_or(now))
     }
 
@@ -212,7 +212,7 @@
         let mut governor = Governor::new(i as u64, Self::pace(), None);
         let mut out = Vec::new();
         let (now, number) = (w.fronts.get(i).map_or(0, |f| f.now), w.log.len());
-        let last = applied_entries(w).last().expect("what stands").clone();
+        let last = applied_entries(w).last().expect("a policy").clone();
         let Operation::Put { body, .. } = last.command.operation else { panic!("a policy") };
         let at = last.number;
         governor.load_register(now, number as u64, Some((at, &body)), &self.policy_checker(i), &mut out);
@@ -286,10 +286,10 @@
     }
 
     fn actions(&self, w: &World, acts: &mut Vec<Act>) {
-        let stands = |i: usize, version| {
+        let completed = |i: usize, version| {
             w.fronts[i].governor.active_policy().is_some_and(|f| (f.0, f.1) == (version, "stands"))
         };
-        let may = |i: &usize| self.asks[*i] && !w.asked[*i] && (*i == 0 || !self.after || stands(*i, 2));
+        let may = |i: &usize| self.asks[*i] && !w.asked[*i] && (*i == 0 || !self.after || completed(*i, 2));
         acts.extend((0..2).filter(may).map(Act::Ask));
         if w.log.len() < self.entries {
             acts.extend((0..w.proposed.len()).map(Act::Decide));
