--- a/crates/front/src/engine/view.rs
+++ b/crates/front/src/engine/view.rs
@@ -79,7 +79,7 @@
     pub reservations: Vec<ReservationRow>,
     /// State of the agreement in the fleet; `None` if the settings configure no agreement.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub agreement: Option<pepperhook_fleet::AgreedShown>,
+    pub agreement: Option<pepperhook_fleet::AgreementView>,
     /// State of the replication; `None` if the settings configure none.
     pub replica: Option<ReplicaStatus>,
     /// Status of agreed policies; `None` until a policy arrives or the front is fenced.
