--- a/crates/front/src/agreement.rs
+++ b/crates/front/src/agreement.rs
@@ -6,8 +6,8 @@
 use crate::fleet_io::call_fleet;
 use crate::shell::Shell;
 use pepperhook_agreement::{Store, StoreError, StoreOp, StoredState};
-use pepperhook_fleet::{AgreedNote, AgreedSettings, Force, Means};
-use pepperhook_policy::{Answer, Ask, Policy};
+use pepperhook_fleet::{ActivePolicy, AgreementNote, AgreementSettings, PolicyEngine};
+use pepperhook_policy::{Answer, Policy, PolicyRequest};
 use pepperhook_settings::{ClassSettings, Config, name_hash};
 use serde_json::json;
 use std::cell::{Cell, RefCell};
@@ -88,7 +88,7 @@
 ///
 /// # Errors
 /// If the store cannot be opened, or the configuration makes no valid policy.
-pub fn prepare(config: &Config, run: u64) -> io::Result<Option<(AgreedSettings, Option<VoterStore>)>> {
+pub fn prepare(config: &Config, run: u64) -> io::Result<Option<(AgreementSettings, Option<VoterStore>)>> {
     let Some(a) = &config.agreement else { return Ok(None) };
     let (me, ms) = (name_hash(&config.name), |ns: u64| ns / 1_000_000);
     let opened = match &config.state_dir {
@@ -105,7 +105,7 @@
     // A voter proposes the policy in its configuration file if the fleet has none yet.
     let seed = voters.contains(&me).then(|| Policy::from_config(config)).transpose();
     let seed = seed.map_err(|e| io::Error::new(io::ErrorKind::InvalidInput, e.to_string()))?;
-    let settings = AgreedSettings {
+    let settings = AgreementSettings {
         node: pepperhook_agreement::node::Settings {
             me,
             run,
@@ -115,10 +115,10 @@
             proposal_timeout_ms: PROPOSAL_TIMEOUT_MS,
             seed: rand::random(),
         },
-        kept,
-        seed,
+        stored_state: kept,
+        initial_policy: seed,
         patience_ms: ms(config.classes.iter().map(|c| c.patience).max().unwrap_or(0)),
-        serve_unknown: a.serve_before_contact,
+        serve_before_contact: a.serve_before_contact,
     };
     Ok(Some((settings, voter_store)))
 }
@@ -181,7 +181,7 @@
                     }
                     Err(_) => false,
                 };
-                call_fleet(&shell, |fleet, now_ms, out| fleet.written(now_ms, batch, ok, out));
+                call_fleet(&shell, |fleet, now_ms, out| fleet.store_written(now_ms, batch, ok, out));
             }
             StoreJob::Replace => {
                 let VoterStore { store, path } = voter_store;
@@ -192,7 +192,7 @@
                 match tokio::task::spawn_blocking(replace).await {
                     Ok(Ok((store, kept))) => {
                         voter_store = VoterStore { store: Arc::new(store), path };
-                        call_fleet(&shell, |fleet, _, _| fleet.remade(kept));
+                        call_fleet(&shell, |fleet, _, _| fleet.store_recreated(kept));
                     }
                     Ok(Err(e)) => {
                         error!(
@@ -214,7 +214,7 @@
 /// Applies a policy to this front's configuration. A class that the policy closes is left out, and the engine then accepts
 /// no new sessions of it.
 fn merge_policy(config: &Config, policy: &Policy) -> Result<MergedPolicy, String> {
-    let mut merged = policy.over(config)?;
+    let mut merged = policy.apply_to(config)?;
     let open: Vec<bool> = merged.classes.iter().map(|c| !c.closed).collect();
     let mut keep = open.iter();
     merged.classes.retain(|_| keep.next().copied().unwrap_or(false));
@@ -224,14 +224,14 @@
 }
 
 /// Puts an agreed policy into force in the engine.
-pub fn apply_policy(shell: &Rc<Shell>, force: Force) {
-    let Force { entry, version, step, policy } = force;
+pub fn apply_policy(shell: &Rc<Shell>, force: ActivePolicy) {
+    let ActivePolicy { entry, version, step, policy } = force;
     match merge_policy(&shell.config, &policy) {
         Ok((settings, classes, tenants)) => {
             info!(event = "policy-in-force", version, step, entry, "an agreed policy is in force");
             shell.drive(Input::Policy { version: entry, settings, classes, tenants });
         }
-        // `fits` has accepted the policy before, so this is a defect of the program. A policy that is not in force here is
+        // `check_policy` has accepted the policy before, so this is a defect of the program. A policy that is not in force here is
         // never confirmed to the other fronts.
         Err(reason) => {
             error!(
@@ -249,14 +249,14 @@
 /// Checks policies against this front's engine, for the agreement.
 pub struct EnginePolicyCheck(pub Weak<Shell>);
 
-impl Means for EnginePolicyCheck {
-    fn fits(&self, policy: &Policy) -> Result<(), String> {
+impl PolicyEngine for EnginePolicyCheck {
+    fn check_policy(&self, policy: &Policy) -> Result<(), String> {
         let Some(shell) = self.0.upgrade() else { return Ok(()) };
         let (settings, classes, tenants) = merge_policy(&shell.config, policy)?;
         shell.engine(|e, _| e.check_policy(&settings, &classes, &tenants)).map_err(|e| e.0)
     }
 
-    fn decides_by(&self) -> Option<u64> {
+    fn oldest_entry_in_use(&self) -> Option<u64> {
         self.0.upgrade().and_then(|shell| shell.engine(|e, _| e.earliest_policy_version()))
     }
 }
@@ -274,39 +274,39 @@
 }
 
 /// Logs a note of the agreement.
-pub fn log_note(note: &AgreedNote) {
+pub fn log_note(note: &AgreementNote) {
     use pepperhook_agreement::node::Note;
     match note {
-        AgreedNote::Held(true) => {
+        AgreementNote::Held(true) => {
             info!(
                 event = "agreement-holds",
                 "this front holds a lease: no later change takes effect without its confirmation"
             )
         }
-        AgreedNote::Held(false) => {
+        AgreementNote::Held(false) => {
             warn!(
                 event = "agreement-hold-lost",
                 "this front's lease expired and no majority of the voters renews it: set-ups are refused"
             );
         }
-        AgreedNote::Stuck(reason) => {
+        AgreementNote::Stuck(reason) => {
             warn!(
                 event = "policy-stuck",
                 why = reason,
                 "this front cannot apply the agreed policy: set-ups are refused"
             );
         }
-        AgreedNote::Node(note @ Note::Forked { .. }) => {
+        AgreementNote::Node(note @ Note::Forked { .. }) => {
             error!(
                 event = "agreement-forked",
                 ?note,
                 "this front's log differs from the agreed one: it is not used"
             );
         }
-        AgreedNote::Node(note @ (Note::Disk | Note::Broken | Note::OldStore)) => {
+        AgreementNote::Node(note @ (Note::Disk | Note::Broken | Note::OldStore)) => {
             error!(event = "agreement-votes-no-more", ?note, "this front does not vote until restart");
         }
-        AgreedNote::Node(note) => info!(event = "agreement", ?note, "the state of the agreement changed"),
+        AgreementNote::Node(note) => info!(event = "agreement", ?note, "the state of the agreement changed"),
     }
 }
 
@@ -327,9 +327,9 @@
 
 /// Requests a change of the policy and waits for the answer: that it is accepted or refused, or with `wait`, that it is
 /// completed or undone. `None` if too many operators wait, or the front stops.
-pub async fn request_policy_change(shell: &Rc<Shell>, ask: Ask, wait: bool) -> Option<Answer> {
+pub async fn request_policy_change(shell: &Rc<Shell>, ask: PolicyRequest, wait: bool) -> Option<Answer> {
     let mut answers = shell.fleet_io.agreement.subscribe(ask.key)?;
-    call_fleet(shell, |fleet, now_ms, out| fleet.ask_policy(now_ms, ask, out));
+    call_fleet(shell, |fleet, now_ms, out| fleet.request_policy_change(now_ms, ask, out));
     loop {
         match answers.recv().await? {
             Answer::Accepted { .. } if wait => {}
