--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -3,11 +3,11 @@
 use crate::Exit;
 use clap::Subcommand;
 use pepperhook_rehearse::agreement::plan::{Plan, Trouble, Variation as AgreementVariation};
-use pepperhook_rehearse::conduct::play;
 use pepperhook_rehearse::day::{Day, Shared, bad_day};
-use pepperhook_rehearse::duties::many::many;
-use pepperhook_rehearse::duties::net::Options;
+use pepperhook_rehearse::duties::large_fleet::many;
+use pepperhook_rehearse::duties::simulation::Options;
 use pepperhook_rehearse::peak::Variation;
+use pepperhook_rehearse::runner::play;
 use std::path::PathBuf;
 
 /// What is rehearsed.
--- a/crates/cli/tests/process.rs
+++ b/crates/cli/tests/process.rs
@@ -202,7 +202,7 @@
         let dir = tempfile::tempdir().expect("a folder");
         let day = pepperhook_rehearse::day::bad_day(1, 2, 10.0);
         let program = Path::new(env!("CARGO_BIN_EXE_pepperhook"));
-        let played = pepperhook_rehearse::conduct::play(&day, program, dir.path(), |_| {})
+        let played = pepperhook_rehearse::runner::play(&day, program, dir.path(), |_| {})
             .await
             .expect("it was played");
         assert!(played.breaches.is_empty(), "{:#?}", played.breaches);
--- a/crates/playout/src/lib.rs
+++ b/crates/playout/src/lib.rs
@@ -8,9 +8,9 @@
 //! Written from the published specifications for rehearsals and tests on loopback; figures from it are
 //! simulated.
 
-mod face;
 mod node;
 pub mod record;
+mod server;
 
-pub use face::{Stand, start};
 pub use node::{Command, Faults, Options, Rack, State};
+pub use server::{Stand, start};
--- a/crates/rehearse/src/agreement/judge.rs
+++ b/crates/rehearse/src/agreement/checker.rs
@@ -392,5 +392,5 @@
 }
 
 #[cfg(test)]
-#[path = "judge_tests.rs"]
+#[path = "checker_tests.rs"]
 mod tests;
--- a/crates/rehearse/src/agreement/figures.rs
+++ b/crates/rehearse/src/agreement/figures.rs
@@ -1,6 +1,6 @@
 //! Figures of a rehearsal of changes, from the same evidence as the judge's.
 
-use super::judge::{Evidence, late_conflicts, whole};
+use super::checker::{Evidence, late_conflicts, whole};
 use pepperhook_playout::record::What;
 use serde::Serialize;
 use std::collections::BTreeMap;
--- a/crates/rehearse/src/agreement/mod.rs
+++ b/crates/rehearse/src/agreement/mod.rs
@@ -4,11 +4,11 @@
 //! - [`plan`]: what is asked and what goes wrong when, as a file and from a seed.
 //! - [`run`]: plays a plan.
 //! - [`operators`]: those who ask for changes.
-//! - [`judge`]: the rules. It shares no code with what it judges.
+//! - [`checker`]: the rules. It shares no code with what it judges.
 //! - [`figures`]: times, service and refusals.
 
+pub mod checker;
 pub mod figures;
-pub mod judge;
 pub mod operators;
 pub mod plan;
 pub mod run;
--- a/crates/rehearse/src/agreement/operators.rs
+++ b/crates/rehearse/src/agreement/operators.rs
@@ -1,6 +1,6 @@
 //! Those who ask for changes of the policy: two operators, each at one front after the other, and those of a flood.
 
-use super::judge::{GUEST, MARKED, Told};
+use super::checker::{GUEST, MARKED, Told};
 use super::plan::{Plan, Want, Wish};
 use crate::wire::Connection;
 use pepperhook_playout::record::now;
@@ -192,7 +192,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::agreement::judge::value;
+    use crate::agreement::checker::value;
 
     #[test]
     fn one_field_of_one_class_is_another() {
--- a/crates/rehearse/src/agreement/run.rs
+++ b/crates/rehearse/src/agreement/run.rs
@@ -1,7 +1,7 @@
 //! Plays a plan on a fleet of processes behind relays.
 
+use super::checker::{Evidence, GUEST, MARKED, Shown, judge};
 use super::figures::{Figures, Impaired, figures};
-use super::judge::{Evidence, GUEST, MARKED, Shown, judge};
 use super::operators::{Operators, show};
 use super::plan::{Plan, Want, Wish, name};
 use crate::checker;
--- a/crates/rehearse/src/duties/many.rs
+++ b/crates/rehearse/src/duties/large_fleet.rs
@@ -1,7 +1,7 @@
 //! Large fleets in one process: what a death costs, what is done twice, and how many bytes it takes.
 
 use super::coverage::{Coverage, Terms, judge};
-use super::net::{Act, Net, Options};
+use super::simulation::{Act, Net, Options};
 use serde::Serialize;
 
 /// Coverage is judged from here; milliseconds.
--- a/crates/rehearse/src/duties/mod.rs
+++ b/crates/rehearse/src/duties/mod.rs
@@ -1,7 +1,7 @@
-//! Rehearsals of shared duties: many fronts in one process on a network in memory ([`net`]), or as processes on
-//! loopback ([`run`]); both are judged from what nodes heard ([`coverage`]). [`many`] measures large fleets.
+//! Rehearsals of shared duties: many fronts in one process on a network in memory ([`simulation`]), or as processes on
+//! loopback ([`run`]); both are judged from what nodes heard ([`coverage`]). [`large_fleet`] measures large fleets.
 
 pub mod coverage;
-pub mod many;
-pub mod net;
+pub mod large_fleet;
 pub mod run;
+pub mod simulation;
--- a/crates/rehearse/src/duties/run.rs
+++ b/crates/rehearse/src/duties/run.rs
@@ -2,8 +2,8 @@
 //! sockets heard.
 
 use super::coverage::{Coverage, Life, Probe, Terms, judge};
-use crate::conduct::{Fault, Outcome, play};
 use crate::day::{Between, Crowd, Day, Fleet, Kind, Shared, Trouble};
+use crate::runner::{Fault, Outcome, play};
 use pepperhook_playout::record::{Line, What};
 use serde::Serialize;
 use std::collections::BTreeMap;
--- a/crates/rehearse/src/peak.rs
+++ b/crates/rehearse/src/peak.rs
@@ -1,7 +1,7 @@
 //! The rehearsal of an announced peak: the same crowd with and without the announcement, and one called off.
 
-use crate::conduct::{Fault, Outcome, play};
 use crate::day::{Between, Crowd, Day, Fleet, Kind, Trouble};
+use crate::runner::{Fault, Outcome, play};
 use pepperhook_playout::record::{Line, What};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/rehearse/src/conduct/mod.rs
+++ b/crates/rehearse/src/runner/mod.rs
@@ -1,7 +1,7 @@
 //! Conducts a day: fronts and nodes as processes on loopback, viewers, troubles by the clock.
 
+mod faults;
 mod fleet;
-mod troubles;
 
 use crate::checker::{Breach, Terms, judge};
 use crate::day::{Day, Kind};
@@ -83,7 +83,7 @@
         let world = world.clone();
         tasks.push(spawn_local(async move {
             sleep_until(begin + Duration::from_secs_f64(trouble.at_s)).await;
-            if let Err(e) = troubles::cause(&world, i as u64, &trouble).await {
+            if let Err(e) = faults::cause(&world, i as u64, &trouble).await {
                 world.failed(e);
             }
         }));
--- a/crates/rehearse/tests/duties.rs
+++ b/crates/rehearse/tests/duties.rs
@@ -1,7 +1,7 @@
 //! Shared duties under what goes wrong between fronts: the real code of many fronts on a network in memory.
 
 use pepperhook_rehearse::duties::coverage::{Coverage, Terms, judge};
-use pepperhook_rehearse::duties::net::{Act, Net, Options};
+use pepperhook_rehearse::duties::simulation::{Act, Net, Options};
 
 const PERIOD: u64 = 1_000;
 const SUSPICION: u64 = 3_000;
@@ -110,7 +110,7 @@
     let c = coverage(&net, 9_000);
     assert!(c.breaches.is_empty() && c.twice < 0.05, "{c:?}");
     assert!((0..8).all(|i| net.view(i).len() == 8));
-    let runs = net.front(0).expect("front 0").view()[&pepperhook_rehearse::duties::net::number(3)].run;
+    let runs = net.front(0).expect("front 0").view()[&pepperhook_rehearse::duties::simulation::number(3)].run;
     assert_eq!(runs, 1_800_000_000_000 + 27_401, "its last run is the one that counts");
 }
 
