--- a/crates/cli/benches/saturation.rs
+++ b/crates/cli/benches/saturation.rs
@@ -64,11 +64,11 @@
                 let begin = Instant::now();
                 let second = Duration::from_secs(4);
                 let reply =
-                    c.exchange("POST", &path, &SDP, offer(n).as_bytes(), second).await.expect("an answer");
+                    c.request("POST", &path, &SDP, offer(n).as_bytes(), second).await.expect("an answer");
                 if reply.status == 201 {
                     times.borrow_mut().push(begin.elapsed().as_secs_f64() * 1e3);
                     let session = reply.header("location").expect("a session").to_owned();
-                    c.exchange("DELETE", &session, &[], b"", second).await.expect("an answer");
+                    c.request("DELETE", &session, &[], b"", second).await.expect("an answer");
                 }
             }
         }));
@@ -127,10 +127,8 @@
     for n in 1..=HELD {
         let path = format!("/whep/t?viewer=h{n}&top=0");
         let body = offer(n);
-        let reply = c
-            .exchange("POST", &path, &SDP, body.as_bytes(), Duration::from_secs(4))
-            .await
-            .expect("an answer");
+        let reply =
+            c.request("POST", &path, &SDP, body.as_bytes(), Duration::from_secs(4)).await.expect("an answer");
         held += u64::from(reply.status == 201);
     }
     let after = memory_kb(&front);
--- a/crates/cli/src/admin.rs
+++ b/crates/cli/src/admin.rs
@@ -43,7 +43,7 @@
         let headers = [("authorization", self.bearer.as_str()), ("content-type", "application/json")];
         let asked = async {
             let mut c = Connection::open(self.address).await?;
-            c.exchange(method, path, &headers, body, patience).await
+            c.request(method, path, &headers, body, patience).await
         };
         match asked.await {
             Ok(reply) if reply.status < 300 => Ok(reply.body),
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -4,8 +4,8 @@
 use pepperhook_front::Front;
 use pepperhook_playout::record::Recorder;
 use pepperhook_playout::{Faults, Options, start};
-use pepperhook_rehearse::day::Crowd;
-use pepperhook_rehearse::viewers::{Audience, FrontAt};
+use pepperhook_rehearse::day::ViewerSettings;
+use pepperhook_rehearse::viewers::{FrontEndpoint, ViewerPool};
 use pepperhook_settings::Config;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -41,7 +41,7 @@
         seed: u64::from(i),
         ..Options::default()
     };
-    let stands = match start((0..NODES).map(node).collect(), &Recorder::silent()).await {
+    let stands = match start((0..NODES).map(node).collect(), &Recorder::disabled()).await {
         Ok(stands) => Rc::new(stands),
         Err(e) => {
             eprintln!("pepperhook: {e}");
@@ -77,9 +77,9 @@
     println!("console   {}", front.console_url());
     println!("viewers   http://{}/whep/title-0", front.address());
     println!("Nodes and viewers are stand-ins: all figures are simulated.");
-    let fronts = vec![FrontAt { name: "demo".into(), address: Some(front.address()) }];
-    let crowd = Crowd { titles: TITLES, copies: 3, ..Crowd::default() };
-    let audience = Audience::new(crowd, "replay", fronts, Recorder::silent());
+    let fronts = vec![FrontEndpoint { name: "demo".into(), address: Some(front.address()) }];
+    let crowd = ViewerSettings { titles: TITLES, copies: 3, ..ViewerSettings::default() };
+    let audience = ViewerPool::new(crowd, "replay", fronts, Recorder::disabled());
     let viewers = spawn_local(arrive(audience, rate, seed));
     let troubled = stands.clone();
     let trouble = spawn_local(async move {
@@ -88,7 +88,7 @@
             sleep(Duration::from_secs(12)).await;
             let weak = |uplink| {
                 troubled.iter().skip(round as usize % 3).step_by(3).for_each(|s| {
-                    s.faults(Faults { uplink, ..Faults::default() });
+                    s.set_faults(Faults { uplink_left: uplink, ..Faults::default() });
                 })
             };
             weak(0.4);
@@ -133,12 +133,12 @@
     Exit::Done
 }
 
-async fn arrive(audience: Rc<Audience>, rate: f64, seed: u64) {
+async fn arrive(audience: Rc<ViewerPool>, rate: f64, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     for n in 0u64.. {
         let gap = -(1.0 - rng.random::<f64>()).ln() / rate;
         sleep(Duration::from_secs_f64(gap)).await;
         let title = (rng.random::<f64>().powi(2) * f64::from(TITLES)) as u32;
-        spawn_local(audience.clone().view(n, seed, title, None));
+        spawn_local(audience.clone().run_viewer(n, seed, title, None));
     }
 }
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -2,12 +2,12 @@
 
 use crate::Exit;
 use clap::Subcommand;
-use pepperhook_rehearse::agreement::plan::{Plan, Trouble, Variation as AgreementVariation};
-use pepperhook_rehearse::day::{Day, Shared, bad_day};
-use pepperhook_rehearse::duties::large_fleet::many;
+use pepperhook_rehearse::agreement::plan::{FaultPattern, Plan, Variation as AgreementVariation};
+use pepperhook_rehearse::day::{Day, DutySettings, bad_day};
+use pepperhook_rehearse::duties::large_fleet::measure;
 use pepperhook_rehearse::duties::simulation::Options;
 use pepperhook_rehearse::peak::Variation;
-use pepperhook_rehearse::runner::play;
+use pepperhook_rehearse::runner::run_day;
 use std::path::PathBuf;
 
 /// What is rehearsed.
@@ -159,18 +159,18 @@
             );
         }
         let (trouble, name) = match self.trouble {
-            Troubles::None => (Trouble::None, "none"),
-            Troubles::Dead => (Trouble::Dead, "dead"),
-            Troubles::Stopped => (Trouble::Stopped, "stopped"),
-            Troubles::Zone => (Trouble::Zone, "zone"),
-            Troubles::Random => (Trouble::Random, "random"),
+            Troubles::None => (FaultPattern::None, "none"),
+            Troubles::Dead => (FaultPattern::Dead, "dead"),
+            Troubles::Stopped => (FaultPattern::Stopped, "stopped"),
+            Troubles::Zone => (FaultPattern::Zone, "zone"),
+            Troubles::Random => (FaultPattern::Random, "random"),
         };
         let Self { seed, fronts, loss, seconds, changes, hold_ms, .. } = *self;
         let again = format!(
             "pepperhook rehearse agreement --seed {seed} --fronts {fronts} --loss {loss} --seconds {seconds} \
              --changes {changes} --hold-ms {hold_ms} --trouble {name}"
         );
-        let v = AgreementVariation { seed, fronts, loss, seconds, changes, hold_ms, trouble };
+        let v = AgreementVariation { seed, fronts, loss, seconds, changes, hold_ms, fault_pattern: trouble };
         Ok((Plan::random(&v), again))
     }
 }
@@ -197,7 +197,7 @@
             Self::Ask => (true, true),
         };
         day.fleet.exchange.get_or_insert_default();
-        day.fleet.duties = Some(Shared { period_s: 1.0, share, ask });
+        day.fleet.duties = Some(DutySettings { period_s: 1.0, share, ask });
     }
 }
 
@@ -243,8 +243,8 @@
             }
             if in_process {
                 let options = Options { fronts: fronts as usize, nodes, seed, loss, ..Options::default() };
-                let report = many(&options);
-                return finish(&report, &out, report.coverage.breaches.is_empty());
+                let report = measure(&options);
+                return finish(&report, &out, report.coverage.violations.is_empty());
             }
             return rehearse_duties(
                 &pepperhook_rehearse::duties::run::Variation { seed, fronts, loss },
@@ -320,8 +320,8 @@
             return Exit::Usage;
         }
     };
-    match play(day, &program, &dir, tell(out.quiet)).await {
-        Ok(outcome) => finish(&outcome.report, out, outcome.breaches.is_empty()),
+    match run_day(day, &program, &dir, tell(out.quiet)).await {
+        Ok(outcome) => finish(&outcome.report, out, outcome.violations.is_empty()),
         Err(e) => {
             eprintln!("pepperhook: {e}");
             Exit::Failed
@@ -339,7 +339,7 @@
     };
     match pepperhook_rehearse::duties::run::rehearse(v, &program, &dir, tell(out.quiet)).await {
         Ok(report) => {
-            let kept = report.rules_broken.is_empty() && report.coverage.breaches.is_empty();
+            let kept = report.rules_broken.is_empty() && report.coverage.violations.is_empty();
             finish(&report, out, kept)
         }
         Err(e) => {
@@ -357,17 +357,18 @@
             return Exit::Usage;
         }
     };
-    let exit = match pepperhook_rehearse::agreement::run::play(plan, &program, &dir, tell(out.quiet)).await {
-        Ok(report) => {
-            let exit = finish(&report, out, report.kept());
-            println!("{}", report.verdict());
-            exit
-        }
-        Err(e) => {
-            eprintln!("pepperhook: {e}");
-            Exit::Failed
-        }
-    };
+    let exit =
+        match pepperhook_rehearse::agreement::run::run_plan(plan, &program, &dir, tell(out.quiet)).await {
+            Ok(report) => {
+                let exit = finish(&report, out, report.passed());
+                println!("{}", report.summary());
+                exit
+            }
+            Err(e) => {
+                eprintln!("pepperhook: {e}");
+                Exit::Failed
+            }
+        };
     if exit == Exit::Failed {
         eprintln!("pepperhook: to play it again: {again}");
     }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -125,7 +125,7 @@
     raise_files();
     let recorder = match &record {
         Some(path) => Recorder::to_file("playout", path),
-        None => Ok(Recorder::silent()),
+        None => Ok(Recorder::disabled()),
     };
     let stands = match recorder {
         Ok(recorder) => start(nodes, &recorder).await,
--- a/crates/cli/tests/agreement.rs
+++ b/crates/cli/tests/agreement.rs
@@ -7,9 +7,9 @@
 use pepperhook_faults::fleet::{Fleet, Front, Options as FleetOptions, agree};
 use pepperhook_faults::schedule::{Kind, Store};
 use pepperhook_playout::record::Recorder;
-use pepperhook_playout::{Options, Stand, start};
+use pepperhook_playout::{NodeHandle, Options, start};
 use pepperhook_rehearse::viewers::offer;
-use pepperhook_rehearse::wire::{Connection, Reply};
+use pepperhook_rehearse::wire::{Connection, HttpResponse};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -24,9 +24,9 @@
 const SETTLED: Duration = Duration::from_secs(20);
 const AGREEMENT: &str = "section agreement\nvoter a\nvoter b\nvoter c\nhold 4s\n";
 
-async fn nodes() -> Vec<Stand> {
+async fn nodes() -> Vec<NodeHandle> {
     let options = |i: usize| Options { name: format!("n{i}"), rack: (i % 2) as u32, ..Options::default() };
-    start((0..4).map(options).collect(), &Recorder::silent()).await.expect("nodes")
+    start((0..4).map(options).collect(), &Recorder::disabled()).await.expect("nodes")
 }
 
 /// Settings with room for all: nobody is refused for want of it.
@@ -39,7 +39,7 @@
         + more
 }
 
-async fn fleet(dir: &Path, stands: &[Stand], more: impl Fn(&str) -> String) -> Fleet {
+async fn fleet(dir: &Path, stands: &[NodeHandle], more: impl Fn(&str) -> String) -> Fleet {
     let front = |n: &&str| Front { name: (*n).to_owned(), text: text(&more(n)) };
     let options = FleetOptions {
         program: PathBuf::from(env!("CARGO_BIN_EXE_pepperhook")),
@@ -55,7 +55,7 @@
 }
 
 /// Five fronts that agree on the policy of their files.
-async fn agreed(dir: &Path, stands: &[Stand]) -> Fleet {
+async fn agreed(dir: &Path, stands: &[NodeHandle]) -> Fleet {
     let fleet = fleet(dir, stands, |_| AGREEMENT.into()).await;
     until(&fleet, "all go by version 1", |s| s.len() == NAMES.len() && agree(s) && all_by(s, 1)).await;
     fleet
@@ -88,7 +88,7 @@
 async fn operator(at: SocketAddr, method: &str, path: &str, body: &str) -> (u16, Value) {
     let mut c = Connection::open(at).await.expect("a connection");
     let key = [("authorization", "Bearer key")];
-    let reply = c.exchange(method, path, &key, body.as_bytes(), SETTLED).await.expect("an answer");
+    let reply = c.request(method, path, &key, body.as_bytes(), SETTLED).await.expect("an answer");
     (reply.status, serde_json::from_slice(&reply.body).expect("JSON"))
 }
 
@@ -125,7 +125,7 @@
     entry: Option<u64>,
 }
 
-fn seen(asked: Instant, front: usize, reply: &Reply) -> Seen {
+fn seen(asked: Instant, front: usize, reply: &HttpResponse) -> Seen {
     let problem: Value = serde_json::from_slice(&reply.body).unwrap_or_default();
     let entry = reply.header("pepperhook-policy").and_then(|v| v.parse().ok());
     Seen {
@@ -142,10 +142,10 @@
     let asked = Instant::now();
     let mut c = Connection::open(at).await.ok()?;
     let path = format!("/whep/t?viewer=v{n}");
-    let reply = c.exchange("POST", &path, &[SDP], offer(n).as_bytes(), PATIENCE).await.ok()?;
+    let reply = c.request("POST", &path, &[SDP], offer(n).as_bytes(), PATIENCE).await.ok()?;
     let s = seen(asked, front, &reply);
     if let Some(resource) = reply.header("location").filter(|_| s.status == 201) {
-        let _ = c.exchange("DELETE", resource, &[], b"", SECOND).await;
+        let _ = c.request("DELETE", resource, &[], b"", SECOND).await;
     }
     Some(s)
 }
@@ -376,7 +376,7 @@
         // Who plays, plays on, and can leave.
         assert_eq!(fleet.state(3).await.expect("a state")["playing"], 1);
         let mut c = Connection::open(fleet.viewers(3)).await.expect("a connection");
-        let left = c.exchange("DELETE", &playing, &[], b"", SECOND).await.expect("an answer");
+        let left = c.request("DELETE", &playing, &[], b"", SECOND).await.expect("an answer");
         assert_eq!(left.status, 200);
         fleet.start_front(0, Store::Kept).await.expect("started");
         fleet.start_front(1, Store::Kept).await.expect("started");
@@ -390,7 +390,7 @@
 async fn post_kept(at: SocketAddr, n: u64) -> String {
     let mut c = Connection::open(at).await.expect("a connection");
     let path = format!("/whep/t?viewer=v{n}");
-    let reply = c.exchange("POST", &path, &[SDP], offer(n).as_bytes(), PATIENCE).await.expect("an answer");
+    let reply = c.request("POST", &path, &[SDP], offer(n).as_bytes(), PATIENCE).await.expect("an answer");
     assert_eq!(reply.status, 201);
     reply.header("location").expect("a resource").to_owned()
 }
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -2,10 +2,10 @@
 #![allow(dead_code)]
 
 use pepperhook_front::Front;
-use pepperhook_playout::record::{Line, Recorder, What};
-use pepperhook_playout::{Faults, Options, Stand, start};
+use pepperhook_playout::record::{Event, Line, Recorder};
+use pepperhook_playout::{Faults, NodeHandle, Options, start};
 use pepperhook_rehearse::viewers::offer;
-use pepperhook_rehearse::wire::{Connection, End, Reply};
+use pepperhook_rehearse::wire::{Connection, HttpResponse, ReadError};
 use pepperhook_settings::Config;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -65,7 +65,7 @@
     list
 }
 
-pub fn places(stands: &[Stand]) -> Vec<(String, SocketAddr)> {
+pub fn places(stands: &[NodeHandle]) -> Vec<(String, SocketAddr)> {
     stands.iter().map(|s| (s.name.clone(), s.address)).collect()
 }
 
@@ -78,7 +78,7 @@
 /// A front and its nodes.
 pub struct Rig {
     pub front: Front,
-    pub stands: Vec<Stand>,
+    pub stands: Vec<NodeHandle>,
     pub recorder: Recorder,
 }
 
@@ -101,7 +101,7 @@
     }
 
     pub fn all(&self, faults: Faults) {
-        self.stands.iter().for_each(|s| s.faults(faults));
+        self.stands.iter().for_each(|s| s.set_faults(faults));
     }
 
     pub async fn connect(&self) -> Connection {
@@ -110,10 +110,10 @@
 
     /// One POST for title `t` on a connection of its own.
     /// `viewer` may carry further arguments of the query.
-    pub async fn ask(&self, viewer: &str, request: u64) -> (Connection, Result<Reply, End>) {
+    pub async fn ask(&self, viewer: &str, request: u64) -> (Connection, Result<HttpResponse, ReadError>) {
         let mut c = self.connect().await;
         post(&mut c, viewer, request).await;
-        let reply = c.reply(Instant::now() + PATIENCE).await;
+        let reply = c.read_response(Instant::now() + PATIENCE).await;
         (c, reply)
     }
 
@@ -141,13 +141,13 @@
     pub fn assert_one_out(&self) {
         let mut open: std::collections::BTreeMap<(String, u64), String> = Default::default();
         for line in self.lines() {
-            match line.what {
-                What::Attempt { attempt, origin, .. } => {
+            match line.event {
+                Event::Attempt { attempt, origin, .. } => {
                     assert!(!open.values().any(|o| *o == origin), "two attempts out for {origin}");
-                    open.insert((line.who, attempt), origin);
+                    open.insert((line.source, attempt), origin);
                 }
-                What::Answered { attempt, .. } | What::Closed { attempt } => {
-                    open.remove(&(line.who, attempt));
+                Event::AttemptAnswered { attempt, .. } | Event::AttemptClosed { attempt } => {
+                    open.remove(&(line.source, attempt));
                 }
                 _ => {}
             }
@@ -170,7 +170,7 @@
 }
 
 /// The problem type at the end of its `urn`.
-pub fn problem(reply: &Reply) -> String {
+pub fn problem(reply: &HttpResponse) -> String {
     assert_eq!(reply.header("content-type"), Some("application/problem+json"));
     let v: serde_json::Value = serde_json::from_slice(&reply.body).expect("JSON");
     assert_eq!(v["status"].as_u64(), Some(u64::from(reply.status)));
--- a/crates/cli/tests/duties.rs
+++ b/crates/cli/tests/duties.rs
@@ -4,8 +4,8 @@
 
 use common::*;
 use pepperhook_front::Front;
-use pepperhook_playout::record::{Line, Recorder, What};
-use pepperhook_playout::{Faults, Options, Stand, start};
+use pepperhook_playout::record::{Event, Line, Recorder};
+use pepperhook_playout::{Faults, NodeHandle, Options, start};
 use pepperhook_settings::Config;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{SocketAddr, UdpSocket};
@@ -19,7 +19,7 @@
 
 struct Fleet {
     fronts: Vec<Option<Front>>,
-    stands: Vec<Stand>,
+    stands: Vec<NodeHandle>,
     recorder: Recorder,
     ports: Vec<SocketAddr>,
 }
@@ -61,15 +61,15 @@
     }
 
     fn probes(&self) -> Vec<Line> {
-        self.recorder.lines().into_iter().filter(|l| matches!(l.what, What::Probe { .. })).collect()
+        self.recorder.lines().into_iter().filter(|l| matches!(l.event, Event::Probe { .. })).collect()
     }
 
     /// Nodes that were asked since so many probes, and by whom.
     fn asked(&self, since: usize) -> (BTreeMap<String, usize>, BTreeSet<String>) {
         let (mut nodes, mut fronts) = (BTreeMap::new(), BTreeSet::new());
         for line in self.probes().into_iter().skip(since) {
-            *nodes.entry(line.who).or_default() += 1;
-            if let What::Probe { front } = line.what {
+            *nodes.entry(line.source).or_default() += 1;
+            if let Event::Probe { front } = line.event {
                 fronts.insert(front);
             }
         }
@@ -126,7 +126,7 @@
 fn a_node_that_does_not_answer_costs_its_duty_alone() {
     local(async {
         let fleet = Fleet::new(2, DUTIES).await;
-        fleet.stands[0].faults(Faults { hang: 1.0, ..Faults::default() });
+        fleet.stands[0].set_faults(Faults { hang: 1.0, ..Faults::default() });
         let failed = |f: &Fleet| {
             let of = |f: &Front| f.snapshot().duty_counters.map_or(0, |c| c.failed + c.timed_out);
             f.fronts.iter().flatten().map(of).sum::<u64>()
@@ -140,7 +140,7 @@
                 .await
                 .expect("a connection");
         post(&mut c, "v", 1).await;
-        let reply = c.reply(tokio::time::Instant::now() + PATIENCE).await.expect("an answer");
+        let reply = c.read_response(tokio::time::Instant::now() + PATIENCE).await.expect("an answer");
         assert_eq!(reply.status, 201);
         assert_eq!(fleet.stands[0].state().attempts, 0);
     });
@@ -156,7 +156,7 @@
             let mut c =
                 pepperhook_rehearse::wire::Connection::open(front.address()).await.expect("connected");
             post(&mut c, &format!("v{n}"), n).await;
-            let reply = c.reply(tokio::time::Instant::now() + PATIENCE).await.expect("an answer");
+            let reply = c.read_response(tokio::time::Instant::now() + PATIENCE).await.expect("an answer");
             assert_eq!(reply.status, 201, "request {n}");
             // A reading is fresh for a second; after that the module wants another.
             sleep(Duration::from_millis(1_100)).await;
@@ -190,14 +190,17 @@
         for n in 0..6 {
             let mut c = connect(front.address()).await.expect("connected");
             post(&mut c, &format!("v{n}"), n).await;
-            assert_eq!(c.reply(tokio::time::Instant::now() + PATIENCE).await.expect("an answer").status, 201);
+            assert_eq!(
+                c.read_response(tokio::time::Instant::now() + PATIENCE).await.expect("an answer").status,
+                201
+            );
         }
         let held = |f: &Fleet| f.fronts.iter().flatten().map(|f| f.snapshot().playing).sum::<usize>();
         let there = |f: &Fleet| f.stands.iter().map(|s| s.state().sessions).sum::<usize>();
         assert_eq!((held(&fleet), there(&fleet)), (6, 6));
         let stand = fleet.stands.iter().find(|s| s.state().sessions > 1).expect("six on four nodes");
         let mut c = connect(stand.address).await.expect("connected");
-        let list = c.exchange("GET", "/sessions", &[], b"", PATIENCE).await.expect("a list");
+        let list = c.request("GET", "/sessions", &[], b"", PATIENCE).await.expect("a list");
         let rows: serde_json::Value = serde_json::from_slice(&list.body).expect("JSON");
         // Not the one that carries the event stream: its end would be seen there.
         let last = rows.as_array().and_then(|r| r.last()).expect("rows");
@@ -206,16 +209,17 @@
         let headers = [SDP, ("via", via)];
         let offer = pepperhook_rehearse::viewers::offer(99);
         let reply =
-            c.exchange("POST", "/whep/t", &headers, offer.as_bytes(), PATIENCE).await.expect("an answer");
+            c.request("POST", "/whep/t", &headers, offer.as_bytes(), PATIENCE).await.expect("an answer");
         assert_eq!((reply.status, there(&fleet)), (201, 7));
         until("the stray one is deleted", || there(&fleet) == 6 && front.snapshot().strays == 1).await;
         assert_eq!(held(&fleet), 6, "and nothing else");
         // And one that its node lost without a word.
-        let reply = c.exchange("DELETE", path, &[], b"", PATIENCE).await.expect("an answer");
+        let reply = c.request("DELETE", path, &[], b"", PATIENCE).await.expect("an answer");
         assert_eq!(reply.status, 200);
         until("the lost one is ended", || held(&fleet) == 5 && front.snapshot().missing == 1).await;
         assert_eq!(there(&fleet), 5);
-        let lists = fleet.recorder.lines().iter().filter(|l| matches!(l.what, What::Listed { .. })).count();
+        let lists =
+            fleet.recorder.lines().iter().filter(|l| matches!(l.event, Event::SessionsListed { .. })).count();
         assert!(lists > 0);
     });
 }
--- a/crates/cli/tests/faults.rs
+++ b/crates/cli/tests/faults.rs
@@ -7,7 +7,7 @@
 use pepperhook_faults::fleet::{Fleet, Front, Options as FleetOptions, agree};
 use pepperhook_faults::schedule::{Again, Bounds, Kind, Schedule, Store, given};
 use pepperhook_playout::record::Recorder;
-use pepperhook_playout::{Options, Stand, start};
+use pepperhook_playout::{NodeHandle, Options, start};
 use pepperhook_rehearse::viewers::offer;
 use pepperhook_rehearse::wire::Connection;
 use serde_json::Value;
@@ -26,9 +26,9 @@
 /// The test as it is run by hand.
 const COMMAND: &str = "cargo test -p pepperhook-cli --test faults a_schedule";
 
-async fn nodes() -> Vec<Stand> {
+async fn nodes() -> Vec<NodeHandle> {
     let options = |i: usize| Options { name: format!("n{i}"), rack: (i % 2) as u32, ..Options::default() };
-    start((0..4).map(options).collect(), &Recorder::silent()).await.expect("nodes")
+    start((0..4).map(options).collect(), &Recorder::disabled()).await.expect("nodes")
 }
 
 fn text() -> String {
@@ -107,7 +107,7 @@
 }
 
 /// Four fronts behind relays, each with sessions that have their copies elsewhere.
-async fn filled(dir: &Path, stands: &[Stand]) -> (Fleet, u64) {
+async fn filled(dir: &Path, stands: &[NodeHandle]) -> (Fleet, u64) {
     let options = FleetOptions {
         program: PathBuf::from(env!("CARGO_BIN_EXE_pepperhook")),
         dir: dir.to_owned(),
@@ -138,7 +138,7 @@
 async fn ask(fleet: &Fleet, i: usize, n: u64) -> u16 {
     let mut c = Connection::open(fleet.viewers(i)).await.expect("a connection");
     let path = format!("/whep/t?viewer=v{n}");
-    let reply = c.exchange("POST", &path, &[SDP], offer(n).as_bytes(), PATIENCE).await;
+    let reply = c.request("POST", &path, &[SDP], offer(n).as_bytes(), PATIENCE).await;
     reply.expect("an answer").status
 }
 
--- a/crates/cli/tests/hostile.rs
+++ b/crates/cli/tests/hostile.rs
@@ -19,7 +19,7 @@
     body: &[u8],
 ) -> (u16, String, Option<String>) {
     let mut c = rig.connect().await;
-    let reply = c.exchange(method, path, headers, body, PATIENCE).await.expect("an answer");
+    let reply = c.request(method, path, headers, body, PATIENCE).await.expect("an answer");
     let kind = if reply.status >= 400 { problem(&reply) } else { String::new() };
     (reply.status, kind, reply.header("allow").map(str::to_owned))
 }
@@ -59,7 +59,7 @@
         }
         assert_eq!(rig.attempts(), 0, "no attempt goes out for what cannot be served");
         let mut c = rig.connect().await;
-        let reply = c.exchange("OPTIONS", "/whep/t", &[], b"", SECOND).await.expect("an answer");
+        let reply = c.request("OPTIONS", "/whep/t", &[], b"", SECOND).await.expect("an answer");
         assert_eq!((reply.status, reply.header("accept-post")), (204, Some("application/sdp")));
         assert_eq!(reply.header("access-control-allow-origin"), Some("*"));
     });
@@ -79,7 +79,7 @@
                         a=candidate:1 1 udp 1 192.0.2.1 61764 typ host\r\n";
         let patch = async |tag: &str, body: &[u8]| {
             let mut c = rig.connect().await;
-            c.exchange("PATCH", session, &[FRAGMENT, ("if-match", tag)], body, SECOND)
+            c.request("PATCH", session, &[FRAGMENT, ("if-match", tag)], body, SECOND)
                 .await
                 .expect("an answer")
         };
@@ -117,7 +117,7 @@
                     "a=ice-ufrag:{ufrag}\r\na=ice-pwd:0123456789012345678901\r\nm=audio 9 RTP/AVP 0\r\na=mid:0\r\n"
                 );
                 let mut c = rig.connect().await;
-                c.exchange("PATCH", &session, headers, body.as_bytes(), SECOND)
+                c.request("PATCH", &session, headers, body.as_bytes(), SECOND)
                     .await
                     .expect("an answer")
                     .status
@@ -137,14 +137,14 @@
     local(async {
         let tokens = "section token viewers\nsecret abc\nsection token studio\nsecret def\npublish yes\n";
         let all = settings(1, "") + tokens;
-        let recorder = pepperhook_playout::record::Recorder::silent();
+        let recorder = pepperhook_playout::record::Recorder::disabled();
         let stands = pepperhook_playout::start(vec![Default::default()], &recorder).await.expect("a node");
         let front = front_with(&all, &list(&places(&stands), 0)).await;
         let ask = async |kind: &str, token: &str| {
             let mut c = Connection::open(front.address()).await.expect("a connection");
             let body = if kind == "whip" { offer(1).replace("recvonly", "sendonly") } else { offer(1) };
             let headers = [SDP, ("authorization", token)];
-            c.exchange("POST", &format!("/{kind}/t"), &headers, body.as_bytes(), PATIENCE)
+            c.request("POST", &format!("/{kind}/t"), &headers, body.as_bytes(), PATIENCE)
                 .await
                 .expect("an answer")
         };
@@ -155,10 +155,7 @@
         assert_eq!(ask("whip", "Bearer abc").await.status, 403);
         assert_eq!(ask("whip", "bearer def").await.status, 201);
         let mut c = Connection::open(front.address()).await.expect("a connection");
-        assert_eq!(
-            c.exchange("DELETE", "/session/x", &[], b"", SECOND).await.expect("an answer").status,
-            401
-        );
+        assert_eq!(c.request("DELETE", "/session/x", &[], b"", SECOND).await.expect("an answer").status, 401);
     });
 }
 
@@ -175,7 +172,7 @@
             let mut body = offer(1_000 + i).into_bytes();
             let at = at.min(body.len());
             body.splice(at..(at + junk.len()).min(body.len()), junk);
-            let reply = c.exchange("POST", "/whep/t", &[SDP], &body, PATIENCE).await.expect("an answer");
+            let reply = c.request("POST", "/whep/t", &[SDP], &body, PATIENCE).await.expect("an answer");
             assert!(matches!(reply.status, 201 | 400 | 503), "{}", reply.status);
             refused += u64::from(reply.status == 400);
             if i % 50 == 0 {
@@ -196,7 +193,7 @@
         let body = vec![b'x'; 10 << 20];
         for _ in 0..10 {
             let mut c = Connection::open(address).await.expect("a connection");
-            let reply = c.exchange("POST", "/whep/t", &[SDP], &body, PATIENCE).await.expect("an answer");
+            let reply = c.request("POST", "/whep/t", &[SDP], &body, PATIENCE).await.expect("an answer");
             assert_eq!((reply.status, problem(&reply).as_str()), (413, "body-too-large"));
         }
         let grown = memory_kb(pid).saturating_sub(before);
@@ -211,13 +208,15 @@
         let mut c = rig.connect().await;
         let long = "x".repeat(1 << 20);
         // The front may close before all of it is sent.
-        let _ = c.raw(format!("POST /whep/t HTTP/1.1\r\nhost: x\r\nx: {long}\r\n\r\n").as_bytes()).await;
-        if let Ok(reply) = c.reply(Instant::now() + SECOND).await {
+        let _ = c.send_raw(format!("POST /whep/t HTTP/1.1\r\nhost: x\r\nx: {long}\r\n\r\n").as_bytes()).await;
+        if let Ok(reply) = c.read_response(Instant::now() + SECOND).await {
             assert_eq!(reply.status, 431);
         }
         let mut c = rig.connect().await;
-        c.raw(format!("GET / HTTP/1.1\r\nx: {}\r\n", "y".repeat(17 << 10)).as_bytes()).await.expect("sent");
-        assert_eq!(c.reply(Instant::now() + SECOND).await.expect("an answer").status, 431);
+        c.send_raw(format!("GET / HTTP/1.1\r\nx: {}\r\n", "y".repeat(17 << 10)).as_bytes())
+            .await
+            .expect("sent");
+        assert_eq!(c.read_response(Instant::now() + SECOND).await.expect("an answer").status, 431);
         rig.play("v", 1).await;
     });
 }
@@ -228,14 +227,14 @@
         let rig = Rig::new(1).await;
         let mut slow_body = rig.connect().await;
         let head = "POST /whep/t HTTP/1.1\r\nhost: x\r\ncontent-type: application/sdp\r\ncontent-length: 500\r\n\r\nv=0";
-        slow_body.raw(head.as_bytes()).await.expect("sent");
+        slow_body.send_raw(head.as_bytes()).await.expect("sent");
         let mut slow_head = rig.connect().await;
-        slow_head.raw(b"POST /whep/t HT").await.expect("sent");
+        slow_head.send_raw(b"POST /whep/t HT").await.expect("sent");
         rig.play("v", 1).await;
-        let reply = slow_body.reply(Instant::now() + SECOND).await.expect("an answer");
+        let reply = slow_body.read_response(Instant::now() + SECOND).await.expect("an answer");
         assert_eq!((reply.status, problem(&reply).as_str()), (408, "body-slow"));
         // A head that does not come has no request to answer: its connection is closed.
-        assert!(slow_head.reply(Instant::now() + 2 * SECOND).await.is_err());
+        assert!(slow_head.read_response(Instant::now() + 2 * SECOND).await.is_err());
     });
 }
 
@@ -262,7 +261,7 @@
         assert!(a_connection < 64.0, "{a_connection:.1} kB a connection");
         let mut c = Connection::open(address).await.expect("a connection");
         let reply =
-            c.exchange("POST", "/whep/t", &[SDP], offer(1).as_bytes(), PATIENCE).await.expect("an answer");
+            c.request("POST", "/whep/t", &[SDP], offer(1).as_bytes(), PATIENCE).await.expect("an answer");
         assert_eq!(reply.status, 503, "the front answers; its one node is not there");
         drop(idle);
     });
--- a/crates/cli/tests/peaks.rs
+++ b/crates/cli/tests/peaks.rs
@@ -5,8 +5,8 @@
 use common::*;
 use pepperhook_exchange::Keys;
 use pepperhook_peaks::Announcement;
-use pepperhook_playout::record::{Recorder, now};
-use pepperhook_playout::{Options, Stand, start};
+use pepperhook_playout::record::{Recorder, unix_nanos};
+use pepperhook_playout::{NodeHandle, Options, start};
 use pepperhook_rehearse::wire::Connection;
 use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
@@ -16,9 +16,9 @@
 
 const KEY: (&str, &str) = ("authorization", "Bearer key");
 
-async fn nodes() -> Vec<Stand> {
+async fn nodes() -> Vec<NodeHandle> {
     let options = |i: usize| Options { name: format!("n{i}"), rack: (i % 2) as u32, ..Options::default() };
-    start((0..4).map(options).collect(), &Recorder::silent()).await.expect("nodes")
+    start((0..4).map(options).collect(), &Recorder::disabled()).await.expect("nodes")
 }
 
 /// Free UDP addresses; the sockets are closed again, so that the fronts can have them.
@@ -34,7 +34,7 @@
 }
 
 fn announcement(name: &str, viewers: u32, start_in_ms: u64, lasts_ms: u64) -> Announcement {
-    let start_ms = now() / 1_000_000 + start_in_ms;
+    let start_ms = unix_nanos() / 1_000_000 + start_in_ms;
     Announcement {
         name: name.into(),
         titles: vec!["t".into()],
@@ -53,12 +53,12 @@
     method: &str,
     path: &str,
     body: &[u8],
-) -> pepperhook_rehearse::wire::Reply {
+) -> pepperhook_rehearse::wire::HttpResponse {
     let mut c = Connection::open(admin).await.expect("a connection");
-    c.exchange(method, path, &[KEY], body, PATIENCE).await.expect("an answer")
+    c.request(method, path, &[KEY], body, PATIENCE).await.expect("an answer")
 }
 
-async fn put(admin: SocketAddr, method: &str, a: &Announcement) -> pepperhook_rehearse::wire::Reply {
+async fn put(admin: SocketAddr, method: &str, a: &Announcement) -> pepperhook_rehearse::wire::HttpResponse {
     let path = if method == "POST" { "/peaks".to_owned() } else { format!("/peaks/{}", a.name) };
     change(admin, method, &path, &serde_json::to_vec(a).expect("JSON")).await
 }
@@ -80,7 +80,7 @@
     begin.elapsed().as_secs_f64()
 }
 
-async fn three(loss: &str) -> (Vec<pepperhook_front::Front>, Vec<Stand>) {
+async fn three(loss: &str) -> (Vec<pepperhook_front::Front>, Vec<NodeHandle>) {
     let (stands, ports) = (nodes().await, ports(3));
     let mut fronts = Vec::new();
     for i in 0..3 {
@@ -139,7 +139,7 @@
         // The end is part of the announcement: everybody gives back by the clock alone.
         until_held(fronts[0].admin(), "given back at the end", |kb| kb == 0.0).await;
         until_held(fronts[1].admin(), "given back at the end", |kb| kb == 0.0).await;
-        let late = (now() / 1_000_000).saturating_sub(a.end_ms);
+        let late = (unix_nanos() / 1_000_000).saturating_sub(a.end_ms);
         assert!(late < 2_000, "{late} ms after the end");
     });
 }
@@ -206,7 +206,7 @@
         let mut c = Connection::open(admin).await.expect("a connection");
         let cookie = [("cookie", "pepperhook-key=key")];
         assert_eq!(
-            c.exchange("DELETE", "/peaks/cup", &cookie, b"", SECOND).await.expect("an answer").status,
+            c.request("DELETE", "/peaks/cup", &cookie, b"", SECOND).await.expect("an answer").status,
             401
         );
     });
@@ -232,7 +232,7 @@
         let mut out = Vec::new();
         let body = serde_json::to_vec(&announcement("forged", 20, 1_000, 60_000)).expect("JSON");
         let id = pepperhook_exchange::Id { space: 1, number: pepperhook_settings::name_hash("forged") };
-        exchange.put(now() / 1_000_000, id, now() / 1_000_000 + 60_000, body, &mut out);
+        exchange.put(unix_nanos() / 1_000_000, id, unix_nanos() / 1_000_000 + 60_000, body, &mut out);
         for o in out {
             if let pepperhook_exchange::Output::Send(to, datagram) = o {
                 stranger.send_to(&datagram, to).expect("sent");
@@ -310,7 +310,7 @@
             let mut c = Connection::open(front.address()).await.expect("a connection");
             let body = pepperhook_rehearse::viewers::offer(n);
             let path = format!("/whep/{title}?viewer=v{n}&top=1");
-            c.exchange("POST", &path, &[SDP], body.as_bytes(), PATIENCE).await.expect("an answer").status
+            c.request("POST", &path, &[SDP], body.as_bytes(), PATIENCE).await.expect("an answer").status
         };
         let mut early = 0;
         for n in 0..30 {
--- a/crates/cli/tests/process.rs
+++ b/crates/cli/tests/process.rs
@@ -6,7 +6,7 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use pepperhook_playout::record::Recorder;
-use pepperhook_playout::{Faults, Options, Stand, start};
+use pepperhook_playout::{Faults, NodeHandle, Options, start};
 use pepperhook_rehearse::viewers::offer;
 use pepperhook_rehearse::wire::Connection;
 use std::net::SocketAddr;
@@ -15,12 +15,12 @@
 use tokio::process::{Child, Command};
 use tokio::time::{Instant, sleep, timeout};
 
-async fn nodes(n: usize) -> Vec<Stand> {
+async fn nodes(n: usize) -> Vec<NodeHandle> {
     let options = |i: usize| Options { name: format!("n{i}"), rack: (i % 2) as u32, ..Options::default() };
-    start((0..n).map(options).collect(), &Recorder::silent()).await.expect("nodes")
+    start((0..n).map(options).collect(), &Recorder::disabled()).await.expect("nodes")
 }
 
-async fn front(dir: &Path, stands: &[Stand]) -> (Child, SocketAddr, SocketAddr) {
+async fn front(dir: &Path, stands: &[NodeHandle]) -> (Child, SocketAddr, SocketAddr) {
     std::fs::write(dir.join("f.conf"), settings(stands.len(), "state-dir state")).expect("written");
     std::fs::write(dir.join("nodes.csv"), list(&places(stands), 0)).expect("written");
     restart(dir).await
@@ -35,9 +35,9 @@
 async fn ask(
     front: SocketAddr,
     n: u64,
-) -> Result<pepperhook_rehearse::wire::Reply, pepperhook_rehearse::wire::End> {
+) -> Result<pepperhook_rehearse::wire::HttpResponse, pepperhook_rehearse::wire::ReadError> {
     let mut c = Connection::open(front).await?;
-    c.exchange("POST", &format!("/whep/t?viewer=v{n}"), &[SDP], offer(n).as_bytes(), PATIENCE).await
+    c.request("POST", &format!("/whep/t?viewer=v{n}"), &[SDP], offer(n).as_bytes(), PATIENCE).await
 }
 
 #[test]
@@ -46,7 +46,7 @@
         let dir = tempfile::tempdir().expect("a folder");
         let stands = nodes(3).await;
         let (mut child, address, _) = front(dir.path(), &stands).await;
-        stands.iter().for_each(|s| s.faults(Faults { slow_ms: 300, ..Faults::default() }));
+        stands.iter().for_each(|s| s.set_faults(Faults { slow_ms: 300, ..Faults::default() }));
         let early: Vec<_> = (0..20).map(|n| tokio::task::spawn_local(ask(address, n))).collect();
         until("all are out", || stands.iter().map(|s| s.state().attempts).sum::<u64>() >= 20).await;
         let begin = Instant::now();
@@ -116,7 +116,7 @@
         assert_eq!(ask(address, 1).await.expect("an answer").status, 201);
         let get = async |path: &str, headers: &[(&str, &str)]| {
             let mut c = Connection::open(admin).await.expect("a connection");
-            c.exchange("GET", path, headers, b"", SECOND).await.expect("an answer")
+            c.request("GET", path, headers, b"", SECOND).await.expect("an answer")
         };
         assert_eq!(get("/console", &[]).await.status, 401);
         assert_eq!(get("/console?key=wrong", &[]).await.status, 401);
@@ -136,10 +136,10 @@
         let mut c = Connection::open(admin).await.expect("a connection");
         let bearer = [("authorization", "Bearer key")];
         assert_eq!(
-            c.exchange("GET", "/console/events", &bearer, b"", SECOND).await.expect("an answer").status,
+            c.request("GET", "/console/events", &bearer, b"", SECOND).await.expect("an answer").status,
             200
         );
-        assert_eq!(c.wait_for(&["event: state"], Instant::now() + 2 * SECOND).await, Ok(0));
+        assert_eq!(c.wait_for_any(&["event: state"], Instant::now() + 2 * SECOND).await, Ok(0));
     });
 }
 
@@ -202,10 +202,10 @@
         let dir = tempfile::tempdir().expect("a folder");
         let day = pepperhook_rehearse::day::bad_day(1, 2, 10.0);
         let program = Path::new(env!("CARGO_BIN_EXE_pepperhook"));
-        let played = pepperhook_rehearse::runner::play(&day, program, dir.path(), |_| {})
+        let played = pepperhook_rehearse::runner::run_day(&day, program, dir.path(), |_| {})
             .await
             .expect("it was played");
-        assert!(played.breaches.is_empty(), "{:#?}", played.breaches);
+        assert!(played.violations.is_empty(), "{:#?}", played.violations);
         let r = played.report;
         assert!(r.requests > 50 && r.answers.get("playing").is_some_and(|n| *n > 20), "{r:?}");
     });
--- a/crates/cli/tests/replica.rs
+++ b/crates/cli/tests/replica.rs
@@ -6,7 +6,7 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use pepperhook_playout::record::Recorder;
-use pepperhook_playout::{Options, Stand, start};
+use pepperhook_playout::{NodeHandle, Options, start};
 use pepperhook_rehearse::viewers::offer;
 use pepperhook_rehearse::wire::Connection;
 use serde_json::Value;
@@ -34,25 +34,25 @@
     async fn state(&self) -> Value {
         let mut c = Connection::open(self.admin).await.expect("a connection");
         let bearer = [("authorization", "Bearer key")];
-        let reply = c.exchange("GET", "/state", &bearer, b"", SECOND).await.expect("an answer");
+        let reply = c.request("GET", "/state", &bearer, b"", SECOND).await.expect("an answer");
         serde_json::from_slice(&reply.body).expect("JSON")
     }
 
     async fn ask(&self, n: u64) -> (Connection, u16) {
         let mut c = Connection::open(self.address).await.expect("a connection");
         let path = format!("/whep/t?viewer=v{n}");
-        let reply = c.exchange("POST", &path, &[SDP], offer(n).as_bytes(), PATIENCE).await;
+        let reply = c.request("POST", &path, &[SDP], offer(n).as_bytes(), PATIENCE).await;
         (c, reply.expect("an answer").status)
     }
 }
 
-async fn nodes() -> Vec<Stand> {
+async fn nodes() -> Vec<NodeHandle> {
     let options = |i: usize| Options { name: format!("n{i}"), rack: (i % 2) as u32, ..Options::default() };
-    start((0..4).map(options).collect(), &Recorder::silent()).await.expect("nodes")
+    start((0..4).map(options).collect(), &Recorder::disabled()).await.expect("nodes")
 }
 
 /// Fronts that know each other, with `more` in their settings.
-async fn fleet(dir: &Path, stands: &[Stand], loss: f64, more: &str) -> Vec<Process> {
+async fn fleet(dir: &Path, stands: &[NodeHandle], loss: f64, more: &str) -> Vec<Process> {
     let sockets: Vec<UdpSocket> =
         (0..FRONTS).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a socket")).collect();
     let ports: Vec<SocketAddr> = sockets.iter().map(|s| s.local_addr().expect("an address")).collect();
@@ -139,7 +139,7 @@
 const COPIES: &str = "section replica\ncopies 2\nguards 3\nlease 2s\nlook 250ms\n";
 
 /// Fronts with sessions of which each has two copies elsewhere.
-async fn filled(dir: &Path, stands: &[Stand], loss: f64) -> Vec<Process> {
+async fn filled(dir: &Path, stands: &[NodeHandle], loss: f64) -> Vec<Process> {
     let fronts = fleet(dir, stands, loss, COPIES).await;
     let all: Vec<&Process> = fronts.iter().collect();
     until_states("all know each other", &all, |states| {
--- a/crates/cli/tests/set_up.rs
+++ b/crates/cli/tests/set_up.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::*;
-use pepperhook_playout::record::What;
+use pepperhook_playout::record::Event;
 use pepperhook_playout::{Faults, Options, start};
 use pepperhook_rehearse::viewers::offer;
-use pepperhook_rehearse::wire::{Connection, End};
+use pepperhook_rehearse::wire::{Connection, ReadError};
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
@@ -20,10 +20,10 @@
         let rig = Rig::new(3).await;
         let (mut c, session) = rig.play("v", 1).await;
         assert_eq!((rig.sessions(), rig.attempts()), (1, 1));
-        let reply = c.exchange("DELETE", &session, &[], b"", SECOND).await.expect("an answer");
+        let reply = c.request("DELETE", &session, &[], b"", SECOND).await.expect("an answer");
         assert_eq!(reply.status, 200);
         until("the node's session ends", || rig.sessions() == 0).await;
-        let again = c.exchange("DELETE", &session, &[], b"", SECOND).await.expect("an answer");
+        let again = c.request("DELETE", &session, &[], b"", SECOND).await.expect("an answer");
         assert_eq!((again.status, problem(&again).as_str()), (404, "session"));
     });
 }
@@ -37,8 +37,8 @@
         post(&mut c, "v", 1).await;
         until("an attempt", || rig.attempts() == 1).await;
         let chosen = rig.stands.iter().find(|s| s.state().attempts == 1).expect("a node");
-        chosen.faults(Faults { drain: true, ..slow(80) });
-        let reply = c.reply(Instant::now() + PATIENCE).await.expect("an answer");
+        chosen.set_faults(Faults { drain: true, ..slow(80) });
+        let reply = c.read_response(Instant::now() + PATIENCE).await.expect("an answer");
         assert_eq!((reply.status, rig.attempts()), (201, 2));
         assert_eq!(chosen.state().sessions, 0);
         rig.assert_one_out();
@@ -55,13 +55,17 @@
         until("an attempt", || rig.attempts() == 1).await;
         post(&mut second, "v", 1).await;
         let until = Instant::now() + PATIENCE;
-        let a = first.reply(until).await.expect("an answer");
-        let b = second.reply(until).await.expect("an answer");
+        let a = first.read_response(until).await.expect("an answer");
+        let b = second.read_response(until).await.expect("an answer");
         assert_eq!((a.status, b.status), (201, 201));
         assert_eq!((a.header("location"), &a.body), (b.header("location"), &b.body));
         assert_eq!((rig.attempts(), rig.sessions()), (1, 1));
         let quiet = Instant::now() + Duration::from_millis(50);
-        assert_eq!((first.listen(quiet).await, second.listen(quiet).await), (0, 0), "one answer each");
+        assert_eq!(
+            (first.read_unsolicited(quiet).await, second.read_unsolicited(quiet).await),
+            (0, 0),
+            "one answer each"
+        );
     });
 }
 
@@ -75,19 +79,20 @@
         until("an attempt", || rig.attempts() == 1).await;
         post(&mut second, "v", 2).await;
         let until = Instant::now() + PATIENCE;
-        let a = first.reply(until).await.expect("an answer");
+        let a = first.read_response(until).await.expect("an answer");
         assert_eq!((a.status, problem(&a).as_str()), (409, "superseded"));
-        assert_eq!(second.reply(until).await.expect("an answer").status, 201);
+        assert_eq!(second.read_response(until).await.expect("an answer").status, 201);
         assert_eq!(rig.sessions(), 1, "the first one was called off at its node");
         // The second attempt began after the first was closed, though their offers differ.
         let lines = rig.lines();
         let begun: Vec<usize> = lines
             .iter()
             .enumerate()
-            .filter(|(_, l)| matches!(l.what, What::Attempt { .. }))
+            .filter(|(_, l)| matches!(l.event, Event::Attempt { .. }))
             .map(|(i, _)| i)
             .collect();
-        let closed = lines.iter().position(|l| matches!(l.what, What::Closed { .. })).expect("closed");
+        let closed =
+            lines.iter().position(|l| matches!(l.event, Event::AttemptClosed { .. })).expect("closed");
         assert!(begun[0] < closed && closed < begun[1]);
     });
 }
@@ -97,21 +102,21 @@
     local(async {
         // Half the aim is 400 ms; the node is deaf to the closing and answers within the grace.
         let rig = Rig::with(2, "close-grace 300ms", |o| o.set_up_ms = 0.0).await;
-        rig.all(Faults { slow_ms: 450, deaf: true, ..Faults::default() });
+        rig.all(Faults { slow_ms: 450, ignore_half_close: true, ..Faults::default() });
         let mut c = rig.connect().await;
         post(&mut c, "v", 1).await;
         until("an attempt", || rig.attempts() == 1).await;
         let chosen = rig.stands.iter().position(|s| s.state().attempts == 1).expect("a node");
-        rig.stands[1 - chosen].faults(Faults::default());
-        let reply = c.reply(Instant::now() + PATIENCE).await.expect("an answer");
+        rig.stands[1 - chosen].set_faults(Faults::default());
+        let reply = c.read_response(Instant::now() + PATIENCE).await.expect("an answer");
         assert_eq!(reply.status, 201);
         until("the late session is deleted", || rig.stands[chosen].state().sessions == 0).await;
         assert_eq!(rig.stands[1 - chosen].state().sessions, 1);
-        let deleted = |l: &pepperhook_playout::record::Line| matches!(&l.what, What::Ended { why, .. } if why == "delete");
+        let deleted = |l: &pepperhook_playout::record::Line| matches!(&l.event, Event::SessionEnded { reason, .. } if reason == "delete");
         assert_eq!(rig.lines().iter().filter(|l| deleted(l)).count(), 1, "by the front's DELETE");
         assert_eq!(rig.front.snapshot().late_answers, 1);
         assert_eq!(
-            c.listen(Instant::now() + Duration::from_millis(100)).await,
+            c.read_unsolicited(Instant::now() + Duration::from_millis(100)).await,
             0,
             "the viewer hears nothing of it"
         );
@@ -122,15 +127,18 @@
 fn a_201_long_after_the_time_out_meets_a_reset_connection() {
     local(async {
         let rig = Rig::with(2, "", |o| o.set_up_ms = 0.0).await;
-        rig.all(Faults { slow_ms: 700, deaf: true, ..Faults::default() });
+        rig.all(Faults { slow_ms: 700, ignore_half_close: true, ..Faults::default() });
         let mut c = rig.connect().await;
         post(&mut c, "v", 1).await;
         until("an attempt", || rig.attempts() == 1).await;
         let chosen = rig.stands.iter().position(|s| s.state().attempts == 1).expect("a node");
-        rig.stands[1 - chosen].faults(Faults::default());
-        assert_eq!(c.reply(Instant::now() + PATIENCE).await.expect("an answer").status, 201);
-        let ended =
-            || rig.lines().iter().any(|l| matches!(&l.what, What::Ended { why, .. } if why == "undelivered"));
+        rig.stands[1 - chosen].set_faults(Faults::default());
+        assert_eq!(c.read_response(Instant::now() + PATIENCE).await.expect("an answer").status, 201);
+        let ended = || {
+            rig.lines()
+                .iter()
+                .any(|l| matches!(&l.event, Event::SessionEnded { reason, .. } if reason == "undelivered"))
+        };
         until("the node finds its answer undelivered", ended).await;
         assert_eq!((rig.stands[chosen].state().sessions, rig.sessions()), (0, 1));
     });
@@ -146,8 +154,8 @@
         post(&mut c, "v", 1).await;
         until("an attempt", || rig.attempts() == 1).await;
         let silent = rig.stands.iter().position(|s| s.state().attempts == 1).expect("a node");
-        rig.stands[1 - silent].faults(Faults::default());
-        assert_eq!(c.reply(Instant::now() + PATIENCE).await.expect("an answer").status, 201);
+        rig.stands[1 - silent].set_faults(Faults::default());
+        assert_eq!(c.read_response(Instant::now() + PATIENCE).await.expect("an answer").status, 201);
         let took = begin.elapsed();
         assert!(took >= Duration::from_millis(400) && took < 2 * SECOND, "{took:?}");
         rig.assert_one_out();
@@ -173,13 +181,13 @@
 fn half_an_answer_then_a_reset_is_no_answer() {
     local(async {
         let rig = Rig::new(2).await;
-        rig.all(Faults { half: 1.0, ..Faults::default() });
+        rig.all(Faults { truncate: 1.0, ..Faults::default() });
         let (_, reply) = rig.ask("v", 1).await;
         assert!(matches!(reply.expect("an answer").status, 503 | 504));
         assert!(rig.attempts() >= 2, "the other holder was tried");
-        rig.stands[0].faults(Faults::default());
+        rig.stands[0].set_faults(Faults::default());
         sleep(Duration::from_millis(2_100)).await; // The module passes a failed holder over for two seconds.
-        rig.stands[1].faults(Faults::default());
+        rig.stands[1].set_faults(Faults::default());
         rig.play("v", 2).await;
         rig.assert_one_out();
     });
@@ -193,19 +201,19 @@
         let mut events = rig.connect().await;
         let path = format!("{session}/events");
         let made = events
-            .exchange("POST", &path, &[("content-type", "application/json")], b"[\"inactive\"]", SECOND)
+            .request("POST", &path, &[("content-type", "application/json")], b"[\"inactive\"]", SECOND)
             .await;
         let made = made.expect("an answer");
         assert_eq!(made.status, 201);
         let stream = made.header("location").expect("a stream").to_owned();
-        let opened = events.exchange("GET", &stream, &[], b"", SECOND).await.expect("an answer");
+        let opened = events.request("GET", &stream, &[], b"", SECOND).await.expect("an answer");
         assert_eq!(opened.header("content-type"), Some("text/event-stream"));
         let dead = rig.stands.iter().position(|s| s.state().sessions == 1).expect("a node");
-        rig.stands[dead].die();
-        let told = events.wait_for(&["event: inactive"], Instant::now() + PATIENCE).await;
+        rig.stands[dead].crash();
+        let told = events.wait_for_any(&["event: inactive"], Instant::now() + PATIENCE).await;
         assert_eq!(told, Ok(0));
         let mut c = rig.connect().await;
-        assert_eq!(c.exchange("DELETE", &session, &[], b"", SECOND).await.expect("an answer").status, 404);
+        assert_eq!(c.request("DELETE", &session, &[], b"", SECOND).await.expect("an answer").status, 404);
         rig.play("v", 2).await;
         assert_eq!(rig.stands[1 - dead].state().sessions, 1);
     });
@@ -220,7 +228,7 @@
         rig.stands[0].end_sessions();
         until("the front knows", || rig.front.snapshot().playing == 0).await;
         assert_eq!(
-            c.exchange("PATCH", &session, &[FRAGMENT, ("if-match", "*")], b"a=mid:0\r\n", SECOND)
+            c.request("PATCH", &session, &[FRAGMENT, ("if-match", "*")], b"a=mid:0\r\n", SECOND)
                 .await
                 .expect("an answer")
                 .status,
@@ -262,7 +270,8 @@
         post(&mut c, "v", 1).await;
         until("an attempt", || rig.attempts() == 1).await;
         drop(c);
-        until("it is closed", || rig.lines().iter().any(|l| matches!(l.what, What::Closed { .. }))).await;
+        until("it is closed", || rig.lines().iter().any(|l| matches!(l.event, Event::AttemptClosed { .. })))
+            .await;
         assert_eq!((rig.sessions(), rig.attempts()), (0, 1));
         assert_eq!(rig.front.snapshot().left, 1);
     });
@@ -282,14 +291,14 @@
             }
             let until = Instant::now() + SECOND;
             let mut statuses = [
-                a.reply(until).await.expect("an answer").status,
-                b.reply(until).await.expect("an answer").status,
+                a.read_response(until).await.expect("an answer").status,
+                b.read_response(until).await.expect("an answer").status,
             ];
             statuses.sort_unstable();
             assert_eq!(statuses, [200, 404]);
         }
         until("the node holds none", || rig.sessions() == 0).await;
-        let ends = rig.lines().iter().filter(|l| matches!(l.what, What::Ended { .. })).count();
+        let ends = rig.lines().iter().filter(|l| matches!(l.event, Event::SessionEnded { .. })).count();
         assert_eq!(ends, 20);
     });
 }
@@ -301,7 +310,7 @@
         // The same viewer asks anew the moment its answer is there, while the front still tells the node its rung.
         for i in 0..20u64 {
             let (mut c, session) = rig.play("v", i).await;
-            let reply = c.exchange("DELETE", &session, &[], b"", SECOND).await.expect("an answer");
+            let reply = c.request("DELETE", &session, &[], b"", SECOND).await.expect("an answer");
             assert_eq!(reply.status, 200);
         }
         until("the nodes hold none", || rig.sessions() == 0).await;
@@ -316,7 +325,7 @@
         let warm =
             Options { name: "warm".into(), rack: 1, link_kb: 80_000.0, streams: 400.0, ..Options::default() };
         let stands = start(vec![cold, warm], &recorder).await.expect("nodes");
-        let started = pepperhook_playout::record::now() / 1_000_000;
+        let started = pepperhook_playout::record::unix_nanos() / 1_000_000;
         let all = places(&stands);
         let text = list(&all[..1], started) + &format!("warm,{},z,1,std,1,ready,0\n", all[1].1);
         let settings = settings(2, "fronts 6").replace("streams 60", "streams 24");
@@ -330,7 +339,7 @@
             tasks.push(tokio::task::spawn_local(async move {
                 let mut c = Connection::open(address).await?;
                 c.send("POST", &format!("/whep/t?viewer=v{i}"), &[SDP], offer(i).as_bytes()).await?;
-                c.reply(Instant::now() + PATIENCE).await
+                c.read_response(Instant::now() + PATIENCE).await
             }));
             sleep(Duration::from_millis(5)).await;
         }
@@ -339,7 +348,7 @@
             answered += usize::from(task.await.expect("no panic").is_ok());
         }
         assert_eq!(answered, 120);
-        assert!(!stands[0].state().fell, "{} set-ups pushed it over", stands[0].state().attempts);
+        assert!(!stands[0].state().overloaded, "{} set-ups pushed it over", stands[0].state().attempts);
         assert!(stands[1].state().attempts > 0);
     });
 }
@@ -353,7 +362,7 @@
             async move {
                 let mut c = rig.connect().await;
                 let path = format!("/{kind}/live?viewer={viewer}");
-                c.exchange("POST", &path, &[SDP], body.as_bytes(), PATIENCE).await.expect("an answer")
+                c.request("POST", &path, &[SDP], body.as_bytes(), PATIENCE).await.expect("an answer")
             }
         };
         let early = ask("whep", "w", offer(1)).await;
@@ -366,7 +375,7 @@
         assert_eq!(ask("whip", "q", offer(4).replace("recvonly", "sendonly")).await.status, 409);
         let mut c = rig.connect().await;
         let url = published.header("location").expect("a session");
-        assert_eq!(c.exchange("DELETE", url, &[], b"", SECOND).await.expect("an answer").status, 200);
+        assert_eq!(c.request("DELETE", url, &[], b"", SECOND).await.expect("an answer").status, 200);
         assert_eq!(ask("whep", "x", offer(5)).await.status, 409);
     });
 }
@@ -376,7 +385,7 @@
     local(async {
         // Uplinks of 8 MB/s; that of the fuller rack then weakens until it is asked for 1.3 times what it gives.
         let rig = Rig::with(4, "", |o| {
-            (o.uplink_kb, o.seen_after_ms, o.told_every_ms) = (8_000.0, 50, 300);
+            (o.uplink_kb, o.load_event_delay_ms, o.load_event_period_ms) = (8_000.0, 50, 300);
         })
         .await;
         let mut sessions = Vec::new();
@@ -384,7 +393,7 @@
             let (_c, session) = rig.play(&format!("v{i}&top=1"), i).await;
             let mut events = rig.connect().await;
             let path = format!("{session}/events/stream");
-            assert_eq!(events.exchange("GET", &path, &[], b"", SECOND).await.expect("an answer").status, 200);
+            assert_eq!(events.request("GET", &path, &[], b"", SECOND).await.expect("an answer").status, 200);
             sessions.push((session, events));
         }
         // Sessions move after eight seconds of quiet at the earliest.
@@ -393,17 +402,17 @@
             |rack: usize| rig.stands.iter().skip(rack).step_by(2).map(|s| s.state().asked_kb).sum::<f64>();
         let fuller = usize::from(asked(1) > asked(0));
         for s in rig.stands.iter().skip(fuller).step_by(2) {
-            s.faults(Faults { uplink: asked(fuller) / 8_000.0 / 1.3, ..Faults::default() });
+            s.set_faults(Faults { uplink_left: asked(fuller) / 8_000.0 / 1.3, ..Faults::default() });
         }
         let mut waits = tokio::task::JoinSet::new();
         for (session, mut events) in sessions {
             waits.spawn_local(async move {
                 let word = "event: urn:pepperhook:whep:event:move";
-                (session, events.wait_for(&[word], Instant::now() + Duration::from_secs(20)).await)
+                (session, events.wait_for_any(&[word], Instant::now() + Duration::from_secs(20)).await)
             });
         }
         let moved = loop {
-            let (session, told): (String, Result<usize, End>) =
+            let (session, told): (String, Result<usize, ReadError>) =
                 waits.join_next().await.expect("somebody moves").expect("no panic");
             if told == Ok(0) {
                 break session;
@@ -411,7 +420,7 @@
         };
         let mut c = rig.connect().await;
         let reply = c
-            .exchange("PATCH", &moved, &[FRAGMENT, ("if-match", "*")], b"a=mid:0\r\n", SECOND)
+            .request("PATCH", &moved, &[FRAGMENT, ("if-match", "*")], b"a=mid:0\r\n", SECOND)
             .await
             .expect("an answer");
         assert_eq!((reply.status, problem(&reply).as_str()), (409, "moved"));
@@ -423,14 +432,14 @@
 fn an_answer_that_no_browser_takes_is_its_nodes_error_and_leaves_nothing_there() {
     local(async {
         let rig = Rig::new(3).await;
-        rig.all(Faults { garble: 1.0, ..Faults::default() });
+        rig.all(Faults { malformed_answer: 1.0, ..Faults::default() });
         let (_c, reply) = rig.ask("v", 1).await;
         // Three attempts, each an error of its node: harmless to repeat, so the last word is a refusal.
         assert_eq!(reply.expect("an answer").status, 503);
         assert_eq!(rig.attempts(), 3);
         until("no session is left at a node", || rig.sessions() == 0).await;
         rig.assert_one_out();
-        rig.stands[1].faults(Faults::default());
+        rig.stands[1].set_faults(Faults::default());
         // Nodes that erred are passed over for two seconds while another is sound; none is ruled out.
         let (_c, reply) = rig.ask("w", 2).await;
         assert_eq!(reply.expect("an answer").status, 201);
--- a/crates/cli/tests/stop.rs
+++ b/crates/cli/tests/stop.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use pepperhook_rehearse::viewers::offer;
-use pepperhook_rehearse::wire::{Connection, End};
+use pepperhook_rehearse::wire::{Connection, ReadError};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cell::{Cell, RefCell};
@@ -30,7 +30,7 @@
     for k in 0.. {
         let body = offer(n * 10_000 + k);
         let path = format!("/whep/t?viewer=v{n}");
-        match c.exchange("POST", &path, &[SDP], body.as_bytes(), PATIENCE).await {
+        match c.request("POST", &path, &[SDP], body.as_bytes(), PATIENCE).await {
             Ok(reply) => {
                 *seen.answers.borrow_mut().entry(reply.status).or_default() += 1;
                 if reply.header("connection") == Some("close") {
@@ -39,7 +39,7 @@
                 }
                 if let (201, Some(session)) = (reply.status, reply.header("location")) {
                     let session = session.to_owned();
-                    match c.exchange("DELETE", &session, &[], b"", PATIENCE).await {
+                    match c.request("DELETE", &session, &[], b"", PATIENCE).await {
                         Ok(reply) if reply.header("connection") == Some("close") => {
                             seen.closed_in_order.set(seen.closed_in_order.get() + 1);
                             return;
@@ -49,7 +49,9 @@
                     }
                 }
             }
-            Err(End::Closed | End::Time | End::Malformed) => return seen.lost.set(seen.lost.get() + 1),
+            Err(ReadError::Closed | ReadError::Timeout | ReadError::Malformed) => {
+                return seen.lost.set(seen.lost.get() + 1);
+            }
         }
         sleep(Duration::from_millis(pause_ms)).await;
     }
@@ -93,7 +95,7 @@
         let (_playing, session) = rig.play("v", 1).await;
         let mut events = rig.connect().await;
         let json = ("content-type", "application/json");
-        let made = events.exchange("POST", &format!("{session}/events"), &[json], b"[]", SECOND).await;
+        let made = events.request("POST", &format!("{session}/events"), &[json], b"[]", SECOND).await;
         assert_eq!(made.expect("an answer").status, 201);
         let mut stream = TcpStream::connect(address).await.expect("connected");
         let get = format!("GET {session}/events/stream HTTP/1.1\r\nhost: x\r\n\r\n");
@@ -107,7 +109,7 @@
         slow.write_all(head.as_bytes()).await.expect("sent");
         let mut idle = rig.connect().await;
         assert_eq!(
-            idle.exchange("OPTIONS", "/whep/t", &[], b"", SECOND).await.expect("an answer").status,
+            idle.request("OPTIONS", "/whep/t", &[], b"", SECOND).await.expect("an answer").status,
             204
         );
         let quiet = rig.connect().await;
@@ -115,7 +117,7 @@
         let stopping = spawn_local(rig.front.stop());
         sleep(Duration::from_millis(60)).await;
         // One that was idle asks again, at once: it is refused and told.
-        let reply = idle.exchange("POST", "/whep/t?viewer=w", &[SDP], offer(3).as_bytes(), SECOND).await;
+        let reply = idle.request("POST", "/whep/t?viewer=w", &[SDP], offer(3).as_bytes(), SECOND).await;
         let reply = reply.expect("an answer");
         assert_eq!((reply.status, reply.header("connection")), (503, Some("close")));
         // The slow one sends its body now.
@@ -144,17 +146,17 @@
             let rig = Rig::new(1).await;
             let mut c = rig.connect().await;
             assert_eq!(
-                c.exchange("OPTIONS", "/whep/t", &[], b"", SECOND).await.expect("an answer").status,
+                c.request("OPTIONS", "/whep/t", &[], b"", SECOND).await.expect("an answer").status,
                 204
             );
             let (stopping, begin) = (spawn_local(rig.front.stop()), tokio::time::Instant::now());
             sleep(Duration::from_millis(at)).await;
             // A machine that is busy may wake late.
             let late = begin.elapsed() >= Duration::from_millis(295);
-            match c.exchange("OPTIONS", "/whep/t", &[], b"", SECOND).await {
+            match c.request("OPTIONS", "/whep/t", &[], b"", SECOND).await {
                 Ok(reply) => assert_eq!(reply.header("connection"), Some("close"), "at {at} ms"),
                 // It was shut before the request came.
-                Err(End::Closed) => assert!(late, "at {at} ms"),
+                Err(ReadError::Closed) => assert!(late, "at {at} ms"),
                 Err(e) => panic!("at {at} ms: {e:?}"),
             }
             stopping.await.expect("stopped");
--- a/crates/cli/tests/transcripts/members.rs
+++ b/crates/cli/tests/transcripts/members.rs
@@ -84,7 +84,7 @@
         let headers = [("content-type".to_owned(), "application/sdp".to_owned())];
         script.says("viewer", "front a", &message(&format!("POST {path}"), &headers, offer(1).as_bytes()));
         let mut c = Connection::open(fleet.viewers(0)).await.expect("a connection");
-        let reply = c.exchange("POST", path, &[SDP], offer(1).as_bytes(), PATIENCE).await.expect("an answer");
+        let reply = c.request("POST", path, &[SDP], offer(1).as_bytes(), PATIENCE).await.expect("an answer");
         script.says("front a", "viewer", &message(&status(reply.status), &reply.headers, &reply.body));
         let session = reply.header("location").expect("a location").to_owned();
         let sum =
@@ -117,7 +117,7 @@
         script.step("The front knows the session; it does not act upon it yet (docs/replication.md).");
         script.says("viewer", "front (the one that goes on)", &format!("DELETE {session}"));
         let mut c = Connection::open(fleet.viewers(heir)).await.expect("a connection");
-        let reply = c.exchange("DELETE", &session, &[], b"", PATIENCE).await.expect("an answer");
+        let reply = c.request("DELETE", &session, &[], b"", PATIENCE).await.expect("an answer");
         let words = message(&status(reply.status), &reply.headers, &reply.body);
         script.says("front (the one that goes on)", "viewer", &words);
         approved("members_adoption", &script.text());
--- a/crates/cli/tests/transcripts/operators.rs
+++ b/crates/cli/tests/transcripts/operators.rs
@@ -7,7 +7,7 @@
 use pepperhook_faults::fleet::{Fault, Fleet, Front, Options as FleetOptions, agree};
 use pepperhook_faults::schedule::Kind;
 use pepperhook_playout::record::Recorder;
-use pepperhook_playout::{Options, Stand, start};
+use pepperhook_playout::{NodeHandle, Options, start};
 use pepperhook_rehearse::viewers::offer;
 use pepperhook_rehearse::wire::Connection;
 use pepperhook_settings::name_hash;
@@ -23,13 +23,18 @@
 /// A class that only front d has of its own, with another purpose than the one asked for below.
 const EXTRA: &str = "section class extra\naim 800ms\npatience 2s\ningest yes\n";
 
-pub async fn nodes() -> Vec<Stand> {
+pub async fn nodes() -> Vec<NodeHandle> {
     let options = |i: usize| Options { name: format!("n{i}"), rack: (i % 2) as u32, ..Options::default() };
-    start((0..4).map(options).collect(), &Recorder::silent()).await.expect("nodes")
+    start((0..4).map(options).collect(), &Recorder::disabled()).await.expect("nodes")
 }
 
 /// Fronts of these names that know each other, with room for all viewers.
-pub async fn fleet(dir: &Path, stands: &[Stand], names: &[&str], more: impl Fn(&str) -> String) -> Fleet {
+pub async fn fleet(
+    dir: &Path,
+    stands: &[NodeHandle],
+    names: &[&str],
+    more: impl Fn(&str) -> String,
+) -> Fleet {
     let text = settings(4, "")
         .replace("uplink-kb 40000", "uplink-kb 4000000")
         .replace("kb-per-weight 12000", "kb-per-weight 1200000")
@@ -80,7 +85,7 @@
 struct Scene {
     fleet: Fleet,
     script: Transcript,
-    _stands: Vec<Stand>,
+    _stands: Vec<NodeHandle>,
     _dir: tempfile::TempDir,
 }
 
@@ -123,7 +128,7 @@
         let front = format!("front {}", NAMES[i]);
         self.script.says(who, &front, &format!("{request}{key}{body}"));
         let mut c = Connection::open(self.fleet.operators(i)).await.expect("a connection");
-        let reply = c.exchange(method, path, headers, text.as_bytes(), SETTLED).await.expect("an answer");
+        let reply = c.request(method, path, headers, text.as_bytes(), SETTLED).await.expect("an answer");
         let answer: Value = serde_json::from_slice(&reply.body).expect("JSON");
         let mut told = answer.clone();
         if let Some(detail) = told["detail"].as_str() {
@@ -201,7 +206,7 @@
     local(async {
         let s = Scene::new("Requests for policies that are not taken. Front d has a class of its own, extra, that the others do not have.").await;
         let mut c = Connection::open(s.fleet.operators(0)).await.expect("a connection");
-        let reply = c.exchange("GET", "/policy", &[("authorization", "Bearer key")], b"", SETTLED).await;
+        let reply = c.request("GET", "/policy", &[("authorization", "Bearer key")], b"", SETTLED).await;
         let shown: Value = serde_json::from_slice(&reply.expect("an answer").body).expect("JSON");
         let first = shown["text"].as_str().expect("a policy").to_owned();
         s.script.step("Without the operators' key.");
@@ -252,7 +257,7 @@
             "Ana asks for a change; it waits until c's word of going by the old one has run out (8 s).",
         );
         let mut c = Connection::open(s.fleet.operators(0)).await.expect("a connection");
-        let reply = c.exchange("GET", "/policy", &[("authorization", "Bearer key")], b"", SETTLED).await;
+        let reply = c.request("GET", "/policy", &[("authorization", "Bearer key")], b"", SETTLED).await;
         let shown: Value = serde_json::from_slice(&reply.expect("an answer").body).expect("JSON");
         let first = shown["text"].as_str().expect("a policy").to_owned();
         let words = "(the policy with all aims at 700 ms)";
@@ -281,7 +286,7 @@
             s.script.says("viewer", front, &message(&format!("POST {path}"), &headers, offer(1).as_bytes()));
             let mut c = Connection::open(s.fleet.viewers(i)).await.expect("a connection");
             let reply =
-                c.exchange("POST", path, &[SDP], offer(1).as_bytes(), PATIENCE).await.expect("an answer");
+                c.request("POST", path, &[SDP], offer(1).as_bytes(), PATIENCE).await.expect("an answer");
             // The number of the entry by which it was decided differs from run to run.
             let mut problem: Value = serde_json::from_slice(&reply.body).unwrap_or_default();
             if problem["policy"].is_u64() {
--- a/crates/cli/tests/transcripts/whep.rs
+++ b/crates/cli/tests/transcripts/whep.rs
@@ -5,9 +5,9 @@
 use crate::tap::{message, status, tap};
 use pepperhook_front::Front;
 use pepperhook_playout::record::Recorder;
-use pepperhook_playout::{Faults, Options, Stand, start};
+use pepperhook_playout::{Faults, NodeHandle, Options, start};
 use pepperhook_rehearse::viewers::offer;
-use pepperhook_rehearse::wire::{Connection, End, Reply};
+use pepperhook_rehearse::wire::{Connection, HttpResponse, ReadError};
 use pepperhook_settings::Config;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
@@ -17,7 +17,7 @@
 /// A front, nodes with a relay before each, and what they say.
 struct Scene {
     front: Front,
-    stands: Vec<Stand>,
+    stands: Vec<NodeHandle>,
     list: String,
     script: Transcript,
 }
@@ -36,10 +36,10 @@
             seed: 1 + i as u64,
             ..Options::default()
         };
-        let stands = start((0..n).map(options).collect(), &Recorder::silent()).await.expect("nodes");
+        let stands = start((0..n).map(options).collect(), &Recorder::disabled()).await.expect("nodes");
         let mut places = Vec::new();
         for s in &stands {
-            s.faults(faults);
+            s.set_faults(faults);
             places.push((s.name.clone(), tap(&script, s.address).await));
         }
         let list = list(&places, 0);
@@ -52,7 +52,7 @@
     }
 
     /// The node that was asked to set a session up; the others.
-    fn asked(&self) -> (&Stand, Vec<&Stand>) {
+    fn asked(&self) -> (&NodeHandle, Vec<&NodeHandle>) {
         let (asked, others): (Vec<_>, Vec<_>) = self.stands.iter().partition(|s| s.state().attempts > 0);
         (asked.first().expect("a node was asked"), others)
     }
@@ -122,24 +122,30 @@
         self.c.send(method, path, headers, body).await.expect("sent");
     }
 
-    async fn reply(&mut self) -> Reply {
+    async fn reply(&mut self) -> HttpResponse {
         self.heard(true).await.expect("an answer")
     }
 
-    async fn heard(&mut self, tell: bool) -> Result<Reply, End> {
-        let reply = self.c.reply(Instant::now() + PATIENCE).await?;
+    async fn heard(&mut self, tell: bool) -> Result<HttpResponse, ReadError> {
+        let reply = self.c.read_response(Instant::now() + PATIENCE).await?;
         if tell {
             self.tell(&reply);
         }
         Ok(reply)
     }
 
-    fn tell(&self, reply: &Reply) {
+    fn tell(&self, reply: &HttpResponse) {
         let words = message(&status(reply.status), &reply.headers, &reply.body);
         self.script.says(self.front, self.name, &words);
     }
 
-    async fn exchange(&mut self, method: &str, path: &str, headers: &[(&str, &str)], body: &[u8]) -> Reply {
+    async fn exchange(
+        &mut self,
+        method: &str,
+        path: &str,
+        headers: &[(&str, &str)],
+        body: &[u8],
+    ) -> HttpResponse {
         self.send(method, path, headers, body).await;
         self.reply().await
     }
@@ -173,7 +179,7 @@
     async fn told(&mut self, event: &str) {
         let words = format!("event: {event}\ndata: ");
         let until = Instant::now() + PATIENCE;
-        let data = self.c.rest_of_line(&words, until).await.expect("an event");
+        let data = self.c.wait_for_line(&words, until).await.expect("an event");
         self.script.says(self.front, self.name, &format!("event: {event}\ndata: {data}"));
     }
 }
@@ -302,7 +308,7 @@
         stream.follows(&session).await;
         s.script
             .step("The node is gone, and its connections with it. The front tells the viewer in its place.");
-        s.asked().0.die();
+        s.asked().0.crash();
         stream.told("inactive").await;
         s.script.step("The viewer asks again, and plays from the other node.");
         v.plays("/whep/t?viewer=anna", 2).await;
@@ -381,7 +387,7 @@
         v.offers("/whep/t?viewer=anna", 1).await;
         s.until_asked().await;
         for other in s.asked().1 {
-            other.faults(Faults::default());
+            other.set_faults(Faults::default());
         }
         let reply = v.reply().await;
         assert_eq!(reply.status, 201);
@@ -399,7 +405,7 @@
         v.offers("/whep/t?viewer=anna", 1).await;
         s.until_asked().await;
         for other in s.asked().1 {
-            other.faults(Faults::default());
+            other.set_faults(Faults::default());
         }
         assert_eq!(v.reply().await.status, 201);
         s.script.beside(2).await;
@@ -417,7 +423,7 @@
         let mut v = Client::of(&s, "viewer-1").await;
         v.offers("/whep/t?viewer=anna", 1).await;
         s.until_asked().await;
-        s.asked().0.faults(Faults { drain: true, ..slow });
+        s.asked().0.set_faults(Faults { drain: true, ..slow });
         assert_eq!(v.reply().await.status, 201);
         s.script.beside(2).await;
         s.approved("node_drains_under_a_set_up");
--- a/crates/playout/src/lib.rs
+++ b/crates/playout/src/lib.rs
@@ -13,4 +13,4 @@
 mod server;
 
 pub use node::{Command, Faults, Options, Rack, State};
-pub use server::{Stand, start};
+pub use server::{NodeHandle, start};
--- a/crates/playout/src/node.rs
+++ b/crates/playout/src/node.rs
@@ -1,6 +1,6 @@
 //! What a stand-in node is: sessions, link, rack, warm-up, faults. No sockets here.
 
-use crate::record::{Recorder, What};
+use crate::record::{Event, Recorder};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
@@ -41,9 +41,11 @@
     /// Its load report is made anew so often, milliseconds.
     pub report_ms: u64,
     /// What it tells on event streams is so late, milliseconds.
-    pub seen_after_ms: u64,
+    #[serde(rename = "seen_after_ms")]
+    pub load_event_delay_ms: u64,
     /// Time between two reports of fullness on event streams, milliseconds.
-    pub told_every_ms: u64,
+    #[serde(rename = "told_every_ms")]
+    pub load_event_period_ms: u64,
     /// It ends the sessions of a front's run that has had no event stream for so long, milliseconds.
     pub lease_ms: u64,
     /// Seed of its noise.
@@ -66,8 +68,8 @@
             fall_multiple: 2.5,
             fall_s: 2.0,
             report_ms: 250,
-            seen_after_ms: 500,
-            told_every_ms: 2_500,
+            load_event_delay_ms: 500,
+            load_event_period_ms: 2_500,
             lease_ms: 3_000,
             seed: 1,
         }
@@ -85,19 +87,24 @@
     /// Share of set-ups that never get an answer.
     pub hang: f64,
     /// Share of set-ups whose answer breaks off half way.
-    pub half: f64,
+    #[serde(rename = "half")]
+    pub truncate: f64,
     /// Share of set-ups whose answer no browser takes: its ICE password is too short.
-    pub garble: f64,
+    #[serde(rename = "garble")]
+    pub malformed_answer: f64,
     /// Added to each set-up, milliseconds.
     pub slow_ms: u64,
     /// It goes on after the front has shut its side, and answers late.
-    pub deaf: bool,
+    #[serde(rename = "deaf")]
+    pub ignore_half_close: bool,
     /// It drains: new set-ups get 503.
     pub drain: bool,
     /// Part of the link that is left; 0 counts as whole.
-    pub link: f64,
+    #[serde(rename = "link")]
+    pub link_left: f64,
     /// Part of the uplink that is left; 0 counts as whole.
-    pub uplink: f64,
+    #[serde(rename = "uplink")]
+    pub uplink_left: f64,
 }
 
 /// A command on the control port.
@@ -130,7 +137,8 @@
     /// Set-ups seen.
     pub attempts: u64,
     /// It has fallen over.
-    pub fell: bool,
+    #[serde(rename = "fell")]
+    pub overloaded: bool,
 }
 
 /// A rack's uplink, shared by the nodes of one process; what others ask is told by command.
@@ -194,7 +202,7 @@
     pub sessions: BTreeMap<String, Session>,
     pub rack: Rc<RefCell<Rack>>,
     pub recorder: Recorder,
-    /// Event streams that each run of a front has open, and when that last changed.
+    /// What streams that each run of a front has open, and when that last changed.
     pub runs: BTreeMap<String, (usize, Instant)>,
     /// What is told on event streams, with the time from which it may be seen: delivered, link, uplink.
     pub told: VecDeque<(Instant, [f64; 3])>,
@@ -205,14 +213,14 @@
     sent: VecDeque<Instant>,
     next: u64,
     pub attempts: u64,
-    pub fell: bool,
+    pub overloaded: bool,
     rng: StdRng,
 }
 
 impl Node {
     pub fn new(options: Options, rack: Rc<RefCell<Rack>>, recorder: Recorder) -> Self {
         let (streams, cold_share, cold_s) = (options.streams, options.cold_share, options.cold_s);
-        recorder.write(What::NodeStart { streams, cold_share, cold_s });
+        recorder.write(Event::NodeStart { streams, cold_share, cold_s });
         let now = Instant::now();
         Self {
             rng: StdRng::seed_from_u64(options.seed),
@@ -228,7 +236,7 @@
             sent: VecDeque::new(),
             next: 0,
             attempts: 0,
-            fell: false,
+            overloaded: false,
             options,
         }
     }
@@ -255,7 +263,7 @@
     }
 
     fn link_kb(&self) -> f64 {
-        let left = if self.faults.link > 0.0 { self.faults.link } else { 1.0 };
+        let left = if self.faults.link_left > 0.0 { self.faults.link_left } else { 1.0 };
         self.options.link_kb * left * self.warmth()
     }
 
@@ -281,7 +289,7 @@
     /// Measures now, to be told later.
     pub fn observe(&mut self) {
         let seen = self.measure();
-        let late = Duration::from_millis(self.options.seen_after_ms);
+        let late = Duration::from_millis(self.options.load_event_delay_ms);
         self.told.push_back((Instant::now() + late, seen));
         while self.told.len() > 64 {
             self.told.pop_front();
@@ -302,16 +310,16 @@
         while self.sent.front().is_some_and(|t| now - *t > Duration::from_secs_f64(o.fall_s)) {
             self.sent.pop_front();
         }
-        if self.warmth() < 1.0 && !self.fell {
+        if self.warmth() < 1.0 && !self.overloaded {
             let pace = o.streams / o.cold_s * self.warmth();
             // A little slack for chance, as the rule has it.
             let most = o.fall_multiple * pace * o.fall_s + 3.0;
             if self.sent.len() as f64 > most {
-                self.fell = true;
-                self.recorder.write(What::Fell);
+                self.overloaded = true;
+                self.recorder.write(Event::Overloaded);
             }
         }
-        self.fell
+        self.overloaded
     }
 
     /// What a set-up that was just read will come to.
@@ -320,7 +328,7 @@
         let draw: f64 = self.rng.random();
         let mut from = 0.0;
         for (share, fate) in
-            [(f.refuse, Fate::Refuse), (f.error, Fate::Error), (f.hang, Fate::Hang), (f.half, Fate::Half)]
+            [(f.refuse, Fate::Refuse), (f.error, Fate::Error), (f.hang, Fate::Hang), (f.truncate, Fate::Half)]
         {
             from += share;
             if draw < from {
@@ -337,7 +345,7 @@
     /// Whether an answer is to be one that no browser takes.
     pub fn garbles(&mut self) -> bool {
         let draw: f64 = self.rng.random();
-        draw < self.faults.garble
+        draw < self.faults.malformed_answer
     }
 
     /// Holds a new session; returns its id.
@@ -350,9 +358,9 @@
     }
 
     /// A session ends; `told`: its front is told on its event stream.
-    pub fn end(&mut self, id: &str, why: &str, told: bool) -> bool {
+    pub fn end(&mut self, id: &str, reason: &str, told: bool) -> bool {
         let Some(s) = self.sessions.remove(id) else { return false };
-        self.recorder.write(What::Ended { origin: s.origin, why: why.into() });
+        self.recorder.write(Event::SessionEnded { origin: s.origin, reason: reason.into() });
         if told {
             self.ended.entry(s.run).or_default().insert(id.to_owned());
         }
@@ -396,7 +404,7 @@
             delivered: self.measure()[0],
             mean_rung: rungs / self.sessions.len().max(1) as f64,
             attempts: self.attempts,
-            fell: self.fell,
+            overloaded: self.overloaded,
         }
     }
 }
--- a/crates/playout/src/record.rs
+++ b/crates/playout/src/record.rs
@@ -1,4 +1,4 @@
-//! The record of what passed on the sockets: one JSON object a line, written as it happens.
+//! The record of a rehearsal: events observed on sockets, one JSON object per line, written as they happen.
 
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
@@ -8,156 +8,188 @@
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// One line.
+/// One line of the record: an event, when it happened and who observed it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
     /// Unix time, nanoseconds.
-    pub t: u64,
-    /// Who wrote it: a node, the viewers, or the conductor.
-    pub who: String,
-    /// What happened.
+    #[serde(rename = "t")]
+    pub unix_ns: u64,
+    /// Observer: the name of a node, `viewers` or `conductor` (the rehearsal itself).
+    #[serde(rename = "who")]
+    pub source: String,
+    /// The event.
     #[serde(flatten)]
-    pub what: What,
+    pub event: Event,
 }
 
-/// What a line tells. Fields are named as the terms that they hold; times are seconds or nanoseconds by suffix.
+/// An observed event. The `rename` attributes are the names in the file.
 #[allow(missing_docs)]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case")]
-pub enum What {
-    /// A node's process began; it is cold from now on, unless `cold_s` is 0.
+pub enum Event {
+    /// A node's process started; it is cold unless `cold_s` is 0.
     NodeStart { streams: f64, cold_share: f64, cold_s: f64 },
-    /// A node read the head and body of a set-up. `origin` is the `o=` line of the offer.
+    /// A node read the head and body of a set-up request. `origin` is the `o=` line of the offer.
     Attempt { attempt: u64, front: String, origin: String, title: String },
-    /// A front asked for the node's load.
+    /// A front requested the node's load (`OPTIONS`).
     Probe { front: String },
     /// A front read the node's list of sessions.
-    Listed { front: String },
-    /// It handed its answer to the socket.
-    Answered { attempt: u64, status: u16 },
-    /// The connection was closed or reset before that.
-    Closed { attempt: u64 },
+    #[serde(rename = "listed")]
+    SessionsListed { front: String },
+    /// The node handed the answer of an attempt to its socket.
+    #[serde(rename = "answered")]
+    AttemptAnswered { attempt: u64, status: u16 },
+    /// The connection was closed or reset before the node answered the attempt.
+    #[serde(rename = "closed")]
+    AttemptClosed { attempt: u64 },
     /// A session ended at the node.
-    Ended { origin: String, why: String },
-    /// A rung was chosen for a session at the node.
-    Layer { origin: String, rung: u8 },
-    /// The node was pushed over while cold.
-    Fell,
-    /// A viewer's request went out. `session` is the viewer's name and title.
-    Asked { request: u64, session: String, origin: String, title: String, class: String, front: String },
-    /// An answer was read from the socket.
-    Reply { request: u64, status: u16, retry_after: Option<u64> },
-    /// What the answer told of the agreed policy: the entry by which it was decided, and of a problem its type's last word.
-    Under { request: u64, entry: Option<u64>, kind: String },
-    /// Bytes came after the answer, which nobody had asked for.
-    Extra { request: u64, bytes: usize },
+    #[serde(rename = "ended")]
+    SessionEnded {
+        origin: String,
+        #[serde(rename = "why")]
+        reason: String,
+    },
+    /// A front chose a rung for a session at the node.
+    #[serde(rename = "layer")]
+    RungSelected { origin: String, rung: u8 },
+    /// The node was overloaded while cold and stopped answering.
+    #[serde(rename = "fell")]
+    Overloaded,
+    /// A viewer sent a request. `session` is the viewer's name and the title.
+    #[serde(rename = "asked")]
+    RequestSent { request: u64, session: String, origin: String, title: String, class: String, front: String },
+    /// A viewer read the answer to its request.
+    #[serde(rename = "reply")]
+    ResponseReceived { request: u64, status: u16, retry_after: Option<u64> },
+    /// What the answer reported about the agreed policy: the log entry by which it was decided and, for a
+    /// problem, the last segment of the problem type.
+    #[serde(rename = "under")]
+    PolicyReported {
+        request: u64,
+        entry: Option<u64>,
+        #[serde(rename = "kind")]
+        problem_type: String,
+    },
+    /// Unsolicited bytes arrived after the answer.
+    #[serde(rename = "extra")]
+    UnexpectedBytes { request: u64, bytes: usize },
     /// The connection ended without an answer.
-    Broke { request: u64 },
-    /// The viewer's patience ended without an answer.
-    GaveUp { request: u64 },
-    /// The viewer itself closed its connection before the answer.
-    Hung { request: u64 },
-    /// A list was put in place for a front: the node's state in it, `gone` where it is not in it.
-    Told { front: String, node: String, state: String },
-    /// A front's process began, was told to stop, or was killed.
+    #[serde(rename = "broke")]
+    ConnectionLost { request: u64 },
+    /// The viewer's patience ran out without an answer.
+    #[serde(rename = "gave-up")]
+    TimedOut { request: u64 },
+    /// The viewer closed its connection before the answer.
+    #[serde(rename = "hung")]
+    ViewerLeft { request: u64 },
+    /// A list of nodes was written for a front: the node's state in it, `gone` if the node is not listed.
+    #[serde(rename = "told")]
+    ListPublished { front: String, node: String, state: String },
+    /// A front's process started.
     FrontStart { front: String },
-    /// It was asked to stop, in order.
+    /// A front was asked to shut down gracefully.
     FrontStop { front: String },
-    /// It was killed.
-    FrontDown { front: String },
-    /// It stands still from here for so long.
+    /// A front's process was killed.
+    #[serde(rename = "front-down")]
+    FrontKilled { front: String },
+    /// A front's process is suspended from now on for this many milliseconds.
     FrontStall { front: String, ms: u64 },
-    /// Room that a front says it holds for announced peaks, kB a second.
-    Held { front: String, kb: f64, due_kb: f64 },
-    /// A fault was caused; for the reader.
-    Fault { kind: String, detail: String },
+    /// Capacity that a front reports as held for announced peaks, kB/s.
+    #[serde(rename = "held")]
+    CapacityHeld { front: String, kb: f64, due_kb: f64 },
+    /// A fault was injected; for the reader of the record.
+    #[serde(rename = "fault")]
+    FaultInjected { kind: String, detail: String },
 }
 
-/// Now, Unix time in nanoseconds.
+/// Current Unix time, nanoseconds.
 #[must_use]
-pub fn now() -> u64 {
+pub fn unix_nanos() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos() as u64)
 }
 
-/// Writes lines of one writer; each goes out at once, so that a killed process leaves all but its last.
+/// Appends events of one source to a record. Each line is written immediately, so a killed process loses at most
+/// its last line.
 #[derive(Clone)]
 pub struct Recorder {
-    who: Rc<str>,
+    source: Rc<str>,
     file: Option<Rc<RefCell<File>>>,
-    kept: Rc<RefCell<Vec<Line>>>,
-    silent: bool,
+    memory: Rc<RefCell<Vec<Line>>>,
+    disabled: bool,
 }
 
 impl Recorder {
     /// Appends to a file.
     ///
     /// # Errors
-    /// When it cannot be opened.
-    pub fn to_file(who: &str, path: &Path) -> io::Result<Self> {
+    /// If the file cannot be opened.
+    pub fn to_file(source: &str, path: &Path) -> io::Result<Self> {
         let file = OpenOptions::new().create(true).append(true).open(path)?;
         Ok(Self {
-            who: who.into(),
+            source: source.into(),
             file: Some(Rc::new(RefCell::new(file))),
-            kept: Rc::default(),
-            silent: false,
+            memory: Rc::default(),
+            disabled: false,
         })
     }
 
     /// Keeps the lines in memory.
     #[must_use]
-    pub fn in_memory(who: &str) -> Self {
-        Self { who: who.into(), file: None, kept: Rc::default(), silent: false }
+    pub fn in_memory(source: &str) -> Self {
+        Self { source: source.into(), file: None, memory: Rc::default(), disabled: false }
     }
 
-    /// Writes nothing: for stand-ins that nobody judges.
+    /// Discards all events, for runs that are not checked.
     #[must_use]
-    pub fn silent() -> Self {
-        Self { silent: true, ..Self::in_memory("") }
+    pub fn disabled() -> Self {
+        Self { disabled: true, ..Self::in_memory("") }
     }
 
-    /// The same record under another name.
+    /// The same record with another source name.
     #[must_use]
-    pub fn under(&self, who: &str) -> Self {
-        Self { who: who.into(), ..self.clone() }
+    pub fn with_source(&self, source: &str) -> Self {
+        Self { source: source.into(), ..self.clone() }
     }
 
-    /// Writes a line.
-    pub fn write(&self, what: What) {
-        if self.silent {
+    /// Writes an event with the current time.
+    pub fn write(&self, event: Event) {
+        if self.disabled {
             return;
         }
-        let line = Line { t: now(), who: self.who.to_string(), what };
+        let line = Line { unix_ns: unix_nanos(), source: self.source.to_string(), event };
         match &self.file {
             Some(file) => {
                 let mut text = serde_json::to_vec(&line).unwrap_or_default();
                 text.push(b'\n');
-                // A record that cannot be written must not pass for one in which nothing happened.
+                // An unwritable record must fail the run: an empty record would pass every check.
                 file.borrow_mut().write_all(&text).expect("the record can be written");
             }
-            None => self.kept.borrow_mut().push(line),
+            None => self.memory.borrow_mut().push(line),
         }
     }
 
-    /// What was kept in memory.
+    /// The lines kept in memory.
     #[must_use]
     pub fn lines(&self) -> Vec<Line> {
-        self.kept.borrow().clone()
+        self.memory.borrow().clone()
     }
 }
 
-/// Reads a record; a last line that was cut off by a kill is passed over.
+/// Reads a record. An incomplete last line, left by a killed process, is ignored.
 ///
 /// # Errors
-/// When the file cannot be read, or another line is no record.
+/// If the file cannot be read, or a line other than the last does not parse.
 pub fn read(path: &Path) -> io::Result<Vec<Line>> {
     let lines: Vec<String> = BufReader::new(File::open(path)?).lines().collect::<Result<_, _>>()?;
     let last = lines.len().saturating_sub(1);
     let mut out = Vec::with_capacity(lines.len());
-    for (n, line) in lines.iter().enumerate() {
+    for (index, line) in lines.iter().enumerate() {
         match serde_json::from_str(line) {
             Ok(line) => out.push(line),
-            Err(_) if n == last => {}
-            Err(e) => return Err(io::Error::new(io::ErrorKind::InvalidData, format!("line {}: {e}", n + 1))),
+            Err(_) if index == last => {}
+            Err(e) => {
+                return Err(io::Error::new(io::ErrorKind::InvalidData, format!("line {}: {e}", index + 1)));
+            }
         }
     }
     Ok(out)
--- a/crates/playout/src/server.rs
+++ b/crates/playout/src/server.rs
@@ -1,7 +1,7 @@
 //! The node's sockets: WHIP and WHEP for fronts, and the control port.
 
 use crate::node::{Command, Fate, Faults, Node, Options, Rack, Session, State};
-use crate::record::{Recorder, What};
+use crate::record::{Event, Recorder};
 use bytes::Bytes;
 use http_body_util::combinators::BoxBody;
 use http_body_util::{BodyExt, Full, Limited};
@@ -37,7 +37,7 @@
 const MOST_CONNECTIONS: usize = 20_000;
 
 /// A node that serves.
-pub struct Stand {
+pub struct NodeHandle {
     /// Its name.
     pub name: String,
     /// Where fronts come.
@@ -49,14 +49,14 @@
     tasks: Vec<JoinHandle<()>>,
 }
 
-impl Stand {
+impl NodeHandle {
     /// Carries a command out, as the control port does.
     pub fn command(&self, command: Command) {
         obey(&self.node, &self.dead, command);
     }
 
     /// Sets its faults.
-    pub fn faults(&self, faults: Faults) {
+    pub fn set_faults(&self, faults: Faults) {
         self.command(Command { faults: Some(faults), ..Command::default() });
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// Dies: connections are reset, the ports are closed.
-    pub fn die(&self) {
+    pub fn crash(&self) {
         let _ = self.dead.send(true);
         self.tasks.iter().for_each(JoinHandle::abort);
     }
@@ -86,7 +86,7 @@
     let mut n = node.borrow_mut();
     if let Some(faults) = command.faults {
         n.faults = faults;
-        n.rack.borrow_mut().left = faults.uplink;
+        n.rack.borrow_mut().left = faults.uplink_left;
     }
     if let Some(kb) = command.elsewhere_kb {
         n.rack.borrow_mut().elsewhere_kb = kb;
@@ -100,7 +100,7 @@
 ///
 /// # Errors
 /// When an address cannot be bound.
-pub async fn start(nodes: Vec<Options>, recorder: &Recorder) -> io::Result<Vec<Stand>> {
+pub async fn start(nodes: Vec<Options>, recorder: &Recorder) -> io::Result<Vec<NodeHandle>> {
     let mut racks: BTreeMap<u32, Rc<RefCell<Rack>>> = BTreeMap::new();
     let mut out = Vec::new();
     for options in nodes {
@@ -112,14 +112,14 @@
         let control = TcpListener::bind("127.0.0.1:0").await?;
         let (address, control_address) = (listener.local_addr()?, control.local_addr()?);
         let name = options.name.clone();
-        let node = Rc::new(RefCell::new(Node::new(options, rack, recorder.under(&name))));
+        let node = Rc::new(RefCell::new(Node::new(options, rack, recorder.with_source(&name))));
         let (dead, died) = watch::channel(false);
         let tasks = vec![
             spawn_local(serve(node.clone(), listener, died.clone())),
             spawn_local(serve_control(node.clone(), control, dead.clone())),
             spawn_local(live(node.clone(), died)),
         ];
-        out.push(Stand { name, address, control: control_address, node, dead, tasks });
+        out.push(NodeHandle { name, address, control: control_address, node, dead, tasks });
     }
     Ok(out)
 }
@@ -163,7 +163,7 @@
 
 async fn connection(node: Shared, stream: TcpStream, mut died: watch::Receiver<bool>) {
     let _ = stream.set_nodelay(true);
-    let deaf = node.borrow().faults.deaf;
+    let deaf = node.borrow().faults.ignore_half_close;
     // The session set up last on this connection, until it carries another request.
     let last: Rc<RefCell<Option<String>>> = Rc::default();
     let (served, kept) = (node.clone(), last.clone());
@@ -296,7 +296,7 @@
         }
         (["sessions"], &Method::GET) => {
             let n = node.borrow();
-            n.recorder.write(What::Listed { front: front(given(&request, &VIA)) });
+            n.recorder.write(Event::SessionsListed { front: front(given(&request, &VIA)) });
             let row =
                 |(id, s): (&String, &Session)| serde_json::json!({"path": format!("/s/{id}"), "via": s.run});
             let list: Vec<serde_json::Value> = n.sessions.iter().map(row).collect();
@@ -336,8 +336,8 @@
 async fn options(node: &Shared, request: &Request<Incoming>) -> Result<Response<Out>, Failure> {
     let (faults, fell) = {
         let n = node.borrow();
-        n.recorder.write(What::Probe { front: front(given(request, &VIA)) });
-        (n.faults, n.fell)
+        n.recorder.write(Event::Probe { front: front(given(request, &VIA)) });
+        (n.faults, n.overloaded)
     };
     if fell || faults.hang >= 1.0 {
         std::future::pending::<()>().await;
@@ -359,14 +359,14 @@
 impl Account {
     fn answered(&mut self, status: u16) {
         self.told = true;
-        self.recorder.write(What::Answered { attempt: self.attempt, status });
+        self.recorder.write(Event::AttemptAnswered { attempt: self.attempt, status });
     }
 }
 
 impl Drop for Account {
     fn drop(&mut self) {
         if !self.told {
-            self.recorder.write(What::Closed { attempt: self.attempt });
+            self.recorder.write(Event::AttemptClosed { attempt: self.attempt });
         }
     }
 }
@@ -391,7 +391,7 @@
         let mut n = node.borrow_mut();
         let fell = n.pushed();
         let (attempt, recorder) = (n.attempts, n.recorder.clone());
-        recorder.write(What::Attempt {
+        recorder.write(Event::Attempt {
             attempt,
             front: front.clone(),
             origin: origin.clone(),
@@ -491,7 +491,7 @@
     };
     s.rung = rung;
     let origin = s.origin.clone();
-    n.recorder.write(What::Layer { origin, rung });
+    n.recorder.write(Event::RungSelected { origin, rung });
     Ok(plain(200, ""))
 }
 
@@ -532,7 +532,7 @@
     node.borrow_mut().streams(&run, true);
     spawn_local(async move {
         let mut ticks = tokio::time::interval(Duration::from_millis(100));
-        let every = Duration::from_millis(node.borrow().options.told_every_ms);
+        let every = Duration::from_millis(node.borrow().options.load_event_period_ms);
         let (mut delivered_at, mut link_at, mut spoke_at) =
             (Instant::now(), Instant::now() - every, Instant::now());
         let (mut was_short, mut closing) = (false, false);
--- a/crates/rehearse/src/agreement/checker.rs
+++ b/crates/rehearse/src/agreement/checker.rs
@@ -3,7 +3,7 @@
 //! Nothing here is shared with the fronts: a policy is read as its text, line by line. Each rule has a test that plants a
 //! violation and sees it caught.
 
-use pepperhook_playout::record::{Line, What};
+use pepperhook_playout::record::{Event, Line};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The class whose aim tells policies apart.
@@ -172,21 +172,23 @@
     let (mut asked, mut replied) = (BTreeMap::new(), BTreeMap::new());
     let mut out = Vec::new();
     for line in lines {
-        match &line.what {
-            What::Asked { request, origin, title, .. } => {
+        match &line.event {
+            Event::RequestSent { request, origin, title, .. } => {
                 // Every other title is of the class that is closed at times.
                 let odd =
                     title.rsplit('-').next().and_then(|n| n.parse::<u32>().ok()).is_some_and(|n| n % 2 == 1);
-                asked.insert(*request, (line.t, origin.clone(), if odd { GUEST } else { MARKED }));
+                asked.insert(*request, (line.unix_ns, origin.clone(), if odd { GUEST } else { MARKED }));
             }
-            What::Reply { request, status, .. } => {
-                replied.insert(*request, (line.t, *status));
+            Event::ResponseReceived { request, status, .. } => {
+                replied.insert(*request, (line.unix_ns, *status));
             }
             _ => {}
         }
     }
     for line in lines {
-        let What::Under { request, entry: Some(entry), kind } = &line.what else { continue };
+        let Event::PolicyReported { request, entry: Some(entry), problem_type: kind } = &line.event else {
+            continue;
+        };
         let (Some((asked, origin, class)), Some((answered, status))) =
             (asked.get(request), replied.get(request))
         else {
@@ -208,7 +210,7 @@
 
 /// What was broken.
 #[must_use]
-pub fn judge(e: &Evidence) -> Vec<String> {
+pub fn check(e: &Evidence) -> Vec<String> {
     let mut out = Vec::new();
     let chain = Chain::new(&e.shown, &mut out);
     let answers = answers(&e.lines);
@@ -276,10 +278,10 @@
         }
     }
     for line in lines {
-        let What::Layer { origin, rung } = &line.what else { continue };
+        let Event::RungSelected { origin, rung } = &line.event else { continue };
         let Some((by, class)) = set_up.get(origin.as_str()) else { continue };
         // What plays on may follow a later policy that lets it higher.
-        let since = chain.0.range(by..).filter(|(n, e)| *n == by || e.first <= line.t);
+        let since = chain.0.range(by..).filter(|(n, e)| *n == by || e.first <= line.unix_ns);
         let tops: Option<Vec<u8>> = since
             .map(|(_, e)| value(&e.text, class, "top").map_or(Some(u8::MAX), |v| v.parse().ok()))
             .collect();
@@ -287,7 +289,7 @@
             Some(top) if *rung > top => {
                 out.push(format!(
                     "{origin} of {class} has rung {rung} at {}, entry {by} says {top}",
-                    line.who
+                    line.source
                 ));
             }
             Some(_) => {}
--- a/crates/rehearse/src/agreement/checker_tests.rs
+++ b/crates/rehearse/src/agreement/checker_tests.rs
@@ -15,13 +15,17 @@
 fn asked(t: u64, request: u64, title: u32) -> Line {
     let (session, origin) = (format!("v{request}/t"), format!("viewer {request}"));
     let (title, class, front) = (format!("title-{title}"), "c".into(), "f0".into());
-    Line { t, who: "viewers".into(), what: What::Asked { request, session, origin, title, class, front } }
+    Line {
+        unix_ns: t,
+        source: "viewers".into(),
+        event: Event::RequestSent { request, session, origin, title, class, front },
+    }
 }
 
 fn answered(t: u64, request: u64, status: u16, kind: &str, entry: u64) -> [Line; 2] {
-    let line = |what| Line { t, who: "viewers".into(), what };
-    let under = What::Under { request, entry: Some(entry), kind: kind.into() };
-    [line(What::Reply { request, status, retry_after: None }), line(under)]
+    let line = |what| Line { unix_ns: t, source: "viewers".into(), event: what };
+    let under = Event::PolicyReported { request, entry: Some(entry), problem_type: kind.into() };
+    [line(Event::ResponseReceived { request, status, retry_after: None }), line(under)]
 }
 
 fn told(key: u64, marker: &str, answer: &str, version: u64) -> Told {
@@ -51,7 +55,11 @@
     lines.extend(answered(50, 3, 409, "class-closed", 6));
     lines.extend(answered(80, 4, 201, "", 7));
     lines.extend(answered(155, 5, 201, "", 10));
-    lines.push(Line { t: 6, who: "n1".into(), what: What::Layer { origin: "viewer 1".into(), rung: 4 } });
+    lines.push(Line {
+        unix_ns: 6,
+        source: "n1".into(),
+        event: Event::RungSelected { origin: "viewer 1".into(), rung: 4 },
+    });
     let told =
         vec![told(1, "700ms", "stands", 2), told(2, "600ms", "undone", 3), told(3, "500ms", "conflict", 2)];
     let ends = vec![("f0".into(), 11, true), ("f1".into(), 11, true)];
@@ -59,13 +67,13 @@
 }
 
 fn caught(e: &Evidence, word: &str) {
-    let broken = judge(e);
+    let broken = check(e);
     assert!(broken.iter().any(|b| b.contains(word)), "{word}: {broken:?}");
 }
 
 #[test]
 fn clean_evidence_passes() {
-    assert_eq!(judge(&clean()), Vec::<String>::new());
+    assert_eq!(check(&clean()), Vec::<String>::new());
 }
 
 #[test]
@@ -73,7 +81,7 @@
     let mut e = clean();
     e.lines.push(asked(52, 6, 0));
     e.lines.extend(answered(58, 6, 201, "", 5));
-    assert!(judge(&e).is_empty(), "the tighter beside the new");
+    assert!(check(&e).is_empty(), "the tighter beside the new");
     e.lines.push(asked(53, 7, 0));
     e.lines.extend(answered(59, 7, 201, "", 1));
     caught(&e, "request 7 was answered by version 1");
@@ -81,7 +89,7 @@
     let mut e = clean();
     e.lines.push(asked(49, 8, 0));
     e.lines.extend(answered(90, 8, 201, "", 1));
-    assert!(judge(&e).is_empty());
+    assert!(check(&e).is_empty());
 }
 
 #[test]
@@ -89,7 +97,7 @@
     let mut e = clean();
     e.lines.push(asked(156, 6, 0));
     e.lines.extend(answered(159, 6, 201, "", 7));
-    assert!(judge(&e).is_empty());
+    assert!(check(&e).is_empty());
     e.lines.push(asked(157, 7, 0));
     e.lines.extend(answered(159, 7, 201, "", 5));
     caught(&e, "request 7 was answered by version 2 (first)");
@@ -99,7 +107,7 @@
 fn a_step_that_nobody_showed_makes_no_neighbours() {
     let mut e = clean();
     e.shown.retain(|s| s.entry != 5);
-    e.lines.retain(|l| !matches!(l.what, What::Under { entry: Some(5), .. }));
+    e.lines.retain(|l| !matches!(l.event, Event::PolicyReported { entry: Some(5), .. }));
     e.lines.push(asked(52, 6, 0));
     e.lines.extend(answered(58, 6, 201, "", 1));
     caught(&e, "request 6 was answered by version 1");
@@ -135,10 +143,10 @@
         s.text = text("800ms", "no", 2);
     }
     caught(&e, "viewer 1 of guest has rung 4");
-    for line in e.lines.iter_mut().filter(|l| matches!(l.what, What::Layer { .. })) {
-        line.t = 50;
+    for line in e.lines.iter_mut().filter(|l| matches!(l.event, Event::RungSelected { .. })) {
+        line.unix_ns = 50;
     }
-    assert!(judge(&e).is_empty(), "by then the top is 4");
+    assert!(check(&e).is_empty(), "by then the top is 4");
 }
 
 #[test]
--- a/crates/rehearse/src/agreement/figures.rs
+++ b/crates/rehearse/src/agreement/figures.rs
@@ -1,7 +1,7 @@
 //! Figures of a rehearsal of changes, from the same evidence as the judge's.
 
 use super::checker::{Evidence, late_conflicts, whole};
-use pepperhook_playout::record::What;
+use pepperhook_playout::record::Event;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -117,12 +117,16 @@
     let mut replied: BTreeMap<u64, (u64, u16)> = BTreeMap::new();
     let mut kinds: BTreeMap<u64, &str> = BTreeMap::new();
     for line in &e.lines {
-        match &line.what {
-            What::Asked { request, front, .. } => drop(asked.insert(*request, (line.t, front))),
-            What::Reply { request, status, .. } => drop(replied.insert(*request, (line.t, *status))),
-            What::Under { request, kind, .. } => drop(kinds.insert(*request, kind)),
+        match &line.event {
+            Event::RequestSent { request, front, .. } => drop(asked.insert(*request, (line.unix_ns, front))),
+            Event::ResponseReceived { request, status, .. } => {
+                replied.insert(*request, (line.unix_ns, *status));
+            }
+            Event::PolicyReported { request, problem_type, .. } => {
+                kinds.insert(*request, problem_type);
+            }
             // Who hangs up by themselves is no measure of service.
-            What::Hung { request } => drop(asked.remove(request)),
+            Event::ViewerLeft { request } => drop(asked.remove(request)),
             _ => {}
         }
     }
--- a/crates/rehearse/src/agreement/operators.rs
+++ b/crates/rehearse/src/agreement/operators.rs
@@ -3,7 +3,7 @@
 use super::checker::{GUEST, MARKED, Told};
 use super::plan::{Plan, Want, Wish};
 use crate::wire::Connection;
-use pepperhook_playout::record::now;
+use pepperhook_playout::record::unix_nanos;
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
 /// What a console answers to `GET /policy`.
 pub async fn show(at: SocketAddr) -> Option<Value> {
     let mut c = Connection::open(at).await.ok()?;
-    let reply = c.exchange("GET", "/policy", &[("authorization", "Bearer key")], b"", SHOW).await;
+    let reply = c.request("GET", "/policy", &[("authorization", "Bearer key")], b"", SHOW).await;
     let reply = reply.ok().filter(|r| r.status == 200)?;
     serde_json::from_slice(&reply.body).ok()
 }
@@ -152,7 +152,7 @@
         let end = Instant::now() + AGAIN_FOR;
         let mut front = front as usize;
         loop {
-            let asked = now();
+            let asked = unix_nanos();
             let answered = self.send(self.at[front % self.at.len()], call).await;
             let (answer, detail) = answered.unwrap_or_default();
             let mut words = detail.split_whitespace().skip_while(|w| *w != "version").skip(1);
@@ -163,7 +163,7 @@
                 key,
                 marker,
                 asked,
-                answered: now(),
+                answered: unix_nanos(),
                 answer: answer.clone(),
                 version,
             });
@@ -182,7 +182,7 @@
     async fn send(&self, at: SocketAddr, call: &Call) -> Option<(String, String)> {
         let mut c = Connection::open(at).await.ok()?;
         let key = [("authorization", "Bearer key")];
-        let reply = c.exchange("POST", &call.path, &key, call.text.as_bytes(), CALL).await.ok()?;
+        let reply = c.request("POST", &call.path, &key, call.text.as_bytes(), CALL).await.ok()?;
         let body: Value = serde_json::from_slice(&reply.body).ok()?;
         let kind = body["answer"].as_str().or_else(|| body["type"].as_str()?.rsplit([':', '/']).next());
         Some((kind?.to_owned(), body["detail"].as_str().unwrap_or("").to_owned()))
--- a/crates/rehearse/src/agreement/plan.rs
+++ b/crates/rehearse/src/agreement/plan.rs
@@ -17,7 +17,7 @@
 /// What goes wrong while policies are changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Trouble {
+pub enum FaultPattern {
     /// Nothing.
     None,
     /// One front is dead from the end of the calm to the quiet end.
@@ -46,7 +46,7 @@
     /// A grant's time, milliseconds.
     pub hold_ms: u64,
     /// What goes wrong.
-    pub trouble: Trouble,
+    pub fault_pattern: FaultPattern,
 }
 
 /// What an operator wants changed.
@@ -194,7 +194,7 @@
     let n = v.changes.max(2);
     let step = length_ms * 9 / 10 / u64::from(n);
     let mut closed = false;
-    let random = v.trouble == Trouble::Random;
+    let random = v.fault_pattern == FaultPattern::Random;
     let wish = |i: u32| {
         let front = rng.random_range(0..v.fronts);
         let other = (front + rng.random_range(1..v.fronts)) % v.fronts;
@@ -244,13 +244,13 @@
     let mut out = Schedule { seed: v.seed, ..Schedule::default() };
     let last = v.fronts - 1;
     let act = |at_ms, who: u32, what, store| Act { at_ms, who: name(who), what, store };
-    match v.trouble {
-        Trouble::None => {}
-        Trouble::Dead => {
+    match v.fault_pattern {
+        FaultPattern::None => {}
+        FaultPattern::Dead => {
             out.processes.push(act(calm_ms, last, Do::Kill, Store::Kept));
             out.processes.push(act(end_ms, last, Do::Start, Store::Kept));
         }
-        Trouble::Stopped => {
+        FaultPattern::Stopped => {
             let mut at = calm_ms;
             while at + 10_000 <= end_ms {
                 out.processes.push(act(at, last, Do::Stop, Store::Kept));
@@ -258,7 +258,7 @@
                 at += 12_000;
             }
         }
-        Trouble::Zone => {
+        FaultPattern::Zone => {
             let zone: Vec<u32> = (0..v.fronts).filter(|f| f % 3 == 0).collect();
             let mut at = calm_ms;
             while at + 10_000 <= end_ms {
@@ -266,7 +266,7 @@
                 at += 15_000;
             }
         }
-        Trouble::Random => random(rng, v, calm_ms, end_ms, &mut out),
+        FaultPattern::Random => random(rng, v, calm_ms, end_ms, &mut out),
     }
     out.processes.sort_by_key(|a| a.at_ms);
     out
@@ -337,7 +337,15 @@
 
     fn variation(seed: u64) -> Variation {
         let (fronts, loss, seconds) = (9, 0.2, 70.0);
-        Variation { seed, fronts, loss, seconds, changes: 30, hold_ms: 4_000, trouble: Trouble::Random }
+        Variation {
+            seed,
+            fronts,
+            loss,
+            seconds,
+            changes: 30,
+            hold_ms: 4_000,
+            fault_pattern: FaultPattern::Random,
+        }
     }
 
     #[test]
--- a/crates/rehearse/src/agreement/run.rs
+++ b/crates/rehearse/src/agreement/run.rs
@@ -1,16 +1,16 @@
 //! Plays a plan on a fleet of processes behind relays.
 
-use super::checker::{Evidence, GUEST, MARKED, Shown, judge};
+use super::checker::{Evidence, GUEST, MARKED, Shown, check};
 use super::figures::{Figures, Impaired, figures};
 use super::operators::{Operators, show};
 use super::plan::{Plan, Want, Wish, name};
 use crate::checker;
-use crate::day::Crowd;
-use crate::viewers::{Audience, FrontAt};
+use crate::day::ViewerSettings;
+use crate::viewers::{FrontEndpoint, ViewerPool};
 use pepperhook_faults::fleet::{Fault, Fleet, Front, Options};
 use pepperhook_faults::schedule::{Act, Do, Kind, Store};
-use pepperhook_playout::record::{Line, Recorder, What, now};
-use pepperhook_playout::{Options as NodeOptions, Stand, start};
+use pepperhook_playout::record::{Event, Line, Recorder, unix_nanos};
+use pepperhook_playout::{NodeHandle, Options as NodeOptions, start};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
@@ -70,19 +70,19 @@
 impl AgreementReport {
     /// Whether all held.
     #[must_use]
-    pub fn kept(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.rules_broken.is_empty() && self.agreement_broken.is_empty()
     }
 
     /// The last line: the verdict, with figures.
     #[must_use]
-    pub fn verdict(&self) -> String {
+    pub fn summary(&self) -> String {
         let f = &self.figures;
         let broken = self.rules_broken.len() + self.agreement_broken.len();
         format!(
             "{}: {} broken; {} calls ({} stand), {} requests ({} playing, {} fenced); to holding everywhere p50 {} ms, \
              p99 {} ms, most {} ms; one policy {} ms after the last fault",
-            if self.kept() { "kept" } else { "BROKEN" },
+            if self.passed() { "kept" } else { "BROKEN" },
             broken,
             f.calls,
             f.told.get("stands").unwrap_or(&0),
@@ -134,7 +134,7 @@
 /// The fleet, and what is written down of it.
 struct Stage {
     fleet: Fleet,
-    audience: Rc<Audience>,
+    audience: Rc<ViewerPool>,
     recorder: Recorder,
     /// Running, stopped or down.
     life: Vec<(bool, bool)>,
@@ -151,11 +151,11 @@
         let front = name(i as u32);
         let mut all = self.impaired.borrow_mut();
         if begins {
-            all.push(Impaired { front, cause: cause.into(), from: now(), to: u64::MAX });
+            all.push(Impaired { front, cause: cause.into(), from: unix_nanos(), to: u64::MAX });
         } else if let Some(open) =
             all.iter_mut().rev().find(|p| p.front == front && p.cause == cause && p.to == u64::MAX)
         {
-            open.to = now();
+            open.to = unix_nanos();
         }
     }
 
@@ -165,16 +165,16 @@
         match act.what {
             Do::Kill if up => {
                 self.address(i, false);
-                self.recorder.write(What::FrontDown { front: act.who.clone() });
+                self.recorder.write(Event::FrontKilled { front: act.who.clone() });
                 self.mark(i, "starting", true);
                 self.fleet.kill(i).await?;
-                self.recorder.write(What::FrontDown { front: act.who.clone() });
+                self.recorder.write(Event::FrontKilled { front: act.who.clone() });
                 self.life[i] = (false, false);
             }
             Do::Start if !up => {
                 self.fleet.start_front(i, act.store).await?;
                 self.mark(i, "starting", false);
-                self.recorder.write(What::FrontStart { front: act.who.clone() });
+                self.recorder.write(Event::FrontStart { front: act.who.clone() });
                 self.life[i] = (true, false);
                 self.address(i, true);
             }
@@ -191,9 +191,11 @@
                 // Written down at its end, when its length is known; the checker reads times, not the order of lines.
                 if let Some(p) = last {
                     let ms = (p.to - p.from) / 1_000_000 + 1;
-                    let stall = What::FrontStall { front: act.who.clone(), ms };
-                    self.recorder
-                        .write(What::Fault { kind: "stall-from".into(), detail: p.from.to_string() });
+                    let stall = Event::FrontStall { front: act.who.clone(), ms };
+                    self.recorder.write(Event::FaultInjected {
+                        kind: "stall-from".into(),
+                        detail: p.from.to_string(),
+                    });
                     self.recorder.write(stall);
                 }
                 drop(all);
@@ -236,7 +238,7 @@
                     last = entry;
                     let text = |name: &str| s[name].as_str().unwrap_or("").to_owned();
                     let (step, text, front) = (text("step"), text("text"), front.clone());
-                    shown.borrow_mut().push(Shown { t: now(), front, version, step, entry, text });
+                    shown.borrow_mut().push(Shown { t: unix_nanos(), front, version, step, entry, text });
                 }
             }
             sleep(LOOK).await;
@@ -244,7 +246,7 @@
     })
 }
 
-async fn arrive(plan: Rc<Plan>, audience: Rc<Audience>, begin: Instant) {
+async fn arrive(plan: Rc<Plan>, audience: Rc<ViewerPool>, begin: Instant) {
     let mut rng = StdRng::seed_from_u64(plan.seed);
     let Ok(gap) = Exp::new(plan.rate.max(0.001)) else { return };
     let (mut at, mut n) = (0.0, 0);
@@ -256,7 +258,7 @@
         n += 1;
         let title = rng.random_range(0..TITLES);
         sleep_until(begin + Duration::from_secs_f64(at)).await;
-        spawn_local(audience.clone().view(n, plan.seed, title, None));
+        spawn_local(audience.clone().run_viewer(n, plan.seed, title, None));
     }
 }
 
@@ -293,14 +295,14 @@
 /// Writes it down when this process, and so the machine, stood still: no front is judged by that time.
 async fn lateness(most: Rc<Cell<u64>>, recorder: Recorder, fronts: usize) {
     loop {
-        let (began, t) = (Instant::now(), now());
+        let (began, t) = (Instant::now(), unix_nanos());
         sleep(Duration::from_millis(50)).await;
         let late = began.elapsed().as_millis() as u64 - 50;
         most.set(most.get().max(late));
         if late > 300 {
             for i in 0..fronts {
-                recorder.write(What::Fault { kind: "stall-from".into(), detail: t.to_string() });
-                recorder.write(What::FrontStall { front: name(i as u32), ms: late });
+                recorder.write(Event::FaultInjected { kind: "stall-from".into(), detail: t.to_string() });
+                recorder.write(Event::FrontStall { front: name(i as u32), ms: late });
             }
         }
     }
@@ -334,7 +336,7 @@
 ///
 /// # Errors
 /// When a process or a socket does not come up. What is broken is no error: it is in the report.
-pub async fn play(
+pub async fn run_plan(
     plan: Plan,
     program: &Path,
     dir: &Path,
@@ -357,7 +359,7 @@
         seed: u64::from(i),
         ..NodeOptions::default()
     };
-    let stands: Vec<Stand> =
+    let stands: Vec<NodeHandle> =
         start((0..NODES).map(options).collect(), &recorder).await.map_err(io("nodes"))?;
     let fleet = Fleet::start(Options {
         program: program.to_owned(),
@@ -385,16 +387,16 @@
         own.and_then(|n| numbers.insert(n, i));
     }
 
-    let crowd = Crowd {
+    let crowd = ViewerSettings {
         rate: plan.rate,
         plays_s: (1.0, 4.0),
         patience_s: PATIENCE_S.1,
         titles: TITLES,
         copies: 6,
-        ..Crowd::default()
+        ..ViewerSettings::default()
     };
-    let at = |i: usize| FrontAt { name: name(i as u32), address: Some(fleet.viewers(i)) };
-    let audience = Audience::new(crowd.clone(), MARKED, (0..fronts).map(at).collect(), recorder.clone());
+    let at = |i: usize| FrontEndpoint { name: name(i as u32), address: Some(fleet.viewers(i)) };
+    let audience = ViewerPool::new(crowd.clone(), MARKED, (0..fronts).map(at).collect(), recorder.clone());
     let shown: Rc<RefCell<Vec<Shown>>> = Rc::default();
     let consoles: Vec<SocketAddr> = (0..fronts).map(|i| fleet.operators(i)).collect();
     let mut watches: Vec<JoinHandle<()>> =
@@ -403,11 +405,11 @@
     let operators =
         Rc::new(Operators { at: consoles, told: RefCell::default(), calls: Default::default(), kill });
 
-    let (begin, began) = (Instant::now(), now());
+    let (begin, began) = (Instant::now(), unix_nanos());
     let mut stage = Stage {
         fleet,
         audience: audience.clone(),
-        recorder: recorder.under("conductor"),
+        recorder: recorder.with_source("conductor"),
         life: vec![(true, false); fronts],
         impaired: Rc::default(),
     };
@@ -437,7 +439,7 @@
     }));
 
     let late = Rc::new(Cell::new(0));
-    watches.push(spawn_local(lateness(late.clone(), recorder.under("conductor"), fronts)));
+    watches.push(spawn_local(lateness(late.clone(), recorder.with_source("conductor"), fronts)));
 
     // The schedule, and what is done to whoever leads.
     let mut acts: Vec<Act> = plan.schedule.processes.clone();
@@ -519,7 +521,7 @@
         why,
         last,
     };
-    let terms = checker::Terms {
+    let terms = checker::RuleLimits {
         patience_s: PATIENCE_S.1,
         list_read_s: 0.35,
         drain_grace_s: 0.25,
@@ -530,7 +532,7 @@
         once: false,
         budget: None,
     };
-    let breaches = checker::judge(&evidence.lines, &terms);
+    let violations = checker::check(&evidence.lines, &terms);
     keep(dir, &evidence).map_err(io("record"))?;
     let impaired = stage.impaired.borrow().clone();
     Ok(AgreementReport {
@@ -542,8 +544,8 @@
         left_behind: left,
         late_ms: late.get(),
         figures: figures(&evidence, &impaired, crowd.aim_s),
-        rules_broken: breaches.iter().map(ToString::to_string).collect(),
-        agreement_broken: judge(&evidence),
+        rules_broken: violations.iter().map(ToString::to_string).collect(),
+        agreement_broken: check(&evidence),
     })
 }
 
@@ -551,13 +553,13 @@
 fn in_time(mut lines: Vec<Line>) -> Vec<Line> {
     let mut from = None;
     for line in &mut lines {
-        match &line.what {
-            What::Fault { kind, detail } if kind == "stall-from" => from = detail.parse().ok(),
-            What::FrontStall { .. } => line.t = from.take().unwrap_or(line.t),
+        match &line.event {
+            Event::FaultInjected { kind, detail } if kind == "stall-from" => from = detail.parse().ok(),
+            Event::FrontStall { .. } => line.unix_ns = from.take().unwrap_or(line.unix_ns),
             _ => {}
         }
     }
-    lines.sort_by_key(|l| l.t);
+    lines.sort_by_key(|l| l.unix_ns);
     lines
 }
 
--- a/crates/rehearse/src/checker.rs
+++ b/crates/rehearse/src/checker.rs
@@ -3,7 +3,7 @@
 //! Nothing here is shared with the front: what it knows is the lines and the figures of the rules. Each rule
 //! has a test that plants a violation in a record and sees it caught.
 
-use pepperhook_playout::record::{Line, What};
+use pepperhook_playout::record::{Event, Line};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
@@ -11,7 +11,7 @@
 
 /// Figures of the rules.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct RuleLimits {
     /// Viewers give up after this, seconds.
     pub patience_s: f64,
     /// What reading a list may take a front from the moment it is in place, seconds.
@@ -51,7 +51,7 @@
 
 /// A breach, with what shows it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Breach {
+pub struct Violation {
     /// Which rule.
     pub rule: Rule,
     /// When, Unix nanoseconds.
@@ -60,7 +60,7 @@
     pub what: String,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "rule {} at {}: {}", self.rule as u8, self.t, self.what)
     }
@@ -112,44 +112,44 @@
     // A node that was restarted counts its attempts anew; the latest of a number is meant.
     let mut open: BTreeMap<(String, u64), usize> = BTreeMap::new();
     for line in lines {
-        match &line.what {
-            What::Attempt { attempt, front, origin, title } => {
-                open.insert((line.who.clone(), *attempt), case.attempts.len());
+        match &line.event {
+            Event::Attempt { attempt, front, origin, title } => {
+                open.insert((line.source.clone(), *attempt), case.attempts.len());
                 case.attempts.push(Attempt {
-                    node: line.who.clone(),
+                    node: line.source.clone(),
                     front: front.clone(),
                     origin: origin.clone(),
                     title: title.clone(),
-                    from: line.t,
+                    from: line.unix_ns,
                     to: None,
                     status: None,
                 });
             }
-            What::Answered { attempt, .. } | What::Closed { attempt } => {
-                if let Some(i) = open.remove(&(line.who.clone(), *attempt)) {
-                    case.attempts[i].to = Some(line.t);
-                    if let What::Answered { status, .. } = line.what {
+            Event::AttemptAnswered { attempt, .. } | Event::AttemptClosed { attempt } => {
+                if let Some(i) = open.remove(&(line.source.clone(), *attempt)) {
+                    case.attempts[i].to = Some(line.unix_ns);
+                    if let Event::AttemptAnswered { status, .. } = line.event {
                         case.attempts[i].status = Some(status);
                     }
                 }
             }
             // A process that begins anew has nothing out.
-            What::NodeStart { .. } => {
-                let ended: Vec<_> = open.keys().filter(|(n, _)| *n == line.who).cloned().collect();
+            Event::NodeStart { .. } => {
+                let ended: Vec<_> = open.keys().filter(|(n, _)| *n == line.source).cloned().collect();
                 for key in ended {
                     if let Some(i) = open.remove(&key) {
                         case.attempts[i].to = Some(case.attempts[i].from);
                     }
                 }
             }
-            What::Asked { request, session, origin, front, .. } => {
+            Event::RequestSent { request, session, origin, front, .. } => {
                 case.session_of.insert(origin.clone(), session.clone());
                 let (session, origin, front) = (session.clone(), origin.clone(), front.clone());
-                case.requests.insert(*request, Request { t: line.t, session, origin, front });
+                case.requests.insert(*request, Request { t: line.unix_ns, session, origin, front });
             }
-            What::FrontDown { front } => case.downs.entry(front.clone()).or_default().push(line.t),
-            What::FrontStall { front, ms } => {
-                case.stalls.entry(front.clone()).or_default().push((line.t, ms * 1_000_000));
+            Event::FrontKilled { front } => case.downs.entry(front.clone()).or_default().push(line.unix_ns),
+            Event::FrontStall { front, ms } => {
+                case.stalls.entry(front.clone()).or_default().push((line.unix_ns, ms * 1_000_000));
             }
             _ => {}
         }
@@ -159,9 +159,9 @@
 
 /// Judges a record; `lines` in any order.
 #[must_use]
-pub fn judge(lines: &[Line], terms: &Terms) -> Vec<Breach> {
+pub fn check(lines: &[Line], terms: &RuleLimits) -> Vec<Violation> {
     let mut lines = lines.to_vec();
-    lines.sort_by_key(|l| l.t);
+    lines.sort_by_key(|l| l.unix_ns);
     let case = gather(&lines);
     let mut out = Vec::new();
     one_answer(&lines, &case, terms, &mut out);
@@ -174,38 +174,43 @@
     out
 }
 
-fn one_answer(lines: &[Line], case: &Case, terms: &Terms, out: &mut Vec<Breach>) {
+fn one_answer(lines: &[Line], case: &Case, terms: &RuleLimits, out: &mut Vec<Violation>) {
     let mut answers: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
     let mut excused = BTreeSet::new();
-    let mut breach = |t: u64, what: String| out.push(Breach { rule: Rule::OneAnswer, t, what });
+    let mut breach = |t: u64, what: String| out.push(Violation { rule: Rule::OneAnswer, t, what });
     let killed = |front: &str, from: u64, to: u64| {
         case.downs.get(front).is_some_and(|d| d.iter().any(|t| (from..=to + SECOND / 2).contains(t)))
     };
     for line in lines {
-        match &line.what {
-            What::Reply { request, .. } => answers.entry(*request).or_default().push(line.t),
-            What::Extra { request, bytes } => {
-                breach(line.t, format!("request {request}: {bytes} bytes after its answer"));
+        match &line.event {
+            Event::ResponseReceived { request, .. } => {
+                answers.entry(*request).or_default().push(line.unix_ns)
             }
-            What::Hung { request } => {
+            Event::UnexpectedBytes { request, bytes } => {
+                breach(line.unix_ns, format!("request {request}: {bytes} bytes after its answer"));
+            }
+            Event::ViewerLeft { request } => {
                 excused.insert(*request);
             }
-            What::Broke { request } | What::GaveUp { request } => {
+            Event::ConnectionLost { request } | Event::TimedOut { request } => {
                 let Some(r) = case.requests.get(request) else { continue };
                 excused.insert(*request);
                 // While a front stands still its viewer's patience is not counted.
-                let still = matches!(line.what, What::GaveUp { .. })
+                let still = matches!(line.event, Event::TimedOut { .. })
                     && case
                         .stalls
                         .get(&r.front)
-                        .is_some_and(|s| s.iter().any(|(t, ms)| t + ms > r.t && *t < line.t));
-                if !still && !killed(&r.front, r.t, line.t) {
-                    let how = if matches!(line.what, What::Broke { .. }) {
+                        .is_some_and(|s| s.iter().any(|(t, ms)| t + ms > r.t && *t < line.unix_ns));
+                if !still && !killed(&r.front, r.t, line.unix_ns) {
+                    let how = if matches!(line.event, Event::ConnectionLost { .. }) {
                         "its connection ended"
                     } else {
                         "patience ended"
                     };
-                    breach(line.t, format!("request {request} to {}: {how} without an answer", r.front));
+                    breach(
+                        line.unix_ns,
+                        format!("request {request} to {}: {how} without an answer", r.front),
+                    );
                 }
             }
             _ => {}
@@ -230,7 +235,7 @@
     }
 }
 
-fn one_set_up(lines: &[Line], case: &Case, terms: &Terms, out: &mut Vec<Breach>) {
+fn one_set_up(lines: &[Line], case: &Case, terms: &RuleLimits, out: &mut Vec<Violation>) {
     let mut by_session: BTreeMap<(&str, &str), Vec<&Attempt>> = BTreeMap::new();
     for a in &case.attempts {
         let session = case.session_of.get(&a.origin).map_or(a.origin.as_str(), String::as_str);
@@ -247,7 +252,7 @@
                     "{session}: an attempt at {} while one at {} was out, both from {front}",
                     b.node, a.node
                 );
-                out.push(Breach { rule: Rule::OneSetUp, t: b.from, what });
+                out.push(Violation { rule: Rule::OneSetUp, t: b.from, what });
             }
         }
     }
@@ -261,25 +266,25 @@
             if pair[0].status != Some(503) {
                 let what =
                     format!("{origin}: set up again after an attempt at {} that may have run", pair[0].node);
-                out.push(Breach { rule: Rule::OneSetUp, t: pair[1].from, what });
+                out.push(Violation { rule: Rule::OneSetUp, t: pair[1].from, what });
             }
         }
     }
     for line in lines {
-        let What::Reply { request, status: 503, .. } = line.what else { continue };
+        let Event::ResponseReceived { request, status: 503, .. } = line.event else { continue };
         let attempts = case.requests.get(&request).and_then(|r| by_origin.get(r.origin.as_str()));
         if attempts.is_some_and(|a| a.iter().any(|a| a.status != Some(503))) {
             let what = format!("request {request}: refused though an attempt may have run");
-            out.push(Breach { rule: Rule::OneSetUp, t: line.t, what });
+            out.push(Violation { rule: Rule::OneSetUp, t: line.unix_ns, what });
         }
     }
 }
 
-fn drains(lines: &[Line], case: &Case, terms: &Terms, out: &mut Vec<Breach>) {
+fn drains(lines: &[Line], case: &Case, terms: &RuleLimits, out: &mut Vec<Violation>) {
     let mut told: BTreeMap<(&str, &str), Vec<(u64, bool)>> = BTreeMap::new();
     for line in lines {
-        if let What::Told { front, node, state } = &line.what {
-            told.entry((front, node)).or_default().push((line.t, state == "ready"));
+        if let Event::ListPublished { front, node, state } = &line.event {
+            told.entry((front, node)).or_default().push((line.unix_ns, state == "ready"));
         }
     }
     let allowed = ns(terms.list_read_s + terms.drain_grace_s);
@@ -301,38 +306,39 @@
         if !ready && a.from > since + allowed && !stalled {
             let late = (a.from - since) / 1_000_000;
             let what = format!("{} sent to {} {late} ms after it was listed as leaving", a.front, a.node);
-            out.push(Breach { rule: Rule::Drains, t: a.from, what });
+            out.push(Violation { rule: Rule::Drains, t: a.from, what });
         }
     }
 }
 
-fn cold(lines: &[Line], case: &Case, terms: &Terms, out: &mut Vec<Breach>) {
+fn cold(lines: &[Line], case: &Case, terms: &RuleLimits, out: &mut Vec<Violation>) {
     for line in lines {
-        match line.what {
-            What::Fell => {
-                out.push(Breach {
+        match line.event {
+            Event::Overloaded => {
+                out.push(Violation {
                     rule: Rule::Cold,
-                    t: line.t,
-                    what: format!("{} was pushed over", line.who),
+                    t: line.unix_ns,
+                    what: format!("{} was pushed over", line.source),
                 });
             }
-            What::NodeStart { streams, cold_share, cold_s } if cold_s > 0.0 => {
-                let until = line.t + ns(cold_s);
+            Event::NodeStart { streams, cold_share, cold_s } if cold_s > 0.0 => {
+                let until = line.unix_ns + ns(cold_s);
                 let times: Vec<u64> = case
                     .attempts
                     .iter()
-                    .filter(|a| a.node == line.who && (line.t..until).contains(&a.from))
+                    .filter(|a| a.node == line.source && (line.unix_ns..until).contains(&a.from))
                     .map(|a| a.from)
                     .collect();
                 for (i, t) in times.iter().enumerate() {
-                    let warm = cold_share + (1.0 - cold_share) * (t - line.t) as f64 / ns(cold_s) as f64;
+                    let warm =
+                        cold_share + (1.0 - cold_share) * (t - line.unix_ns) as f64 / ns(cold_s) as f64;
                     let most = terms.fall_multiple * streams / cold_s * warm * terms.fall_s + 3.0;
                     let from = t.saturating_sub(ns(terms.fall_s));
                     let sent = times[..=i].iter().filter(|s| **s > from).count();
                     if sent as f64 > most {
                         let what =
-                            format!("{}: {sent} set-ups in {} s, {most:.1} stand", line.who, terms.fall_s);
-                        out.push(Breach { rule: Rule::Cold, t: *t, what });
+                            format!("{}: {sent} set-ups in {} s, {most:.1} stand", line.source, terms.fall_s);
+                        out.push(Violation { rule: Rule::Cold, t: *t, what });
                         break;
                     }
                 }
@@ -342,20 +348,20 @@
     }
 }
 
-fn terms_kept(lines: &[Line], case: &Case, terms: &Terms, out: &mut Vec<Breach>) {
+fn terms_kept(lines: &[Line], case: &Case, terms: &RuleLimits, out: &mut Vec<Violation>) {
     let mut ends: BTreeMap<&str, u64> = BTreeMap::new();
     let mut layers: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for line in lines {
-        match &line.what {
-            What::Layer { origin, rung } => {
-                layers.entry(origin).or_default().push(line.t);
+        match &line.event {
+            Event::RungSelected { origin, rung } => {
+                layers.entry(origin).or_default().push(line.unix_ns);
                 if *rung < terms.floor {
                     let what = format!("{origin}: rung {rung}, the floor is {}", terms.floor);
-                    out.push(Breach { rule: Rule::TermsKept, t: line.t, what });
+                    out.push(Violation { rule: Rule::TermsKept, t: line.unix_ns, what });
                 }
             }
-            What::Ended { origin, .. } => {
-                ends.insert(origin, line.t);
+            Event::SessionEnded { origin, .. } => {
+                ends.insert(origin, line.unix_ns);
             }
             _ => {}
         }
@@ -365,9 +371,9 @@
         let (from, soon) = (a.from, a.to.unwrap_or(a.from) + SECOND);
         let set = layers.get(a.origin.as_str()).is_some_and(|l| l.iter().any(|t| (from..=soon).contains(t)));
         let short = ends.get(a.origin.as_str()).is_some_and(|t| *t <= soon);
-        if !set && !short && lines.last().is_some_and(|l| l.t > soon) {
+        if !set && !short && lines.last().is_some_and(|l| l.unix_ns > soon) {
             let what = format!("{}: played below its floor for a second", a.origin);
-            out.push(Breach { rule: Rule::TermsKept, t: soon, what });
+            out.push(Violation { rule: Rule::TermsKept, t: soon, what });
         }
     }
     if terms.seats == 0 {
@@ -390,14 +396,14 @@
             now += step;
             if now > i64::from(terms.seats) {
                 let what = format!("{front} held {now} sessions of {title}, {} are allowed", terms.seats);
-                out.push(Breach { rule: Rule::TermsKept, t, what });
+                out.push(Violation { rule: Rule::TermsKept, t, what });
                 break;
             }
         }
     }
 }
 
-fn ration(case: &Case, terms: &Terms, out: &mut Vec<Breach>) {
+fn ration(case: &Case, terms: &RuleLimits, out: &mut Vec<Violation>) {
     let Some((free, share, window_s)) = terms.budget else { return };
     let mut seen = BTreeSet::new();
     let mut further: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
@@ -416,7 +422,7 @@
             let most = free + share * (sessions.len() + 1) as f64;
             if sent as f64 > most {
                 let what = format!("{front}: {sent} further attempts in {window_s} s, {most:.1} are allowed");
-                out.push(Breach { rule: Rule::Ration, t: *t, what });
+                out.push(Violation { rule: Rule::Ration, t: *t, what });
                 break;
             }
         }
--- a/crates/rehearse/src/checker/tests.rs
+++ b/crates/rehearse/src/checker/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> RuleLimits {
+    RuleLimits {
         patience_s: 4.0,
         list_read_s: 0.25,
         drain_grace_s: 0.25,
@@ -18,30 +18,34 @@
 
 const T0: u64 = 1_000 * SECOND;
 
-fn line(ms: u64, who: &str, what: What) -> Line {
-    Line { t: T0 + ms * 1_000_000, who: who.into(), what }
+fn line(ms: u64, who: &str, what: Event) -> Line {
+    Line { unix_ns: T0 + ms * 1_000_000, source: who.into(), event: what }
 }
 
 fn asked(ms: u64, request: u64) -> Line {
     let (session, origin, title) = (format!("v{request}/t"), format!("viewer {request}"), "t".to_owned());
-    line(ms, "viewers", What::Asked { request, session, origin, title, class: "c".into(), front: "f".into() })
+    line(
+        ms,
+        "viewers",
+        Event::RequestSent { request, session, origin, title, class: "c".into(), front: "f".into() },
+    )
 }
 
 fn reply(ms: u64, request: u64, status: u16) -> Line {
-    line(ms, "viewers", What::Reply { request, status, retry_after: None })
+    line(ms, "viewers", Event::ResponseReceived { request, status, retry_after: None })
 }
 
 fn attempt(ms: u64, node: &str, attempt: u64, request: u64) -> Line {
     let origin = format!("viewer {request}");
-    line(ms, node, What::Attempt { attempt, front: "f".into(), origin, title: "t".into() })
+    line(ms, node, Event::Attempt { attempt, front: "f".into(), origin, title: "t".into() })
 }
 
 fn answered(ms: u64, node: &str, attempt: u64, status: u16) -> Line {
-    line(ms, node, What::Answered { attempt, status })
+    line(ms, node, Event::AttemptAnswered { attempt, status })
 }
 
 fn told(ms: u64, state: &str) -> Line {
-    line(ms, "conductor", What::Told { front: "f".into(), node: "n1".into(), state: state.into() })
+    line(ms, "conductor", Event::ListPublished { front: "f".into(), node: "n1".into(), state: state.into() })
 }
 
 /// A request that is tried twice and plays.
@@ -49,15 +53,15 @@
     vec![
         asked(0, 1),
         attempt(5, "n1", 1, 1),
-        line(405, "n1", What::Closed { attempt: 1 }),
+        line(405, "n1", Event::AttemptClosed { attempt: 1 }),
         attempt(406, "n2", 1, 1),
         answered(420, "n2", 1, 201),
         reply(425, 1, 201),
     ]
 }
 
-fn broken(lines: &[Line], terms: &Terms) -> Vec<Rule> {
-    judge(lines, terms).iter().map(|b| b.rule).collect()
+fn broken(lines: &[Line], terms: &RuleLimits) -> Vec<Rule> {
+    check(lines, terms).iter().map(|b| b.rule).collect()
 }
 
 #[test]
@@ -70,27 +74,27 @@
     let with = |line| [clean(), vec![line]].concat();
     assert_eq!(broken(&clean()[..5], &terms()), [Rule::OneAnswer]);
     assert_eq!(broken(&with(reply(500, 1, 503)), &terms()), [Rule::OneAnswer]);
-    let extra = line(500, "viewers", What::Extra { request: 1, bytes: 7 });
+    let extra = line(500, "viewers", Event::UnexpectedBytes { request: 1, bytes: 7 });
     assert_eq!(broken(&with(extra), &terms()), [Rule::OneAnswer]);
     assert_eq!(broken(&[asked(0, 1), reply(4_010, 1, 504)], &terms()), [Rule::OneAnswer]);
-    let gave_up = [asked(0, 1), line(4_000, "viewers", What::GaveUp { request: 1 })];
+    let gave_up = [asked(0, 1), line(4_000, "viewers", Event::TimedOut { request: 1 })];
     assert_eq!(broken(&gave_up, &terms()), [Rule::OneAnswer]);
-    let broke = [asked(0, 1), line(300, "viewers", What::Broke { request: 1 })];
+    let broke = [asked(0, 1), line(300, "viewers", Event::ConnectionLost { request: 1 })];
     assert_eq!(broken(&broke, &terms()), [Rule::OneAnswer]);
-    let down = line(290, "conductor", What::FrontDown { front: "f".into() });
+    let down = line(290, "conductor", Event::FrontKilled { front: "f".into() });
     assert!(broken(&[broke.to_vec(), vec![down]].concat(), &terms()).is_empty(), "its front was killed");
-    let hung = [asked(0, 1), line(10, "viewers", What::Hung { request: 1 })];
+    let hung = [asked(0, 1), line(10, "viewers", Event::ViewerLeft { request: 1 })];
     assert!(broken(&hung, &terms()).is_empty(), "the viewer itself left");
 }
 
 #[test]
 fn rule_2_two_attempts_out_and_a_paid_set_up_again() {
     let mut lines = clean();
-    lines[2].t = T0 + 410 * 1_000_000;
+    lines[2].unix_ns = T0 + 410 * 1_000_000;
     assert_eq!(broken(&lines, &terms()), [Rule::OneSetUp]);
     lines.remove(2);
     assert_eq!(broken(&lines, &terms()), [Rule::OneSetUp], "never closed");
-    let paid = Terms { once: true, ..terms() };
+    let paid = RuleLimits { once: true, ..terms() };
     assert_eq!(broken(&clean(), &paid), [Rule::OneSetUp]);
     let mut refused = clean();
     refused[2] = answered(405, "n1", 1, 503);
@@ -119,7 +123,7 @@
 
 #[test]
 fn rule_4_a_cold_node_sent_too_much() {
-    let start = line(0, "n1", What::NodeStart { streams: 12.0, cold_share: 0.4, cold_s: 12.0 });
+    let start = line(0, "n1", Event::NodeStart { streams: 12.0, cold_share: 0.4, cold_s: 12.0 });
     // 2.5 x 1 a second x 0.4 x 2 s + 3 of slack: five set-ups stand at the start.
     let sends = |n: u64| -> Vec<Line> {
         (1..=n)
@@ -130,39 +134,39 @@
     };
     assert!(broken(&[vec![start.clone()], sends(5)].concat(), &terms()).is_empty());
     assert_eq!(broken(&[vec![start], sends(6)].concat(), &terms()), [Rule::Cold]);
-    assert_eq!(broken(&[line(0, "n1", What::Fell)], &terms()), [Rule::Cold]);
+    assert_eq!(broken(&[line(0, "n1", Event::Overloaded)], &terms()), [Rule::Cold]);
 }
 
 #[test]
 fn rule_5_below_the_floor_and_past_the_seats() {
-    let floor = Terms { floor: 1, ..terms() };
-    let layer = |ms, rung| line(ms, "n2", What::Layer { origin: "viewer 1".into(), rung });
+    let floor = RuleLimits { floor: 1, ..terms() };
+    let layer = |ms, rung| line(ms, "n2", Event::RungSelected { origin: "viewer 1".into(), rung });
     assert!(broken(&[clean(), vec![layer(421, 1)]].concat(), &floor).is_empty());
     assert_eq!(broken(&[clean(), vec![layer(421, 1), layer(900, 0)]].concat(), &floor), [Rule::TermsKept]);
     let late = [clean(), vec![asked(5_000, 9), reply(5_001, 9, 503)]].concat();
     assert_eq!(broken(&late, &floor), [Rule::TermsKept], "no rung was ever set");
-    let seats = Terms { seats: 1, ..terms() };
+    let seats = RuleLimits { seats: 1, ..terms() };
     let second = [asked(500, 2), attempt(501, "n1", 2, 2), answered(502, "n1", 2, 201), reply(503, 2, 201)];
     assert_eq!(broken(&[clean(), second.to_vec()].concat(), &seats), [Rule::TermsKept]);
-    let ended = line(450, "n2", What::Ended { origin: "viewer 1".into(), why: "delete".into() });
+    let ended = line(450, "n2", Event::SessionEnded { origin: "viewer 1".into(), reason: "delete".into() });
     assert!(broken(&[clean(), second.to_vec(), vec![ended]].concat(), &seats).is_empty());
 }
 
 #[test]
 fn rule_6_further_attempts_past_the_ration() {
-    let tight = Terms { budget: Some((0.0, 0.2, 10.0)), ..terms() };
+    let tight = RuleLimits { budget: Some((0.0, 0.2, 10.0)), ..terms() };
     assert_eq!(broken(&clean(), &tight), [Rule::Ration]);
-    let loose = Terms { budget: Some((1.0, 0.2, 10.0)), ..terms() };
+    let loose = RuleLimits { budget: Some((1.0, 0.2, 10.0)), ..terms() };
     assert!(broken(&clean(), &loose).is_empty());
 }
 
 #[test]
 fn patience_is_not_counted_while_a_front_stands_still() {
-    let gave_up = |ms| line(ms, "viewers", What::GaveUp { request: 1 });
-    let still = |ms| line(ms, "conductor", What::FrontStall { front: "f".into(), ms: 3_000 });
-    assert!(judge(&[asked(0, 1), still(1_000), gave_up(4_001)], &terms()).is_empty());
+    let gave_up = |ms| line(ms, "viewers", Event::TimedOut { request: 1 });
+    let still = |ms| line(ms, "conductor", Event::FrontStall { front: "f".into(), ms: 3_000 });
+    assert!(check(&[asked(0, 1), still(1_000), gave_up(4_001)], &terms()).is_empty());
     // It stood still before the viewer came, or another did.
-    assert_eq!(judge(&[still(0), asked(3_500, 1), gave_up(7_501)], &terms()).len(), 1);
-    let other = line(1_000, "conductor", What::FrontStall { front: "g".into(), ms: 3_000 });
-    assert_eq!(judge(&[asked(0, 1), other, gave_up(4_001)], &terms()).len(), 1);
+    assert_eq!(check(&[still(0), asked(3_500, 1), gave_up(7_501)], &terms()).len(), 1);
+    let other = line(1_000, "conductor", Event::FrontStall { front: "g".into(), ms: 3_000 });
+    assert_eq!(check(&[asked(0, 1), other, gave_up(4_001)], &terms()).len(), 1);
 }
--- a/crates/rehearse/src/day.rs
+++ b/crates/rehearse/src/day.rs
@@ -19,10 +19,10 @@
     pub fleet: Fleet,
     /// Who comes.
     #[serde(default)]
-    pub viewers: Crowd,
+    pub viewers: ViewerSettings,
     /// What goes wrong, when.
     #[serde(default)]
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<ScheduledFault>,
 }
 
 /// Fronts and nodes.
@@ -60,15 +60,15 @@
     /// Shares of the tenants in the usual traffic; none where empty.
     pub tenants: Vec<f64>,
     /// Fronts exchange records; else they know nothing of each other.
-    pub exchange: Option<Between>,
+    pub exchange: Option<ExchangeSettings>,
     /// Duties that the fronts share; they need an exchange.
-    pub duties: Option<Shared>,
+    pub duties: Option<DutySettings>,
 }
 
 /// Duties that fronts share.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Shared {
+pub struct DutySettings {
     /// Each node is asked once in this time, seconds.
     pub period_s: f64,
     /// What was read is told to the other fronts.
@@ -80,7 +80,7 @@
 /// What lies between the fronts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Between {
+pub struct ExchangeSettings {
     /// Part of their datagrams that is lost.
     pub loss: f64,
     /// Fronts that are cut off: whatever they send is lost, and nobody sends to them.
@@ -114,7 +114,7 @@
 /// Who comes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Crowd {
+pub struct ViewerSettings {
     /// Viewers a second, on the mean.
     pub rate: f64,
     /// They play for between these, seconds.
@@ -135,7 +135,7 @@
     pub impatient: f64,
 }
 
-impl Default for Crowd {
+impl Default for ViewerSettings {
     fn default() -> Self {
         Self {
             rate: 12.0,
@@ -153,7 +153,7 @@
 
 /// A trouble: from when, for how long, and what.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Trouble {
+pub struct ScheduledFault {
     /// Begins, seconds from the first arrival.
     pub at_s: f64,
     /// Lasts, seconds.
@@ -161,13 +161,13 @@
     pub for_s: f64,
     /// What.
     #[serde(flatten)]
-    pub kind: Kind,
+    pub kind: FaultKind,
 }
 
 /// Kinds of trouble.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
-pub enum Kind {
+pub enum FaultKind {
     /// The uplinks of these racks give only this part.
     Uplink {
         /// Racks.
@@ -351,7 +351,8 @@
         if f.tenants.len() > 16 || f.tenants.iter().any(|s| !(0.0..=1.0).contains(s)) {
             return Err("fleet.tenants holds 16 shares at most, each between 0 and 1".into());
         }
-        let announces = |t: &Trouble| matches!(t.kind, Kind::Announce { .. } | Kind::CallOff { .. });
+        let announces =
+            |t: &ScheduledFault| matches!(t.kind, FaultKind::Announce { .. } | FaultKind::CallOff { .. });
         if f.exchange.is_none() && self.troubles.iter().any(announces) {
             return Err("a day with announced peaks needs fleet.exchange".into());
         }
@@ -363,19 +364,19 @@
                 return Err(format!("troubles[{i}]: at_s and for_s are between 0 and 300"));
             }
             let (nodes, fronts): (&[u32], &[u32]) = match &t.kind {
-                Kind::Crash { nodes }
-                | Kind::Ageing { nodes, .. }
-                | Kind::Errors { nodes, .. }
-                | Kind::Hang { nodes, .. }
-                | Kind::Half { nodes, .. }
-                | Kind::Drain { nodes } => (nodes, &[]),
-                Kind::Announce { front, .. } | Kind::CallOff { front, .. } => {
+                FaultKind::Crash { nodes }
+                | FaultKind::Ageing { nodes, .. }
+                | FaultKind::Errors { nodes, .. }
+                | FaultKind::Hang { nodes, .. }
+                | FaultKind::Half { nodes, .. }
+                | FaultKind::Drain { nodes } => (nodes, &[]),
+                FaultKind::Announce { front, .. } | FaultKind::CallOff { front, .. } => {
                     (&[], std::slice::from_ref(front))
                 }
-                Kind::FrontKill { fronts } | Kind::FrontStall { fronts, .. } => (&[], fronts),
+                FaultKind::FrontKill { fronts } | FaultKind::FrontStall { fronts, .. } => (&[], fronts),
                 _ => (&[], &[]),
             };
-            if matches!(t.kind, Kind::TenantBurst { tenant, .. } if tenant as usize >= f.tenants.len()) {
+            if matches!(t.kind, FaultKind::TenantBurst { tenant, .. } if tenant as usize >= f.tenants.len()) {
                 return Err(format!("troubles[{i}]: there is no such tenant"));
             }
             if nodes.iter().any(|n| *n >= f.nodes) || fronts.iter().any(|n| *n >= f.fronts) {
@@ -409,18 +410,25 @@
     let (drained, crashed, odd) = (pick(), pick(), pick());
     let rack = rng.random_range(0..fleet.racks);
     let front = rng.random_range(0..fronts);
-    let trouble = |at_s: f64, for_s: f64, kind: Kind| Trouble { at_s, for_s: for_s * s, kind };
+    let trouble = |at_s: f64, for_s: f64, kind: FaultKind| ScheduledFault { at_s, for_s: for_s * s, kind };
     let troubles = vec![
-        trouble(times[0], 14.0, Kind::Uplink { racks: vec![rack], left: 0.45 }),
-        trouble(times[1], 24.0, Kind::Deploy { batch: 2, drain_s: 2.0 * s }),
-        trouble(times[2], 10.0, Kind::Drain { nodes: vec![drained] }),
-        trouble(times[3], 6.0, Kind::Crash { nodes: vec![crashed] }),
-        trouble(times[4], 3.0, Kind::FrontKill { fronts: vec![front] }),
-        trouble(times[5], 9.0, Kind::ListLate { by_s: 2.5 }),
-        trouble(times[6], 7.0, Kind::Burst { times: 2.2 }),
-        trouble(times[7], 6.0, Kind::Hang { nodes: vec![odd], share: 0.5 }),
+        trouble(times[0], 14.0, FaultKind::Uplink { racks: vec![rack], left: 0.45 }),
+        trouble(times[1], 24.0, FaultKind::Deploy { batch: 2, drain_s: 2.0 * s }),
+        trouble(times[2], 10.0, FaultKind::Drain { nodes: vec![drained] }),
+        trouble(times[3], 6.0, FaultKind::Crash { nodes: vec![crashed] }),
+        trouble(times[4], 3.0, FaultKind::FrontKill { fronts: vec![front] }),
+        trouble(times[5], 9.0, FaultKind::ListLate { by_s: 2.5 }),
+        trouble(times[6], 7.0, FaultKind::Burst { times: 2.2 }),
+        trouble(times[7], 6.0, FaultKind::Hang { nodes: vec![odd], share: 0.5 }),
     ];
-    Day { name: format!("bad day {seed}"), seed, length_s, fleet, viewers: Crowd::default(), troubles }
+    Day {
+        name: format!("bad day {seed}"),
+        seed,
+        length_s,
+        fleet,
+        viewers: ViewerSettings::default(),
+        troubles,
+    }
 }
 
 #[cfg(test)]
--- a/crates/rehearse/src/duties/coverage.rs
+++ b/crates/rehearse/src/duties/coverage.rs
@@ -29,7 +29,7 @@
 
 /// What is judged.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct RuleLimits {
     /// Each node is to be asked once in this time, milliseconds.
     pub period_ms: u64,
     /// No gap is longer than this, milliseconds.
@@ -42,7 +42,7 @@
 
 /// A bound that was passed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Breach {
+pub struct Violation {
     /// Which node.
     pub node: String,
     /// When, milliseconds.
@@ -67,12 +67,13 @@
     /// Most probes that a node heard in the window.
     pub most_in_window: usize,
     /// Bounds passed.
-    pub breaches: Vec<Breach>,
+    #[serde(rename = "breaches")]
+    pub violations: Vec<Violation>,
 }
 
 /// Judges.
 #[must_use]
-pub fn judge(probes: &[Probe], lives: &[Life], terms: &Terms) -> Coverage {
+pub fn check(probes: &[Probe], lives: &[Life], terms: &RuleLimits) -> Coverage {
     let mut heard: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for p in probes {
         heard.entry(&p.node).or_default().push(p.t_ms);
@@ -90,7 +91,7 @@
             gaps.push(gap);
             if gap > terms.gap_ms {
                 let what = format!("not asked for {gap} ms; {} ms is the bound", terms.gap_ms);
-                out.breaches.push(Breach { node: life.node.clone(), t_ms: last, what });
+                out.violations.push(Violation { node: life.node.clone(), t_ms: last, what });
             }
             last = t;
         }
@@ -108,7 +109,7 @@
             if in_window > terms.most {
                 let what =
                     format!("asked {in_window} times in {span} ms; {} times are the bound", terms.most);
-                out.breaches.push(Breach { node: (*node).to_owned(), t_ms: *t, what });
+                out.violations.push(Violation { node: (*node).to_owned(), t_ms: *t, what });
             }
         }
     }
@@ -131,7 +132,7 @@
         times.iter().map(|t| Probe { t_ms: *t, node: "n".into(), front: "f".into() }).collect()
     }
 
-    const TERMS: Terms = Terms { period_ms: 1_000, gap_ms: 2_500, window: 5, most: 8 };
+    const TERMS: RuleLimits = RuleLimits { period_ms: 1_000, gap_ms: 2_500, window: 5, most: 8 };
 
     fn life() -> [Life; 1] {
         [Life { node: "n".into(), from_ms: 0, to_ms: 10_000 }]
@@ -140,8 +141,8 @@
     #[test]
     fn regular_coverage_passes() {
         let times: Vec<u64> = (0..10).map(|i| i * 1_000 + 300).collect();
-        let c = judge(&probes(&times), &life(), &TERMS);
-        assert!(c.breaches.is_empty(), "{c:?}");
+        let c = check(&probes(&times), &life(), &TERMS);
+        assert!(c.violations.is_empty(), "{c:?}");
         assert_eq!((c.longest_gap_ms, c.gap_p50_ms, c.most_in_window, c.twice), (1_000, 1_000, 5, 0.0));
     }
 
@@ -149,19 +150,19 @@
     fn planted_gaps_are_found_in_the_middle_and_at_both_ends() {
         for missing in [0..4, 3..6, 7..10] {
             let times: Vec<u64> = (0..10).filter(|i| !missing.contains(i)).map(|i| i * 1_000 + 300).collect();
-            let c = judge(&probes(&times), &life(), &TERMS);
-            assert_eq!(c.breaches.len(), 1, "{missing:?}: {c:?}");
+            let c = check(&probes(&times), &life(), &TERMS);
+            assert_eq!(c.violations.len(), 1, "{missing:?}: {c:?}");
         }
-        assert_eq!(judge(&[], &life(), &TERMS).breaches.len(), 1, "a node that nobody asked");
+        assert_eq!(check(&[], &life(), &TERMS).violations.len(), 1, "a node that nobody asked");
     }
 
     #[test]
     fn planted_crowds_of_probes_are_found_and_counted() {
         let mut times: Vec<u64> = (0..10).map(|i| i * 1_000 + 300).collect();
         times.extend([4_310, 4_320, 4_330, 4_340]);
-        let c = judge(&probes(&times), &life(), &TERMS);
+        let c = check(&probes(&times), &life(), &TERMS);
         assert!((c.twice - 4.0 / 14.0).abs() < 1e-9);
-        assert!(c.most_in_window == 9 && !c.breaches.is_empty(), "{c:?}");
+        assert!(c.most_in_window == 9 && !c.violations.is_empty(), "{c:?}");
     }
 
     #[test]
@@ -170,7 +171,7 @@
             Life { node: "n".into(), from_ms: 0, to_ms: 2_000 },
             Life { node: "n".into(), from_ms: 8_000, to_ms: 10_000 },
         ];
-        let c = judge(&probes(&[500, 1_500, 8_400, 9_400]), &lives, &TERMS);
-        assert!(c.breaches.is_empty(), "{c:?}");
+        let c = check(&probes(&[500, 1_500, 8_400, 9_400]), &lives, &TERMS);
+        assert!(c.violations.is_empty(), "{c:?}");
     }
 }
--- a/crates/rehearse/src/duties/large_fleet.rs
+++ b/crates/rehearse/src/duties/large_fleet.rs
@@ -1,6 +1,6 @@
 //! Large fleets in one process: what a death costs, what is done twice, and how many bytes it takes.
 
-use super::coverage::{Coverage, Terms, judge};
+use super::coverage::{Coverage, RuleLimits, check};
 use super::simulation::{Act, Net, Options};
 use serde::Serialize;
 
@@ -44,7 +44,7 @@
 
 /// Runs a fleet with four deaths.
 #[must_use]
-pub fn many(options: &Options) -> ManyReport {
+pub fn measure(options: &Options) -> ManyReport {
     let mut net = Net::new(options.clone());
     let dead: Vec<usize> =
         (0..KILLS_MS.len()).map(|k| (k * 7 + 1) % options.fronts).take(options.fronts / 2).collect();
@@ -60,7 +60,7 @@
     // The mean bound, and four standard deviations of what chance adds.
     let mean = f64::from(options.most) * 5.0;
     let most = (mean + 4.0 * mean.sqrt()) as usize;
-    let terms = Terms { period_ms: options.period_ms, gap_ms, window: 5, most };
+    let terms = RuleLimits { period_ms: options.period_ms, gap_ms, window: 5, most };
     let (probes, lives) = (net.probes(SETTLED_MS, END_MS), net.lives(SETTLED_MS, END_MS));
     let living = (options.fronts - dead.len()) as f64;
     let per = |sum: u64| sum as f64 / living / ((END_MS - SETTLED_MS) as f64 / 1e3);
@@ -74,7 +74,7 @@
         fronts: options.fronts,
         nodes: options.nodes,
         loss: options.loss,
-        coverage: judge(&probes, &lives, &terms),
+        coverage: check(&probes, &lives, &terms),
         bytes_a_second: per(bytes),
         datagrams_a_second: per(datagrams),
         own_known: net.own_ages_ms.len() as f64 / net.ages_ms.len().max(1) as f64,
--- a/crates/rehearse/src/duties/run.rs
+++ b/crates/rehearse/src/duties/run.rs
@@ -1,10 +1,10 @@
 //! Fronts as processes that share duties: killed, stopped, stalled and cut off by schedule, judged by what the nodes'
 //! sockets heard.
 
-use super::coverage::{Coverage, Life, Probe, Terms, judge};
-use crate::day::{Between, Crowd, Day, Fleet, Kind, Shared, Trouble};
-use crate::runner::{Fault, Outcome, play};
-use pepperhook_playout::record::{Line, What};
+use super::coverage::{Coverage, Life, Probe, RuleLimits, check};
+use crate::day::{Day, DutySettings, ExchangeSettings, FaultKind, Fleet, ScheduledFault, ViewerSettings};
+use crate::runner::{RunError, RunResult, run_day};
+use pepperhook_playout::record::{Event, Line};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -56,24 +56,24 @@
 pub fn day(v: &Variation) -> Day {
     let fleet = Fleet {
         fronts: v.fronts,
-        exchange: Some(Between { loss: v.loss, cut: Vec::new() }),
-        duties: Some(Shared { period_s: PERIOD_S, share: true, ask: false }),
+        exchange: Some(ExchangeSettings { loss: v.loss, cut: Vec::new() }),
+        duties: Some(DutySettings { period_s: PERIOD_S, share: true, ask: false }),
         ..Fleet::default()
     };
     let last = v.fronts - 1;
     let mut troubles = Vec::new();
-    let mut add = |at_s, for_s, kind| troubles.push(Trouble { at_s, for_s, kind });
-    add(10.0, 8.0, Kind::FrontKill { fronts: vec![1 % v.fronts] });
-    add(14.5, 1.0, Kind::FrontStall { fronts: vec![last], ms: 2_000, every_s: 60.0 });
-    add(20.0, 6.0, Kind::FrontKill { fronts: vec![0, last] });
-    add(23.0, 6.0, Kind::Crash { nodes: vec![3] });
-    add(30.0, 5.0, Kind::Drain { nodes: vec![5] });
+    let mut add = |at_s, for_s, kind| troubles.push(ScheduledFault { at_s, for_s, kind });
+    add(10.0, 8.0, FaultKind::FrontKill { fronts: vec![1 % v.fronts] });
+    add(14.5, 1.0, FaultKind::FrontStall { fronts: vec![last], ms: 2_000, every_s: 60.0 });
+    add(20.0, 6.0, FaultKind::FrontKill { fronts: vec![0, last] });
+    add(23.0, 6.0, FaultKind::Crash { nodes: vec![3] });
+    add(30.0, 5.0, FaultKind::Drain { nodes: vec![5] });
     Day {
         name: "shared duties".into(),
         seed: v.seed,
         length_s: 38.0,
         fleet,
-        viewers: Crowd { rate: 8.0, ..Crowd::default() },
+        viewers: ViewerSettings { rate: 8.0, ..ViewerSettings::default() },
         troubles,
     }
 }
@@ -87,36 +87,41 @@
     program: &Path,
     dir: &Path,
     tell: impl Fn(String) + 'static,
-) -> Result<DutiesReport, Fault> {
-    let outcome = play(&day(v), program, dir, tell).await?;
+) -> Result<DutiesReport, RunError> {
+    let outcome = run_day(&day(v), program, dir, tell).await?;
     Ok(report(v, &outcome))
 }
 
-fn report(v: &Variation, outcome: &Outcome) -> DutiesReport {
+fn report(v: &Variation, outcome: &RunResult) -> DutiesReport {
     let lines = &outcome.lines;
-    let begin = lines.iter().find(|l| matches!(l.what, What::Asked { .. })).map_or(0, |l| l.t) / 1_000_000;
+    let begin = lines.iter().find(|l| matches!(l.event, Event::RequestSent { .. })).map_or(0, |l| l.unix_ns)
+        / 1_000_000;
     let from_ms = begin + (SETTLED_S * 1e3) as u64;
     // Fronts are stopped one after the other at the end.
-    let ends = lines.iter().find(|l| matches!(l.what, What::FrontStop { .. })).map_or(u64::MAX, |l| l.t);
+    let ends =
+        lines.iter().find(|l| matches!(l.event, Event::FrontStop { .. })).map_or(u64::MAX, |l| l.unix_ns);
     let to_ms = ends / 1_000_000;
     let gap_ms = ((2.0 * PERIOD_S + SUSPICION_S) * 1e3) as u64;
     let most = (5.0 * WINDOW as f64) as usize;
-    let terms = Terms { period_ms: (PERIOD_S * 1e3) as u64, gap_ms, window: WINDOW, most };
+    let terms = RuleLimits { period_ms: (PERIOD_S * 1e3) as u64, gap_ms, window: WINDOW, most };
     let heard: Vec<Probe> =
         probes(lines).into_iter().filter(|p| (from_ms..to_ms).contains(&p.t_ms)).collect();
     let lives = lives(lines, from_ms, to_ms);
-    let kills: Vec<u64> =
-        lines.iter().filter(|l| matches!(l.what, What::FrontDown { .. })).map(|l| l.t / 1_000_000).collect();
+    let kills: Vec<u64> = lines
+        .iter()
+        .filter(|l| matches!(l.event, Event::FrontKilled { .. }))
+        .map(|l| l.unix_ns / 1_000_000)
+        .collect();
     let after = kills.iter().map(|t| {
         let within =
             |l: &Life| Life { from_ms: l.from_ms.max(*t), to_ms: l.to_ms.min(t + gap_ms), ..l.clone() };
         let lives: Vec<Life> = lives.iter().map(within).filter(|l| l.from_ms < l.to_ms).collect();
-        judge(&heard, &lives, &terms).longest_gap_ms
+        check(&heard, &lives, &terms).longest_gap_ms
     });
     DutiesReport {
         loss: v.loss,
         longest_gap_after_kill_ms: after.max().unwrap_or(0),
-        coverage: judge(&heard, &lives, &terms),
+        coverage: check(&heard, &lives, &terms),
         gap_bound_ms: gap_ms,
         served_within_aim: outcome.report.served_within_aim,
         ages_ms: ages(&outcome.states),
@@ -133,10 +138,10 @@
     states.iter().map(|s| [at(s, "p50_ms"), at(s, "p90_ms"), at(s, "p99_ms")]).collect()
 }
 
-fn bytes_a_second(outcome: &Outcome) -> f64 {
-    let times = |l: &&Line| matches!(l.what, What::Asked { .. });
-    let first = outcome.lines.iter().find(times).map_or(0, |l| l.t);
-    let last = outcome.lines.iter().rev().find(times).map_or(0, |l| l.t);
+fn bytes_a_second(outcome: &RunResult) -> f64 {
+    let times = |l: &&Line| matches!(l.event, Event::RequestSent { .. });
+    let first = outcome.lines.iter().find(times).map_or(0, |l| l.unix_ns);
+    let last = outcome.lines.iter().rev().find(times).map_or(0, |l| l.unix_ns);
     // Fronts that were killed count from their last start: those that ran the longest tell the rate.
     let most = outcome.states.iter().filter_map(|s| s["exchange"]["sent_bytes"].as_u64()).max();
     most.unwrap_or(0) as f64 / ((last - first) as f64 / 1e9).max(1.0)
@@ -145,9 +150,9 @@
 /// What nodes heard.
 #[must_use]
 pub fn probes(lines: &[Line]) -> Vec<Probe> {
-    let probe = |l: &Line| match &l.what {
-        What::Probe { front } => {
-            Some(Probe { t_ms: l.t / 1_000_000, node: l.who.clone(), front: front.clone() })
+    let probe = |l: &Line| match &l.event {
+        Event::Probe { front } => {
+            Some(Probe { t_ms: l.unix_ns / 1_000_000, node: l.source.clone(), front: front.clone() })
         }
         _ => None,
     };
@@ -161,14 +166,14 @@
     let mut ready: BTreeMap<String, u64> = BTreeMap::new();
     // A node's own start counts too: the list may be late in telling of its end.
     for line in lines {
-        let t = line.t / 1_000_000;
-        match &line.what {
-            What::Told { node, state, .. } if state == "ready" => {
+        let t = line.unix_ns / 1_000_000;
+        match &line.event {
+            Event::ListPublished { node, state, .. } if state == "ready" => {
                 ready.entry(node.clone()).or_insert(t);
             }
-            What::Told { node, .. } => end(&mut out, &mut ready, node, t),
-            What::NodeStart { .. } => end(&mut out, &mut ready, &line.who, t),
-            What::Fault { kind, detail } if kind == "begins" && detail.contains("\"crash\"") => {
+            Event::ListPublished { node, .. } => end(&mut out, &mut ready, node, t),
+            Event::NodeStart { .. } => end(&mut out, &mut ready, &line.source, t),
+            Event::FaultInjected { kind, detail } if kind == "begins" && detail.contains("\"crash\"") => {
                 // A killed node says nothing; the list will tell of it some time later.
                 let all: Vec<String> = ready.keys().cloned().collect();
                 for node in all {
--- a/crates/rehearse/src/peak.rs
+++ b/crates/rehearse/src/peak.rs
@@ -1,8 +1,8 @@
 //! The rehearsal of an announced peak: the same crowd with and without the announcement, and one called off.
 
-use crate::day::{Between, Crowd, Day, Fleet, Kind, Trouble};
-use crate::runner::{Fault, Outcome, play};
-use pepperhook_playout::record::{Line, What};
+use crate::day::{Day, ExchangeSettings, FaultKind, Fleet, ScheduledFault, ViewerSettings};
+use crate::runner::{RunError, RunResult, run_day};
+use pepperhook_playout::record::{Event, Line};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -75,7 +75,7 @@
 }
 
 fn day(v: &Variation, announced: bool, called_off: bool) -> Day {
-    let between = Between { loss: v.loss, cut: v.cut.into_iter().collect() };
+    let between = ExchangeSettings { loss: v.loss, cut: v.cut.into_iter().collect() };
     // Links and uplinks at which the usual viewers already play near the lowest rungs.
     let fleet = Fleet {
         fronts: v.fronts,
@@ -85,11 +85,11 @@
         ..Fleet::default()
     };
     let mut troubles = Vec::new();
-    let mut add = |at_s, for_s, kind| troubles.push(Trouble { at_s, for_s, kind });
+    let mut add = |at_s, for_s, kind| troubles.push(ScheduledFault { at_s, for_s, kind });
     if announced || called_off {
         let peak = "event".to_owned();
         let after_s = START_S - ANNOUNCED_S;
-        let kind = Kind::Announce {
+        let kind = FaultKind::Announce {
             peak,
             front: 0,
             title: TITLE,
@@ -102,9 +102,9 @@
         add(ANNOUNCED_S, 0.0, kind);
     }
     if called_off {
-        add(CALLED_OFF_S, 0.0, Kind::CallOff { peak: "event".into(), front: 0 });
+        add(CALLED_OFF_S, 0.0, FaultKind::CallOff { peak: "event".into(), front: 0 });
     } else {
-        add(START_S, CROWD_S, Kind::HotTitle { first: TITLE, titles: 1, rate: 6.0 });
+        add(START_S, CROWD_S, FaultKind::HotTitle { first: TITLE, titles: 1, rate: 6.0 });
     }
     let name = match (announced, called_off) {
         (_, true) => "peak, called off",
@@ -113,7 +113,7 @@
     };
     let length_s = if called_off { START_S } else { START_S + LASTS_S + 2.0 };
     // Ordinary viewers alone fill the racks to their marks.
-    let viewers = Crowd { rate: 18.0, twice: 0.0, impatient: 0.0, ..Crowd::default() };
+    let viewers = ViewerSettings { rate: 18.0, twice: 0.0, impatient: 0.0, ..ViewerSettings::default() };
     Day { name: name.into(), seed: v.seed, length_s, fleet, viewers, troubles }
 }
 
@@ -126,15 +126,15 @@
     program: &Path,
     dir: &Path,
     tell: impl Fn(String) + Clone + 'static,
-) -> Result<PeakReport, Fault> {
+) -> Result<PeakReport, RunError> {
     let mut outcomes = Vec::new();
     for (name, announced, called_off) in
         [("without", false, false), ("with", true, false), ("called-off", true, true)]
     {
         let dir = dir.join(name);
-        std::fs::create_dir_all(&dir).map_err(|e| Fault::Io(dir.display().to_string(), e))?;
+        std::fs::create_dir_all(&dir).map_err(|e| RunError::Io(dir.display().to_string(), e))?;
         let day = day(v, announced, called_off);
-        outcomes.push(play(&day, program, &dir, tell.clone()).await?);
+        outcomes.push(run_day(&day, program, &dir, tell.clone()).await?);
     }
     let [without, with, called_off] = outcomes.as_slice() else { unreachable!("three runs") };
     let announced_kb = f64::from(VIEWERS) * RUNG_KB;
@@ -164,27 +164,28 @@
 /// When a trouble of a kind began.
 fn moment(lines: &[Line], kind: &str) -> Option<u64> {
     let wanted = format!("\"kind\":\"{kind}\"");
-    lines.iter().find(|l| matches!(&l.what, What::Fault { kind, detail } if kind == "begins" && detail.contains(&wanted))).map(|l| l.t)
+    lines.iter().find(|l| matches!(&l.event, Event::FaultInjected { kind, detail } if kind == "begins" && detail.contains(&wanted))).map(|l| l.unix_ns)
 }
 
 /// The event's viewers and the others, of those who came in the crowd's time.
-fn service(o: &Outcome) -> (Service, Service) {
-    let begin = o.lines.iter().find(|l| matches!(l.what, What::Asked { .. })).map_or(0, |l| l.t);
+fn service(o: &RunResult) -> (Service, Service) {
+    let begin =
+        o.lines.iter().find(|l| matches!(l.event, Event::RequestSent { .. })).map_or(0, |l| l.unix_ns);
     let (from, to) = (begin + ns(START_S), begin + ns(START_S + CROWD_S));
     let event = format!("title-{TITLE}");
     let mut first: BTreeMap<&str, (u64, bool)> = BTreeMap::new();
     let mut session_of: BTreeMap<u64, &str> = BTreeMap::new();
     let (mut played, mut in_time) = (BTreeSet::new(), BTreeSet::new());
     for line in &o.lines {
-        match &line.what {
-            What::Asked { request, session, title, .. } => {
-                first.entry(session).or_insert((line.t, *title == event));
+        match &line.event {
+            Event::RequestSent { request, session, title, .. } => {
+                first.entry(session).or_insert((line.unix_ns, *title == event));
                 session_of.insert(*request, session);
             }
-            What::Reply { request, status: 201, .. } => {
+            Event::ResponseReceived { request, status: 201, .. } => {
                 let Some(session) = session_of.get(request) else { continue };
                 played.insert(*session);
-                if first.get(session).is_some_and(|(t, _)| line.t <= t + 800_000_000) {
+                if first.get(session).is_some_and(|(t, _)| line.unix_ns <= t + 800_000_000) {
                     in_time.insert(*session);
                 }
             }
@@ -208,8 +209,8 @@
 /// What each front held at a moment, as part of what was announced; own viewers who came already count as held.
 fn at(lines: &[Line], t: u64, announced_kb: f64) -> BTreeMap<String, f64> {
     let mut out = BTreeMap::new();
-    for line in lines.iter().filter(|l| l.t <= t) {
-        if let What::Held { front, kb, .. } = &line.what {
+    for line in lines.iter().filter(|l| l.unix_ns <= t) {
+        if let Event::CapacityHeld { front, kb, .. } = &line.event {
             // A sum of nothing is minus zero.
             out.insert(front.clone(), (kb / announced_kb).abs());
         }
@@ -222,13 +223,13 @@
     let mut out: BTreeMap<String, Option<f64>> = BTreeMap::new();
     let mut holding: BTreeMap<&str, bool> = BTreeMap::new();
     for line in lines {
-        let What::Held { front, kb, .. } = &line.what else { continue };
+        let Event::CapacityHeld { front, kb, .. } = &line.event else { continue };
         out.entry(front.clone()).or_default();
         let held = holding.insert(front, *kb > 0.0).unwrap_or(false);
-        if *kb > 0.0 && line.t > t {
+        if *kb > 0.0 && line.unix_ns > t {
             out.insert(front.clone(), Some(f64::INFINITY));
         } else if held && *kb == 0.0 {
-            out.insert(front.clone(), Some(line.t.saturating_sub(t) as f64 / 1e9));
+            out.insert(front.clone(), Some(line.unix_ns.saturating_sub(t) as f64 / 1e9));
         }
     }
     out
--- a/crates/rehearse/src/report.rs
+++ b/crates/rehearse/src/report.rs
@@ -1,8 +1,8 @@
 //! Figures of a run, from the record.
 
-use crate::checker::Breach;
+use crate::checker::Violation;
 use hdrhistogram::Histogram;
-use pepperhook_playout::record::{Line, What};
+use pepperhook_playout::record::{Event, Line};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -45,7 +45,7 @@
 
 /// Sums a record up.
 #[must_use]
-pub fn sum_up(day: &str, seed: u64, lines: &[Line], breaches: &[Breach], aim_s: f64) -> Report {
+pub fn sum_up(day: &str, seed: u64, lines: &[Line], violations: &[Violation], aim_s: f64) -> Report {
     let mut asked = BTreeMap::new();
     let (mut answers, mut attempts, mut layers) =
         (BTreeMap::<String, u64>::new(), 0, BTreeMap::<&str, u64>::new());
@@ -53,7 +53,7 @@
     let mut within = 0u64;
     let (mut viewers, mut served) = (BTreeSet::new(), BTreeSet::new());
     let mut lines: Vec<&Line> = lines.iter().collect();
-    lines.sort_by_key(|l| l.t);
+    lines.sort_by_key(|l| l.unix_ns);
     let (mut rungs, mut probes) = (BTreeMap::<&str, (u64, u8)>::new(), 0);
     let (mut played_s, mut rung_s) = (0.0, 0.0);
     let mut spell = |from: u64, to: u64, rung: u8| {
@@ -63,12 +63,12 @@
     };
     for line in lines {
         let mut count = |kind: &str| *answers.entry(kind.to_owned()).or_default() += 1;
-        match &line.what {
-            What::Asked { request, session, .. } => {
-                asked.insert(*request, (line.t, session));
+        match &line.event {
+            Event::RequestSent { request, session, .. } => {
+                asked.insert(*request, (line.unix_ns, session));
                 viewers.insert(session);
             }
-            What::Reply { request, status, .. } => {
+            Event::ResponseReceived { request, status, .. } => {
                 count(match status {
                     201 => "playing",
                     503 => "refused",
@@ -78,30 +78,30 @@
                 });
                 if let (201, Some((t, session))) = (status, asked.get(request)) {
                     served.insert(*session);
-                    let took = line.t.saturating_sub(*t);
+                    let took = line.unix_ns.saturating_sub(*t);
                     times.saturating_record(took / 1_000);
                     within += u64::from(took as f64 <= aim_s * 1e9);
                 }
             }
-            What::Broke { .. } => count("broke"),
-            What::GaveUp { .. } => count("gave-up"),
-            What::Hung { .. } => count("left"),
-            What::Attempt { origin, .. } => {
+            Event::ConnectionLost { .. } => count("broke"),
+            Event::TimedOut { .. } => count("gave-up"),
+            Event::ViewerLeft { .. } => count("left"),
+            Event::Attempt { origin, .. } => {
                 attempts += 1;
-                rungs.insert(origin, (line.t, 0));
+                rungs.insert(origin, (line.unix_ns, 0));
             }
-            What::Layer { origin, rung } => {
+            Event::RungSelected { origin, rung } => {
                 *layers.entry(origin).or_default() += 1;
-                if let Some((since, was)) = rungs.insert(origin, (line.t, *rung)) {
-                    spell(since, line.t, was);
+                if let Some((since, was)) = rungs.insert(origin, (line.unix_ns, *rung)) {
+                    spell(since, line.unix_ns, was);
                 }
             }
-            What::Ended { origin, .. } => {
+            Event::SessionEnded { origin, .. } => {
                 if let Some((since, was)) = rungs.remove(origin.as_str()) {
-                    spell(since, line.t, was);
+                    spell(since, line.unix_ns, was);
                 }
             }
-            What::Probe { .. } => probes += 1,
+            Event::Probe { .. } => probes += 1,
             _ => {}
         }
     }
@@ -113,7 +113,7 @@
         requests: asked.len() as u64,
         answers,
         attempts,
-        rules_broken: breaches.iter().map(ToString::to_string).collect(),
+        rules_broken: violations.iter().map(ToString::to_string).collect(),
         set_up_p50_ms: ms(0.5),
         set_up_p99_ms: ms(0.99),
         within_aim: share(within, times.len()),
--- a/crates/rehearse/src/runner/faults.rs
+++ b/crates/rehearse/src/runner/faults.rs
@@ -1,9 +1,9 @@
 //! Causes the troubles of a day.
 
 use super::fleet::World;
-use super::{Fault, note};
-use crate::day::{Kind, Trouble};
-use pepperhook_playout::record::now;
+use super::{RunError, note};
+use crate::day::{FaultKind, ScheduledFault};
+use pepperhook_playout::record::unix_nanos;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
@@ -13,25 +13,25 @@
 }
 
 /// Causes one trouble and takes it back at its end.
-pub async fn cause(world: &Rc<World>, number: u64, trouble: &Trouble) -> Result<(), Fault> {
+pub async fn cause(world: &Rc<World>, number: u64, trouble: &ScheduledFault) -> Result<(), RunError> {
     let lasts = seconds(trouble.for_s);
     let fleet = world.day.fleet.clone();
     let text = serde_json::to_string(trouble).unwrap_or_default();
     note(&world.recorder, "begins", format!("{number}: {text}"));
     match &trouble.kind {
-        Kind::Uplink { racks, left } => {
+        FaultKind::Uplink { racks, left } => {
             let there: Vec<u32> = (0..fleet.nodes).filter(|n| racks.contains(&(n % fleet.racks))).collect();
-            set(world, &there, |f| f.uplink = *left).await;
+            set(world, &there, |f| f.uplink_left = *left).await;
             sleep(lasts).await;
-            set(world, &there, |f| f.uplink = 0.0).await;
+            set(world, &there, |f| f.uplink_left = 0.0).await;
         }
-        Kind::Links { left } => {
+        FaultKind::Links { left } => {
             let all: Vec<u32> = (0..fleet.nodes).collect();
-            set(world, &all, |f| f.link = *left).await;
+            set(world, &all, |f| f.link_left = *left).await;
             sleep(lasts).await;
-            set(world, &all, |f| f.link = 0.0).await;
+            set(world, &all, |f| f.link_left = 0.0).await;
         }
-        Kind::Crash { nodes } => {
+        FaultKind::Crash { nodes } => {
             for n in nodes {
                 world.kill_node(*n).await;
             }
@@ -40,7 +40,7 @@
                 world.start_node(*n, true).await?;
             }
         }
-        Kind::Ageing { nodes, to_ms } => {
+        FaultKind::Ageing { nodes, to_ms } => {
             let begin = Instant::now();
             while begin.elapsed() < lasts {
                 let part = begin.elapsed().as_secs_f64() / lasts.as_secs_f64().max(0.001);
@@ -57,28 +57,30 @@
                 world.start_node(*n, true).await?;
             }
         }
-        Kind::Errors { nodes, share } => {
+        FaultKind::Errors { nodes, share } => {
             set(world, nodes, |f| f.error = *share).await;
             sleep(lasts).await;
             set(world, nodes, |f| f.error = 0.0).await;
         }
-        Kind::Hang { nodes, share } => {
+        FaultKind::Hang { nodes, share } => {
             set(world, nodes, |f| f.hang = *share).await;
             sleep(lasts).await;
             set(world, nodes, |f| f.hang = 0.0).await;
         }
-        Kind::Half { nodes, share } => {
-            set(world, nodes, |f| f.half = *share).await;
+        FaultKind::Half { nodes, share } => {
+            set(world, nodes, |f| f.truncate = *share).await;
             sleep(lasts).await;
-            set(world, nodes, |f| f.half = 0.0).await;
+            set(world, nodes, |f| f.truncate = 0.0).await;
         }
-        Kind::Drain { nodes } => {
+        FaultKind::Drain { nodes } => {
             list(world, nodes, "draining");
             sleep(lasts).await;
             list(world, nodes, "ready");
         }
-        Kind::Deploy { batch, drain_s } => deploy(world, (*batch).max(1), seconds(*drain_s), lasts).await?,
-        Kind::ZoneLoss { zone, fronts } => {
+        FaultKind::Deploy { batch, drain_s } => {
+            deploy(world, (*batch).max(1), seconds(*drain_s), lasts).await?
+        }
+        FaultKind::ZoneLoss { zone, fronts } => {
             let nodes: Vec<u32> = (0..fleet.nodes).filter(|n| n % fleet.zones == *zone).collect();
             let there: Vec<u32> = (0..fleet.fronts).filter(|f| *fronts && f % fleet.zones == *zone).collect();
             for n in &nodes {
@@ -95,17 +97,17 @@
                 world.start_front(*f).await?;
             }
         }
-        Kind::ListDown => {
+        FaultKind::ListDown => {
             world.list.borrow_mut().down = true;
             sleep(lasts).await;
             world.list.borrow_mut().down = false;
         }
-        Kind::ListLate { by_s } => {
+        FaultKind::ListLate { by_s } => {
             world.list.borrow_mut().late_s = *by_s;
             sleep(lasts).await;
             world.list.borrow_mut().late_s = 0.0;
         }
-        Kind::FrontKill { fronts } => {
+        FaultKind::FrontKill { fronts } => {
             for f in fronts {
                 world.kill_front(*f).await;
             }
@@ -114,16 +116,16 @@
                 world.start_front(*f).await?;
             }
         }
-        Kind::FrontRoll { down_s } => {
+        FaultKind::FrontRoll { down_s } => {
             for f in 0..fleet.fronts {
                 if let Some((front, how)) = world.stop_front(f).await {
-                    return Err(Fault::Start(front, format!("it did not stop in order: {how}")));
+                    return Err(RunError::Start(front, format!("it did not stop in order: {how}")));
                 }
                 sleep(seconds(*down_s)).await;
                 world.start_front(f).await?;
             }
         }
-        Kind::FrontStall { fronts, ms, every_s } => {
+        FaultKind::FrontStall { fronts, ms, every_s } => {
             let begin = Instant::now();
             while begin.elapsed() < lasts {
                 for f in fronts {
@@ -132,8 +134,8 @@
                 sleep(seconds(every_s.max(0.5))).await;
             }
         }
-        Kind::Announce { peak, front, title, viewers, rung, after_s, lasts_s, lead_s } => {
-            let start_ms = now() / 1_000_000 + (after_s * 1e3) as u64;
+        FaultKind::Announce { peak, front, title, viewers, rung, after_s, lasts_s, lead_s } => {
+            let start_ms = unix_nanos() / 1_000_000 + (after_s * 1e3) as u64;
             let said = serde_json::json!({
                 "name": peak, "titles": [format!("title-{title}")], "class": "replay", "viewers": [[0, viewers]],
                 "start_ms": start_ms, "end_ms": start_ms + (lasts_s * 1e3) as u64, "lead_ms": (lead_s * 1e3) as u64,
@@ -141,11 +143,13 @@
             });
             world.tell_front(*front, "POST", "/peaks", said.to_string()).await?;
         }
-        Kind::CallOff { peak, front } => {
+        FaultKind::CallOff { peak, front } => {
             world.tell_front(*front, "DELETE", &format!("/peaks/{peak}"), String::new()).await?;
         }
         // These change who comes; see `arrive`.
-        Kind::Burst { .. } | Kind::TenantBurst { .. } | Kind::HotTitle { .. } => sleep(lasts).await,
+        FaultKind::Burst { .. } | FaultKind::TenantBurst { .. } | FaultKind::HotTitle { .. } => {
+            sleep(lasts).await
+        }
     }
     note(&world.recorder, "ends", number.to_string());
     Ok(())
@@ -169,7 +173,7 @@
 }
 
 /// Replaces the nodes batch by batch.
-async fn deploy(world: &World, batch: u32, drain: Duration, lasts: Duration) -> Result<(), Fault> {
+async fn deploy(world: &World, batch: u32, drain: Duration, lasts: Duration) -> Result<(), RunError> {
     let nodes: Vec<u32> = (0..world.day.fleet.nodes).collect();
     let batches: Vec<&[u32]> = nodes.chunks(batch as usize).collect();
     let each = lasts / u32::try_from(batches.len()).unwrap_or(1).max(1);
