--- a/crates/rehearse/src/runner/fleet.rs
+++ b/crates/rehearse/src/runner/fleet.rs
@@ -1,12 +1,12 @@
 //! Processes of a day: nodes and fronts, their files, and the list that each front reads.
 
-use super::{FALL, Fault};
+use super::{FALL, RunError};
 use crate::day::Day;
-use crate::viewers::{Audience, FrontAt};
+use crate::viewers::{FrontEndpoint, ViewerPool};
 use crate::wire::Connection;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
-use pepperhook_playout::record::{Recorder, What, now};
+use pepperhook_playout::record::{Event, Recorder, unix_nanos};
 use pepperhook_playout::{Command as Order, Faults, Options, State};
 use serde::Deserialize;
 use std::cell::RefCell;
@@ -73,12 +73,12 @@
     pub nodes: RefCell<Vec<NodeProcess>>,
     fronts: RefCell<Vec<FrontProcess>>,
     pub list: RefCell<ListState>,
-    pub audience: RefCell<Option<Rc<Audience>>>,
-    fault: RefCell<Option<Fault>>,
+    pub audience: RefCell<Option<Rc<ViewerPool>>>,
+    fault: RefCell<Option<RunError>>,
 }
 
-async fn ready(what: &str, child: &mut Child) -> Result<Ready, Fault> {
-    let failed = |why: String| Fault::Start(what.to_owned(), why);
+async fn ready(what: &str, child: &mut Child) -> Result<Ready, RunError> {
+    let failed = |why: String| RunError::Start(what.to_owned(), why);
     let Some(out) = child.stdout.take() else { return Err(failed("no standard output".into())) };
     let mut line = String::new();
     let mut reader = BufReader::new(out);
@@ -101,7 +101,7 @@
         program: PathBuf,
         dir: PathBuf,
         recorder: Recorder,
-    ) -> Result<Rc<Self>, Fault> {
+    ) -> Result<Rc<Self>, RunError> {
         let fleet = day.fleet.clone();
         let node = |i: u32| NodeProcess {
             options: Options {
@@ -127,12 +127,12 @@
         let sockets: Vec<UdpSocket> = (0..fleet.fronts)
             .map(|_| UdpSocket::bind("127.0.0.1:0"))
             .collect::<Result<_, _>>()
-            .map_err(|e| Fault::Io("exchange ports".into(), e))?;
+            .map_err(|e| RunError::Io("exchange ports".into(), e))?;
         let ports: Vec<SocketAddr> = sockets
             .iter()
             .map(UdpSocket::local_addr)
             .collect::<Result<_, _>>()
-            .map_err(|e| Fault::Io("exchange ports".into(), e))?;
+            .map_err(|e| RunError::Io("exchange ports".into(), e))?;
         drop(sockets);
         let front = |i: u32| FrontProcess {
             name: format!("front-{i}"),
@@ -163,29 +163,29 @@
         Ok(world)
     }
 
-    fn io(&self, what: &str, e: std::io::Error) -> Fault {
-        Fault::Io(what.to_owned(), e)
+    fn io(&self, what: &str, e: std::io::Error) -> RunError {
+        RunError::Io(what.to_owned(), e)
     }
 
     /// The first thing that went wrong with the rehearsal itself.
-    pub fn failed(&self, fault: Fault) {
+    pub fn failed(&self, fault: RunError) {
         self.fault.borrow_mut().get_or_insert(fault);
     }
 
     /// Takes it.
-    pub fn failure(&self) -> Option<Fault> {
+    pub fn failure(&self) -> Option<RunError> {
         self.fault.borrow_mut().take()
     }
 
     // ---- nodes ---------------------------------------------------------------------------------
 
     /// Starts a node; one that comes back is cold.
-    pub async fn start_node(&self, i: u32, cold: bool) -> Result<(), Fault> {
+    pub async fn start_node(&self, i: u32, cold: bool) -> Result<(), RunError> {
         let (name, options) = {
             let mut nodes = self.nodes.borrow_mut();
             let n = &mut nodes[i as usize];
             n.options.cold_s = if cold { self.day.fleet.cold_s } else { 0.0 };
-            n.started_ms = if cold { now() / 1_000_000 } else { 0 };
+            n.started_ms = if cold { unix_nanos() / 1_000_000 } else { 0 };
             (n.options.name.clone(), vec![n.options.clone()])
         };
         let file = self.dir.join(format!("{name}.json"));
@@ -243,7 +243,7 @@
         let body = serde_json::to_vec(&order).ok()?;
         let mut connection = Connection::open(control).await.ok()?;
         let second = Duration::from_secs(1);
-        let reply = connection.exchange("POST", "/", &[], &body, second).await.ok()?;
+        let reply = connection.request("POST", "/", &[], &body, second).await.ok()?;
         serde_json::from_slice(&reply.body).ok()
     }
 
@@ -278,7 +278,7 @@
         nodes.iter().enumerate().map(line).collect()
     }
 
-    fn write_list(&self, front: u32, list: &[(String, &'static str, String)]) -> Result<(), Fault> {
+    fn write_list(&self, front: u32, list: &[(String, &'static str, String)]) -> Result<(), RunError> {
         let mut text = "name,address,zone,cell,kind,weight,state,started\n".to_owned();
         list.iter().for_each(|(.., row)| text += &format!("{row}\n"));
         let file = self.dir.join(format!("front-{front}.csv"));
@@ -287,7 +287,7 @@
         write.map_err(|e| self.io("list of nodes", e))?;
         let front = format!("front-{front}");
         for (node, state, _) in list {
-            self.recorder.write(What::Told {
+            self.recorder.write(Event::ListPublished {
                 front: front.clone(),
                 node: node.clone(),
                 state: (*state).into(),
@@ -389,7 +389,7 @@
     }
 
     /// Starts a front.
-    pub async fn start_front(&self, i: u32) -> Result<(), Fault> {
+    pub async fn start_front(&self, i: u32) -> Result<(), RunError> {
         let name = format!("front-{i}");
         let file = self.dir.join(format!("{name}.conf"));
         let state = self.dir.join(format!("{name}.state"));
@@ -408,7 +408,7 @@
             .spawn()
             .map_err(|e| self.io("front process", e))?;
         let up = ready(&name, &mut child).await?;
-        self.recorder.write(What::FrontStart { front: name });
+        self.recorder.write(Event::FrontStart { front: name });
         {
             let mut fronts = self.fronts.borrow_mut();
             let f = &mut fronts[i as usize];
@@ -419,8 +419,8 @@
     }
 
     /// The fronts as viewers know them.
-    pub fn fronts(&self) -> Vec<FrontAt> {
-        let at = |f: &FrontProcess| FrontAt { name: f.name.clone(), address: f.address };
+    pub fn fronts(&self) -> Vec<FrontEndpoint> {
+        let at = |f: &FrontProcess| FrontEndpoint { name: f.name.clone(), address: f.address };
         self.fronts.borrow().iter().map(at).collect()
     }
 
@@ -431,12 +431,12 @@
     }
 
     /// Sends a change to a front's admin listener; anything but success ends the rehearsal.
-    pub async fn tell_front(&self, i: u32, method: &str, path: &str, body: String) -> Result<(), Fault> {
-        let failed = |why: String| Fault::Start(format!("{method} {path} at front-{i}"), why);
+    pub async fn tell_front(&self, i: u32, method: &str, path: &str, body: String) -> Result<(), RunError> {
+        let failed = |why: String| RunError::Start(format!("{method} {path} at front-{i}"), why);
         let admin = self.fronts.borrow()[i as usize].admin.ok_or_else(|| failed("it is down".into()))?;
         let mut c = Connection::open(admin).await.map_err(|e| failed(format!("{e:?}")))?;
         let key = [("authorization", "Bearer rehearsal")];
-        let reply = c.exchange(method, path, &key, body.as_bytes(), Duration::from_secs(2)).await;
+        let reply = c.request(method, path, &key, body.as_bytes(), Duration::from_secs(2)).await;
         match reply {
             Ok(r) if r.status < 300 => Ok(()),
             Ok(r) => Err(failed(format!("{} {}", r.status, String::from_utf8_lossy(&r.body)))),
@@ -462,7 +462,7 @@
                     open.insert(front.clone(), (admin, c));
                 }
                 let Some((_, c)) = open.get_mut(&front) else { continue };
-                let reply = c.exchange("GET", "/peaks", &key, b"", Duration::from_secs(1)).await;
+                let reply = c.request("GET", "/peaks", &key, b"", Duration::from_secs(1)).await;
                 let Some(v) =
                     reply.ok().and_then(|r| serde_json::from_slice::<serde_json::Value>(&r.body).ok())
                 else {
@@ -471,7 +471,7 @@
                 };
                 let rows = v["holds"].as_array().cloned().unwrap_or_default();
                 let sum = |name: &str| rows.iter().filter_map(|h| h[name].as_f64()).sum();
-                self.recorder.write(What::Held { front, kb: sum("held_kb"), due_kb: sum("due_kb") });
+                self.recorder.write(Event::CapacityHeld { front, kb: sum("held_kb"), due_kb: sum("due_kb") });
             }
         }
     }
@@ -484,7 +484,7 @@
         let mut out = Vec::new();
         for admin in admins {
             let Ok(mut c) = Connection::open(admin).await else { continue };
-            let reply = c.exchange("GET", "/state", &key, b"", Duration::from_secs(1)).await;
+            let reply = c.request("GET", "/state", &key, b"", Duration::from_secs(1)).await;
             out.extend(reply.ok().and_then(|r| serde_json::from_slice(&r.body).ok()));
         }
         out
@@ -500,7 +500,7 @@
         };
         self.tell_viewers();
         if let Some(mut child) = child {
-            self.recorder.write(What::FrontDown { front: name });
+            self.recorder.write(Event::FrontKilled { front: name });
             let _ = child.kill().await;
         }
     }
@@ -513,7 +513,7 @@
             (f.name.clone(), f.child.take())
         };
         let mut child = child?;
-        self.recorder.write(What::FrontStop { front: name.clone() });
+        self.recorder.write(Event::FrontStop { front: name.clone() });
         signal(&child, Signal::SIGTERM);
         let time = STOP + Duration::from_secs_f64(self.day.viewers.patience_s);
         let ended = timeout(time, child.wait()).await;
@@ -531,7 +531,7 @@
     pub async fn stall_front(&self, i: u32, ms: u64) {
         let pid = self.fronts.borrow()[i as usize].child.as_ref().and_then(Child::id);
         let Some(pid) = pid.and_then(|p| i32::try_from(p).ok()) else { return };
-        self.recorder.write(What::FrontStall { front: format!("front-{i}"), ms });
+        self.recorder.write(Event::FrontStall { front: format!("front-{i}"), ms });
         let _ = kill(Pid::from_raw(pid), Signal::SIGSTOP);
         sleep(Duration::from_millis(ms)).await;
         let _ = kill(Pid::from_raw(pid), Signal::SIGCONT);
--- a/crates/rehearse/src/runner/mod.rs
+++ b/crates/rehearse/src/runner/mod.rs
@@ -3,12 +3,12 @@
 mod faults;
 mod fleet;
 
-use crate::checker::{Breach, Terms, judge};
-use crate::day::{Day, Kind};
+use crate::checker::{RuleLimits, Violation, check};
+use crate::day::{Day, FaultKind};
 use crate::report::{Report, sum_up};
-use crate::viewers::{Audience, FrontAt};
+use crate::viewers::{FrontEndpoint, ViewerPool};
 use fleet::World;
-use pepperhook_playout::record::{self, Line, Recorder, What};
+use pepperhook_playout::record::{self, Event, Line, Recorder};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
@@ -22,7 +22,7 @@
 
 /// Why a day could not be played.
 #[derive(Debug, Error)]
-pub enum Fault {
+pub enum RunError {
     /// A file or a process.
     #[error("{0}: {1}")]
     Io(String, io::Error),
@@ -35,11 +35,11 @@
 }
 
 /// What a day came to.
-pub struct Outcome {
+pub struct RunResult {
     /// Figures.
     pub report: Report,
     /// Rules broken.
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<Violation>,
     /// The whole record.
     pub lines: Vec<Line>,
     /// What each front showed on its console at the end.
@@ -59,19 +59,21 @@
 ///
 /// # Errors
 /// When a process does not come up or a file cannot be written. A broken rule is no error: it is in the outcome.
-pub async fn play(
+pub async fn run_day(
     day: &Day,
     program: &Path,
     dir: &Path,
     tell: impl Fn(String) + 'static,
-) -> Result<Outcome, Fault> {
-    day.check().map_err(Fault::Day)?;
+) -> Result<RunResult, RunError> {
+    day.check().map_err(RunError::Day)?;
     let log = dir.join("viewers.jsonl");
-    let recorder = Recorder::to_file("viewers", &log).map_err(|e| Fault::Io(log.display().to_string(), e))?;
+    let recorder =
+        Recorder::to_file("viewers", &log).map_err(|e| RunError::Io(log.display().to_string(), e))?;
     let world =
-        World::start(day.clone(), program.to_owned(), dir.to_owned(), recorder.under("conductor")).await?;
-    let fronts: Vec<FrontAt> = world.fronts();
-    let audience = Audience::new(day.viewers.clone(), "replay", fronts, recorder);
+        World::start(day.clone(), program.to_owned(), dir.to_owned(), recorder.with_source("conductor"))
+            .await?;
+    let fronts: Vec<FrontEndpoint> = world.fronts();
+    let audience = ViewerPool::new(day.viewers.clone(), "replay", fronts, recorder);
     world.audience.borrow_mut().replace(audience.clone());
 
     let mut tasks = vec![spawn_local(world.clone().publish()), spawn_local(world.clone().share_uplinks())];
@@ -113,20 +115,20 @@
         return Err(fault);
     }
     let lines = gather(dir)?;
-    let mut breaches = judge(&lines, &terms(day));
+    let mut violations = check(&lines, &terms(day));
     for (front, how) in stopped {
         let what = format!("{front} did not stop in order: {how}");
-        breaches.push(Breach { rule: crate::checker::Rule::OneAnswer, t: record::now(), what });
+        violations.push(Violation { rule: crate::checker::Rule::OneAnswer, t: record::unix_nanos(), what });
     }
-    let mut report = sum_up(&day.name, day.seed, &lines, &breaches, day.viewers.aim_s);
+    let mut report = sum_up(&day.name, day.seed, &lines, &violations, day.viewers.aim_s);
     report.ages_ms = crate::duties::run::ages(&states);
-    Ok(Outcome { report, breaches, lines, states })
+    Ok(RunResult { report, violations, lines, states })
 }
 
 /// What the checker is told of the day.
-fn terms(day: &Day) -> Terms {
+fn terms(day: &Day) -> RuleLimits {
     let f = &day.fleet;
-    Terms {
+    RuleLimits {
         patience_s: day.viewers.patience_s,
         list_read_s: LIST_READ_S,
         drain_grace_s: DRAIN_GRACE_S,
@@ -140,7 +142,7 @@
 }
 
 /// Viewers come at random, more of them in a burst, some titles far more wanted than others.
-async fn arrive(day: &Day, audience: &Rc<Audience>, begin: Instant) {
+async fn arrive(day: &Day, audience: &Rc<ViewerPool>, begin: Instant) {
     let mut rng = StdRng::seed_from_u64(day.seed);
     let titles = day.viewers.titles;
     let (mut at, mut n) = (0.0, 0u64);
@@ -148,13 +150,13 @@
         let (mut rate, mut hot, mut shares) = (day.viewers.rate, None, day.fleet.tenants.clone());
         for t in day.troubles.iter().filter(|t| (t.at_s..t.at_s + t.for_s).contains(&at)) {
             match t.kind {
-                Kind::Burst { times } => rate *= times,
-                Kind::TenantBurst { tenant, times } => {
+                FaultKind::Burst { times } => rate *= times,
+                FaultKind::TenantBurst { tenant, times } => {
                     let usual = shares[tenant as usize];
                     shares[tenant as usize] *= times;
                     rate *= 1.0 + usual * (times - 1.0);
                 }
-                Kind::HotTitle { first, titles, rate: more } => {
+                FaultKind::HotTitle { first, titles, rate: more } => {
                     hot = Some((first, titles, more / (rate + more)));
                     rate += more;
                 }
@@ -181,14 +183,14 @@
             draw < 0.0
         });
         sleep_until(begin + Duration::from_secs_f64(at)).await;
-        spawn_local(audience.clone().view(n, day.seed, title, tenant));
+        spawn_local(audience.clone().run_viewer(n, day.seed, title, tenant));
     }
     sleep_until(begin + Duration::from_secs_f64(day.length_s)).await;
 }
 
 /// All records of a run.
-fn gather(dir: &Path) -> Result<Vec<Line>, Fault> {
-    let named = |p: &Path, e| Fault::Io(p.display().to_string(), e);
+fn gather(dir: &Path) -> Result<Vec<Line>, RunError> {
+    let named = |p: &Path, e| RunError::Io(p.display().to_string(), e);
     let mut lines = Vec::new();
     for entry in std::fs::read_dir(dir).map_err(|e| named(dir, e))? {
         let path: PathBuf = entry.map_err(|e| named(dir, e))?.path();
@@ -196,11 +198,11 @@
             lines.extend(record::read(&path).map_err(|e| named(&path, e))?);
         }
     }
-    lines.sort_by_key(|l| l.t);
+    lines.sort_by_key(|l| l.unix_ns);
     Ok(lines)
 }
 
 /// Writes what a trouble was, for the reader of a record.
 fn note(recorder: &Recorder, kind: &str, detail: String) {
-    recorder.write(What::Fault { kind: kind.into(), detail });
+    recorder.write(Event::FaultInjected { kind: kind.into(), detail });
 }
--- a/crates/rehearse/src/viewers.rs
+++ b/crates/rehearse/src/viewers.rs
@@ -1,8 +1,8 @@
 //! Scripted viewers: they ask, play, come again and leave, and write down what they saw on their sockets.
 
-use crate::day::Crowd;
-use crate::wire::{Connection, End, Reply};
-use pepperhook_playout::record::{Recorder, What};
+use crate::day::ViewerSettings;
+use crate::wire::{Connection, HttpResponse, ReadError};
+use pepperhook_playout::record::{Event, Recorder};
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -14,7 +14,7 @@
 
 /// A front as viewers know it.
 #[derive(Clone, Debug)]
-pub struct FrontAt {
+pub struct FrontEndpoint {
     /// Its name.
     pub name: String,
     /// Where it listens; `None` while it is down.
@@ -22,13 +22,13 @@
 }
 
 /// What all viewers of a run share.
-pub struct Audience {
+pub struct ViewerPool {
     /// How they behave.
-    pub crowd: Crowd,
+    pub crowd: ViewerSettings,
     /// Class of their sessions, for the record.
     pub class: String,
     /// The fronts.
-    pub fronts: RefCell<Vec<FrontAt>>,
+    pub fronts: RefCell<Vec<FrontEndpoint>>,
     /// Where they write.
     pub recorder: Recorder,
     /// Requests so far; each has a number.
@@ -67,10 +67,15 @@
     Again(Duration),
 }
 
-impl Audience {
+impl ViewerPool {
     /// An audience that knows these fronts.
     #[must_use]
-    pub fn new(crowd: Crowd, class: &str, fronts: Vec<FrontAt>, recorder: Recorder) -> Rc<Self> {
+    pub fn new(
+        crowd: ViewerSettings,
+        class: &str,
+        fronts: Vec<FrontEndpoint>,
+        recorder: Recorder,
+    ) -> Rc<Self> {
         Rc::new(Self {
             crowd,
             class: class.into(),
@@ -83,7 +88,7 @@
     }
 
     /// Viewer `n` comes for a title and stays until it is done with it; five tries at most.
-    pub async fn view(self: Rc<Self>, n: u64, seed: u64, title: u32, tenant: Option<usize>) {
+    pub async fn run_viewer(self: Rc<Self>, n: u64, seed: u64, title: u32, tenant: Option<usize>) {
         let mut rng = StdRng::seed_from_u64(seed ^ n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let (low, high) = self.crowd.plays_s;
         let mut left = Duration::from_secs_f64(rng.random_range(low..=high));
@@ -113,7 +118,7 @@
 
     async fn one_try(self: &Rc<Self>, viewer: &Viewer, left: Duration, rng: &mut StdRng) -> Then {
         let front = self.fronts.borrow().choose(rng).cloned();
-        let Some(FrontAt { name, address: Some(address) }) = front else {
+        let Some(FrontEndpoint { name, address: Some(address) }) = front else {
             return Then::Again(Duration::from_millis(300));
         };
         let Ok(mut connection) = Connection::open(address).await else {
@@ -124,7 +129,7 @@
             let wait = Duration::from_millis(rng.random_range(1..40));
             self.ask(&mut connection, request, viewer, &name, &offer(request)).await.ok();
             sleep(wait).await;
-            self.recorder.write(What::Hung { request });
+            self.recorder.write(Event::ViewerLeft { request });
             return Then::Done;
         }
         if rng.random_bool(self.crowd.twice) {
@@ -140,7 +145,7 @@
             });
         }
         if self.ask(&mut connection, request, viewer, &name, &offer(request)).await.is_err() {
-            self.recorder.write(What::Broke { request });
+            self.recorder.write(Event::ConnectionLost { request });
             return Then::Again(Duration::from_millis(300));
         }
         let Ok(reply) = self.answer(&mut connection, request).await else {
@@ -150,7 +155,7 @@
             201 => self.play(connection, request, address, &reply, left).await,
             503 | 409 => {
                 let advised = reply.header("retry-after").and_then(|v| v.parse::<f64>().ok()).unwrap_or(1.0);
-                let extra = connection.listen(Instant::now() + Duration::from_millis(50)).await;
+                let extra = connection.read_unsolicited(Instant::now() + Duration::from_millis(50)).await;
                 self.extra(request, extra);
                 Then::Again(Duration::from_secs_f64(advised.min(2.0)))
             }
@@ -165,11 +170,11 @@
         viewer: &Viewer,
         front: &str,
         offer: &str,
-    ) -> Result<(), End> {
+    ) -> Result<(), ReadError> {
         let title = format!("title-{}", viewer.title);
         // The offer's `o=` line is what a node sees of the request; a copy of a request has the first's.
         let origin = offer.split("o=").nth(1).map(|o| o.split(' ').take(2).collect::<Vec<_>>().join(" "));
-        self.recorder.write(What::Asked {
+        self.recorder.write(Event::RequestSent {
             request,
             session: format!("v{}/{title}", viewer.n),
             origin: origin.unwrap_or_default(),
@@ -180,36 +185,37 @@
         connection.send("POST", &viewer.path, &[("content-type", "application/sdp")], offer.as_bytes()).await
     }
 
-    async fn answer(&self, connection: &mut Connection, request: u64) -> Result<Reply, End> {
+    async fn answer(&self, connection: &mut Connection, request: u64) -> Result<HttpResponse, ReadError> {
         let patience = Duration::from_secs_f64(self.crowd.patience_s);
-        let reply = connection.reply(Instant::now() + patience).await;
+        let reply = connection.read_response(Instant::now() + patience).await;
         match &reply {
             Ok(r) => {
                 *self.statuses.borrow_mut().entry(r.status).or_default() += 1;
                 let retry_after = r.header("retry-after").and_then(|v| v.parse().ok());
-                self.recorder.write(What::Reply { request, status: r.status, retry_after });
+                self.recorder.write(Event::ResponseReceived { request, status: r.status, retry_after });
                 self.under(request, r);
             }
-            Err(End::Time) => self.recorder.write(What::GaveUp { request }),
-            Err(_) => self.recorder.write(What::Broke { request }),
+            Err(ReadError::Timeout) => self.recorder.write(Event::TimedOut { request }),
+            Err(_) => self.recorder.write(Event::ConnectionLost { request }),
         }
         reply
     }
 
     /// Writes down what an answer tells of the agreed policy; nothing where fronts agree on none.
-    fn under(&self, request: u64, reply: &Reply) {
+    fn under(&self, request: u64, reply: &HttpResponse) {
         let problem: serde_json::Value = serde_json::from_slice(&reply.body).unwrap_or_default();
         let entry = reply.header("pepperhook-policy").and_then(|v| v.parse().ok());
         let entry = entry.or_else(|| problem["policy"].as_u64());
-        let kind = problem["type"].as_str().unwrap_or("").rsplit([':', '/']).next().unwrap_or("").to_owned();
-        if entry.is_some() || kind == "fenced" {
-            self.recorder.write(What::Under { request, entry, kind });
+        let problem_type =
+            problem["type"].as_str().unwrap_or("").rsplit([':', '/']).next().unwrap_or("").to_owned();
+        if entry.is_some() || problem_type == "fenced" {
+            self.recorder.write(Event::PolicyReported { request, entry, problem_type });
         }
     }
 
     fn extra(&self, request: u64, bytes: usize) {
         if bytes > 0 {
-            self.recorder.write(What::Extra { request, bytes });
+            self.recorder.write(Event::UnexpectedBytes { request, bytes });
         }
     }
 
@@ -219,7 +225,7 @@
         mut connection: Connection,
         request: u64,
         front: SocketAddr,
-        reply: &Reply,
+        reply: &HttpResponse,
         left: Duration,
     ) -> Then {
         let Some(session) = reply.header("location").map(str::to_owned) else {
@@ -233,27 +239,30 @@
             let kind = [("content-type", "application/json")];
             let second = Duration::from_secs(1);
             let path = format!("{session}/events");
-            side.exchange("POST", &path, &kind, b"[\"inactive\"]", second).await?;
-            side.exchange("GET", &format!("{path}/stream"), &[], b"", second).await?;
-            side.wait_for(&["event:move", "event: urn:pepperhook:whep:event:move", "event: inactive"], until)
-                .await
+            side.request("POST", &path, &kind, b"[\"inactive\"]", second).await?;
+            side.request("GET", &format!("{path}/stream"), &[], b"", second).await?;
+            side.wait_for_any(
+                &["event:move", "event: urn:pepperhook:whep:event:move", "event: inactive"],
+                until,
+            )
+            .await
         };
         // The front closes an idle connection after a while; only the end of the events is a break.
         let audience = self.clone();
         tokio::task::spawn_local(async move {
-            let extra = connection.listen(until).await;
+            let extra = connection.read_unsolicited(until).await;
             audience.extra(request, extra);
         });
         let ended = events.await;
         self.playing.set(self.playing.get() - 1);
         match ended {
             Ok(_) => Then::Again(Duration::from_millis(250)),
-            Err(End::Closed) if Instant::now() < until => Then::Again(Duration::from_millis(500)),
+            Err(ReadError::Closed) if Instant::now() < until => Then::Again(Duration::from_millis(500)),
             Err(_) => {
                 sleep_until(until).await;
                 let second = Duration::from_secs(1);
                 if let Ok(mut last) = Connection::open(front).await {
-                    let _ = last.exchange("DELETE", &session, &[], b"", second).await;
+                    let _ = last.request("DELETE", &session, &[], b"", second).await;
                 }
                 Then::Done
             }
--- a/crates/rehearse/src/wire.rs
+++ b/crates/rehearse/src/wire.rs
@@ -11,18 +11,18 @@
 
 /// Why no answer was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum ReadError {
     /// The connection ended or broke.
     Closed,
     /// The time was up.
-    Time,
+    Timeout,
     /// What came is no HTTP.
     Malformed,
 }
 
 /// An answer.
 #[derive(Clone, Debug)]
-pub struct Reply {
+pub struct HttpResponse {
     /// Status.
     pub status: u16,
     /// Headers, names in lower case.
@@ -31,7 +31,7 @@
     pub body: Vec<u8>,
 }
 
-impl Reply {
+impl HttpResponse {
     /// The first header of a name, in lower case.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
@@ -51,9 +51,9 @@
     ///
     /// # Errors
     /// `Closed` where nobody listens, `Time` where nobody answers.
-    pub async fn open(host: SocketAddr) -> Result<Self, End> {
+    pub async fn open(host: SocketAddr) -> Result<Self, ReadError> {
         let stream = tokio::time::timeout(Duration::from_secs(1), TcpStream::connect(host)).await;
-        let stream = stream.map_err(|_| End::Time)?.map_err(|_| End::Closed)?;
+        let stream = stream.map_err(|_| ReadError::Timeout)?.map_err(|_| ReadError::Closed)?;
         let _ = stream.set_nodelay(true);
         Ok(Self { stream, host, read: Vec::new() })
     }
@@ -68,7 +68,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: &[u8],
-    ) -> Result<(), End> {
+    ) -> Result<(), ReadError> {
         let mut head =
             format!("{method} {path} HTTP/1.1\r\nhost: {}\r\ncontent-length: {}\r\n", self.host, body.len());
         for (name, value) in headers {
@@ -76,28 +76,28 @@
         }
         let mut bytes = (head + "\r\n").into_bytes();
         bytes.extend_from_slice(body);
-        self.raw(&bytes).await
+        self.send_raw(&bytes).await
     }
 
     /// Sends bytes as they are.
     ///
     /// # Errors
     /// `Closed` where the connection is gone.
-    pub async fn raw(&mut self, bytes: &[u8]) -> Result<(), End> {
-        self.stream.write_all(bytes).await.map_err(|_| End::Closed)
+    pub async fn send_raw(&mut self, bytes: &[u8]) -> Result<(), ReadError> {
+        self.stream.write_all(bytes).await.map_err(|_| ReadError::Closed)
     }
 
     /// Reads more bytes; false where the connection ended.
-    async fn more(&mut self, until: Instant) -> Result<(), End> {
+    async fn more(&mut self, until: Instant) -> Result<(), ReadError> {
         let mut piece = [0; 8192];
         match timeout_at(until, self.stream.read(&mut piece)).await {
-            Err(_) => Err(End::Time),
-            Ok(Err(_) | Ok(0)) => Err(End::Closed),
+            Err(_) => Err(ReadError::Timeout),
+            Ok(Err(_) | Ok(0)) => Err(ReadError::Closed),
             Ok(Ok(n)) if self.read.len() + n <= MOST => {
                 self.read.extend_from_slice(&piece[..n]);
                 Ok(())
             }
-            Ok(Ok(_)) => Err(End::Malformed),
+            Ok(Ok(_)) => Err(ReadError::Malformed),
         }
     }
 
@@ -105,7 +105,7 @@
     ///
     /// # Errors
     /// When none came whole in time.
-    pub async fn reply(&mut self, until: Instant) -> Result<Reply, End> {
+    pub async fn read_response(&mut self, until: Instant) -> Result<HttpResponse, ReadError> {
         let (length, mut reply, chunked) = loop {
             let mut headers = [httparse::EMPTY_HEADER; 64];
             let mut head = httparse::Response::new(&mut headers);
@@ -116,14 +116,14 @@
                         .iter()
                         .map(|h| (h.name.to_ascii_lowercase(), String::from_utf8_lossy(h.value).into_owned()))
                         .collect();
-                    let reply = Reply { status: head.code.unwrap_or(0), headers, body: Vec::new() };
+                    let reply = HttpResponse { status: head.code.unwrap_or(0), headers, body: Vec::new() };
                     let length = reply.header("content-length").and_then(|v| v.parse().ok()).unwrap_or(0);
                     let chunked = reply.header("transfer-encoding").is_some();
                     self.read.drain(..n);
                     break (length, reply, chunked);
                 }
                 Ok(httparse::Status::Partial) => self.more(until).await?,
-                Err(_) => return Err(End::Malformed),
+                Err(_) => return Err(ReadError::Malformed),
             }
         };
         // A stream is read by `wait_for`; its head is all of its answer.
@@ -140,23 +140,23 @@
     ///
     /// # Errors
     /// When no answer came.
-    pub async fn exchange(
+    pub async fn request(
         &mut self,
         method: &str,
         path: &str,
         headers: &[(&str, &str)],
         body: &[u8],
         time: Duration,
-    ) -> Result<Reply, End> {
+    ) -> Result<HttpResponse, ReadError> {
         self.send(method, path, headers, body).await?;
-        self.reply(Instant::now() + time).await
+        self.read_response(Instant::now() + time).await
     }
 
     /// Waits until one of the words is in what arrives; returns which.
     ///
     /// # Errors
     /// When the connection or the time ends first.
-    pub async fn wait_for(&mut self, words: &[&str], until: Instant) -> Result<usize, End> {
+    pub async fn wait_for_any(&mut self, words: &[&str], until: Instant) -> Result<usize, ReadError> {
         loop {
             let text = String::from_utf8_lossy(&self.read);
             if let Some(i) = words.iter().position(|w| text.contains(w)) {
@@ -176,7 +176,7 @@
     ///
     /// # Errors
     /// When the connection or the time ends first.
-    pub async fn rest_of_line(&mut self, words: &str, until: Instant) -> Result<String, End> {
+    pub async fn wait_for_line(&mut self, words: &str, until: Instant) -> Result<String, ReadError> {
         loop {
             let text = String::from_utf8_lossy(&self.read).into_owned();
             if let Some((rest, _)) = text.split_once(words).and_then(|(_, r)| r.split_once('\n')) {
@@ -188,7 +188,7 @@
     }
 
     /// Bytes that nobody asked for, until the time or the connection ends.
-    pub async fn listen(&mut self, until: Instant) -> usize {
+    pub async fn read_unsolicited(&mut self, until: Instant) -> usize {
         while self.read.is_empty() {
             if self.more(until).await.is_err() {
                 break;
--- a/crates/rehearse/tests/duties.rs
+++ b/crates/rehearse/tests/duties.rs
@@ -1,6 +1,6 @@
 //! Shared duties under what goes wrong between fronts: the real code of many fronts on a network in memory.
 
-use pepperhook_rehearse::duties::coverage::{Coverage, Terms, judge};
+use pepperhook_rehearse::duties::coverage::{Coverage, RuleLimits, check};
 use pepperhook_rehearse::duties::simulation::{Act, Net, Options};
 
 const PERIOD: u64 = 1_000;
@@ -11,8 +11,8 @@
 
 fn coverage(net: &Net, from_ms: u64) -> Coverage {
     let to_ms = net.now_ms();
-    let terms = Terms { period_ms: PERIOD, gap_ms: GAP, window: 5, most: 5 * 5 + 12 };
-    judge(&net.probes(from_ms, to_ms), &net.lives(from_ms, to_ms), &terms)
+    let terms = RuleLimits { period_ms: PERIOD, gap_ms: GAP, window: 5, most: 5 * 5 + 12 };
+    check(&net.probes(from_ms, to_ms), &net.lives(from_ms, to_ms), &terms)
 }
 
 fn settled(fronts: usize, loss: f64) -> Net {
@@ -31,7 +31,7 @@
     let mut net = settled(8, 0.0);
     net.run(40_000);
     let c = coverage(&net, 8_000);
-    assert!(c.breaches.is_empty(), "{c:?}");
+    assert!(c.violations.is_empty(), "{c:?}");
     assert!(c.twice < 0.005, "{c:?}");
     // 12 nodes, 32 s; one round in 150 has nobody whose draw is low enough.
     assert!((375..=388).contains(&c.probes), "{c:?}");
@@ -46,7 +46,7 @@
         }
         net.run(38_000);
         let c = coverage(&net, 8_000);
-        assert!(c.breaches.is_empty() && c.twice < twice, "loss {loss}: {c:?}");
+        assert!(c.violations.is_empty() && c.twice < twice, "loss {loss}: {c:?}");
         for i in (0..8).filter(|i| net.front(*i).is_some()) {
             let view = net.view(i);
             assert!(view.iter().all(|j| ![1, 4, 6].contains(j)) && view.len() >= 4, "loss {loss}: {view:?}");
@@ -62,14 +62,14 @@
     assert!((0..8).all(|i| net.view(i) == [i]), "each sees itself alone");
     let alone = coverage(&net, 15_000);
     // Every front believes that it owns every duty: what a node hears is bounded by the draws alone.
-    assert!(alone.breaches.is_empty(), "{alone:?}");
+    assert!(alone.violations.is_empty(), "{alone:?}");
     let a_round = alone.probes as f64 / (12.0 * 35.0);
     assert!((3.0..=5.0).contains(&a_round), "{a_round} a node and period; 5 are the bound");
     net.at(50_000, Act::Heal);
     net.run(75_000);
     assert!((0..8).all(|i| net.view(i).len() == 8), "healed");
     let healed = coverage(&net, 65_000);
-    assert!(healed.breaches.is_empty() && healed.twice < 0.01, "{healed:?}");
+    assert!(healed.violations.is_empty() && healed.twice < 0.01, "{healed:?}");
 }
 
 #[test]
@@ -79,12 +79,12 @@
     net.run(160_000);
     assert!(net.view(0) == [0, 1, 2] && net.view(5) == [3, 4, 5, 6, 7]);
     let apart = coverage(&net, 20_000);
-    assert!(apart.breaches.is_empty() && (0.2..=0.5).contains(&apart.twice), "{apart:?}");
+    assert!(apart.violations.is_empty() && (0.2..=0.5).contains(&apart.twice), "{apart:?}");
     net.at(160_000, Act::Heal);
     net.run(200_000);
     assert!((0..8).all(|i| net.view(i).len() == 8), "longer apart than the given up are remembered");
     let healed = coverage(&net, 190_000);
-    assert!(healed.breaches.is_empty() && healed.twice < 0.01, "{healed:?}");
+    assert!(healed.violations.is_empty() && healed.twice < 0.01, "{healed:?}");
 }
 
 #[test]
@@ -96,7 +96,7 @@
     net.run(60_000);
     let c = coverage(&net, 9_000);
     // Others ask in the place of those who do not hear front 0: it is not given up, and what it says comes by them.
-    assert!(c.breaches.is_empty() && c.twice < 0.2, "{c:?}");
+    assert!(c.violations.is_empty() && c.twice < 0.2, "{c:?}");
     assert!((0..8).all(|i| net.view(i).len() >= 7), "{:?}", (0..8).map(|i| net.view(i)).collect::<Vec<_>>());
 }
 
@@ -108,7 +108,7 @@
     }
     net.run(40_000);
     let c = coverage(&net, 9_000);
-    assert!(c.breaches.is_empty() && c.twice < 0.05, "{c:?}");
+    assert!(c.violations.is_empty() && c.twice < 0.05, "{c:?}");
     assert!((0..8).all(|i| net.view(i).len() == 8));
     let runs = net.front(0).expect("front 0").view()[&pepperhook_rehearse::duties::simulation::number(3)].run;
     assert_eq!(runs, 1_800_000_000_000 + 27_401, "its last run is the one that counts");
@@ -123,7 +123,7 @@
     }
     net.run(30_000);
     let c = coverage(&net, 9_000);
-    assert!(c.breaches.is_empty() && c.twice < 0.06, "{c:?}");
+    assert!(c.violations.is_empty() && c.twice < 0.06, "{c:?}");
     // What it missed is not made up for: a node hears one round's worth.
     assert!(c.most_in_window <= 8, "{c:?}");
     assert!((0..8).all(|i| net.view(i).len() == 8), "it was suspected at most, and refuted that");
@@ -140,7 +140,7 @@
     }
     net.run(45_000);
     let c = coverage(&net, 9_000);
-    assert!(c.breaches.is_empty() && c.twice < 0.3, "{c:?}");
+    assert!(c.violations.is_empty() && c.twice < 0.3, "{c:?}");
     assert!((0..8).all(|i| net.view(i).len() == 8));
 }
 
@@ -151,7 +151,7 @@
     net.run(8_000);
     net.run(20_000);
     let c = coverage(&net, 8_000);
-    assert!(c.breaches.is_empty() && c.twice < 0.02, "30 s ahead: {c:?}");
+    assert!(c.violations.is_empty() && c.twice < 0.02, "30 s ahead: {c:?}");
     let off = net.front(5).expect("front 5").offset_ms();
     assert!((off + 30_000).abs() < 300, "it goes by the fleet's clock: {off}");
     // A clock set back while it runs, and one set back over a restart, which makes its run older than the known.
@@ -161,7 +161,7 @@
     net.at(24_200, Act::Start(5));
     net.run(45_000);
     let c = coverage(&net, 20_000);
-    assert!(c.breaches.is_empty() && c.twice < 0.1, "set back: {c:?}");
+    assert!(c.violations.is_empty() && c.twice < 0.1, "set back: {c:?}");
     assert!((0..8).all(|i| net.view(i).len() == 8), "{:?}", net.view(0));
     let raised = net.notes.iter().any(|(_, by, n)| *by == 5 && format!("{n:?}").starts_with("Run"));
     assert!(raised, "it was told of its later run");
@@ -176,7 +176,7 @@
     }
     net.run(40_000);
     let c = coverage(&net, 9_000);
-    assert!(c.breaches.is_empty() && c.twice < 0.1, "{c:?}");
+    assert!(c.violations.is_empty() && c.twice < 0.1, "{c:?}");
     assert!((0..8).all(|i| net.view(i).len() == 8));
 }
 
@@ -190,7 +190,7 @@
     net.at(8_500, Act::Kill(11));
     net.run(16_000);
     let c = coverage(&net, 8_000);
-    assert!(c.breaches.is_empty() && c.twice < 0.05, "{c:?}");
+    assert!(c.violations.is_empty() && c.twice < 0.05, "{c:?}");
 }
 
 #[test]
@@ -206,7 +206,7 @@
     assert_eq!(asked("node-4", 14_000, 17_250), 0, "nor to one that is gone");
     assert!(asked("node-4", 17_250, 18_600) >= 1, "one that came back is asked in its next round");
     let c = coverage(&net, 8_000);
-    assert!(c.breaches.is_empty() && c.twice < 0.02, "{c:?}");
+    assert!(c.violations.is_empty() && c.twice < 0.02, "{c:?}");
 }
 
 #[test]
@@ -220,7 +220,7 @@
     net.most_at_once = 1;
     net.run(40_000);
     let c = coverage(&net, 12_000);
-    assert!(c.breaches.is_empty() && c.twice < 0.05, "{c:?}");
+    assert!(c.violations.is_empty() && c.twice < 0.05, "{c:?}");
     assert_eq!(net.most_at_once, 1, "one front at a time");
     // And one that never ends is broken off at its limit.
     net.at(40_000, Act::Takes(60_000, 70_000));
@@ -242,7 +242,7 @@
     assert!(rejected > 0);
     let c = coverage(&net, 15_000);
     // The stranger asks nodes for itself, within its own part of the bound.
-    assert!(c.breaches.is_empty() && c.twice < 0.6, "{c:?}");
+    assert!(c.violations.is_empty() && c.twice < 0.6, "{c:?}");
 }
 
 #[test]
@@ -267,6 +267,6 @@
     let more = |why: &str| after.get(why).copied().unwrap_or(0) - before.get(why).copied().unwrap_or(0);
     assert!(more("replay") > 500 && more("form") > 500, "{after:?}");
     let c = coverage(&net, 12_000);
-    assert!(c.breaches.is_empty() && c.twice < 0.02, "{c:?}");
+    assert!(c.violations.is_empty() && c.twice < 0.02, "{c:?}");
     assert!((0..8).all(|i| net.view(i).len() == 8));
 }
