--- a/crates/playout/src/lib.rs
+++ b/crates/playout/src/lib.rs
@@ -1,12 +1,11 @@
-//! Stand-in playout nodes: WHIP and WHEP without media.
+//! Simulated playout nodes: the WHIP and WHEP signalling of a node, without media.
 //!
-//! A node answers SDP, holds streams, and has a link and a share in a rack's uplink that all sessions there
-//! divide equally. It starts cold and warms up, falls over when it is pushed then, drains, and refuses, fails,
-//! stalls or dies on command over its control port. It reports its load late and noisily. It sends no media,
-//! so what a viewer would see is the share of its rate that it would have got.
+//! A node answers SDP offers, holds sessions, and has a link and a rack uplink whose capacity its sessions share
+//! equally. It starts cold and warms up; too many set-ups while it is cold overload it. On command over its
+//! control port it drains, refuses or fails set-ups, stops answering, or crashes. Its load reports are delayed
+//! and noisy. In place of media it computes the share of a session's rate that would be delivered.
 //!
-//! Written from the published specifications for rehearsals and tests on loopback; figures from it are
-//! simulated.
+//! Written from the published specifications, for tests and rehearsals on loopback. All figures are simulated.
 
 mod node;
 pub mod record;
--- a/crates/playout/src/server.rs
+++ b/crates/playout/src/server.rs
@@ -1,6 +1,6 @@
-//! The node's sockets: WHIP and WHEP for fronts, and the control port.
+//! The sockets of a node: WHIP and WHEP for fronts, and the control port.
 
-use crate::node::{Command, Fate, Faults, Node, Options, Rack, Session, State};
+use crate::node::{Command, Faults, Node, Options, Rack, Session, SetUpOutcome, State};
 use crate::record::{Event, Recorder};
 use bytes::Bytes;
 use http_body_util::combinators::BoxBody;
@@ -29,50 +29,50 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::Instant;
 
-type Failure = Box<dyn std::error::Error + Send + Sync>;
-type Out = BoxBody<Bytes, Failure>;
-type Shared = Rc<RefCell<Node>>;
+type BoxError = Box<dyn std::error::Error + Send + Sync>;
+type ResponseBody = BoxBody<Bytes, BoxError>;
+type SharedNode = Rc<RefCell<Node>>;
 
-/// Connections of one node at most; more are closed as they come.
-const MOST_CONNECTIONS: usize = 20_000;
+/// Maximum number of open connections of one node; further ones are closed at once.
+const MAX_CONNECTIONS: usize = 20_000;
 
-/// A node that serves.
+/// A running node.
 pub struct NodeHandle {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Where fronts come.
+    /// Address for fronts (WHIP and WHEP).
     pub address: SocketAddr,
-    /// Its control port.
+    /// Address of the control port.
     pub control: SocketAddr,
-    node: Shared,
+    node: SharedNode,
     dead: watch::Sender<bool>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl NodeHandle {
-    /// Carries a command out, as the control port does.
+    /// Executes a command, as the control port does.
     pub fn command(&self, command: Command) {
-        obey(&self.node, &self.dead, command);
+        execute(&self.node, &self.dead, command);
     }
 
-    /// Sets its faults.
+    /// Replaces the faults.
     pub fn set_faults(&self, faults: Faults) {
         self.command(Command { faults: Some(faults), ..Command::default() });
     }
 
-    /// Its state.
+    /// Current state.
     #[must_use]
     pub fn state(&self) -> State {
         self.node.borrow().state()
     }
 
-    /// Dies: connections are reset, the ports are closed.
+    /// Crashes the node: connections are reset and the ports closed.
     pub fn crash(&self) {
         let _ = self.dead.send(true);
         self.tasks.iter().for_each(JoinHandle::abort);
     }
 
-    /// Ends all its sessions of itself, and tells their fronts on the event streams.
+    /// Ends all sessions on the node's initiative, and reports that on the event streams of their fronts.
     pub fn end_sessions(&self) {
         let mut node = self.node.borrow_mut();
         let ids: Vec<String> = node.sessions.keys().cloned().collect();
@@ -82,11 +82,11 @@
     }
 }
 
-fn obey(node: &Shared, dead: &watch::Sender<bool>, command: Command) {
+fn execute(node: &SharedNode, dead: &watch::Sender<bool>, command: Command) {
     let mut n = node.borrow_mut();
     if let Some(faults) = command.faults {
         n.faults = faults;
-        n.rack.borrow_mut().left = faults.uplink_left;
+        n.rack.borrow_mut().share_left = faults.uplink_left;
     }
     if let Some(kb) = command.elsewhere_kb {
         n.rack.borrow_mut().elsewhere_kb = kb;
@@ -96,10 +96,10 @@
     }
 }
 
-/// Starts nodes within a `LocalSet`; those of one rack share its uplink.
+/// Starts nodes within a `LocalSet`; nodes of one rack share its uplink.
 ///
 /// # Errors
-/// When an address cannot be bound.
+/// If an address cannot be bound.
 pub async fn start(nodes: Vec<Options>, recorder: &Recorder) -> io::Result<Vec<NodeHandle>> {
     let mut racks: BTreeMap<u32, Rc<RefCell<Rack>>> = BTreeMap::new();
     let mut out = Vec::new();
@@ -117,15 +117,15 @@
         let tasks = vec![
             spawn_local(serve(node.clone(), listener, died.clone())),
             spawn_local(serve_control(node.clone(), control, dead.clone())),
-            spawn_local(live(node.clone(), died)),
+            spawn_local(run_timers(node.clone(), died)),
         ];
         out.push(NodeHandle { name, address, control: control_address, node, dead, tasks });
     }
     Ok(out)
 }
 
-/// What happens of itself: measuring, leases.
-async fn live(node: Shared, mut died: watch::Receiver<bool>) {
+/// Measures the load and expires leases, every 100 ms.
+async fn run_timers(node: SharedNode, mut died: watch::Receiver<bool>) {
     let mut ticks = tokio::time::interval(Duration::from_millis(100));
     loop {
         tokio::select! {
@@ -133,12 +133,12 @@
             _ = died.wait_for(|d| *d) => return,
         }
         let mut n = node.borrow_mut();
-        n.observe();
-        n.sweep();
+        n.record_load();
+        n.expire_leases();
     }
 }
 
-async fn serve(node: Shared, listener: TcpListener, died: watch::Receiver<bool>) {
+async fn serve(node: SharedNode, listener: TcpListener, died: watch::Receiver<bool>) {
     let open = Rc::new(Cell::new(0usize));
     let mut dying = died.clone();
     loop {
@@ -150,7 +150,7 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        if open.get() < MOST_CONNECTIONS {
+        if open.get() < MAX_CONNECTIONS {
             open.set(open.get() + 1);
             let (node, died, open) = (node.clone(), died.clone(), open.clone());
             spawn_local(async move {
@@ -161,10 +161,10 @@
     }
 }
 
-async fn connection(node: Shared, stream: TcpStream, mut died: watch::Receiver<bool>) {
+async fn connection(node: SharedNode, stream: TcpStream, mut died: watch::Receiver<bool>) {
     let _ = stream.set_nodelay(true);
-    let deaf = node.borrow().faults.ignore_half_close;
-    // The session set up last on this connection, until it carries another request.
+    let half_close = node.borrow().faults.ignore_half_close;
+    // The session set up by the latest request on this connection.
     let last: Rc<RefCell<Option<String>>> = Rc::default();
     let (served, kept) = (node.clone(), last.clone());
     let dead = Rc::new(Cell::new(false));
@@ -174,9 +174,9 @@
         let (node, kept, gone) = (served.clone(), kept.clone(), gone.clone());
         async move { answer(node, request, &kept, &gone).await }
     });
-    let io = TokioIo::new(Lingering(stream, dead.clone()));
+    let io = TokioIo::new(ResetOnDrop(stream, dead.clone()));
     let serving =
-        http1::Builder::new().timer(TokioTimer::new()).half_close(deaf).serve_connection(io, service);
+        http1::Builder::new().timer(TokioTimer::new()).half_close(half_close).serve_connection(io, service);
     tokio::pin!(serving);
     let ended = tokio::select! {
         ended = &mut serving => ended,
@@ -185,19 +185,19 @@
             return;
         }
     };
-    // An answer that its front may never have read holds no session.
+    // The connection failed right after the answer, which the front may not have read: the session is ended.
     if let (Err(_), Some(id)) = (ended, last.borrow_mut().take()) {
         let mut n = node.borrow_mut();
-        if n.sessions.get(&id).is_some_and(|s| s.made.elapsed() < Duration::from_secs(1)) {
+        if n.sessions.get(&id).is_some_and(|s| s.created_at.elapsed() < Duration::from_secs(1)) {
             n.end(&id, "undelivered", false);
         }
     }
 }
 
-/// A socket that is reset, not closed, where its node has died.
-struct Lingering(TcpStream, Rc<Cell<bool>>);
+/// A socket that is reset on drop, not closed, if the flag is set.
+struct ResetOnDrop(TcpStream, Rc<Cell<bool>>);
 
-impl Drop for Lingering {
+impl Drop for ResetOnDrop {
     fn drop(&mut self) {
         if self.1.get() {
             let _ = SockRef::from(&self.0).set_linger(Some(Duration::ZERO));
@@ -205,7 +205,7 @@
     }
 }
 
-impl tokio::io::AsyncRead for Lingering {
+impl tokio::io::AsyncRead for ResetOnDrop {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -215,7 +215,7 @@
     }
 }
 
-impl tokio::io::AsyncWrite for Lingering {
+impl tokio::io::AsyncWrite for ResetOnDrop {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.0).poll_write(cx, bytes)
     }
@@ -227,17 +227,17 @@
     }
 }
 
-/// A body that promises more than it gives.
-struct Half(bool);
+/// A body shorter than its announced length: an error follows the first frame. The flag is set after that frame.
+struct TruncatedBody(bool);
 
-impl Body for Half {
+impl Body for TruncatedBody {
     type Data = Bytes;
-    type Error = Failure;
+    type Error = BoxError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Failure>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
         if std::mem::replace(&mut self.0, true) {
             return Poll::Ready(Some(Err("cut".into())));
         }
@@ -250,43 +250,43 @@
     }
 }
 
-/// A body of events.
-struct Events(mpsc::Receiver<String>);
+/// The body of an event stream.
+struct EventBody(mpsc::Receiver<String>);
 
-impl Body for Events {
+impl Body for EventBody {
     type Data = Bytes;
-    type Error = Failure;
+    type Error = BoxError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Failure>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
         self.0.poll_recv(cx).map(|e| e.map(|e| Ok(Frame::data(Bytes::from(e)))))
     }
 }
 
-fn plain(status: u16, body: impl Into<Bytes>) -> Response<Out> {
+fn response(status: u16, body: impl Into<Bytes>) -> Response<ResponseBody> {
     let mut r = Response::new(Full::new(body.into()).map_err(|e| match e {}).boxed());
     *r.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     r
 }
 
-fn header(r: &mut Response<Out>, name: hyper::header::HeaderName, value: &str) {
+fn add_header(r: &mut Response<ResponseBody>, name: hyper::header::HeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         r.headers_mut().append(name, value);
     }
 }
 
-fn given<'a>(request: &'a Request<Incoming>, name: &hyper::header::HeaderName) -> &'a str {
+fn request_header<'a>(request: &'a Request<Incoming>, name: &hyper::header::HeaderName) -> &'a str {
     request.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or("")
 }
 
 async fn answer(
-    node: Shared,
+    node: SharedNode,
     request: Request<Incoming>,
     last: &RefCell<Option<String>>,
     dead: &Cell<bool>,
-) -> Result<Response<Out>, Failure> {
+) -> Result<Response<ResponseBody>, BoxError> {
     let path = request.uri().path().to_owned();
     let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
     match (parts.as_slice(), request.method()) {
@@ -296,100 +296,100 @@
         }
         (["sessions"], &Method::GET) => {
             let n = node.borrow();
-            n.recorder.write(Event::SessionsListed { front: front(given(&request, &VIA)) });
+            n.recorder.write(Event::SessionsListed { front: front_name(request_header(&request, &VIA)) });
             let row =
                 |(id, s): (&String, &Session)| serde_json::json!({"path": format!("/s/{id}"), "via": s.run});
             let list: Vec<serde_json::Value> = n.sessions.iter().map(row).collect();
-            let mut r = plain(200, serde_json::to_vec(&list)?);
-            header(&mut r, CONTENT_TYPE, "application/json");
+            let mut r = response(200, serde_json::to_vec(&list)?);
+            add_header(&mut r, CONTENT_TYPE, "application/json");
             Ok(r)
         }
         (["s", id], &Method::DELETE) => {
             let ended = node.borrow_mut().end(id, "delete", false);
-            Ok(plain(if ended { 200 } else { 404 }, ""))
+            Ok(response(if ended { 200 } else { 404 }, ""))
         }
         (["s", id], &Method::PATCH) => patch(&node, id, request).await,
         (["s", id, "layer"], &Method::POST) => layer(&node, id, request).await,
         (["s", id, "events"], &Method::POST) => {
             let known = node.borrow().sessions.contains_key(*id);
-            let mut r = plain(if known { 201 } else { 404 }, "");
-            header(&mut r, LOCATION, &format!("/s/{id}/events/stream"));
+            let mut r = response(if known { 201 } else { 404 }, "");
+            add_header(&mut r, LOCATION, &format!("/s/{id}/events/stream"));
             Ok(r)
         }
         (["s", id, "events", "stream"], &Method::GET) => {
             let run = node.borrow().sessions.get(*id).map(|s| s.run.clone());
-            let Some(run) = run else { return Ok(plain(404, "")) };
-            let mut r = Response::new(Events(stream(node.clone(), run, (*id).to_owned())).boxed());
-            header(&mut r, CONTENT_TYPE, "text/event-stream");
+            let Some(run) = run else { return Ok(response(404, "")) };
+            let mut r = Response::new(EventBody(event_stream(node.clone(), run, (*id).to_owned())).boxed());
+            add_header(&mut r, CONTENT_TYPE, "text/event-stream");
             Ok(r)
         }
-        _ => Ok(plain(404, "")),
+        _ => Ok(response(404, "")),
     }
 }
 
-/// The name of the front in a request's `Via`: `1.1 front (run ...)`.
-fn front(run: &str) -> String {
-    run.split(' ').nth(1).unwrap_or("").to_owned()
+/// The name of the front in a `Via` value of the form `1.1 front (run ...)`.
+fn front_name(via: &str) -> String {
+    via.split(' ').nth(1).unwrap_or("").to_owned()
 }
 
-/// OPTIONS tells what an endpoint takes, and by its load report how full the node is.
-async fn options(node: &Shared, request: &Request<Incoming>) -> Result<Response<Out>, Failure> {
-    let (faults, fell) = {
+/// Answers `OPTIONS`: the accepted content type and the load report.
+async fn options(node: &SharedNode, request: &Request<Incoming>) -> Result<Response<ResponseBody>, BoxError> {
+    let (faults, overloaded) = {
         let n = node.borrow();
-        n.recorder.write(Event::Probe { front: front(given(request, &VIA)) });
+        n.recorder.write(Event::Probe { front: front_name(request_header(request, &VIA)) });
         (n.faults, n.overloaded)
     };
-    if fell || faults.hang >= 1.0 {
+    if overloaded || faults.hang >= 1.0 {
         std::future::pending::<()>().await;
     }
     tokio::time::sleep(Duration::from_millis(faults.slow_ms)).await;
-    let mut r = plain(204, "");
-    header(&mut r, hyper::header::HeaderName::from_static("accept-post"), SDP_TYPE);
-    report(node, &mut r);
+    let mut r = response(204, "");
+    add_header(&mut r, hyper::header::HeaderName::from_static("accept-post"), SDP_TYPE);
+    add_load_report(node, &mut r);
     Ok(r)
 }
 
-/// Tells what becomes of an attempt, also where its future is dropped because the connection closed.
-struct Account {
+/// Records the end of an attempt, also if its future is dropped because the connection closed.
+struct AttemptRecord {
     recorder: Recorder,
     attempt: u64,
-    told: bool,
+    answered: bool,
 }
 
-impl Account {
+impl AttemptRecord {
     fn answered(&mut self, status: u16) {
-        self.told = true;
+        self.answered = true;
         self.recorder.write(Event::AttemptAnswered { attempt: self.attempt, status });
     }
 }
 
-impl Drop for Account {
+impl Drop for AttemptRecord {
     fn drop(&mut self) {
-        if !self.told {
+        if !self.answered {
             self.recorder.write(Event::AttemptClosed { attempt: self.attempt });
         }
     }
 }
 
 async fn set_up(
-    node: &Shared,
+    node: &SharedNode,
     publish: bool,
     title: &str,
     request: Request<Incoming>,
     last: &RefCell<Option<String>>,
     dead: &Cell<bool>,
-) -> Result<Response<Out>, Failure> {
-    // `1.1 front (run ...)`: the record names the front, the lease is this run's.
-    let run = given(&request, &VIA).to_owned();
-    let front = front(&run);
-    let is_sdp = given(&request, &CONTENT_TYPE).starts_with(SDP_TYPE);
+) -> Result<Response<ResponseBody>, BoxError> {
+    // The record names the front; the lease belongs to its run, so the whole `Via` value is kept.
+    let run = request_header(&request, &VIA).to_owned();
+    let front = front_name(&run);
+    let is_sdp = request_header(&request, &CONTENT_TYPE).starts_with(SDP_TYPE);
     let body = Limited::new(request.into_body(), 64 << 10).collect().await?.to_bytes();
     let way = if publish { Direction::Send } else { Direction::Receive };
     let offer = Offer::parse(&body, way);
     let origin = offer.as_ref().map(|o| o.origin.clone()).unwrap_or_default();
-    let (fate, mut account) = {
+    let (outcome, mut account) = {
         let mut n = node.borrow_mut();
-        let fell = n.pushed();
+        let overloaded = n.count_set_up();
         let (attempt, recorder) = (n.attempts, n.recorder.clone());
         recorder.write(Event::Attempt {
             attempt,
@@ -397,30 +397,30 @@
             origin: origin.clone(),
             title: title.into(),
         });
-        let account = Account { recorder, attempt, told: false };
-        (if fell { Fate::Hang } else { n.fate() }, account)
+        let account = AttemptRecord { recorder, attempt, answered: false };
+        (if overloaded { SetUpOutcome::Hang } else { n.draw_outcome() }, account)
     };
-    let status = match fate {
-        Fate::Hang => {
+    let status = match outcome {
+        SetUpOutcome::Hang => {
             std::future::pending::<()>().await;
             0
         }
-        Fate::Refuse => 503,
-        Fate::Error => {
+        SetUpOutcome::Refuse => 503,
+        SetUpOutcome::Error => {
             let slow = node.borrow().faults.slow_ms;
             tokio::time::sleep(Duration::from_millis(2 + slow)).await;
             500
         }
-        Fate::Half => {
+        SetUpOutcome::Truncate => {
             account.answered(201);
-            let mut r = Response::new(Half(false).boxed());
+            let mut r = Response::new(TruncatedBody(false).boxed());
             *r.status_mut() = StatusCode::CREATED;
-            header(&mut r, CONTENT_TYPE, SDP_TYPE);
-            header(&mut r, LOCATION, "/s/none");
+            add_header(&mut r, CONTENT_TYPE, SDP_TYPE);
+            add_header(&mut r, LOCATION, "/s/none");
             dead.set(true);
             return Ok(r);
         }
-        Fate::SetUp(time) => {
+        SetUpOutcome::SetUp(time) => {
             tokio::time::sleep(time).await;
             if node.borrow().faults.drain { 503 } else { 201 }
         }
@@ -428,8 +428,8 @@
     let (Ok(offer), 201, true) = (&offer, status, is_sdp) else {
         let status = if offer.is_err() || !is_sdp { 400 } else { status };
         account.answered(status);
-        let mut r = plain(status, "");
-        report(node, &mut r);
+        let mut r = response(status, "");
+        add_load_report(node, &mut r);
         return Ok(r);
     };
     let ufrag = format!("node{:x}", account.attempt);
@@ -440,46 +440,50 @@
         rung: 0,
         ufrag: ufrag.clone(),
         etag: String::new(),
-        made: Instant::now(),
+        created_at: Instant::now(),
     };
     let (id, etag) = {
         let mut n = node.borrow_mut();
-        let id = n.hold(session);
+        let id = n.add_session(session);
         let etag = n.sessions.get(&id).map(|s| s.etag.clone()).unwrap_or_default();
         (id, etag)
     };
-    let pwd = if node.borrow_mut().garbles() { "short" } else { "standinpassword0123456789" };
+    let pwd = if node.borrow_mut().draw_malformed() { "short" } else { "standinpassword0123456789" };
     let sdp = match answer_to(offer, &format!("{}", account.attempt), &ufrag, pwd) {
         Ok(sdp) => sdp,
-        // Nothing that it knows is offered: the session is not kept.
+        // No offered codec is supported: the session is not kept.
         Err(_) => {
             node.borrow_mut().end(&id, "codec", false);
             account.answered(406);
-            return Ok(plain(406, ""));
+            return Ok(response(406, ""));
         }
     };
     account.answered(201);
     *last.borrow_mut() = Some(id.clone());
-    let mut r = plain(201, sdp);
-    header(&mut r, CONTENT_TYPE, SDP_TYPE);
-    header(&mut r, LOCATION, &format!("/s/{id}"));
-    header(&mut r, ETAG, &etag);
+    let mut r = response(201, sdp);
+    add_header(&mut r, CONTENT_TYPE, SDP_TYPE);
+    add_header(&mut r, LOCATION, &format!("/s/{id}"));
+    add_header(&mut r, ETAG, &etag);
     let events = format!("inactive,{EVENT_DELIVERED},{EVENT_LINK},{EVENT_UPLINK}");
-    header(&mut r, LINK, &format!("</s/{id}/events>; rel=\"{REL_EVENTS}\"; events=\"{events}\""));
-    header(&mut r, LINK, &format!("</s/{id}/layer>; rel=\"{REL_LAYER}\""));
-    header(&mut r, LINK, "<stun:127.0.0.1:3478>; rel=\"ice-server\"");
-    report(node, &mut r);
+    add_header(&mut r, LINK, &format!("</s/{id}/events>; rel=\"{REL_EVENTS}\"; events=\"{events}\""));
+    add_header(&mut r, LINK, &format!("</s/{id}/layer>; rel=\"{REL_LAYER}\""));
+    add_header(&mut r, LINK, "<stun:127.0.0.1:3478>; rel=\"ice-server\"");
+    add_load_report(node, &mut r);
     Ok(r)
 }
 
-fn report(node: &Shared, r: &mut Response<Out>) {
-    let [streams, link, uplink] = node.borrow_mut().load();
+fn add_load_report(node: &SharedNode, r: &mut Response<ResponseBody>) {
+    let [streams, link, uplink] = node.borrow_mut().load_report();
     let metrics = [("streams", streams), ("link", link), ("uplink", uplink)];
     let load = LoadReport(metrics.into_iter().map(|(n, v)| (n.to_owned(), v)).collect());
-    header(r, hyper::header::HeaderName::from_static(ORCA_HEADER), &load.to_header());
+    add_header(r, hyper::header::HeaderName::from_static(ORCA_HEADER), &load.to_header());
 }
 
-async fn layer(node: &Shared, id: &str, request: Request<Incoming>) -> Result<Response<Out>, Failure> {
+async fn layer(
+    node: &SharedNode,
+    id: &str,
+    request: Request<Incoming>,
+) -> Result<Response<ResponseBody>, BoxError> {
     let body = Limited::new(request.into_body(), 4 << 10).collect().await?.to_bytes();
     let choice: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
     let rung =
@@ -487,95 +491,99 @@
     let mut n = node.borrow_mut();
     let rungs = n.options.ladder.len();
     let (Some(rung), Some(s)) = (rung.filter(|r| usize::from(*r) < rungs), n.sessions.get_mut(id)) else {
-        return Ok(plain(if rung.is_none() { 400 } else { 404 }, ""));
+        return Ok(response(if rung.is_none() { 400 } else { 404 }, ""));
     };
     s.rung = rung;
     let origin = s.origin.clone();
     n.recorder.write(Event::RungSelected { origin, rung });
-    Ok(plain(200, ""))
+    Ok(response(200, ""))
 }
 
-/// Trickle and ICE restart (RFC 9725, 4.3).
-async fn patch(node: &Shared, id: &str, request: Request<Incoming>) -> Result<Response<Out>, Failure> {
-    let tag = given(&request, &IF_MATCH).to_owned();
-    let is_fragment = given(&request, &CONTENT_TYPE).starts_with(FRAGMENT_TYPE);
+/// Trickle ICE and ICE restart (RFC 9725, section 4.3).
+async fn patch(
+    node: &SharedNode,
+    id: &str,
+    request: Request<Incoming>,
+) -> Result<Response<ResponseBody>, BoxError> {
+    let tag = request_header(&request, &IF_MATCH).to_owned();
+    let is_fragment = request_header(&request, &CONTENT_TYPE).starts_with(FRAGMENT_TYPE);
     let body = Limited::new(request.into_body(), 64 << 10).collect().await?.to_bytes();
     let mut n = node.borrow_mut();
-    let Some(s) = n.sessions.get_mut(id) else { return Ok(plain(404, "")) };
+    let Some(s) = n.sessions.get_mut(id) else { return Ok(response(404, "")) };
     let fragment = match (is_fragment, Fragment::parse(&body)) {
-        (false, _) => return Ok(plain(415, "")),
-        (true, Err(_)) => return Ok(plain(422, "")),
+        (false, _) => return Ok(response(415, "")),
+        (true, Err(_)) => return Ok(response(422, "")),
         (true, Ok(f)) => f,
     };
     match tag.as_str() {
-        "" => Ok(plain(428, "")),
+        "" => Ok(response(428, "")),
         "*" if fragment.ufrag.is_some() => {
             let count =
                 s.etag.trim_matches('"').rsplit('-').next().and_then(|n| n.parse::<u32>().ok()).unwrap_or(0);
             (s.etag, s.ufrag) = (format!("\"{id}-{}\"", count + 1), format!("{}r{}", s.ufrag, count + 1));
             let restart = format!("a=ice-ufrag:{}\r\na=ice-pwd:standinpassword0123456789\r\n", s.ufrag);
             let etag = s.etag.clone();
-            let mut r = plain(200, restart);
-            header(&mut r, CONTENT_TYPE, FRAGMENT_TYPE);
-            header(&mut r, ETAG, &etag);
+            let mut r = response(200, restart);
+            add_header(&mut r, CONTENT_TYPE, FRAGMENT_TYPE);
+            add_header(&mut r, ETAG, &etag);
             Ok(r)
         }
-        "*" => Ok(plain(422, "")),
-        tag if tag == s.etag => Ok(plain(204, "")),
-        _ => Ok(plain(412, "")),
+        "*" => Ok(response(422, "")),
+        tag if tag == s.etag => Ok(response(204, "")),
+        _ => Ok(response(412, "")),
     }
 }
 
-/// The event stream of a front, on one of its sessions; it ends with that session.
-fn stream(node: Shared, run: String, id: String) -> mpsc::Receiver<String> {
-    let (tell, told) = mpsc::channel(8);
-    node.borrow_mut().streams(&run, true);
+/// Opens an event stream of a front on one of its sessions; it ends with that session.
+fn event_stream(node: SharedNode, run: String, id: String) -> mpsc::Receiver<String> {
+    let (sender, receiver) = mpsc::channel(8);
+    node.borrow_mut().count_event_stream(&run, true);
     spawn_local(async move {
         let mut ticks = tokio::time::interval(Duration::from_millis(100));
-        let every = Duration::from_millis(node.borrow().options.load_event_period_ms);
-        let (mut delivered_at, mut link_at, mut spoke_at) =
-            (Instant::now(), Instant::now() - every, Instant::now());
+        let load_period = Duration::from_millis(node.borrow().options.load_event_period_ms);
+        let (mut delivered_at, mut link_at, mut sent_at) =
+            (Instant::now(), Instant::now() - load_period, Instant::now());
         let (mut was_short, mut closing) = (false, false);
         'stream: while !closing {
             tokio::select! {
                 _ = ticks.tick() => {}
-                () = tell.closed() => break,
+                () = sender.closed() => break,
             }
-            let mut say = Vec::new();
+            let mut events = Vec::new();
             {
                 let mut n = node.borrow_mut();
                 closing = !n.sessions.contains_key(&id);
                 for ended in n.ended.remove(&run).unwrap_or_default() {
-                    say.push(write_event("inactive", &format!("{{\"session\":\"/s/{ended}\"}}")));
+                    events.push(write_event("inactive", &format!("{{\"session\":\"/s/{ended}\"}}")));
                 }
-                if let Some([delivered, link, uplink]) = n.seen() {
+                if let Some([delivered, link, uplink]) = n.visible_load() {
                     if delivered_at.elapsed() >= Duration::from_secs(1) && (delivered < 0.98 || was_short) {
                         (delivered_at, was_short) = (Instant::now(), delivered < 0.98);
-                        say.push(write_event(EVENT_DELIVERED, &format!("{{\"value\":{delivered:.4}}}")));
+                        events.push(write_event(EVENT_DELIVERED, &format!("{{\"value\":{delivered:.4}}}")));
                     }
-                    if link_at.elapsed() >= every {
+                    if link_at.elapsed() >= load_period {
                         link_at = Instant::now();
-                        say.push(write_event(EVENT_LINK, &format!("{{\"value\":{link:.4}}}")));
-                        say.push(write_event(EVENT_UPLINK, &format!("{{\"value\":{uplink:.4}}}")));
+                        events.push(write_event(EVENT_LINK, &format!("{{\"value\":{link:.4}}}")));
+                        events.push(write_event(EVENT_UPLINK, &format!("{{\"value\":{uplink:.4}}}")));
                     }
                 }
             }
-            if say.is_empty() && spoke_at.elapsed() >= Duration::from_secs(1) {
-                say.push(": still here\n\n".into());
+            if events.is_empty() && sent_at.elapsed() >= Duration::from_secs(1) {
+                events.push(": still here\n\n".into());
             }
-            for event in say {
-                spoke_at = Instant::now();
-                if tell.send(event).await.is_err() {
+            for event in events {
+                sent_at = Instant::now();
+                if sender.send(event).await.is_err() {
                     break 'stream;
                 }
             }
         }
-        node.borrow_mut().streams(&run, false);
+        node.borrow_mut().count_event_stream(&run, false);
     });
-    told
+    receiver
 }
 
-async fn serve_control(node: Shared, listener: TcpListener, dead: watch::Sender<bool>) {
+async fn serve_control(node: SharedNode, listener: TcpListener, dead: watch::Sender<bool>) {
     let mut died = dead.subscribe();
     loop {
         let accepted = tokio::select! {
@@ -591,12 +599,12 @@
                     if request.method() == Method::POST {
                         let body = Limited::new(request.into_body(), 16 << 10).collect().await?.to_bytes();
                         match serde_json::from_slice::<Command>(&body) {
-                            Ok(command) => obey(&node, &dead, command),
-                            Err(e) => return Ok::<_, Failure>(plain(400, e.to_string())),
+                            Ok(command) => execute(&node, &dead, command),
+                            Err(e) => return Ok::<_, BoxError>(response(400, e.to_string())),
                         }
                     }
                     let state = node.borrow().state();
-                    Ok(plain(200, serde_json::to_vec(&state)?))
+                    Ok(response(200, serde_json::to_vec(&state)?))
                 }
             });
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
