--- a/crates/rehearse/src/day.rs
+++ b/crates/rehearse/src/day.rs
@@ -1,89 +1,90 @@
-//! A day: fleet, arrivals and troubles, as a file of the project's own (`docs/rehearsals.md`).
+//! A day: the scenario of a rehearsal (fleet, arrivals and scheduled faults), stored as JSON; the format is described
+//! in `docs/rehearsals.md`. The `rename` attributes are the names in that file.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
 
-/// A day.
+/// The scenario of one rehearsal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Day {
-    /// What it is for.
+    /// Name, for reports.
     pub name: String,
-    /// Seed of arrivals and choices.
+    /// Seed of arrivals and random choices.
     pub seed: u64,
-    /// Arrivals come for so long, seconds.
+    /// Duration of the arrivals, seconds.
     pub length_s: f64,
-    /// Fronts and nodes.
+    /// Fronts and nodes, and how they are connected.
     #[serde(default)]
     pub fleet: Fleet,
-    /// Who comes.
+    /// Arrivals and behaviour of the viewers.
     #[serde(default)]
     pub viewers: ViewerSettings,
-    /// What goes wrong, when.
-    #[serde(default)]
-    pub troubles: Vec<ScheduledFault>,
+    /// Scheduled faults and extra load.
+    #[serde(default, rename = "troubles")]
+    pub faults: Vec<ScheduledFault>,
 }
 
-/// Fronts and nodes.
+/// Settings of the fronts and nodes of a day.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fleet {
-    /// Front processes.
+    /// Number of front processes.
     pub fronts: u32,
-    /// Node processes.
+    /// Number of node processes.
     pub nodes: u32,
-    /// Racks; node `i` stands in rack `i` modulo this.
+    /// Number of racks; node `i` is in rack `i` modulo this.
     pub racks: u32,
-    /// Zones; node and front `i` stand in zone `i` modulo this.
+    /// Number of zones; node and front `i` are in zone `i` modulo this.
     pub zones: u32,
-    /// A node's link, kB a second.
+    /// Link capacity of a node, kB/s.
     pub link_kb: f64,
-    /// A rack's uplink, kB a second.
+    /// Uplink capacity of a rack, kB/s.
     pub uplink_kb: f64,
-    /// Streams of a node at most.
+    /// Maximum number of streams of a node.
     pub streams: f64,
-    /// A restarted node is warm after so long, seconds.
+    /// Warm-up time of a restarted node, seconds.
     pub cold_s: f64,
-    /// A set-up takes about so long, milliseconds.
+    /// Typical duration of a set-up, milliseconds.
     pub set_up_ms: f64,
-    /// The list is so late, seconds.
+    /// Delay of the list of nodes, seconds.
     pub list_late_s: f64,
-    /// Floor of the class, a rung.
+    /// Floor of the class: its lowest rung.
     pub floor: u8,
-    /// Seats of the class; 0 for none.
+    /// Seats of the class for each title at a front; 0 for no limit.
     pub seats: u32,
-    /// `harmless` or `never`.
+    /// The class setting `repeat`: `harmless` allows repeating a set-up that may have run, `never` does not.
     pub repeat: String,
-    /// Ration of further attempts: free, share, seconds.
+    /// Retry budget: free retries, retries per request, and the window in seconds.
     pub budget: Option<(f64, f64, f64)>,
-    /// Shares of the tenants in the usual traffic; none where empty.
+    /// Share of each tenant in the base traffic; empty for no tenants.
     pub tenants: Vec<f64>,
-    /// Fronts exchange records; else they know nothing of each other.
+    /// Network between the fronts; without it they do not exchange records.
     pub exchange: Option<ExchangeSettings>,
-    /// Duties that the fronts share; they need an exchange.
+    /// Duties that the fronts share; requires `exchange`.
     pub duties: Option<DutySettings>,
 }
 
-/// Duties that fronts share.
+/// Settings of the shared duties.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DutySettings {
-    /// Each node is asked once in this time, seconds.
+    /// Probe period: each node is probed once in this time, seconds.
     pub period_s: f64,
-    /// What was read is told to the other fronts.
+    /// Fronts share the load that they read.
     pub share: bool,
-    /// Fronts ask by themselves before they place a session.
+    /// Fronts also probe nodes themselves before they place a session by an old reading.
     pub ask: bool,
 }
 
-/// What lies between the fronts.
+/// Loss and partitions between the fronts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ExchangeSettings {
-    /// Part of their datagrams that is lost.
+    /// Share of the datagrams between fronts that is lost.
     pub loss: f64,
-    /// Fronts that are cut off: whatever they send is lost, and nobody sends to them.
+    /// Isolated fronts: all that they send is lost, and the others do not send to them.
     pub cut: Vec<u32>,
 }
 
@@ -111,27 +112,27 @@
     }
 }
 
-/// Who comes.
+/// Arrivals and behaviour of viewers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ViewerSettings {
-    /// Viewers a second, on the mean.
+    /// Mean arrival rate, viewers per second.
     pub rate: f64,
-    /// They play for between these, seconds.
+    /// Shortest and longest playing time, seconds.
     pub plays_s: (f64, f64),
-    /// They give up after this, seconds.
+    /// Time after which a viewer stops waiting for an answer, seconds.
     pub patience_s: f64,
-    /// They want to play within this, seconds.
+    /// Target time from request to playing, seconds.
     pub aim_s: f64,
-    /// Titles.
+    /// Number of titles.
     pub titles: u32,
-    /// Holders of a title.
+    /// Number of nodes that hold a title.
     pub copies: u32,
-    /// Share of them that comes again after a refusal or a break.
+    /// Share of viewers that retry after a refusal or a failure.
     pub returns: f64,
-    /// Share of them that asks a second time under the same name while the first waits.
+    /// Share of requests that are sent a second time while the first one waits.
     pub twice: f64,
-    /// Share of them that leaves before the answer.
+    /// Share of requests abandoned before the answer.
     pub impatient: f64,
 }
 
@@ -151,157 +152,157 @@
     }
 }
 
-/// A trouble: from when, for how long, and what.
+/// A fault or extra load with its start and duration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScheduledFault {
-    /// Begins, seconds from the first arrival.
+    /// Start, seconds from the start of the arrivals.
     pub at_s: f64,
-    /// Lasts, seconds.
+    /// Duration, seconds.
     #[serde(default)]
     pub for_s: f64,
-    /// What.
+    /// Kind with its parameters.
     #[serde(flatten)]
     pub kind: FaultKind,
 }
 
-/// Kinds of trouble.
+/// Kinds of faults and extra load.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// The uplinks of these racks give only this part.
+    /// The uplinks of these racks lose capacity.
     Uplink {
         /// Racks.
         racks: Vec<u32>,
-        /// Part that is left.
+        /// Remaining share of the capacity.
         left: f64,
     },
-    /// All links give only this part.
+    /// All links of nodes lose capacity.
     Links {
-        /// Part that is left.
+        /// Remaining share of the capacity.
         left: f64,
     },
-    /// These nodes are killed and come back cold.
+    /// These nodes are killed, and restarted cold at the end.
     Crash {
         /// Nodes.
         nodes: Vec<u32>,
     },
-    /// These nodes grow slower, then die, and come back cold.
+    /// These nodes slow down gradually, are killed at the end and restarted cold.
     Ageing {
         /// Nodes.
         nodes: Vec<u32>,
-        /// Added to a set-up at the end, milliseconds.
+        /// Delay of a set-up reached at the end, milliseconds.
         to_ms: u64,
     },
-    /// This share of set-ups fails quickly at these nodes.
+    /// A share of set-ups at these nodes fails at once with 500.
     Errors {
         /// Nodes.
         nodes: Vec<u32>,
         /// Share that fails.
         share: f64,
     },
-    /// These nodes take connections and say nothing to this share of set-ups.
+    /// A share of set-ups at these nodes gets no answer.
     Hang {
         /// Nodes.
         nodes: Vec<u32>,
         /// Share that gets no answer.
         share: f64,
     },
-    /// Answers of these nodes break off half way, for this share of set-ups.
+    /// A share of set-ups at these nodes gets a truncated answer.
     Half {
         /// Nodes.
         nodes: Vec<u32>,
-        /// Share that breaks off.
+        /// Share that is truncated.
         share: f64,
     },
-    /// These nodes are drained, and back as they were at the end.
+    /// These nodes are listed as draining, and as ready again at the end.
     Drain {
         /// Nodes.
         nodes: Vec<u32>,
     },
-    /// All nodes are replaced one after the other: drained for so long, restarted cold.
+    /// Rolling deploy: all nodes are drained and restarted cold, batch by batch.
     Deploy {
         /// Nodes at a time.
         batch: u32,
         /// Seconds from drain to restart.
         drain_s: f64,
     },
-    /// A zone's nodes are killed at once, its fronts too if so told.
+    /// All nodes of a zone are killed at once, and restarted at the end.
     ZoneLoss {
         /// Zone.
         zone: u32,
-        /// Its fronts too.
+        /// Whether the fronts of the zone are killed too.
         fronts: bool,
     },
-    /// No list reaches any front.
+    /// The list of nodes is not updated at any front.
     ListDown,
-    /// The list runs behind by this much more.
+    /// The list of nodes is delayed further.
     ListLate {
-        /// Seconds.
+        /// Additional delay, seconds.
         by_s: f64,
     },
-    /// These fronts are killed, and come back at the end with nothing but their last list.
+    /// These fronts are killed, and restarted at the end with no state but their last list.
     FrontKill {
         /// Fronts.
         fronts: Vec<u32>,
     },
-    /// All fronts are stopped in order and restarted, one after the other.
+    /// Rolling restart: all fronts are shut down gracefully and restarted, one after the other.
     FrontRoll {
-        /// Seconds down.
+        /// Time between stop and restart, seconds.
         down_s: f64,
     },
-    /// These fronts stand still for so long, again and again.
+    /// These fronts are suspended repeatedly.
     FrontStall {
         /// Fronts.
         fronts: Vec<u32>,
-        /// Milliseconds each time.
+        /// Length of each suspension, milliseconds.
         ms: u64,
-        /// Seconds between two.
+        /// Time between suspensions, seconds.
         every_s: f64,
     },
-    /// So many times the usual viewers come.
+    /// The arrival rate is multiplied.
     Burst {
-        /// Times the usual rate.
+        /// Factor on the base rate.
         times: f64,
     },
-    /// One tenant sends so many times its usual viewers.
+    /// The arrival rate of one tenant is multiplied.
     TenantBurst {
         /// Index of the tenant.
         tenant: u32,
-        /// Times its usual rate.
+        /// Factor on the base rate of the tenant.
         times: f64,
     },
-    /// A crowd comes for few titles.
+    /// Additional viewers arrive for a few titles.
     HotTitle {
-        /// The first of them.
+        /// First of the titles.
         #[serde(default)]
         first: u32,
         /// Titles.
         titles: u32,
-        /// Viewers a second.
+        /// Additional viewers per second.
         rate: f64,
     },
     /// A peak is announced at a front; it starts `after_s` later.
     Announce {
-        /// Its name.
+        /// Name of the peak.
         peak: String,
         /// Front.
         front: u32,
         /// Title.
         title: u32,
-        /// Viewers at once.
+        /// Expected simultaneous viewers.
         viewers: u32,
-        /// Rung held for each.
+        /// Rung for which capacity is held for each viewer.
         rung: u8,
-        /// Seconds until it starts.
+        /// Time until the peak starts, seconds.
         after_s: f64,
-        /// Seconds that it lasts.
+        /// Duration of the peak, seconds.
         lasts_s: f64,
-        /// Seconds of lead.
+        /// Lead: time before the start from which capacity is held, seconds.
         lead_s: f64,
     },
-    /// A peak is called off at a front.
+    /// An announced peak is cancelled at a front.
     CallOff {
-        /// Its name.
+        /// Name of the peak.
         peak: String,
         /// Front.
         front: u32,
@@ -309,23 +310,23 @@
 }
 
 impl Day {
-    /// Reads a day.
+    /// Parses and checks a day.
     ///
     /// # Errors
-    /// Line and column of the first fault, or the figure that is out of bounds.
+    /// Line and column of the first syntax error, or the value that is out of range.
     pub fn parse(text: &str) -> Result<Self, String> {
         let day: Self = serde_json::from_str(text).map_err(|e| e.to_string())?;
         day.check()?;
         Ok(day)
     }
 
-    /// Load is bounded in count and time.
+    /// Checks all values against the limits of a rehearsal.
     ///
     /// # Errors
-    /// The figure that is out of bounds.
+    /// The value that is out of range, with the range.
     pub fn check(&self) -> Result<(), String> {
         let f = &self.fleet;
-        let within = [
+        let ranges = [
             ("length_s", self.length_s, 1.0, 300.0),
             ("fleet.fronts", f64::from(f.fronts), 1.0, 8.0),
             ("fleet.nodes", f64::from(f.nodes), 1.0, 32.0),
@@ -343,7 +344,7 @@
         {
             return Err("fleet.duties needs a period_s of 0.2 to 60, and fleet.exchange".into());
         }
-        for (name, value, low, high) in within {
+        for (name, value, low, high) in ranges {
             if !(low..=high).contains(&value) {
                 return Err(format!("{name} is {value}; {low} to {high} is allowed"));
             }
@@ -351,19 +352,22 @@
         if f.tenants.len() > 16 || f.tenants.iter().any(|s| !(0.0..=1.0).contains(s)) {
             return Err("fleet.tenants holds 16 shares at most, each between 0 and 1".into());
         }
-        let announces =
+        let needs_exchange =
             |t: &ScheduledFault| matches!(t.kind, FaultKind::Announce { .. } | FaultKind::CallOff { .. });
-        if f.exchange.is_none() && self.troubles.iter().any(announces) {
+        if f.exchange.is_none() && self.faults.iter().any(needs_exchange) {
             return Err("a day with announced peaks needs fleet.exchange".into());
         }
         if !["harmless", "never"].contains(&f.repeat.as_str()) {
             return Err(format!("fleet.repeat is '{}'; harmless or never is allowed", f.repeat));
         }
-        for (i, t) in self.troubles.iter().enumerate() {
-            if !(0.0..=300.0).contains(&t.at_s) || !(0.0..=300.0).contains(&t.for_s) {
-                return Err(format!("troubles[{i}]: at_s and for_s are between 0 and 300"));
+        for (i, fault) in self.faults.iter().enumerate() {
+            if !(0.0..=300.0).contains(&fault.at_s) || !(0.0..=300.0).contains(&fault.for_s) {
+                return Err(format!(
+                    "troubles[{i}]: at_s is {} and for_s is {}; 0 to 300 is allowed",
+                    fault.at_s, fault.for_s
+                ));
             }
-            let (nodes, fronts): (&[u32], &[u32]) = match &t.kind {
+            let (nodes, fronts): (&[u32], &[u32]) = match &fault.kind {
                 FaultKind::Crash { nodes }
                 | FaultKind::Ageing { nodes, .. }
                 | FaultKind::Errors { nodes, .. }
@@ -376,25 +380,32 @@
                 FaultKind::FrontKill { fronts } | FaultKind::FrontStall { fronts, .. } => (&[], fronts),
                 _ => (&[], &[]),
             };
-            if matches!(t.kind, FaultKind::TenantBurst { tenant, .. } if tenant as usize >= f.tenants.len()) {
-                return Err(format!("troubles[{i}]: there is no such tenant"));
+            if matches!(fault.kind, FaultKind::TenantBurst { tenant, .. } if tenant as usize >= f.tenants.len())
+            {
+                return Err(format!(
+                    "troubles[{i}]: the tenant is not in fleet.tenants, which has {}",
+                    f.tenants.len()
+                ));
             }
             if nodes.iter().any(|n| *n >= f.nodes) || fronts.iter().any(|n| *n >= f.fronts) {
-                return Err(format!("troubles[{i}]: there is no such node or front"));
+                return Err(format!(
+                    "troubles[{i}]: a node or front does not exist; nodes are below {}, fronts below {}",
+                    f.nodes, f.fronts
+                ));
             }
         }
         Ok(())
     }
 }
 
-/// The scripted bad day: weakened uplink, rolling deploy, drain, crash, front restart, list lag and a crowd,
-/// overlapping; the seed moves them about. Three fronts and twelve nodes unless told otherwise.
+/// The bad day: weakened uplink, rolling deploy, drain, crash, front restart, delayed list, burst of viewers and a
+/// hanging node, overlapping. The seed draws their times and targets.
 #[must_use]
 pub fn bad_day(seed: u64, fronts: u32, length_s: f64) -> Day {
     let mut rng = StdRng::seed_from_u64(seed);
     let fleet = Fleet { fronts, ..Fleet::default() };
-    let s = length_s / 45.0;
-    let mut at = |from: f64, to: f64| rng.random_range(from..to) * s;
+    let scale = length_s / 45.0;
+    let mut at = |from: f64, to: f64| rng.random_range(from..to) * scale;
     let times: [f64; 8] = [
         at(3.0, 8.0),
         at(8.0, 14.0),
@@ -407,28 +418,21 @@
     ];
     let nodes = fleet.nodes;
     let mut pick = || rng.random_range(0..nodes);
-    let (drained, crashed, odd) = (pick(), pick(), pick());
+    let (drained, crashed, hanging) = (pick(), pick(), pick());
     let rack = rng.random_range(0..fleet.racks);
     let front = rng.random_range(0..fronts);
-    let trouble = |at_s: f64, for_s: f64, kind: FaultKind| ScheduledFault { at_s, for_s: for_s * s, kind };
-    let troubles = vec![
-        trouble(times[0], 14.0, FaultKind::Uplink { racks: vec![rack], left: 0.45 }),
-        trouble(times[1], 24.0, FaultKind::Deploy { batch: 2, drain_s: 2.0 * s }),
-        trouble(times[2], 10.0, FaultKind::Drain { nodes: vec![drained] }),
-        trouble(times[3], 6.0, FaultKind::Crash { nodes: vec![crashed] }),
-        trouble(times[4], 3.0, FaultKind::FrontKill { fronts: vec![front] }),
-        trouble(times[5], 9.0, FaultKind::ListLate { by_s: 2.5 }),
-        trouble(times[6], 7.0, FaultKind::Burst { times: 2.2 }),
-        trouble(times[7], 6.0, FaultKind::Hang { nodes: vec![odd], share: 0.5 }),
+    let fault = |at_s: f64, for_s: f64, kind: FaultKind| ScheduledFault { at_s, for_s: for_s * scale, kind };
+    let faults = vec![
+        fault(times[0], 14.0, FaultKind::Uplink { racks: vec![rack], left: 0.45 }),
+        fault(times[1], 24.0, FaultKind::Deploy { batch: 2, drain_s: 2.0 * scale }),
+        fault(times[2], 10.0, FaultKind::Drain { nodes: vec![drained] }),
+        fault(times[3], 6.0, FaultKind::Crash { nodes: vec![crashed] }),
+        fault(times[4], 3.0, FaultKind::FrontKill { fronts: vec![front] }),
+        fault(times[5], 9.0, FaultKind::ListLate { by_s: 2.5 }),
+        fault(times[6], 7.0, FaultKind::Burst { times: 2.2 }),
+        fault(times[7], 6.0, FaultKind::Hang { nodes: vec![hanging], share: 0.5 }),
     ];
-    Day {
-        name: format!("bad day {seed}"),
-        seed,
-        length_s,
-        fleet,
-        viewers: ViewerSettings::default(),
-        troubles,
-    }
+    Day { name: format!("bad day {seed}"), seed, length_s, fleet, viewers: ViewerSettings::default(), faults }
 }
 
 #[cfg(test)]
--- a/crates/rehearse/src/duties/run.rs
+++ b/crates/rehearse/src/duties/run.rs
@@ -61,8 +61,8 @@
         ..Fleet::default()
     };
     let last = v.fronts - 1;
-    let mut troubles = Vec::new();
-    let mut add = |at_s, for_s, kind| troubles.push(ScheduledFault { at_s, for_s, kind });
+    let mut faults = Vec::new();
+    let mut add = |at_s, for_s, kind| faults.push(ScheduledFault { at_s, for_s, kind });
     add(10.0, 8.0, FaultKind::FrontKill { fronts: vec![1 % v.fronts] });
     add(14.5, 1.0, FaultKind::FrontStall { fronts: vec![last], ms: 2_000, every_s: 60.0 });
     add(20.0, 6.0, FaultKind::FrontKill { fronts: vec![0, last] });
@@ -74,7 +74,7 @@
         length_s: 38.0,
         fleet,
         viewers: ViewerSettings { rate: 8.0, ..ViewerSettings::default() },
-        troubles,
+        faults,
     }
 }
 
--- a/crates/rehearse/src/peak.rs
+++ b/crates/rehearse/src/peak.rs
@@ -84,8 +84,8 @@
         uplink_kb: 17_000.0,
         ..Fleet::default()
     };
-    let mut troubles = Vec::new();
-    let mut add = |at_s, for_s, kind| troubles.push(ScheduledFault { at_s, for_s, kind });
+    let mut faults = Vec::new();
+    let mut add = |at_s, for_s, kind| faults.push(ScheduledFault { at_s, for_s, kind });
     if announced || called_off {
         let peak = "event".to_owned();
         let after_s = START_S - ANNOUNCED_S;
@@ -114,7 +114,7 @@
     let length_s = if called_off { START_S } else { START_S + LASTS_S + 2.0 };
     // Ordinary viewers alone fill the racks to their marks.
     let viewers = ViewerSettings { rate: 18.0, twice: 0.0, impatient: 0.0, ..ViewerSettings::default() };
-    Day { name: name.into(), seed: v.seed, length_s, fleet, viewers, troubles }
+    Day { name: name.into(), seed: v.seed, length_s, fleet, viewers, faults }
 }
 
 /// Runs all three and compares.
--- a/crates/rehearse/src/runner/mod.rs
+++ b/crates/rehearse/src/runner/mod.rs
@@ -81,7 +81,7 @@
         tasks.push(spawn_local(world.clone().watch_holds()));
     }
     let begin = Instant::now();
-    for (i, trouble) in day.troubles.iter().cloned().enumerate() {
+    for (i, trouble) in day.faults.iter().cloned().enumerate() {
         let world = world.clone();
         tasks.push(spawn_local(async move {
             sleep_until(begin + Duration::from_secs_f64(trouble.at_s)).await;
@@ -148,7 +148,7 @@
     let (mut at, mut n) = (0.0, 0u64);
     loop {
         let (mut rate, mut hot, mut shares) = (day.viewers.rate, None, day.fleet.tenants.clone());
-        for t in day.troubles.iter().filter(|t| (t.at_s..t.at_s + t.for_s).contains(&at)) {
+        for t in day.faults.iter().filter(|t| (t.at_s..t.at_s + t.for_s).contains(&at)) {
             match t.kind {
                 FaultKind::Burst { times } => rate *= times,
                 FaultKind::TenantBurst { tenant, times } => {
--- a/crates/rehearse/src/viewers.rs
+++ b/crates/rehearse/src/viewers.rs
@@ -1,4 +1,4 @@
-//! Scripted viewers: they ask, play, come again and leave, and write down what they saw on their sockets.
+//! Scripted viewers: they request sessions, play, retry and leave, and record what they observe on their sockets.
 
 use crate::day::ViewerSettings;
 use crate::wire::{Connection, HttpResponse, ReadError};
@@ -12,35 +12,35 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// A front as viewers know it.
+/// Address of a front for viewers.
 #[derive(Clone, Debug)]
 pub struct FrontEndpoint {
-    /// Its name.
+    /// Name of the front.
     pub name: String,
-    /// Where it listens; `None` while it is down.
+    /// WHEP address; `None` while the front is down.
     pub address: Option<SocketAddr>,
 }
 
-/// What all viewers of a run share.
+/// State shared by all viewers of a run.
 pub struct ViewerPool {
-    /// How they behave.
-    pub crowd: ViewerSettings,
+    /// Behaviour of the viewers.
+    pub settings: ViewerSettings,
     /// Class of their sessions, for the record.
     pub class: String,
     /// The fronts.
     pub fronts: RefCell<Vec<FrontEndpoint>>,
-    /// Where they write.
+    /// Record of the viewers.
     pub recorder: Recorder,
-    /// Requests so far; each has a number.
+    /// Number of requests so far, which is the number of the latest.
     pub requests: Cell<u64>,
-    /// Sessions that play now.
+    /// Number of sessions playing now.
     pub playing: Cell<i64>,
-    /// Answers by status.
+    /// Number of answers by status.
     pub statuses: RefCell<std::collections::BTreeMap<u16, u64>>,
 }
 
-/// The offer that a viewer sends; its `o=` line names the request. Written here anew, so that the viewers
-/// share nothing with what they ask.
+/// The SDP offer of a request; its `o=` line contains the request number. It does not use the signalling crate:
+/// viewers share no code with the system under test.
 #[must_use]
 pub fn offer(request: u64) -> String {
     let mut out =
@@ -51,33 +51,33 @@
     out
 }
 
-/// Who asks for what.
+/// One viewer and the title it requests.
 #[derive(Clone)]
 struct Viewer {
-    n: u64,
+    number: u64,
     title: u32,
     path: String,
 }
 
-/// How one try went on.
-enum Then {
-    /// It is over for this viewer.
+/// What a viewer does after an attempt.
+enum NextStep {
+    /// The viewer stops.
     Done,
-    /// The viewer may come again after this time.
-    Again(Duration),
+    /// The viewer may retry after this delay.
+    Retry(Duration),
 }
 
 impl ViewerPool {
-    /// An audience that knows these fronts.
+    /// A pool of viewers that use these fronts.
     #[must_use]
     pub fn new(
-        crowd: ViewerSettings,
+        settings: ViewerSettings,
         class: &str,
         fronts: Vec<FrontEndpoint>,
         recorder: Recorder,
     ) -> Rc<Self> {
         Rc::new(Self {
-            crowd,
+            settings,
             class: class.into(),
             fronts: RefCell::new(fronts),
             recorder,
@@ -87,23 +87,24 @@
         })
     }
 
-    /// Viewer `n` comes for a title and stays until it is done with it; five tries at most.
+    /// Runs viewer number `n`: requests a title and plays it for the viewer's time, in at most five attempts.
     pub async fn run_viewer(self: Rc<Self>, n: u64, seed: u64, title: u32, tenant: Option<usize>) {
         let mut rng = StdRng::seed_from_u64(seed ^ n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        let (low, high) = self.crowd.plays_s;
-        let mut left = Duration::from_secs_f64(rng.random_range(low..=high));
+        let (low, high) = self.settings.plays_s;
+        let mut remaining = Duration::from_secs_f64(rng.random_range(low..=high));
         let top: u8 = if rng.random_bool(0.25) { 2 } else { 4 };
         let tenant = tenant.map_or(String::new(), |t| format!("&tenant=tenant-{t}"));
-        let viewer = Viewer { n, title, path: format!("/whep/title-{title}?viewer=v{n}&top={top}{tenant}") };
+        let viewer =
+            Viewer { number: n, title, path: format!("/whep/title-{title}?viewer=v{n}&top={top}{tenant}") };
         for _ in 0..5 {
             let began = Instant::now();
-            match self.one_try(&viewer, left, &mut rng).await {
-                Then::Done => return,
-                Then::Again(_) if !rng.random_bool(self.crowd.returns) => return,
-                Then::Again(pause) => {
+            match self.attempt(&viewer, remaining, &mut rng).await {
+                NextStep::Done => return,
+                NextStep::Retry(_) if !rng.random_bool(self.settings.returns) => return,
+                NextStep::Retry(pause) => {
                     sleep(pause + Duration::from_millis(rng.random_range(50..400))).await;
-                    left = left.saturating_sub(began.elapsed());
-                    if left < Duration::from_millis(500) {
+                    remaining = remaining.saturating_sub(began.elapsed());
+                    if remaining < Duration::from_millis(500) {
                         return;
                     }
                 }
@@ -111,59 +112,59 @@
         }
     }
 
-    fn number(&self) -> u64 {
+    fn next_request(&self) -> u64 {
         self.requests.set(self.requests.get() + 1);
         self.requests.get()
     }
 
-    async fn one_try(self: &Rc<Self>, viewer: &Viewer, left: Duration, rng: &mut StdRng) -> Then {
+    async fn attempt(self: &Rc<Self>, viewer: &Viewer, remaining: Duration, rng: &mut StdRng) -> NextStep {
         let front = self.fronts.borrow().choose(rng).cloned();
         let Some(FrontEndpoint { name, address: Some(address) }) = front else {
-            return Then::Again(Duration::from_millis(300));
+            return NextStep::Retry(Duration::from_millis(300));
         };
         let Ok(mut connection) = Connection::open(address).await else {
-            return Then::Again(Duration::from_millis(300));
+            return NextStep::Retry(Duration::from_millis(300));
         };
-        let request = self.number();
-        if rng.random_bool(self.crowd.impatient) {
+        let request = self.next_request();
+        if rng.random_bool(self.settings.impatient) {
             let wait = Duration::from_millis(rng.random_range(1..40));
-            self.ask(&mut connection, request, viewer, &name, &offer(request)).await.ok();
+            self.send_request(&mut connection, request, viewer, &name, &offer(request)).await.ok();
             sleep(wait).await;
             self.recorder.write(Event::ViewerLeft { request });
-            return Then::Done;
+            return NextStep::Done;
         }
-        if rng.random_bool(self.crowd.twice) {
-            // The same request once more on another connection, while the first one waits.
-            let (audience, viewer, name, offer) =
-                (self.clone(), viewer.clone(), name.clone(), offer(request));
-            let twin = self.number();
+        if rng.random_bool(self.settings.twice) {
+            // Repeats the request on another connection while the first one waits.
+            let (pool, viewer, name, offer) = (self.clone(), viewer.clone(), name.clone(), offer(request));
+            let duplicate = self.next_request();
             tokio::task::spawn_local(async move {
                 let Ok(mut second) = Connection::open(address).await else { return };
-                if audience.ask(&mut second, twin, &viewer, &name, &offer).await.is_ok() {
-                    let _ = audience.answer(&mut second, twin).await;
+                if pool.send_request(&mut second, duplicate, &viewer, &name, &offer).await.is_ok() {
+                    let _ = pool.read_answer(&mut second, duplicate).await;
                 }
             });
         }
-        if self.ask(&mut connection, request, viewer, &name, &offer(request)).await.is_err() {
+        if self.send_request(&mut connection, request, viewer, &name, &offer(request)).await.is_err() {
             self.recorder.write(Event::ConnectionLost { request });
-            return Then::Again(Duration::from_millis(300));
+            return NextStep::Retry(Duration::from_millis(300));
         }
-        let Ok(reply) = self.answer(&mut connection, request).await else {
-            return Then::Again(Duration::from_millis(500));
+        let Ok(reply) = self.read_answer(&mut connection, request).await else {
+            return NextStep::Retry(Duration::from_millis(500));
         };
         match reply.status {
-            201 => self.play(connection, request, address, &reply, left).await,
+            201 => self.play(connection, request, address, &reply, remaining).await,
             503 | 409 => {
                 let advised = reply.header("retry-after").and_then(|v| v.parse::<f64>().ok()).unwrap_or(1.0);
-                let extra = connection.read_unsolicited(Instant::now() + Duration::from_millis(50)).await;
-                self.extra(request, extra);
-                Then::Again(Duration::from_secs_f64(advised.min(2.0)))
+                let unexpected_bytes =
+                    connection.read_unsolicited(Instant::now() + Duration::from_millis(50)).await;
+                self.record_unexpected(request, unexpected_bytes);
+                NextStep::Retry(Duration::from_secs_f64(advised.min(2.0)))
             }
-            _ => Then::Again(Duration::from_millis(700)),
+            _ => NextStep::Retry(Duration::from_millis(700)),
         }
     }
 
-    async fn ask(
+    async fn send_request(
         &self,
         connection: &mut Connection,
         request: u64,
@@ -172,11 +173,11 @@
         offer: &str,
     ) -> Result<(), ReadError> {
         let title = format!("title-{}", viewer.title);
-        // The offer's `o=` line is what a node sees of the request; a copy of a request has the first's.
+        // Nodes identify a request by the `o=` line of its offer; a repeated request has the offer of the first.
         let origin = offer.split("o=").nth(1).map(|o| o.split(' ').take(2).collect::<Vec<_>>().join(" "));
         self.recorder.write(Event::RequestSent {
             request,
-            session: format!("v{}/{title}", viewer.n),
+            session: format!("v{}/{title}", viewer.number),
             origin: origin.unwrap_or_default(),
             title: title.clone(),
             class: self.class.clone(),
@@ -185,15 +186,19 @@
         connection.send("POST", &viewer.path, &[("content-type", "application/sdp")], offer.as_bytes()).await
     }
 
-    async fn answer(&self, connection: &mut Connection, request: u64) -> Result<HttpResponse, ReadError> {
-        let patience = Duration::from_secs_f64(self.crowd.patience_s);
+    async fn read_answer(
+        &self,
+        connection: &mut Connection,
+        request: u64,
+    ) -> Result<HttpResponse, ReadError> {
+        let patience = Duration::from_secs_f64(self.settings.patience_s);
         let reply = connection.read_response(Instant::now() + patience).await;
         match &reply {
             Ok(r) => {
                 *self.statuses.borrow_mut().entry(r.status).or_default() += 1;
                 let retry_after = r.header("retry-after").and_then(|v| v.parse().ok());
                 self.recorder.write(Event::ResponseReceived { request, status: r.status, retry_after });
-                self.under(request, r);
+                self.record_policy(request, r);
             }
             Err(ReadError::Timeout) => self.recorder.write(Event::TimedOut { request }),
             Err(_) => self.recorder.write(Event::ConnectionLost { request }),
@@ -201,8 +206,8 @@
         reply
     }
 
-    /// Writes down what an answer tells of the agreed policy; nothing where fronts agree on none.
-    fn under(&self, request: u64, reply: &HttpResponse) {
+    /// Records what an answer reports about the agreed policy; nothing if the fronts have no agreement.
+    fn record_policy(&self, request: u64, reply: &HttpResponse) {
         let problem: serde_json::Value = serde_json::from_slice(&reply.body).unwrap_or_default();
         let entry = reply.header("pepperhook-policy").and_then(|v| v.parse().ok());
         let entry = entry.or_else(|| problem["policy"].as_u64());
@@ -213,58 +218,59 @@
         }
     }
 
-    fn extra(&self, request: u64, bytes: usize) {
+    fn record_unexpected(&self, request: u64, bytes: usize) {
         if bytes > 0 {
             self.recorder.write(Event::UnexpectedBytes { request, bytes });
         }
     }
 
-    /// Plays until the time is up, the front moves the session or the connection breaks.
+    /// Plays until the viewer's time is over, the front moves the session or the event stream ends.
     async fn play(
         self: &Rc<Self>,
         mut connection: Connection,
         request: u64,
         front: SocketAddr,
         reply: &HttpResponse,
-        left: Duration,
-    ) -> Then {
+        remaining: Duration,
+    ) -> NextStep {
         let Some(session) = reply.header("location").map(str::to_owned) else {
-            self.extra(request, 1);
-            return Then::Done;
+            self.record_unexpected(request, 1);
+            return NextStep::Done;
         };
         self.playing.set(self.playing.get() + 1);
-        let until = Instant::now() + left;
+        let end = Instant::now() + remaining;
         let events = async {
-            let mut side = Connection::open(front).await?;
+            let mut event_connection = Connection::open(front).await?;
             let kind = [("content-type", "application/json")];
             let second = Duration::from_secs(1);
             let path = format!("{session}/events");
-            side.request("POST", &path, &kind, b"[\"inactive\"]", second).await?;
-            side.request("GET", &format!("{path}/stream"), &[], b"", second).await?;
-            side.wait_for_any(
-                &["event:move", "event: urn:pepperhook:whep:event:move", "event: inactive"],
-                until,
-            )
-            .await
+            event_connection.request("POST", &path, &kind, b"[\"inactive\"]", second).await?;
+            event_connection.request("GET", &format!("{path}/stream"), &[], b"", second).await?;
+            event_connection
+                .wait_for_any(
+                    &["event:move", "event: urn:pepperhook:whep:event:move", "event: inactive"],
+                    end,
+                )
+                .await
         };
-        // The front closes an idle connection after a while; only the end of the events is a break.
-        let audience = self.clone();
+        // The front closes idle connections, so the end of this one is no failure; the end of the event stream is.
+        let pool = self.clone();
         tokio::task::spawn_local(async move {
-            let extra = connection.read_unsolicited(until).await;
-            audience.extra(request, extra);
+            let unexpected_bytes = connection.read_unsolicited(end).await;
+            pool.record_unexpected(request, unexpected_bytes);
         });
         let ended = events.await;
         self.playing.set(self.playing.get() - 1);
         match ended {
-            Ok(_) => Then::Again(Duration::from_millis(250)),
-            Err(ReadError::Closed) if Instant::now() < until => Then::Again(Duration::from_millis(500)),
+            Ok(_) => NextStep::Retry(Duration::from_millis(250)),
+            Err(ReadError::Closed) if Instant::now() < end => NextStep::Retry(Duration::from_millis(500)),
             Err(_) => {
-                sleep_until(until).await;
+                sleep_until(end).await;
                 let second = Duration::from_secs(1);
-                if let Ok(mut last) = Connection::open(front).await {
-                    let _ = last.request("DELETE", &session, &[], b"", second).await;
+                if let Ok(mut connection) = Connection::open(front).await {
+                    let _ = connection.request("DELETE", &session, &[], b"", second).await;
                 }
-                Then::Done
+                NextStep::Done
             }
         }
     }
--- a/crates/rehearse/src/wire.rs
+++ b/crates/rehearse/src/wire.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 on bare sockets, as scripted viewers need it: every byte that arrives is seen.
+//! A minimal HTTP/1.1 client on plain sockets. Unlike a client library it exposes every byte received, so
+//! unsolicited bytes are detected.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,24 +7,24 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout_at};
 
-/// Bytes of one answer at most.
-const MOST: usize = 1 << 20;
+/// Maximum size of one answer, bytes.
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
-/// Why no answer was read.
+/// Reason why no answer was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadError {
-    /// The connection ended or broke.
+    /// The connection was closed or failed.
     Closed,
-    /// The time was up.
+    /// The deadline passed.
     Timeout,
-    /// What came is no HTTP.
+    /// The bytes received are not HTTP, or too many.
     Malformed,
 }
 
-/// An answer.
+/// An HTTP response.
 #[derive(Clone, Debug)]
 pub struct HttpResponse {
-    /// Status.
+    /// Status code.
     pub status: u16,
     /// Headers, names in lower case.
     pub headers: Vec<(String, String)>,
@@ -32,36 +33,37 @@
 }
 
 impl HttpResponse {
-    /// The first header of a name, in lower case.
+    /// The first header with this name, which is in lower case.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 }
 
-/// A connection.
+/// A client connection.
 pub struct Connection {
     stream: TcpStream,
     host: SocketAddr,
-    read: Vec<u8>,
+    /// Bytes received and not consumed yet.
+    buffer: Vec<u8>,
 }
 
 impl Connection {
-    /// Connects within a second.
+    /// Connects, with a timeout of one second.
     ///
     /// # Errors
-    /// `Closed` where nobody listens, `Time` where nobody answers.
+    /// `Closed` if the connection is refused, `Timeout` if the peer does not respond.
     pub async fn open(host: SocketAddr) -> Result<Self, ReadError> {
         let stream = tokio::time::timeout(Duration::from_secs(1), TcpStream::connect(host)).await;
         let stream = stream.map_err(|_| ReadError::Timeout)?.map_err(|_| ReadError::Closed)?;
         let _ = stream.set_nodelay(true);
-        Ok(Self { stream, host, read: Vec::new() })
+        Ok(Self { stream, host, buffer: Vec::new() })
     }
 
-    /// Sends a request with a body.
+    /// Sends a request.
     ///
     /// # Errors
-    /// `Closed` where the connection is gone.
+    /// `Closed` if the connection is closed.
     pub async fn send(
         &mut self,
         method: &str,
@@ -79,37 +81,37 @@
         self.send_raw(&bytes).await
     }
 
-    /// Sends bytes as they are.
+    /// Sends bytes unchanged.
     ///
     /// # Errors
-    /// `Closed` where the connection is gone.
+    /// `Closed` if the connection is closed.
     pub async fn send_raw(&mut self, bytes: &[u8]) -> Result<(), ReadError> {
         self.stream.write_all(bytes).await.map_err(|_| ReadError::Closed)
     }
 
-    /// Reads more bytes; false where the connection ended.
-    async fn more(&mut self, until: Instant) -> Result<(), ReadError> {
-        let mut piece = [0; 8192];
-        match timeout_at(until, self.stream.read(&mut piece)).await {
+    /// Receives bytes into the buffer.
+    async fn receive(&mut self, deadline: Instant) -> Result<(), ReadError> {
+        let mut chunk = [0; 8192];
+        match timeout_at(deadline, self.stream.read(&mut chunk)).await {
             Err(_) => Err(ReadError::Timeout),
             Ok(Err(_) | Ok(0)) => Err(ReadError::Closed),
-            Ok(Ok(n)) if self.read.len() + n <= MOST => {
-                self.read.extend_from_slice(&piece[..n]);
+            Ok(Ok(n)) if self.buffer.len() + n <= MAX_RESPONSE_BYTES => {
+                self.buffer.extend_from_slice(&chunk[..n]);
                 Ok(())
             }
             Ok(Ok(_)) => Err(ReadError::Malformed),
         }
     }
 
-    /// Reads one answer; what follows it stays to be read.
+    /// Reads one response; bytes after it stay in the buffer.
     ///
     /// # Errors
-    /// When none came whole in time.
-    pub async fn read_response(&mut self, until: Instant) -> Result<HttpResponse, ReadError> {
+    /// If no complete response arrived before the deadline.
+    pub async fn read_response(&mut self, deadline: Instant) -> Result<HttpResponse, ReadError> {
         let (length, mut reply, chunked) = loop {
             let mut headers = [httparse::EMPTY_HEADER; 64];
             let mut head = httparse::Response::new(&mut headers);
-            match head.parse(&self.read) {
+            match head.parse(&self.buffer) {
                 Ok(httparse::Status::Complete(n)) => {
                     let headers: Vec<(String, String)> = head
                         .headers
@@ -119,81 +121,81 @@
                     let reply = HttpResponse { status: head.code.unwrap_or(0), headers, body: Vec::new() };
                     let length = reply.header("content-length").and_then(|v| v.parse().ok()).unwrap_or(0);
                     let chunked = reply.header("transfer-encoding").is_some();
-                    self.read.drain(..n);
+                    self.buffer.drain(..n);
                     break (length, reply, chunked);
                 }
-                Ok(httparse::Status::Partial) => self.more(until).await?,
+                Ok(httparse::Status::Partial) => self.receive(deadline).await?,
                 Err(_) => return Err(ReadError::Malformed),
             }
         };
-        // A stream is read by `wait_for`; its head is all of its answer.
+        // The body of a chunked response (an event stream) is read by `wait_for_any`.
         if !chunked {
-            while self.read.len() < length {
-                self.more(until).await?;
+            while self.buffer.len() < length {
+                self.receive(deadline).await?;
             }
-            reply.body = self.read.drain(..length).collect();
+            reply.body = self.buffer.drain(..length).collect();
         }
         Ok(reply)
     }
 
-    /// Sends and reads, within a time.
+    /// Sends a request and reads its response within `timeout`.
     ///
     /// # Errors
-    /// When no answer came.
+    /// If no response arrived.
     pub async fn request(
         &mut self,
         method: &str,
         path: &str,
         headers: &[(&str, &str)],
         body: &[u8],
-        time: Duration,
+        timeout: Duration,
     ) -> Result<HttpResponse, ReadError> {
         self.send(method, path, headers, body).await?;
-        self.read_response(Instant::now() + time).await
+        self.read_response(Instant::now() + timeout).await
     }
 
-    /// Waits until one of the words is in what arrives; returns which.
+    /// Waits until one of the patterns has been received; returns its index. Consumes the buffer.
     ///
     /// # Errors
-    /// When the connection or the time ends first.
-    pub async fn wait_for_any(&mut self, words: &[&str], until: Instant) -> Result<usize, ReadError> {
+    /// If the connection ends or the deadline passes first.
+    pub async fn wait_for_any(&mut self, patterns: &[&str], deadline: Instant) -> Result<usize, ReadError> {
         loop {
-            let text = String::from_utf8_lossy(&self.read);
-            if let Some(i) = words.iter().position(|w| text.contains(w)) {
-                self.read.clear();
-                return Ok(i);
+            let text = String::from_utf8_lossy(&self.buffer);
+            if let Some(index) = patterns.iter().position(|p| text.contains(p)) {
+                self.buffer.clear();
+                return Ok(index);
             }
-            // The longest word may be cut in two.
-            let keep = words.iter().map(|w| w.len()).max().unwrap_or(0);
-            if self.read.len() > keep + 4_096 {
-                self.read.drain(..self.read.len() - keep);
+            // Keeps the tail, in which a pattern may be only partly received.
+            let keep = patterns.iter().map(|p| p.len()).max().unwrap_or(0);
+            if self.buffer.len() > keep + 4_096 {
+                self.buffer.drain(..self.buffer.len() - keep);
             }
-            self.more(until).await?;
+            self.receive(deadline).await?;
         }
     }
 
-    /// Waits until these words are in what arrives, and returns what follows them on their last line.
+    /// Waits until the pattern has been received with the rest of its line; returns that rest.
     ///
     /// # Errors
-    /// When the connection or the time ends first.
-    pub async fn wait_for_line(&mut self, words: &str, until: Instant) -> Result<String, ReadError> {
+    /// If the connection ends or the deadline passes first.
+    pub async fn wait_for_line(&mut self, pattern: &str, deadline: Instant) -> Result<String, ReadError> {
         loop {
-            let text = String::from_utf8_lossy(&self.read).into_owned();
-            if let Some((rest, _)) = text.split_once(words).and_then(|(_, r)| r.split_once('\n')) {
-                self.read.clear();
+            let text = String::from_utf8_lossy(&self.buffer).into_owned();
+            if let Some((rest, _)) = text.split_once(pattern).and_then(|(_, r)| r.split_once('\n')) {
+                self.buffer.clear();
                 return Ok(rest.to_owned());
             }
-            self.more(until).await?;
+            self.receive(deadline).await?;
         }
     }
 
-    /// Bytes that nobody asked for, until the time or the connection ends.
-    pub async fn read_unsolicited(&mut self, until: Instant) -> usize {
-        while self.read.is_empty() {
-            if self.more(until).await.is_err() {
+    /// Waits for unsolicited bytes until the deadline or the end of the connection; returns how many arrived.
+    pub async fn read_unsolicited(&mut self, deadline: Instant) -> usize {
+        while self.buffer.is_empty() {
+            if self.receive(deadline).await.is_err() {
                 break;
             }
         }
-        std::mem::take(&mut self.read).len()
+        std::mem::take(&mut self.buffer).len()
     }
 }
