--- a/crates/rehearse/src/agreement/run.rs
+++ b/crates/rehearse/src/agreement/run.rs
@@ -529,8 +529,8 @@
         fall_s: 2.0,
         floor: 0,
         seats: 0,
-        once: false,
-        budget: None,
+        at_most_once: false,
+        retry_budget: None,
     };
     let violations = checker::check(&evidence.lines, &terms);
     keep(dir, &evidence).map_err(io("record"))?;
--- a/crates/rehearse/src/runner/mod.rs
+++ b/crates/rehearse/src/runner/mod.rs
@@ -118,7 +118,11 @@
     let mut violations = check(&lines, &terms(day));
     for (front, how) in stopped {
         let what = format!("{front} did not stop in order: {how}");
-        violations.push(Violation { rule: crate::checker::Rule::OneAnswer, t: record::unix_nanos(), what });
+        violations.push(Violation {
+            rule: crate::checker::Rule::OneAnswer,
+            unix_ns: record::unix_nanos(),
+            detail: what,
+        });
     }
     let mut report = sum_up(&day.name, day.seed, &lines, &violations, day.viewers.aim_s);
     report.ages_ms = crate::duties::run::ages(&states);
@@ -136,8 +140,8 @@
         fall_s: FALL.1,
         floor: f.floor,
         seats: f.seats,
-        once: f.repeat == "never",
-        budget: f.budget,
+        at_most_once: f.repeat == "never",
+        retry_budget: f.budget,
     }
 }
 
