--- a/crates/rehearse/src/checker.rs
+++ b/crates/rehearse/src/checker.rs
@@ -430,7 +430,7 @@
             let taken =
                 observed.requests.values().filter(|r| r.front == front && r.sent > from && r.sent <= *t);
             let sessions: BTreeSet<&str> = taken.map(|r| r.session.as_str()).collect();
-            // Viewers and nodes record at different ends; one request of slack covers the delay in between.
+            // Viewers and nodes share one clock; one request of slack covers the delay between their records.
             let limit = free + share * (sessions.len() + 1) as f64;
             if sent as f64 > limit {
                 let what =
--- a/crates/rehearse/src/peak.rs
+++ b/crates/rehearse/src/peak.rs
@@ -1,4 +1,5 @@
-//! The rehearsal of an announced peak: the same crowd with and without the announcement, and one called off.
+//! The rehearsal of an announced peak. Three runs: the event's viewers arrive without an announcement, they arrive
+//! with one, and the announced peak is cancelled.
 
 use crate::day::{Day, ExchangeSettings, FaultKind, Fleet, ScheduledFault, ViewerSettings};
 use crate::runner::{RunError, RunResult, run_day};
@@ -7,76 +8,81 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// The event's title: one that few usual viewers want.
+/// Title of the event; an unpopular one, so that few other viewers request it.
 const TITLE: u32 = 23;
-/// The crowd comes from here for so long; seconds from the first arrival.
+/// Start of the event's arrivals, seconds from the start of the day.
 const START_S: f64 = 13.0;
-const CROWD_S: f64 = 8.0;
-/// The peak is announced here, lasts so long, and room is held from so long before.
+/// Duration of the event's arrivals, seconds.
+const ARRIVALS_S: f64 = 8.0;
+/// Time of the announcement, seconds from the start of the day.
 const ANNOUNCED_S: f64 = 2.0;
+/// Announced duration of the peak, seconds.
 const LASTS_S: f64 = 12.0;
+/// Lead: time before the start from which capacity is held, seconds.
 const LEAD_S: f64 = 9.0;
-/// Viewers and rung that are announced, and the rate of that rung, kB a second.
+/// Announced number of simultaneous viewers.
 const VIEWERS: u32 = 45;
+/// Announced rung.
 const RUNG: u8 = 0;
+/// Rate of that rung, kB/s.
 const RUNG_KB: f64 = 200.0;
-/// In the run that is called off: when.
-const CALLED_OFF_S: f64 = 8.0;
+/// Time of the cancellation, seconds from the start of the day.
+const CANCELLED_S: f64 = 8.0;
 
-/// What is varied.
+/// Parameters of the rehearsal.
 #[derive(Clone, Debug)]
 pub struct Variation {
     /// Seed.
     pub seed: u64,
-    /// Front processes.
+    /// Number of front processes.
     pub fronts: u32,
-    /// Part of the datagrams between them that is lost.
+    /// Share of the datagrams between fronts that is lost.
     pub loss: f64,
-    /// A front that is cut off from the others.
+    /// Index of a front that is isolated from the others.
     pub cut: Option<u32>,
 }
 
-/// How one group of viewers fared.
+/// Service that one group of viewers got.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Service {
-    /// Viewers who came in the crowd's time.
+    /// Number of viewers who arrived during the event's arrivals.
     pub viewers: u64,
-    /// Share of them that played within the aim, counted from their first request.
+    /// Share of them that played within the aim, measured from their first request.
     pub within_aim: f64,
-    /// Share that played at all.
+    /// Share of them that played at all.
     pub played: f64,
 }
 
-/// What a rehearsal came to; simulated.
+/// Results of the rehearsal; all figures are simulated.
 #[derive(Clone, Debug, Serialize)]
 pub struct PeakReport {
-    /// Loss between the fronts.
+    /// Share of the datagrams between fronts that is lost.
     pub loss: f64,
-    /// The front that was cut off.
+    /// Index of the isolated front.
     pub cut: Option<u32>,
     /// Viewers of the event, with the announcement.
     pub event: Service,
-    /// Others at the same time, with it.
+    /// Other viewers in the same period, with the announcement.
     pub ordinary: Service,
-    /// Viewers of the event, without.
+    /// Viewers of the event, without the announcement.
     pub event_unannounced: Service,
-    /// Others, without.
+    /// Other viewers, without the announcement.
     pub ordinary_unannounced: Service,
-    /// Room announced, kB a second.
+    /// Announced capacity, kB/s.
     pub announced_kb: f64,
-    /// Room held at the start by each front, as part of what was announced.
+    /// Capacity held by each front at the start, as a share of the announced capacity.
     pub held_at_start: BTreeMap<String, f64>,
-    /// Seconds from the end until each front held nothing; `null` where it never held.
+    /// Time from the end until each front held nothing, seconds; `null` if it never held capacity.
     pub back_after_end_s: BTreeMap<String, Option<f64>>,
-    /// Seconds from the call-off until each front held nothing, in a run of its own.
+    /// Time from the cancellation until each front held nothing, seconds, in the cancelled run.
     pub back_after_call_off_s: BTreeMap<String, Option<f64>>,
-    /// Rules broken in any of the runs.
+    /// Violations of the rules in any of the runs.
     pub rules_broken: Vec<String>,
 }
 
-fn day(v: &Variation, announced: bool, called_off: bool) -> Day {
+fn day(v: &Variation, announced: bool, cancelled: bool) -> Day {
     let between = ExchangeSettings { loss: v.loss, cut: v.cut.into_iter().collect() };
-    // Links and uplinks at which the usual viewers already play near the lowest rungs.
+    // Capacities at which the ordinary viewers already play near the lowest rungs.
     let fleet = Fleet {
         fronts: v.fronts,
         exchange: Some(between),
@@ -86,7 +92,7 @@
     };
     let mut faults = Vec::new();
     let mut add = |at_s, for_s, kind| faults.push(ScheduledFault { at_s, for_s, kind });
-    if announced || called_off {
+    if announced || cancelled {
         let peak = "event".to_owned();
         let after_s = START_S - ANNOUNCED_S;
         let kind = FaultKind::Announce {
@@ -101,47 +107,47 @@
         };
         add(ANNOUNCED_S, 0.0, kind);
     }
-    if called_off {
-        add(CALLED_OFF_S, 0.0, FaultKind::CallOff { peak: "event".into(), front: 0 });
+    if cancelled {
+        add(CANCELLED_S, 0.0, FaultKind::CallOff { peak: "event".into(), front: 0 });
     } else {
-        add(START_S, CROWD_S, FaultKind::HotTitle { first: TITLE, titles: 1, rate: 6.0 });
+        add(START_S, ARRIVALS_S, FaultKind::HotTitle { first: TITLE, titles: 1, rate: 6.0 });
     }
-    let name = match (announced, called_off) {
+    let name = match (announced, cancelled) {
         (_, true) => "peak, called off",
         (true, _) => "peak, announced",
         _ => "peak, not announced",
     };
-    let length_s = if called_off { START_S } else { START_S + LASTS_S + 2.0 };
-    // Ordinary viewers alone fill the racks to their marks.
+    let length_s = if cancelled { START_S } else { START_S + LASTS_S + 2.0 };
+    // Rate at which the ordinary viewers alone fill the racks to their marks.
     let viewers = ViewerSettings { rate: 18.0, twice: 0.0, impatient: 0.0, ..ViewerSettings::default() };
     Day { name: name.into(), seed: v.seed, length_s, fleet, viewers, faults }
 }
 
-/// Runs all three and compares.
+/// Plays the three runs and compares them.
 ///
 /// # Errors
-/// As `play`.
+/// As [`run_day`].
 pub async fn rehearse(
     v: &Variation,
     program: &Path,
     dir: &Path,
-    tell: impl Fn(String) + Clone + 'static,
+    progress: impl Fn(String) + Clone + 'static,
 ) -> Result<PeakReport, RunError> {
     let mut outcomes = Vec::new();
-    for (name, announced, called_off) in
+    for (name, announced, cancelled) in
         [("without", false, false), ("with", true, false), ("called-off", true, true)]
     {
         let dir = dir.join(name);
         std::fs::create_dir_all(&dir).map_err(|e| RunError::Io(dir.display().to_string(), e))?;
-        let day = day(v, announced, called_off);
-        outcomes.push(run_day(&day, program, &dir, tell.clone()).await?);
+        let day = day(v, announced, cancelled);
+        outcomes.push(run_day(&day, program, &dir, progress.clone()).await?);
     }
-    let [without, with, called_off] = outcomes.as_slice() else { unreachable!("three runs") };
+    let [without, with, cancelled] = outcomes.as_slice() else { unreachable!("three runs") };
     let announced_kb = f64::from(VIEWERS) * RUNG_KB;
     let (event, ordinary) = service(with);
     let (event_unannounced, ordinary_unannounced) = service(without);
-    let start = moment(&with.lines, "announce").map(|t| t + ns(START_S - ANNOUNCED_S)).unwrap_or(0);
-    let off = moment(&called_off.lines, "call-off").unwrap_or(0);
+    let start = fault_start(&with.lines, "announce").map(|t| t + ns(START_S - ANNOUNCED_S)).unwrap_or(0);
+    let off = fault_start(&cancelled.lines, "call-off").unwrap_or(0);
     Ok(PeakReport {
         loss: v.loss,
         cut: v.cut,
@@ -150,9 +156,9 @@
         event_unannounced,
         ordinary_unannounced,
         announced_kb,
-        held_at_start: at(&with.lines, start, announced_kb),
-        back_after_end_s: back_after(&with.lines, start + ns(LASTS_S)),
-        back_after_call_off_s: back_after(&called_off.lines, off),
+        held_at_start: held_at(&with.lines, start, announced_kb),
+        back_after_end_s: released_after(&with.lines, start + ns(LASTS_S)),
+        back_after_call_off_s: released_after(&cancelled.lines, off),
         rules_broken: outcomes.iter().flat_map(|o| o.report.rules_broken.clone()).collect(),
     })
 }
@@ -161,22 +167,22 @@
     (s * 1e9) as u64
 }
 
-/// When a trouble of a kind began.
-fn moment(lines: &[Line], kind: &str) -> Option<u64> {
+/// Unix time at which a scheduled fault of a kind began, nanoseconds.
+fn fault_start(lines: &[Line], kind: &str) -> Option<u64> {
     let wanted = format!("\"kind\":\"{kind}\"");
     lines.iter().find(|l| matches!(&l.event, Event::FaultInjected { kind, detail } if kind == "begins" && detail.contains(&wanted))).map(|l| l.unix_ns)
 }
 
-/// The event's viewers and the others, of those who came in the crowd's time.
-fn service(o: &RunResult) -> (Service, Service) {
+/// Service of the event's viewers and of the others who arrived during the event's arrivals.
+fn service(run: &RunResult) -> (Service, Service) {
     let begin =
-        o.lines.iter().find(|l| matches!(l.event, Event::RequestSent { .. })).map_or(0, |l| l.unix_ns);
-    let (from, to) = (begin + ns(START_S), begin + ns(START_S + CROWD_S));
+        run.lines.iter().find(|l| matches!(l.event, Event::RequestSent { .. })).map_or(0, |l| l.unix_ns);
+    let (from, to) = (begin + ns(START_S), begin + ns(START_S + ARRIVALS_S));
     let event = format!("title-{TITLE}");
     let mut first: BTreeMap<&str, (u64, bool)> = BTreeMap::new();
     let mut session_of: BTreeMap<u64, &str> = BTreeMap::new();
     let (mut played, mut in_time) = (BTreeSet::new(), BTreeSet::new());
-    for line in &o.lines {
+    for line in &run.lines {
         match &line.event {
             Event::RequestSent { request, session, title, .. } => {
                 first.entry(session).or_insert((line.unix_ns, *title == event));
@@ -206,20 +212,21 @@
     (group(true), group(false))
 }
 
-/// What each front held at a moment, as part of what was announced; own viewers who came already count as held.
-fn at(lines: &[Line], t: u64, announced_kb: f64) -> BTreeMap<String, f64> {
+/// Capacity held by each front at a time, as a share of the announced capacity. Capacity used by viewers of the event
+/// who already arrived counts as held.
+fn held_at(lines: &[Line], t: u64, announced_kb: f64) -> BTreeMap<String, f64> {
     let mut out = BTreeMap::new();
     for line in lines.iter().filter(|l| l.unix_ns <= t) {
         if let Event::CapacityHeld { front, kb, .. } = &line.event {
-            // A sum of nothing is minus zero.
+            // An empty f64 sum is -0.0.
             out.insert(front.clone(), (kb / announced_kb).abs());
         }
     }
     out
 }
 
-/// Seconds after a moment at which each front was seen to hold nothing any more.
-fn back_after(lines: &[Line], t: u64) -> BTreeMap<String, Option<f64>> {
+/// Time after `t` at which each front reported that it holds nothing, seconds.
+fn released_after(lines: &[Line], t: u64) -> BTreeMap<String, Option<f64>> {
     let mut out: BTreeMap<String, Option<f64>> = BTreeMap::new();
     let mut holding: BTreeMap<&str, bool> = BTreeMap::new();
     for line in lines {
--- a/crates/rehearse/src/runner/fleet.rs
+++ b/crates/rehearse/src/runner/fleet.rs
@@ -1,13 +1,13 @@
-//! Processes of a day: nodes and fronts, their files, and the list that each front reads.
+//! The processes of a day: nodes and fronts, their files, and the list of nodes that each front reads.
 
-use super::{FALL, RunError};
+use super::{COLD_OVERLOAD, RunError};
 use crate::day::Day;
 use crate::viewers::{FrontEndpoint, ViewerPool};
 use crate::wire::Connection;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use pepperhook_playout::record::{Event, Recorder, unix_nanos};
-use pepperhook_playout::{Command as Order, Faults, Options, State};
+use pepperhook_playout::{Command as NodeCommand, Faults, Options, State};
 use serde::Deserialize;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -20,12 +20,12 @@
 use tokio::process::{Child, Command};
 use tokio::time::{Instant, sleep, timeout};
 
-/// A process must say that it is ready within this time.
-const READY: Duration = Duration::from_secs(10);
-/// A front that is asked to stop has so long, beyond its viewers' patience.
-const STOP: Duration = Duration::from_secs(4);
+/// Time within which a process must report that it serves.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time for a front to shut down, in addition to the patience of the viewers.
+const STOP_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A node's process and how the list names it.
+/// A node's process and its state in the list.
 pub struct NodeProcess {
     pub options: Options,
     child: Option<Child>,
@@ -42,11 +42,11 @@
     child: Option<Child>,
     address: Option<SocketAddr>,
     admin: Option<SocketAddr>,
-    /// Where its exchange listens.
+    /// UDP address of its exchange.
     exchange: SocketAddr,
 }
 
-/// What a process says on its standard output once it serves.
+/// The line that a process prints on standard output once it serves.
 #[derive(Deserialize)]
 struct Ready {
     address: SocketAddr,
@@ -54,18 +54,20 @@
     admin: Option<SocketAddr>,
 }
 
-/// A list of nodes: name, state and line of each.
+/// A list of nodes: name, state and CSV row of each.
 type List = Vec<(String, &'static str, String)>;
 
-/// How the list is doing.
+/// Faults of the list of nodes.
 #[derive(Clone, Copy)]
 pub struct ListState {
+    /// The list is not updated.
     pub down: bool,
+    /// Additional delay, seconds.
     pub late_s: f64,
 }
 
-/// Everything that runs.
-pub struct World {
+/// All processes and shared state of a run.
+pub struct RunningFleet {
     pub day: Day,
     program: PathBuf,
     dir: PathBuf,
@@ -73,18 +75,19 @@
     pub nodes: RefCell<Vec<NodeProcess>>,
     fronts: RefCell<Vec<FrontProcess>>,
     pub list: RefCell<ListState>,
-    pub audience: RefCell<Option<Rc<ViewerPool>>>,
-    fault: RefCell<Option<RunError>>,
+    pub viewers: RefCell<Option<Rc<ViewerPool>>>,
+    failure: RefCell<Option<RunError>>,
 }
 
-async fn ready(what: &str, child: &mut Child) -> Result<Ready, RunError> {
-    let failed = |why: String| RunError::Start(what.to_owned(), why);
+async fn wait_until_ready(name: &str, child: &mut Child) -> Result<Ready, RunError> {
+    let failed = |why: String| RunError::Start(name.to_owned(), why);
     let Some(out) = child.stdout.take() else { return Err(failed("no standard output".into())) };
     let mut line = String::new();
     let mut reader = BufReader::new(out);
-    let read = timeout(READY, reader.read_line(&mut line)).await;
-    read.map_err(|_| failed("it said nothing".into()))?.map_err(|e| failed(e.to_string()))?;
-    // What it says later is of no interest, but must be read lest it stand still.
+    let read = timeout(START_TIMEOUT, reader.read_line(&mut line)).await;
+    read.map_err(|_| failed("it did not report that it serves within 10 s".into()))?
+        .map_err(|e| failed(e.to_string()))?;
+    // Later output is discarded, but must be read: a full pipe would block the process.
     tokio::task::spawn_local(async move {
         let mut rest = String::new();
         while reader.read_line(&mut rest).await.is_ok_and(|n| n > 0) {
@@ -94,7 +97,7 @@
     serde_json::from_str(&line).map_err(|e| failed(format!("{e} in {line:?}")))
 }
 
-impl World {
+impl RunningFleet {
     /// Starts all nodes, then all fronts.
     pub async fn start(
         day: Day,
@@ -102,17 +105,17 @@
         dir: PathBuf,
         recorder: Recorder,
     ) -> Result<Rc<Self>, RunError> {
-        let fleet = day.fleet.clone();
+        let settings = day.fleet.clone();
         let node = |i: u32| NodeProcess {
             options: Options {
                 name: format!("node-{i}"),
-                rack: i % fleet.racks,
-                link_kb: fleet.link_kb,
-                uplink_kb: fleet.uplink_kb,
-                streams: fleet.streams,
-                set_up_ms: fleet.set_up_ms,
-                fall_multiple: FALL.0,
-                fall_s: FALL.1,
+                rack: i % settings.racks,
+                link_kb: settings.link_kb,
+                uplink_kb: settings.uplink_kb,
+                streams: settings.streams,
+                set_up_ms: settings.set_up_ms,
+                fall_multiple: COLD_OVERLOAD.0,
+                fall_s: COLD_OVERLOAD.1,
                 seed: day.seed ^ u64::from(i + 1),
                 ..Options::default()
             },
@@ -123,8 +126,8 @@
             started_ms: 0,
             faults: Faults::default(),
         };
-        // Free ports: taken all at once, and given back for the fronts to take.
-        let sockets: Vec<UdpSocket> = (0..fleet.fronts)
+        // Reserves free ports by binding them all at once, and releases them for the fronts.
+        let sockets: Vec<UdpSocket> = (0..settings.fronts)
             .map(|_| UdpSocket::bind("127.0.0.1:0"))
             .collect::<Result<_, _>>()
             .map_err(|e| RunError::Io("exchange ports".into(), e))?;
@@ -141,45 +144,45 @@
             admin: None,
             exchange: ports[i as usize],
         };
-        let world = Rc::new(Self {
-            nodes: RefCell::new((0..fleet.nodes).map(node).collect()),
-            fronts: RefCell::new((0..fleet.fronts).map(front).collect()),
+        let fleet = Rc::new(Self {
+            nodes: RefCell::new((0..settings.nodes).map(node).collect()),
+            fronts: RefCell::new((0..settings.fronts).map(front).collect()),
             list: RefCell::new(ListState { down: false, late_s: 0.0 }),
-            audience: RefCell::default(),
-            fault: RefCell::default(),
+            viewers: RefCell::default(),
+            failure: RefCell::default(),
             program,
             dir,
             recorder,
             day,
         });
-        for i in 0..fleet.nodes {
-            world.start_node(i, false).await?;
+        for i in 0..settings.nodes {
+            fleet.start_node(i, false).await?;
         }
-        let list = world.listed();
-        for i in 0..fleet.fronts {
-            world.write_list(i, &list)?;
-            world.start_front(i).await?;
+        let list = fleet.current_list();
+        for i in 0..settings.fronts {
+            fleet.write_list(i, &list)?;
+            fleet.start_front(i).await?;
         }
-        Ok(world)
+        Ok(fleet)
     }
 
     fn io(&self, what: &str, e: std::io::Error) -> RunError {
         RunError::Io(what.to_owned(), e)
     }
 
-    /// The first thing that went wrong with the rehearsal itself.
-    pub fn failed(&self, fault: RunError) {
-        self.fault.borrow_mut().get_or_insert(fault);
+    /// Keeps the first failure of the rehearsal itself.
+    pub fn set_failure(&self, error: RunError) {
+        self.failure.borrow_mut().get_or_insert(error);
     }
 
-    /// Takes it.
-    pub fn failure(&self) -> Option<RunError> {
-        self.fault.borrow_mut().take()
+    /// Takes the failure, if any.
+    pub fn take_failure(&self) -> Option<RunError> {
+        self.failure.borrow_mut().take()
     }
 
     // ---- nodes ---------------------------------------------------------------------------------
 
-    /// Starts a node; one that comes back is cold.
+    /// Starts a node; `cold` for one that is restarted.
     pub async fn start_node(&self, i: u32, cold: bool) -> Result<(), RunError> {
         let (name, options) = {
             let mut nodes = self.nodes.borrow_mut();
@@ -203,18 +206,18 @@
             .kill_on_drop(true)
             .spawn()
             .map_err(|e| self.io("node process", e))?;
-        let up = ready(&name, &mut child).await?;
+        let up = wait_until_ready(&name, &mut child).await?;
         let faults = {
             let mut nodes = self.nodes.borrow_mut();
             let n = &mut nodes[i as usize];
             (n.child, n.address, n.control, n.listed) = (Some(child), Some(up.address), up.control, "ready");
             n.faults
         };
-        self.order(i, Order { faults: Some(faults), ..Order::default() }).await;
+        self.send_command(i, NodeCommand { faults: Some(faults), ..NodeCommand::default() }).await;
         Ok(())
     }
 
-    /// Kills a node's process; the list will tell that it is gone.
+    /// Kills a node's process; the list shows it as `gone`.
     pub async fn kill_node(&self, i: u32) {
         let child = {
             let mut nodes = self.nodes.borrow_mut();
@@ -227,36 +230,37 @@
         }
     }
 
-    /// Changes a node's faults and tells it.
-    pub async fn fault(&self, i: u32, change: impl FnOnce(&mut Faults)) {
+    /// Changes the faults of a node.
+    pub async fn change_faults(&self, i: u32, change: impl FnOnce(&mut Faults)) {
         let faults = {
             let mut nodes = self.nodes.borrow_mut();
             change(&mut nodes[i as usize].faults);
             nodes[i as usize].faults
         };
-        self.order(i, Order { faults: Some(faults), ..Order::default() }).await;
+        self.send_command(i, NodeCommand { faults: Some(faults), ..NodeCommand::default() }).await;
     }
 
-    /// Sends an order to a node; one that is down has nothing to hear.
-    async fn order(&self, i: u32, order: Order) -> Option<State> {
+    /// Sends a command to the control port of a node; `None` if it is down.
+    async fn send_command(&self, i: u32, command: NodeCommand) -> Option<State> {
         let control = self.nodes.borrow()[i as usize].control?;
-        let body = serde_json::to_vec(&order).ok()?;
+        let body = serde_json::to_vec(&command).ok()?;
         let mut connection = Connection::open(control).await.ok()?;
         let second = Duration::from_secs(1);
         let reply = connection.request("POST", "/", &[], &body, second).await.ok()?;
         serde_json::from_slice(&reply.body).ok()
     }
 
-    /// Tells each node what the others of its rack ask of the uplink, five times a second.
-    pub async fn share_uplinks(self: Rc<Self>) {
-        let mut asked: BTreeMap<u32, f64> = BTreeMap::new();
+    /// Sets at each node the demand of the other nodes of its rack on the uplink, five times a second.
+    pub async fn distribute_uplink_demand(self: Rc<Self>) {
+        let mut demand_kb: BTreeMap<u32, f64> = BTreeMap::new();
         loop {
             let (nodes, racks) = (self.day.fleet.nodes, self.day.fleet.racks);
             for i in 0..nodes {
                 let others = (0..nodes).filter(|j| *j != i && j % racks == i % racks);
-                let elsewhere_kb = Some(others.map(|j| asked.get(&j).copied().unwrap_or(0.0)).sum());
-                let state = self.order(i, Order { elsewhere_kb, ..Order::default() }).await;
-                asked.insert(i, state.map_or(0.0, |s| s.asked_kb));
+                let elsewhere_kb = Some(others.map(|j| demand_kb.get(&j).copied().unwrap_or(0.0)).sum());
+                let state =
+                    self.send_command(i, NodeCommand { elsewhere_kb, ..NodeCommand::default() }).await;
+                demand_kb.insert(i, state.map_or(0.0, |s| s.asked_kb));
             }
             sleep(Duration::from_millis(200)).await;
         }
@@ -264,8 +268,8 @@
 
     // ---- the list ------------------------------------------------------------------------------
 
-    /// The list as it should read now: a line and the state for each node.
-    fn listed(&self) -> List {
+    /// The current list of nodes.
+    fn current_list(&self) -> List {
         let zones = self.day.fleet.zones;
         let nodes = self.nodes.borrow();
         let line = |(i, n): (usize, &NodeProcess)| {
@@ -296,31 +300,31 @@
         Ok(())
     }
 
-    /// Puts the list in place for each front, as late as the day has it.
-    pub async fn publish(self: Rc<Self>) {
-        let mut last = self.listed();
-        let mut coming: VecDeque<(Instant, List)> = VecDeque::new();
-        let mut newest = last.clone();
+    /// Writes changes of the list for each front, with the delay of the day.
+    pub async fn publish_list(self: Rc<Self>) {
+        let mut written = self.current_list();
+        let mut pending: VecDeque<(Instant, List)> = VecDeque::new();
+        let mut newest = written.clone();
         loop {
             sleep(Duration::from_millis(50)).await;
             let state = *self.list.borrow();
-            let now_listed = self.listed();
-            if now_listed != newest {
-                let late = Duration::from_secs_f64(self.day.fleet.list_late_s + state.late_s);
-                coming.push_back((Instant::now() + late, now_listed.clone()));
-                newest = now_listed;
+            let current = self.current_list();
+            if current != newest {
+                let delay = Duration::from_secs_f64(self.day.fleet.list_late_s + state.late_s);
+                pending.push_back((Instant::now() + delay, current.clone()));
+                newest = current;
             }
             let mut due = None;
-            while !state.down && coming.front().is_some_and(|(at, _)| *at <= Instant::now()) {
-                due = coming.pop_front();
+            while !state.down && pending.front().is_some_and(|(at, _)| *at <= Instant::now()) {
+                due = pending.pop_front();
             }
-            let Some((_, list)) = due.filter(|(_, l)| *l != last) else { continue };
+            let Some((_, list)) = due.filter(|(_, l)| *l != written) else { continue };
             for i in 0..self.day.fleet.fronts {
                 if let Err(e) = self.write_list(i, &list) {
-                    self.failed(e);
+                    self.set_failure(e);
                 }
             }
-            last = list;
+            written = list;
         }
     }
 
@@ -356,14 +360,14 @@
             "section kind std\nstreams {}\nsection rules\ncold-share 0.4\ncold {}s\n",
             f.streams, f.cold_s
         );
-        out += &format!("fall-multiple {}\nfall-window {}s\n", FALL.0, FALL.1);
+        out += &format!("fall-multiple {}\nfall-window {}s\n", COLD_OVERLOAD.0, COLD_OVERLOAD.1);
         if let Some((free, share, window)) = f.budget {
             out += &format!("budget {free} {share} {window}s\n");
         }
-        if let Some(between) = &f.exchange {
+        if let Some(network) = &f.exchange {
             let fronts = self.fronts.borrow();
-            let cut = |j: u32| between.cut.contains(&j);
-            let loss = if cut(i) { 1.0 } else { between.loss };
+            let cut = |j: u32| network.cut.contains(&j);
+            let loss = if cut(i) { 1.0 } else { network.loss };
             out += &format!(
                 "section exchange\nlisten {}\nkey rehearsal\nperiod 1s\nloss {loss}\n",
                 fronts[i as usize].exchange
@@ -373,8 +377,8 @@
             }
         }
         if let Some(d) = &f.duties {
-            let word = |yes| if yes { "yes" } else { "no" };
-            let (share, ask) = (word(d.share), word(d.ask));
+            let yes_no = |yes| if yes { "yes" } else { "no" };
+            let (share, ask) = (yes_no(d.share), yes_no(d.ask));
             out += &format!("section duties\nprobe {}ms\nshare {share}\nask {ask}\n", d.period_s * 1e3);
         }
         out += "section prices\nmoved 0.05\ncross-zone 0.04\nover-share-worth 0.2\n";
@@ -407,31 +411,37 @@
             .kill_on_drop(true)
             .spawn()
             .map_err(|e| self.io("front process", e))?;
-        let up = ready(&name, &mut child).await?;
+        let up = wait_until_ready(&name, &mut child).await?;
         self.recorder.write(Event::FrontStart { front: name });
         {
             let mut fronts = self.fronts.borrow_mut();
             let f = &mut fronts[i as usize];
             (f.child, f.address, f.admin) = (Some(child), Some(up.address), up.admin);
         }
-        self.tell_viewers();
+        self.update_viewers();
         Ok(())
     }
 
-    /// The fronts as viewers know them.
+    /// Addresses of the fronts for viewers.
     pub fn fronts(&self) -> Vec<FrontEndpoint> {
         let at = |f: &FrontProcess| FrontEndpoint { name: f.name.clone(), address: f.address };
         self.fronts.borrow().iter().map(at).collect()
     }
 
-    fn tell_viewers(&self) {
-        if let Some(audience) = &*self.audience.borrow() {
-            *audience.fronts.borrow_mut() = self.fronts();
+    fn update_viewers(&self) {
+        if let Some(viewers) = &*self.viewers.borrow() {
+            *viewers.fronts.borrow_mut() = self.fronts();
         }
     }
 
-    /// Sends a change to a front's admin listener; anything but success ends the rehearsal.
-    pub async fn tell_front(&self, i: u32, method: &str, path: &str, body: String) -> Result<(), RunError> {
+    /// Sends a change to the admin listener of a front; any status but success fails the rehearsal.
+    pub async fn send_to_front(
+        &self,
+        i: u32,
+        method: &str,
+        path: &str,
+        body: String,
+    ) -> Result<(), RunError> {
         let failed = |why: String| RunError::Start(format!("{method} {path} at front-{i}"), why);
         let admin = self.fronts.borrow()[i as usize].admin.ok_or_else(|| failed("it is down".into()))?;
         let mut c = Connection::open(admin).await.map_err(|e| failed(format!("{e:?}")))?;
@@ -444,8 +454,8 @@
         }
     }
 
-    /// Writes down ten times a second what each front says it holds.
-    pub async fn watch_holds(self: Rc<Self>) {
+    /// Records ten times a second the capacity that each front holds for announced peaks.
+    pub async fn record_held_capacity(self: Rc<Self>) {
         let key = [("authorization", "Bearer rehearsal")];
         let mut open: BTreeMap<String, (SocketAddr, Connection)> = BTreeMap::new();
         loop {
@@ -476,7 +486,7 @@
         }
     }
 
-    /// What each front that runs shows on its console.
+    /// The state of each running front, from its admin listener.
     pub async fn states(&self) -> Vec<serde_json::Value> {
         let key = [("authorization", "Bearer rehearsal")];
         let admins: Vec<SocketAddr> =
@@ -498,14 +508,14 @@
             f.address = None;
             (f.name.clone(), f.child.take())
         };
-        self.tell_viewers();
+        self.update_viewers();
         if let Some(mut child) = child {
             self.recorder.write(Event::FrontKilled { front: name });
             let _ = child.kill().await;
         }
     }
 
-    /// Asks a front to stop and waits for it; returns how it ended where that was not in order.
+    /// Asks a front to shut down and waits for it; returns its name and how it ended unless it exited successfully.
     pub async fn stop_front(&self, i: u32) -> Option<(String, String)> {
         let (name, child) = {
             let mut fronts = self.fronts.borrow_mut();
@@ -515,19 +525,19 @@
         let mut child = child?;
         self.recorder.write(Event::FrontStop { front: name.clone() });
         signal(&child, Signal::SIGTERM);
-        let time = STOP + Duration::from_secs_f64(self.day.viewers.patience_s);
+        let time = STOP_TIMEOUT + Duration::from_secs_f64(self.day.viewers.patience_s);
         let ended = timeout(time, child.wait()).await;
         self.fronts.borrow_mut()[i as usize].address = None;
-        self.tell_viewers();
+        self.update_viewers();
         match ended {
             Ok(Ok(status)) if status.success() => None,
             Ok(Ok(status)) => Some((name, status.to_string())),
             Ok(Err(e)) => Some((name, e.to_string())),
-            Err(_) => Some((name, "it did not end".into())),
+            Err(_) => Some((name, "it did not exit in time".into())),
         }
     }
 
-    /// Stops a front's process for a time, without ending it.
+    /// Suspends a front's process for a time (SIGSTOP, SIGCONT).
     pub async fn stall_front(&self, i: u32, ms: u64) {
         let pid = self.fronts.borrow()[i as usize].child.as_ref().and_then(Child::id);
         let Some(pid) = pid.and_then(|p| i32::try_from(p).ok()) else { return };
@@ -537,7 +547,7 @@
         let _ = kill(Pid::from_raw(pid), Signal::SIGCONT);
     }
 
-    /// Stops all fronts in order, then kills the nodes.
+    /// Shuts down all fronts, one after the other, then kills the nodes. Returns the fronts that failed to shut down.
     pub async fn stop(&self) -> Vec<(String, String)> {
         let mut out = Vec::new();
         for i in 0..self.day.fleet.fronts {
--- a/crates/rehearse/src/runner/mod.rs
+++ b/crates/rehearse/src/runner/mod.rs
@@ -1,13 +1,13 @@
-//! Conducts a day: fronts and nodes as processes on loopback, viewers, troubles by the clock.
+//! Plays a day: starts fronts and nodes as processes on loopback, runs viewers and injects the scheduled faults.
 
 mod faults;
 mod fleet;
 
 use crate::checker::{RuleLimits, Violation, check};
 use crate::day::{Day, FaultKind};
-use crate::report::{Report, sum_up};
+use crate::report::{Report, summarize};
 use crate::viewers::{FrontEndpoint, ViewerPool};
-use fleet::World;
+use fleet::RunningFleet;
 use pepperhook_playout::record::{self, Event, Line, Recorder};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -20,124 +20,131 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Why a day could not be played.
+/// Reason why a day could not be played.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// A file or a process.
+    /// An operation on a file, a socket or a process failed.
     #[error("{0}: {1}")]
     Io(String, io::Error),
-    /// A process did not come up.
-    #[error("{0} did not come up: {1}")]
+    /// A process did not start, or did not respond as required.
+    #[error("{0} failed: {1}")]
     Start(String, String),
-    /// The day is out of bounds.
+    /// A value of the day is out of range.
     #[error("the day cannot be played: {0}")]
     Day(String),
 }
 
-/// What a day came to.
+/// Results of a day.
 pub struct RunResult {
-    /// Figures.
+    /// Statistics.
     pub report: Report,
-    /// Rules broken.
+    /// Violations of the rules.
     pub violations: Vec<Violation>,
     /// The whole record.
     pub lines: Vec<Line>,
-    /// What each front showed on its console at the end.
+    /// State of each front at the end, from its admin listener.
     pub states: Vec<serde_json::Value>,
 }
 
-/// Grace of drains, seconds: the brief's.
+/// Grace period of drains, seconds; a requirement of the service.
 const DRAIN_GRACE_S: f64 = 0.25;
-/// Two looks of a front at its list, a tenth of a second apart, and the processes' own scheduling.
+/// Time for a front to read a new list, seconds: two polls, 0.1 s apart, and scheduling delays.
 const LIST_READ_S: f64 = 0.35;
-/// The rule on cold nodes: this multiple for so long.
-pub(crate) const FALL: (f64, f64) = (2.5, 2.0);
-/// After the last arrival the run goes on for so long, for those who wait.
-const TAIL: Duration = Duration::from_secs(2);
+/// Overload of cold nodes: multiple of the set-up rate, and window in seconds.
+pub(crate) const COLD_OVERLOAD: (f64, f64) = (2.5, 2.0);
+/// Time that the run continues after the last arrival, in addition to the patience of the viewers.
+const DRAIN_TIME: Duration = Duration::from_secs(2);
 
-/// Plays a day with `program` as front and node, leaving its files in `dir`; `tell` gets a line a second.
+/// Plays a day with `program` as front and node, with all files in `dir`; `progress` gets a line per second.
 ///
 /// # Errors
-/// When a process does not come up or a file cannot be written. A broken rule is no error: it is in the outcome.
+/// If a process does not start or a file cannot be written. Violations of rules are in the result.
 pub async fn run_day(
     day: &Day,
     program: &Path,
     dir: &Path,
-    tell: impl Fn(String) + 'static,
+    progress: impl Fn(String) + 'static,
 ) -> Result<RunResult, RunError> {
     day.check().map_err(RunError::Day)?;
     let log = dir.join("viewers.jsonl");
     let recorder =
         Recorder::to_file("viewers", &log).map_err(|e| RunError::Io(log.display().to_string(), e))?;
-    let world =
-        World::start(day.clone(), program.to_owned(), dir.to_owned(), recorder.with_source("conductor"))
-            .await?;
-    let fronts: Vec<FrontEndpoint> = world.fronts();
-    let audience = ViewerPool::new(day.viewers.clone(), "replay", fronts, recorder);
-    world.audience.borrow_mut().replace(audience.clone());
+    let fleet = RunningFleet::start(
+        day.clone(),
+        program.to_owned(),
+        dir.to_owned(),
+        recorder.with_source("conductor"),
+    )
+    .await?;
+    let fronts: Vec<FrontEndpoint> = fleet.fronts();
+    let viewers = ViewerPool::new(day.viewers.clone(), "replay", fronts, recorder);
+    fleet.viewers.borrow_mut().replace(viewers.clone());
 
-    let mut tasks = vec![spawn_local(world.clone().publish()), spawn_local(world.clone().share_uplinks())];
+    let mut tasks = vec![
+        spawn_local(fleet.clone().publish_list()),
+        spawn_local(fleet.clone().distribute_uplink_demand()),
+    ];
     if day.fleet.exchange.is_some() {
-        tasks.push(spawn_local(world.clone().watch_holds()));
+        tasks.push(spawn_local(fleet.clone().record_held_capacity()));
     }
     let begin = Instant::now();
-    for (i, trouble) in day.faults.iter().cloned().enumerate() {
-        let world = world.clone();
+    for (i, fault) in day.faults.iter().cloned().enumerate() {
+        let fleet = fleet.clone();
         tasks.push(spawn_local(async move {
-            sleep_until(begin + Duration::from_secs_f64(trouble.at_s)).await;
-            if let Err(e) = faults::cause(&world, i as u64, &trouble).await {
-                world.failed(e);
+            sleep_until(begin + Duration::from_secs_f64(fault.at_s)).await;
+            if let Err(e) = faults::inject(&fleet, i as u64, &fault).await {
+                fleet.set_failure(e);
             }
         }));
     }
-    let heard = audience.clone();
+    let pool = viewers.clone();
     tasks.push(spawn_local(async move {
         loop {
             sleep(Duration::from_secs(1)).await;
             let statuses: Vec<String> =
-                heard.statuses.borrow().iter().map(|(s, n)| format!("{s}: {n}")).collect();
-            tell(format!(
+                pool.statuses.borrow().iter().map(|(s, n)| format!("{s}: {n}")).collect();
+            progress(format!(
                 "{:4.0} s  asked {:5}  playing {:4}  {}",
                 begin.elapsed().as_secs_f64(),
-                heard.requests.get(),
-                heard.playing.get(),
+                pool.requests.get(),
+                pool.playing.get(),
                 statuses.join("  ")
             ));
         }
     }));
 
-    arrive(day, &audience, begin).await;
-    sleep(TAIL + Duration::from_secs_f64(day.viewers.patience_s)).await;
+    arrive(day, &viewers, begin).await;
+    sleep(DRAIN_TIME + Duration::from_secs_f64(day.viewers.patience_s)).await;
     tasks.iter().for_each(tokio::task::JoinHandle::abort);
-    let states = world.states().await;
-    let stopped = world.stop().await;
-    if let Some(fault) = world.failure() {
-        return Err(fault);
+    let states = fleet.states().await;
+    let stopped = fleet.stop().await;
+    if let Some(error) = fleet.take_failure() {
+        return Err(error);
     }
-    let lines = gather(dir)?;
-    let mut violations = check(&lines, &terms(day));
+    let lines = read_records(dir)?;
+    let mut violations = check(&lines, &rule_limits(day));
     for (front, how) in stopped {
-        let what = format!("{front} did not stop in order: {how}");
+        let what = format!("{front} did not shut down gracefully: {how}");
         violations.push(Violation {
             rule: crate::checker::Rule::OneAnswer,
             unix_ns: record::unix_nanos(),
             detail: what,
         });
     }
-    let mut report = sum_up(&day.name, day.seed, &lines, &violations, day.viewers.aim_s);
+    let mut report = summarize(&day.name, day.seed, &lines, &violations, day.viewers.aim_s);
     report.ages_ms = crate::duties::run::ages(&states);
     Ok(RunResult { report, violations, lines, states })
 }
 
-/// What the checker is told of the day.
-fn terms(day: &Day) -> RuleLimits {
+/// The limits of the rules on this day.
+fn rule_limits(day: &Day) -> RuleLimits {
     let f = &day.fleet;
     RuleLimits {
         patience_s: day.viewers.patience_s,
         list_read_s: LIST_READ_S,
         drain_grace_s: DRAIN_GRACE_S,
-        fall_multiple: FALL.0,
-        fall_s: FALL.1,
+        fall_multiple: COLD_OVERLOAD.0,
+        fall_s: COLD_OVERLOAD.1,
         floor: f.floor,
         seats: f.seats,
         at_most_once: f.repeat == "never",
@@ -145,15 +152,15 @@
     }
 }
 
-/// Viewers come at random, more of them in a burst, some titles far more wanted than others.
-async fn arrive(day: &Day, audience: &Rc<ViewerPool>, begin: Instant) {
+/// Starts viewers as a Poisson process; bursts raise its rate, and popularity differs between titles.
+async fn arrive(day: &Day, viewers: &Rc<ViewerPool>, begin: Instant) {
     let mut rng = StdRng::seed_from_u64(day.seed);
     let titles = day.viewers.titles;
     let (mut at, mut n) = (0.0, 0u64);
     loop {
         let (mut rate, mut hot, mut shares) = (day.viewers.rate, None, day.fleet.tenants.clone());
-        for t in day.faults.iter().filter(|t| (t.at_s..t.at_s + t.for_s).contains(&at)) {
-            match t.kind {
+        for fault in day.faults.iter().filter(|f| (f.at_s..f.at_s + f.for_s).contains(&at)) {
+            match fault.kind {
                 FaultKind::Burst { times } => rate *= times,
                 FaultKind::TenantBurst { tenant, times } => {
                     let usual = shares[tenant as usize];
@@ -173,7 +180,7 @@
             break;
         }
         n += 1;
-        // Popularity falls with the square root of the rank, roughly.
+        // Popularity falls roughly with the square root of the rank.
         let usual = ((rng.random::<f64>().powi(2)) * f64::from(titles)) as u32;
         let title = match hot {
             Some((first, few, share)) if rng.random_bool(share.clamp(0.0, 1.0)) => {
@@ -187,13 +194,13 @@
             draw < 0.0
         });
         sleep_until(begin + Duration::from_secs_f64(at)).await;
-        spawn_local(audience.clone().run_viewer(n, day.seed, title, tenant));
+        spawn_local(viewers.clone().run_viewer(n, day.seed, title, tenant));
     }
     sleep_until(begin + Duration::from_secs_f64(day.length_s)).await;
 }
 
-/// All records of a run.
-fn gather(dir: &Path) -> Result<Vec<Line>, RunError> {
+/// Reads all records of a run.
+fn read_records(dir: &Path) -> Result<Vec<Line>, RunError> {
     let named = |p: &Path, e| RunError::Io(p.display().to_string(), e);
     let mut lines = Vec::new();
     for entry in std::fs::read_dir(dir).map_err(|e| named(dir, e))? {
@@ -206,7 +213,7 @@
     Ok(lines)
 }
 
-/// Writes what a trouble was, for the reader of a record.
-fn note(recorder: &Recorder, kind: &str, detail: String) {
+/// Records the begin or end of a scheduled fault, for the reader of the record.
+fn record_fault(recorder: &Recorder, kind: &str, detail: String) {
     recorder.write(Event::FaultInjected { kind: kind.into(), detail });
 }
