--- a/crates/rehearse/src/duties/large_fleet.rs
+++ b/crates/rehearse/src/duties/large_fleet.rs
@@ -1,38 +1,39 @@
-//! Large fleets in one process: what a death costs, what is done twice, and how many bytes it takes.
+//! Measures large fleets in one process: coverage after the failure of fronts, duplicate probes, and traffic.
 
-use super::coverage::{Coverage, RuleLimits, check};
-use super::simulation::{Act, Net, Options};
+use super::coverage::{Coverage, CoverageLimits, check};
+use super::simulation::{Action, Options, Simulation};
 use serde::Serialize;
 
-/// Coverage is judged from here; milliseconds.
+/// Start of the measurement, milliseconds; until then the fronts discover each other.
 const SETTLED_MS: u64 = 10_000;
-/// Deaths, at these times; one front each.
+/// Times at which one front each is killed, milliseconds.
 const KILLS_MS: [u64; 4] = [14_000, 19_300, 24_700, 30_100];
+/// End of the measurement, milliseconds.
 const END_MS: u64 = 40_000;
 
-/// What a fleet came to; simulated.
+/// Results of a measurement; all figures are simulated.
 #[derive(Clone, Debug, Serialize)]
 pub struct ManyReport {
-    /// Fronts at the beginning.
+    /// Number of fronts at the start.
     pub fronts: usize,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Loss between fronts.
+    /// Share of the datagrams between fronts that is lost.
     pub loss: f64,
-    /// From the tenth second to the end, with four deaths.
+    /// Coverage from the tenth second to the end, during which four fronts are killed.
     pub coverage: Coverage,
-    /// Bytes a second that a front sent, on the mean.
+    /// Mean rate that a front sent, bytes per second.
     pub bytes_a_second: f64,
-    /// Datagrams a second that a front sent.
+    /// Mean rate that a front sent, datagrams per second.
     pub datagrams_a_second: f64,
-    /// Ages of readings over fronts and nodes, shared: median, 9 in 10, 99 in 100; milliseconds.
+    /// Age of the latest reading over all pairs of front and node: 50th, 90th and 99th percentile, milliseconds.
     pub shared_ages_ms: [u64; 3],
-    /// Part of the pairs of front and node for which the front has a reading of its own; the others know nothing
-    /// without sharing.
+    /// Share of the pairs of front and node with a reading by the front itself. Without sharing, the other pairs would
+    /// have none.
     pub own_known: f64,
-    /// Ages of own readings alone.
+    /// The same percentiles for readings by the front itself, milliseconds.
     pub own_ages_ms: [u64; 3],
-    /// Most fronts that one front missed in its view at the end, or held to be there though dead.
+    /// Largest number of errors in the view of a front at the end: live fronts missing and killed fronts present.
     pub view_off: usize,
 }
 
@@ -42,14 +43,14 @@
     [at(0.5), at(0.9), at(0.99)]
 }
 
-/// Runs a fleet with four deaths.
+/// Runs a fleet in which up to four fronts are killed.
 #[must_use]
 pub fn measure(options: &Options) -> ManyReport {
-    let mut net = Net::new(options.clone());
+    let mut net = Simulation::new(options.clone());
     let dead: Vec<usize> =
         (0..KILLS_MS.len()).map(|k| (k * 7 + 1) % options.fronts).take(options.fronts / 2).collect();
     for (front, at) in dead.iter().zip(KILLS_MS) {
-        net.at(at, Act::Kill(*front));
+        net.at(at, Action::Kill(*front));
     }
     net.run(SETTLED_MS);
     let (datagrams, bytes) = net.sent();
@@ -57,15 +58,16 @@
     net.run(END_MS);
     let (datagrams, bytes) = (net.sent().0 - datagrams, net.sent().1 - bytes);
     let gap_ms = 2 * options.period_ms + options.suspicion_ms;
-    // The mean bound, and four standard deviations of what chance adds.
-    let mean = f64::from(options.most) * 5.0;
-    let most = (mean + 4.0 * mean.sqrt()) as usize;
-    let terms = RuleLimits { period_ms: options.period_ms, gap_ms, window: 5, most };
-    let (probes, lives) = (net.probes(SETTLED_MS, END_MS), net.lives(SETTLED_MS, END_MS));
+    // The limit on the mean, plus four standard deviations of a Poisson count.
+    let mean = f64::from(options.max_runs_per_period) * 5.0;
+    let max_in_window = (mean + 4.0 * mean.sqrt()) as usize;
+    let limits =
+        CoverageLimits { period_ms: options.period_ms, max_gap_ms: gap_ms, window_periods: 5, max_in_window };
+    let (probes, intervals) = (net.probes(SETTLED_MS, END_MS), net.ready_intervals(SETTLED_MS, END_MS));
     let living = (options.fronts - dead.len()) as f64;
-    let per = |sum: u64| sum as f64 / living / ((END_MS - SETTLED_MS) as f64 / 1e3);
+    let per_front_s = |sum: u64| sum as f64 / living / ((END_MS - SETTLED_MS) as f64 / 1e3);
     let alive: Vec<usize> = (0..options.fronts).filter(|i| !dead.contains(i)).collect();
-    let off = |i: &usize| {
+    let view_errors = |i: &usize| {
         let view = net.view(*i);
         let missed = alive.iter().filter(|j| !view.contains(j)).count();
         missed + view.iter().filter(|j| dead.contains(j)).count()
@@ -74,11 +76,11 @@
         fronts: options.fronts,
         nodes: options.nodes,
         loss: options.loss,
-        coverage: check(&probes, &lives, &terms),
-        bytes_a_second: per(bytes),
-        datagrams_a_second: per(datagrams),
+        coverage: check(&probes, &intervals, &limits),
+        bytes_a_second: per_front_s(bytes),
+        datagrams_a_second: per_front_s(datagrams),
         own_known: net.own_ages_ms.len() as f64 / net.ages_ms.len().max(1) as f64,
-        view_off: alive.iter().map(off).max().unwrap_or(0),
+        view_off: alive.iter().map(view_errors).max().unwrap_or(0),
         shared_ages_ms: quantiles(&mut net.ages_ms),
         own_ages_ms: quantiles(&mut net.own_ages_ms),
     }
--- a/crates/rehearse/src/duties/mod.rs
+++ b/crates/rehearse/src/duties/mod.rs
@@ -1,5 +1,6 @@
-//! Rehearsals of shared duties: many fronts in one process on a network in memory ([`simulation`]), or as processes on
-//! loopback ([`run`]); both are judged from what nodes heard ([`coverage`]). [`large_fleet`] measures large fleets.
+//! Rehearsals of shared duties: many fronts in one process on a simulated network ([`simulation`]), or as processes on
+//! loopback ([`run`]). Both are checked by the probes that nodes received ([`coverage`]). [`large_fleet`] measures
+//! large fleets.
 
 pub mod coverage;
 pub mod large_fleet;
--- a/crates/rehearse/src/duties/run.rs
+++ b/crates/rehearse/src/duties/run.rs
@@ -1,7 +1,7 @@
-//! Fronts as processes that share duties: killed, stopped, stalled and cut off by schedule, judged by what the nodes'
-//! sockets heard.
+//! Rehearsal of shared duties with fronts as processes, which are killed and suspended by schedule. The checks use the
+//! probes that nodes recorded.
 
-use super::coverage::{Coverage, Life, Probe, RuleLimits, check};
+use super::coverage::{Coverage, CoverageLimits, Probe, ReadyInterval, check};
 use crate::day::{Day, DutySettings, ExchangeSettings, FaultKind, Fleet, ScheduledFault, ViewerSettings};
 use crate::runner::{RunError, RunResult, run_day};
 use pepperhook_playout::record::{Event, Line};
@@ -9,49 +9,50 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Period of the duty and the time after which a silent front is given up, seconds.
+/// Period of the duty, seconds.
 const PERIOD_S: f64 = 1.0;
+/// Time after which a silent front is considered down, seconds.
 const SUSPICION_S: f64 = 3.0;
-/// Coverage is judged from here: until then the fronts get to know each other; seconds from the first arrival.
+/// Start of the check, seconds from the first arrival; until then the fronts discover each other.
 const SETTLED_S: f64 = 8.0;
-/// Windows in which what a node hears is counted, in periods.
+/// Window over which the probes of a node are counted, in periods.
 const WINDOW: u64 = 5;
 
-/// What is varied.
+/// Parameters of the rehearsal.
 #[derive(Clone, Debug)]
 pub struct Variation {
     /// Seed.
     pub seed: u64,
-    /// Front processes.
+    /// Number of front processes.
     pub fronts: u32,
-    /// Part of the datagrams between them that is lost.
+    /// Share of the datagrams between fronts that is lost.
     pub loss: f64,
 }
 
-/// What a rehearsal came to; simulated.
+/// Results of the rehearsal; all figures are simulated.
 #[derive(Clone, Debug, Serialize)]
 pub struct DutiesReport {
-    /// Loss between the fronts.
+    /// Share of the datagrams between fronts that is lost.
     pub loss: f64,
-    /// The whole time that was judged.
+    /// Coverage over the whole checked time.
     pub coverage: Coverage,
-    /// Longest gap of any node that includes or follows a kill, within the bound's time of it, milliseconds.
+    /// Longest gap of any node within `gap_bound_ms` after a front was killed, milliseconds.
     pub longest_gap_after_kill_ms: u64,
-    /// The bound on gaps, milliseconds: two periods and the suspicion's time.
+    /// Limit on gaps, milliseconds: two periods plus the suspicion timeout.
     pub gap_bound_ms: u64,
-    /// Share of all requests that played within the aim.
+    /// Share of the requests that played within the aim.
     pub served_within_aim: f64,
-    /// Ages of readings at placement by front, milliseconds: median, 9 in 10, 99 in 100.
+    /// Age of the load readings used for placement, per front: 50th, 90th and 99th percentile, milliseconds.
     pub ages_ms: Vec<[u64; 3]>,
-    /// Set-ups sent to a node of which nothing had been seen, all fronts.
+    /// Number of set-ups sent to a node without any load reading, over all fronts.
     pub blind: u64,
-    /// Bytes a second that a front sent to the others, by the one that sent the most.
+    /// Rate that the front that sent the most sent to the others, bytes per second.
     pub bytes_a_second: f64,
-    /// Rules broken.
+    /// Violations of the six rules.
     pub rules_broken: Vec<String>,
 }
 
-/// Eight fronts; some are killed, one stands still, one is stopped in order.
+/// The day: three kills of fronts, one suspended front, a crashed node and a drained node.
 #[must_use]
 pub fn day(v: &Variation) -> Day {
     let fleet = Fleet {
@@ -78,17 +79,17 @@
     }
 }
 
-/// Plays the day and judges it.
+/// Plays the day and checks it.
 ///
 /// # Errors
-/// As `play`.
+/// As [`run_day`].
 pub async fn rehearse(
     v: &Variation,
     program: &Path,
     dir: &Path,
-    tell: impl Fn(String) + 'static,
+    progress: impl Fn(String) + 'static,
 ) -> Result<DutiesReport, RunError> {
-    let outcome = run_day(&day(v), program, dir, tell).await?;
+    let outcome = run_day(&day(v), program, dir, progress).await?;
     Ok(report(v, &outcome))
 }
 
@@ -97,31 +98,40 @@
     let begin = lines.iter().find(|l| matches!(l.event, Event::RequestSent { .. })).map_or(0, |l| l.unix_ns)
         / 1_000_000;
     let from_ms = begin + (SETTLED_S * 1e3) as u64;
-    // Fronts are stopped one after the other at the end.
+    // The check ends when the first front is asked to shut down.
     let ends =
         lines.iter().find(|l| matches!(l.event, Event::FrontStop { .. })).map_or(u64::MAX, |l| l.unix_ns);
     let to_ms = ends / 1_000_000;
     let gap_ms = ((2.0 * PERIOD_S + SUSPICION_S) * 1e3) as u64;
-    let most = (5.0 * WINDOW as f64) as usize;
-    let terms = RuleLimits { period_ms: (PERIOD_S * 1e3) as u64, gap_ms, window: WINDOW, most };
-    let heard: Vec<Probe> =
+    let max_in_window = (5.0 * WINDOW as f64) as usize;
+    let limits = CoverageLimits {
+        period_ms: (PERIOD_S * 1e3) as u64,
+        max_gap_ms: gap_ms,
+        window_periods: WINDOW,
+        max_in_window,
+    };
+    let received: Vec<Probe> =
         probes(lines).into_iter().filter(|p| (from_ms..to_ms).contains(&p.t_ms)).collect();
-    let lives = lives(lines, from_ms, to_ms);
+    let intervals = ready_intervals(lines, from_ms, to_ms);
     let kills: Vec<u64> = lines
         .iter()
         .filter(|l| matches!(l.event, Event::FrontKilled { .. }))
         .map(|l| l.unix_ns / 1_000_000)
         .collect();
     let after = kills.iter().map(|t| {
-        let within =
-            |l: &Life| Life { from_ms: l.from_ms.max(*t), to_ms: l.to_ms.min(t + gap_ms), ..l.clone() };
-        let lives: Vec<Life> = lives.iter().map(within).filter(|l| l.from_ms < l.to_ms).collect();
-        check(&heard, &lives, &terms).longest_gap_ms
+        let within = |l: &ReadyInterval| ReadyInterval {
+            from_ms: l.from_ms.max(*t),
+            to_ms: l.to_ms.min(t + gap_ms),
+            ..l.clone()
+        };
+        let after_kill: Vec<ReadyInterval> =
+            intervals.iter().map(within).filter(|l| l.from_ms < l.to_ms).collect();
+        check(&received, &after_kill, &limits).longest_gap_ms
     });
     DutiesReport {
         loss: v.loss,
         longest_gap_after_kill_ms: after.max().unwrap_or(0),
-        coverage: check(&heard, &lives, &terms),
+        coverage: check(&received, &intervals, &limits),
         gap_bound_ms: gap_ms,
         served_within_aim: outcome.report.served_within_aim,
         ages_ms: ages(&outcome.states),
@@ -131,7 +141,7 @@
     }
 }
 
-/// Ages of readings at placement, as each front's console tells them.
+/// Age of the load readings used for placement, from the state of each front.
 #[must_use]
 pub fn ages(states: &[serde_json::Value]) -> Vec<[u64; 3]> {
     let at = |s: &serde_json::Value, q: &str| s["ages"][q].as_u64().unwrap_or(0);
@@ -142,12 +152,12 @@
     let times = |l: &&Line| matches!(l.event, Event::RequestSent { .. });
     let first = outcome.lines.iter().find(times).map_or(0, |l| l.unix_ns);
     let last = outcome.lines.iter().rev().find(times).map_or(0, |l| l.unix_ns);
-    // Fronts that were killed count from their last start: those that ran the longest tell the rate.
+    // The counter of a killed front restarts from 0, so the largest counter gives the rate.
     let most = outcome.states.iter().filter_map(|s| s["exchange"]["sent_bytes"].as_u64()).max();
     most.unwrap_or(0) as f64 / ((last - first) as f64 / 1e9).max(1.0)
 }
 
-/// What nodes heard.
+/// The probes that nodes recorded.
 #[must_use]
 pub fn probes(lines: &[Line]) -> Vec<Probe> {
     let probe = |l: &Line| match &l.event {
@@ -159,27 +169,27 @@
     lines.iter().filter_map(probe).collect()
 }
 
-/// When nodes were to be covered: while all fronts that run were told that they are ready.
+/// The intervals in which nodes must be probed: while they are `ready` in the lists of all running fronts.
 #[must_use]
-pub fn lives(lines: &[Line], from_ms: u64, to_ms: u64) -> Vec<Life> {
+pub fn ready_intervals(lines: &[Line], from_ms: u64, to_ms: u64) -> Vec<ReadyInterval> {
     let mut out = Vec::new();
     let mut ready: BTreeMap<String, u64> = BTreeMap::new();
-    // A node's own start counts too: the list may be late in telling of its end.
+    // A restart ends the interval too: the list may show the end of the former process late.
     for line in lines {
         let t = line.unix_ns / 1_000_000;
         match &line.event {
             Event::ListPublished { node, state, .. } if state == "ready" => {
                 ready.entry(node.clone()).or_insert(t);
             }
-            Event::ListPublished { node, .. } => end(&mut out, &mut ready, node, t),
-            Event::NodeStart { .. } => end(&mut out, &mut ready, &line.source, t),
+            Event::ListPublished { node, .. } => close_interval(&mut out, &mut ready, node, t),
+            Event::NodeStart { .. } => close_interval(&mut out, &mut ready, &line.source, t),
             Event::FaultInjected { kind, detail } if kind == "begins" && detail.contains("\"crash\"") => {
-                // A killed node says nothing; the list will tell of it some time later.
+                // A killed node records nothing, and the list shows its end later.
                 let all: Vec<String> = ready.keys().cloned().collect();
                 for node in all {
                     let i = node.trim_start_matches("node-");
                     if detail.contains(&format!("[{i}]")) {
-                        end(&mut out, &mut ready, &node, t);
+                        close_interval(&mut out, &mut ready, &node, t);
                     }
                 }
             }
@@ -187,13 +197,14 @@
         }
     }
     let open: Vec<String> = ready.keys().cloned().collect();
-    open.iter().for_each(|node| end(&mut out, &mut ready, node, to_ms));
-    let within = |l: Life| Life { from_ms: l.from_ms.max(from_ms), to_ms: l.to_ms.min(to_ms), ..l };
+    open.iter().for_each(|node| close_interval(&mut out, &mut ready, node, to_ms));
+    let within =
+        |l: ReadyInterval| ReadyInterval { from_ms: l.from_ms.max(from_ms), to_ms: l.to_ms.min(to_ms), ..l };
     out.into_iter().map(within).filter(|l| l.from_ms < l.to_ms).collect()
 }
 
-fn end(out: &mut Vec<Life>, ready: &mut BTreeMap<String, u64>, node: &str, to_ms: u64) {
+fn close_interval(out: &mut Vec<ReadyInterval>, ready: &mut BTreeMap<String, u64>, node: &str, to_ms: u64) {
     if let Some(from_ms) = ready.remove(node) {
-        out.push(Life { node: node.to_owned(), from_ms, to_ms });
+        out.push(ReadyInterval { node: node.to_owned(), from_ms, to_ms });
     }
 }
--- a/crates/rehearse/src/duties/simulation.rs
+++ b/crates/rehearse/src/duties/simulation.rs
@@ -1,6 +1,6 @@
-//! Many fronts in one process: the very code that fronts run among themselves, on a network and clocks in memory.
+//! Simulates many fronts in one process: the code that fronts run among themselves, on a simulated network and clock.
 
-use super::coverage::{Life, Probe};
+use super::coverage::{Probe, ReadyInterval};
 use pepperhook_duties::{Counters, DEFAULT_WEIGHT, Duty, DutyKind, Target, TargetState};
 use pepperhook_exchange::Keys;
 use pepperhook_fleet::{Fleet, Note, Out, Settings, View};
@@ -10,41 +10,41 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
 
-/// Fronts are called so often, milliseconds.
+/// Interval of the tick of each front, milliseconds.
 const TICK_MS: u64 = 20;
-/// The clock at which a rehearsal begins, Unix milliseconds.
+/// Start of the simulated clock, Unix milliseconds.
 const BEGIN_MS: u64 = 1_800_000_000_000;
 
-/// A fleet and what lies between.
+/// Settings of the fleet and its network.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Fronts.
+    /// Number of fronts.
     pub fronts: usize,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Seed.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Part of the datagrams that is lost.
+    /// Share of the datagrams that is lost.
     pub loss: f64,
-    /// A datagram is under way between these, milliseconds; later ones overtake earlier ones.
+    /// Shortest and longest delay of a datagram, milliseconds; datagrams may overtake each other.
     pub delay_ms: (u64, u64),
-    /// Part of the datagrams that come twice.
-    pub doubled: f64,
-    /// The period of the duty, milliseconds.
+    /// Share of the datagrams that are delivered twice.
+    pub duplicated: f64,
+    /// Period of the duty, milliseconds.
     pub period_ms: u64,
-    /// Who stands by acts so much later than the one before.
-    pub step_ms: u64,
-    /// A duty is given up after this time.
-    pub limit_ms: u64,
-    /// Times a period that a node may hear of all fronts.
-    pub most: u32,
-    /// A suspect is given up after this time.
+    /// Delay between consecutive stand-by fronts of a duty, milliseconds.
+    pub stagger_ms: u64,
+    /// Timeout of a run of the duty, milliseconds.
+    pub timeout_ms: u64,
+    /// Limit on the mean number of runs at a node in a period, over all fronts.
+    pub max_runs_per_period: u32,
+    /// Time after which a suspected front is considered down, milliseconds.
     pub suspicion_ms: u64,
-    /// A duty takes between these.
-    pub takes_ms: (u64, u64),
-    /// Fronts that each front is told of at its start.
+    /// Shortest and longest duration of a run of the duty, milliseconds.
+    pub duration_ms: (u64, u64),
+    /// Number of peers in the settings of each front.
     pub seeds: usize,
-    /// What the fronts know as their key; one front may have another, see [`Act::Key`].
+    /// Shared key of the exchange; [`Action::SetKey`] changes that of one front.
     pub key: String,
 }
 
@@ -56,87 +56,90 @@
             seed: 1,
             loss: 0.0,
             delay_ms: (1, 8),
-            doubled: 0.01,
+            duplicated: 0.01,
             period_ms: 1_000,
-            step_ms: 250,
-            limit_ms: 500,
-            most: 5,
+            stagger_ms: 250,
+            timeout_ms: 500,
+            max_runs_per_period: 5,
             suspicion_ms: 3_000,
-            takes_ms: (2, 10),
+            duration_ms: (2, 10),
             seeds: 3,
             key: "rehearsal".into(),
         }
     }
 }
 
-/// Something that is done to the fleet.
+/// An action on the fleet. Fronts and nodes are given by index.
 #[derive(Clone, Debug)]
-pub enum Act {
-    /// A front is killed.
+pub enum Action {
+    /// Kills a front.
     Kill(usize),
-    /// A front starts (again); it knows nothing of before.
+    /// Starts or restarts a front without any state.
     Start(usize),
-    /// A front stands still for so long, milliseconds; what comes for it meanwhile waits.
+    /// Suspends a front for this many milliseconds; its input is queued meanwhile.
     Stall(usize, u64),
-    /// A front leaves in order.
+    /// A front announces that it leaves, and stops.
     Leave(usize),
-    /// A front's clock is set by so much, milliseconds.
-    SetClock(usize, i64),
-    /// These fronts and the others hear nothing of each other any more.
-    Cut(BTreeSet<usize>),
-    /// What the first sends no longer reaches the second.
-    OneWay(usize, usize),
-    /// Every front hears nothing of any other.
-    CutAll,
-    /// All hear each other again.
+    /// Shifts the clock of a front by this many milliseconds.
+    ShiftClock(usize, i64),
+    /// Partitions the network between these fronts and the others.
+    Partition(BTreeSet<usize>),
+    /// Datagrams of the first front no longer reach the second.
+    CutOneWay(usize, usize),
+    /// Isolates every front.
+    IsolateAll,
+    /// Removes all partitions.
     Heal,
-    /// This part of the datagrams is lost from now on.
-    Loss(f64),
-    /// A front's next start is with this key.
-    Key(usize, String),
-    /// A node dies.
+    /// Sets the share of lost datagrams.
+    SetLoss(f64),
+    /// Sets the key of a front from its next start on.
+    SetKey(usize, String),
+    /// Stops a node.
     NodeDown(usize),
-    /// A node is back; a new life of it.
+    /// Starts a node again with a new incarnation.
     NodeUp(usize),
-    /// A node drains, or does so no longer.
+    /// Lists a node as draining, or as ready again.
     Drain(usize, bool),
-    /// Duties take between these from now on, milliseconds.
-    Takes(u64, u64),
+    /// Sets the shortest and longest duration of a run of the duty, milliseconds.
+    SetDuration(u64, u64),
 }
 
 enum Event {
     Tick(usize, u32),
     Deliver { to: usize, from: SocketAddr, datagram: Vec<u8> },
-    Ends { front: usize, generation: u32, duty: Duty, round: u64, done: bool },
-    Act(Act),
+    RunEnds { front: usize, generation: u32, duty: Duty, round: u64, done: bool },
+    Action(Action),
 }
 
-struct Due(u64, u64, Event);
-impl PartialEq for Due {
+/// A queued event: time in milliseconds, sequence number that orders events of the same time, event.
+struct QueuedEvent(u64, u64, Event);
+impl PartialEq for QueuedEvent {
     fn eq(&self, other: &Self) -> bool {
         (self.0, self.1) == (other.0, other.1)
     }
 }
-impl Eq for Due {}
-impl PartialOrd for Due {
+impl Eq for QueuedEvent {}
+impl PartialOrd for QueuedEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Due {
+impl Ord for QueuedEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.0, self.1).cmp(&(other.0, other.1))
     }
 }
 
-struct Host {
+/// A front of the simulation.
+struct FrontState {
     fleet: Option<Fleet>,
     generation: u32,
-    /// Its clock less the rehearsal's.
+    /// Offset of its clock from the simulated clock, milliseconds.
     clock_ms: i64,
-    stalled_until: u64,
+    /// Suspended until this time, milliseconds.
+    stalled_until_ms: u64,
     key: String,
-    /// Bytes and datagrams sent in earlier runs.
+    /// Datagrams and bytes sent in earlier runs.
     sent: (u64, u64),
     running: BTreeSet<(Duty, u64)>,
 }
@@ -145,207 +148,209 @@
 struct NodeState {
     up: bool,
     draining: bool,
-    life: u64,
+    incarnation: u64,
     since_ms: u64,
 }
 
-/// The rehearsal.
-pub struct Net {
+/// A simulated fleet.
+pub struct Simulation {
     options: Options,
     now_ms: u64,
-    queue: BinaryHeap<Reverse<Due>>,
-    number: u64,
-    hosts: Vec<Host>,
+    queue: BinaryHeap<Reverse<QueuedEvent>>,
+    last_sequence: u64,
+    fronts: Vec<FrontState>,
     nodes: Vec<NodeState>,
-    cut: BTreeSet<usize>,
-    one_way: BTreeSet<(usize, usize)>,
-    cut_all: bool,
+    partition: BTreeSet<usize>,
+    cut_one_way: BTreeSet<(usize, usize)>,
+    isolate_all: bool,
     rng: StdRng,
-    /// What nodes heard.
+    /// Probes that nodes received.
     pub probes: Vec<Probe>,
-    /// When nodes were there to be asked.
-    lives: Vec<Life>,
-    /// Readings' ages at all fronts for all nodes, sampled once a second, milliseconds.
+    /// Ended intervals in which nodes were ready.
+    ready_intervals: Vec<ReadyInterval>,
+    /// Age of the latest reading for each front and node, sampled once a second, milliseconds.
     pub ages_ms: Vec<u64>,
-    /// The same, if each front had its own readings only.
+    /// The same for readings by the front itself.
     pub own_ages_ms: Vec<u64>,
-    own_at: BTreeMap<(usize, u64), u64>,
-    /// Changes of the view, by front, and when.
+    /// Time of the latest reading by the front itself, by front and node, milliseconds.
+    own_read_ms: BTreeMap<(usize, u64), u64>,
+    /// Changes of the view: time in milliseconds, front, change.
     pub notes: Vec<(u64, usize, Note)>,
-    /// Where it is set, all datagrams that are sent are kept here with their sender, as an eavesdropper would.
+    /// If set, collects all datagrams sent with their sender, as an eavesdropper would.
     pub tap: Option<Vec<(usize, Vec<u8>)>>,
-    /// Most duties that ran at one node at once.
-    pub most_at_once: usize,
-    at_node: BTreeMap<u64, usize>,
+    /// Largest number of simultaneous runs at one node.
+    pub max_concurrent: usize,
+    /// Number of current runs by node.
+    running_at: BTreeMap<u64, usize>,
 }
 
 fn address(i: usize) -> SocketAddr {
     SocketAddr::from(([127, 1, (i / 250) as u8, (i % 250) as u8 + 1], 7_400))
 }
 
-/// The number of front `i`.
+/// The member number of front `i`.
 #[must_use]
 pub fn number(i: usize) -> u64 {
     (i as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
 
-impl Net {
-    /// A fleet whose fronts start within the first second.
+impl Simulation {
+    /// A fleet whose fronts start at random times within the first second.
     #[must_use]
     pub fn new(options: Options) -> Self {
-        let host = |_| Host {
+        let front_state = |_| FrontState {
             fleet: None,
             generation: 0,
             clock_ms: 0,
-            stalled_until: 0,
+            stalled_until_ms: 0,
             key: options.key.clone(),
             sent: (0, 0),
             running: BTreeSet::new(),
         };
-        let node = |_| NodeState { up: true, draining: false, life: 0, since_ms: 0 };
-        let mut net = Self {
+        let node = |_| NodeState { up: true, draining: false, incarnation: 0, since_ms: 0 };
+        let mut simulation = Self {
             now_ms: 0,
             queue: BinaryHeap::new(),
-            number: 0,
-            hosts: (0..options.fronts).map(host).collect(),
+            last_sequence: 0,
+            fronts: (0..options.fronts).map(front_state).collect(),
             nodes: (0..options.nodes).map(node).collect(),
-            cut: BTreeSet::new(),
-            one_way: BTreeSet::new(),
-            cut_all: false,
+            partition: BTreeSet::new(),
+            cut_one_way: BTreeSet::new(),
+            isolate_all: false,
             rng: StdRng::seed_from_u64(options.seed),
             probes: Vec::new(),
-            lives: Vec::new(),
+            ready_intervals: Vec::new(),
             ages_ms: Vec::new(),
             own_ages_ms: Vec::new(),
-            own_at: BTreeMap::new(),
+            own_read_ms: BTreeMap::new(),
             notes: Vec::new(),
             tap: None,
-            most_at_once: 0,
-            at_node: BTreeMap::new(),
+            max_concurrent: 0,
+            running_at: BTreeMap::new(),
             options,
         };
-        for i in 0..net.options.fronts {
-            let at = net.rng.random_range(0..1_000);
-            net.at(at, Act::Start(i));
+        for i in 0..simulation.options.fronts {
+            let at = simulation.rng.random_range(0..1_000);
+            simulation.at(at, Action::Start(i));
         }
-        net
+        simulation
     }
 
     fn push(&mut self, at_ms: u64, event: Event) {
-        self.number += 1;
-        self.queue.push(Reverse(Due(at_ms, self.number, event)));
+        self.last_sequence += 1;
+        self.queue.push(Reverse(QueuedEvent(at_ms, self.last_sequence, event)));
     }
 
-    /// Does something at a time, milliseconds from the beginning.
-    pub fn at(&mut self, at_ms: u64, act: Act) {
-        self.push(at_ms, Event::Act(act));
+    /// Schedules an action, milliseconds from the start.
+    pub fn at(&mut self, at_ms: u64, action: Action) {
+        self.push(at_ms, Event::Action(action));
     }
 
-    /// Runs to a time.
+    /// Runs until a time, milliseconds from the start.
     pub fn run(&mut self, until_ms: u64) {
         let mut sample_ms = self.now_ms.next_multiple_of(1_000);
         while self.queue.peek().is_some_and(|Reverse(due)| due.0 <= until_ms) {
-            let Some(Reverse(Due(at, _, event))) = self.queue.pop() else { break };
+            let Some(Reverse(QueuedEvent(at, _, event))) = self.queue.pop() else { break };
             while sample_ms <= at {
                 self.now_ms = sample_ms;
                 self.sample();
                 sample_ms += 1_000;
             }
             self.now_ms = at;
-            self.happen(event);
+            self.process(event);
         }
         self.now_ms = until_ms;
     }
 
     fn clock(&self, i: usize) -> u64 {
-        (BEGIN_MS + self.now_ms).saturating_add_signed(self.hosts[i].clock_ms)
+        (BEGIN_MS + self.now_ms).saturating_add_signed(self.fronts[i].clock_ms)
     }
 
     fn sample(&mut self) {
-        for i in 0..self.hosts.len() {
+        for i in 0..self.fronts.len() {
             let clock = self.clock(i);
-            let Some(fleet) = &self.hosts[i].fleet else { continue };
+            let Some(fleet) = &self.fronts[i].fleet else { continue };
             for (n, _) in self.nodes.iter().enumerate().filter(|(_, n)| n.up && !n.draining) {
                 if let Some((_, age)) = fleet.latest(clock, n as u64) {
                     self.ages_ms.push(age);
                 }
-                if let Some(at) = self.own_at.get(&(i, n as u64)) {
+                if let Some(at) = self.own_read_ms.get(&(i, n as u64)) {
                     self.own_ages_ms.push(self.now_ms - at);
                 }
             }
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn process(&mut self, event: Event) {
         match event {
-            Event::Act(act) => self.act(act),
+            Event::Action(action) => self.perform(action),
             Event::Tick(i, generation) => {
-                if self.hosts[i].generation != generation || self.hosts[i].fleet.is_none() {
+                if self.fronts[i].generation != generation || self.fronts[i].fleet.is_none() {
                     return;
                 }
-                let stalled = self.hosts[i].stalled_until;
+                let stalled = self.fronts[i].stalled_until_ms;
                 if stalled > self.now_ms {
                     return self.push(stalled, Event::Tick(i, generation));
                 }
-                self.with(i, |fleet, clock, out| fleet.tick(clock, out));
+                self.call_front(i, |fleet, clock, out| fleet.tick(clock, out));
                 self.push(self.now_ms + TICK_MS, Event::Tick(i, generation));
             }
             Event::Deliver { to, from, datagram } => {
-                let stalled = self.hosts[to].stalled_until;
+                let stalled = self.fronts[to].stalled_until_ms;
                 if stalled > self.now_ms {
                     return self.push(stalled, Event::Deliver { to, from, datagram });
                 }
-                self.with(to, |fleet, clock, out| {
-                    // What is thrown away is counted by the front.
+                self.call_front(to, |fleet, clock, out| {
+                    // The front counts rejected datagrams.
                     let _ = fleet.receive(clock, from, &datagram, out);
                 });
             }
-            Event::Ends { front, generation, duty, round, done } => {
-                let stalled = self.hosts[front].stalled_until;
+            Event::RunEnds { front, generation, duty, round, done } => {
+                let stalled = self.fronts[front].stalled_until_ms;
                 if stalled > self.now_ms {
-                    return self.push(stalled, Event::Ends { front, generation, duty, round, done });
+                    return self.push(stalled, Event::RunEnds { front, generation, duty, round, done });
                 }
-                let own = self.hosts[front].generation == generation
-                    && self.hosts[front].running.remove(&(duty, round));
-                if !own {
+                let is_current = self.fronts[front].generation == generation
+                    && self.fronts[front].running.remove(&(duty, round));
+                if !is_current {
                     return;
                 }
-                self.leave_node(duty.target);
+                self.count_run_end(duty.target);
                 let node = self.nodes[duty.target as usize];
                 let done = done && node.up;
-                let reading = done.then(|| (node.life, vec![0.5, 0.5, 0.5]));
+                let reading = done.then(|| (node.incarnation, vec![0.5, 0.5, 0.5]));
                 if done {
-                    self.own_at.insert((front, duty.target), self.now_ms);
+                    self.own_read_ms.insert((front, duty.target), self.now_ms);
                 }
-                self.with(front, |fleet, clock, out| {
+                self.call_front(front, |fleet, clock, out| {
                     fleet.finished(clock, duty, round, done, reading, out);
                 });
             }
         }
     }
 
-    fn leave_node(&mut self, node: u64) {
-        if let Some(n) = self.at_node.get_mut(&node) {
+    fn count_run_end(&mut self, node: u64) {
+        if let Some(n) = self.running_at.get_mut(&node) {
             *n = n.saturating_sub(1);
         }
     }
 
-    /// Calls a front and carries out what it says.
-    fn with(&mut self, i: usize, call: impl FnOnce(&mut Fleet, u64, &mut Vec<Out>)) {
+    /// Calls a front and executes its output.
+    fn call_front(&mut self, i: usize, call: impl FnOnce(&mut Fleet, u64, &mut Vec<Out>)) {
         let (clock, mut out) = (self.clock(i), Vec::new());
-        let Some(fleet) = &mut self.hosts[i].fleet else { return };
+        let Some(fleet) = &mut self.fronts[i].fleet else { return };
         call(fleet, clock, &mut out);
         for o in out {
             match o {
                 Out::Send(to, datagram) => self.send(i, to, datagram),
-                Out::Run(duty, round, _) => self.begin(i, duty, round),
+                Out::Run(duty, round, _) => self.start_run(i, duty, round),
                 Out::Cancel(duty, round) => {
-                    if self.hosts[i].running.remove(&(duty, round)) {
-                        self.leave_node(duty.target);
+                    if self.fronts[i].running.remove(&(duty, round)) {
+                        self.count_run_end(duty.target);
                     }
                 }
                 Out::Note(note) => self.notes.push((self.now_ms, i, note)),
-                // These fronts have no copies, and agree on nothing.
+                // These fronts have neither replicas nor an agreement.
                 Out::Adopted(_) | Out::Lost(_) | Out::Ended(_) => {}
                 Out::Write(..) | Out::Remake | Out::InForce(_) | Out::Told(..) => {}
                 Out::Changed(_) | Out::Seen(..) => {}
@@ -353,7 +358,7 @@
         }
     }
 
-    /// Sends any datagram from an address, as an attacker might.
+    /// Delivers a datagram with the source address of a front, as an attacker might.
     pub fn inject(&mut self, to: usize, from: usize, datagram: Vec<u8>) {
         self.push(self.now_ms + 1, Event::Deliver { to, from: address(from), datagram });
     }
@@ -367,12 +372,13 @@
             SocketAddr::V6(_) => return,
         };
         let to = usize::from(octets[2]) * 250 + usize::from(octets[3]).saturating_sub(1);
-        let apart = self.cut_all || self.cut.contains(&from) != self.cut.contains(&to);
-        let lost = apart || self.one_way.contains(&(from, to)) || self.rng.random_bool(self.options.loss);
-        if to >= self.hosts.len() || lost {
+        let partitioned = self.isolate_all || self.partition.contains(&from) != self.partition.contains(&to);
+        let lost =
+            partitioned || self.cut_one_way.contains(&(from, to)) || self.rng.random_bool(self.options.loss);
+        if to >= self.fronts.len() || lost {
             return;
         }
-        let times = 1 + u32::from(self.rng.random_bool(self.options.doubled));
+        let times = 1 + u32::from(self.rng.random_bool(self.options.duplicated));
         for _ in 0..times {
             let (low, high) = self.options.delay_ms;
             let at = self.now_ms + self.rng.random_range(low..=high);
@@ -380,31 +386,31 @@
         }
     }
 
-    fn begin(&mut self, front: usize, duty: Duty, round: u64) {
+    fn start_run(&mut self, front: usize, duty: Duty, round: u64) {
         let node = self.nodes[duty.target as usize];
-        let (low, high) = self.options.takes_ms;
-        let takes = self.rng.random_range(low..=high);
+        let (low, high) = self.options.duration_ms;
+        let duration = self.rng.random_range(low..=high);
         if node.up {
             let (node, front) = (format!("node-{}", duty.target), format!("front-{front}"));
             self.probes.push(Probe { t_ms: self.now_ms, node, front });
         }
-        self.hosts[front].running.insert((duty, round));
-        let at_once = self.at_node.entry(duty.target).or_default();
-        *at_once += 1;
-        self.most_at_once = self.most_at_once.max(*at_once);
-        let generation = self.hosts[front].generation;
-        self.push(self.now_ms + takes, Event::Ends { front, generation, duty, round, done: node.up });
+        self.fronts[front].running.insert((duty, round));
+        let concurrent = self.running_at.entry(duty.target).or_default();
+        *concurrent += 1;
+        self.max_concurrent = self.max_concurrent.max(*concurrent);
+        let generation = self.fronts[front].generation;
+        self.push(self.now_ms + duration, Event::RunEnds { front, generation, duty, round, done: node.up });
     }
 
     fn settings(&self, i: usize) -> Settings {
         let (o, clock) = (&self.options, self.clock(i));
         let seeds = (1..=o.seeds).map(|k| (i + k) % o.fronts).filter(|j| *j != i);
-        let seed = o.seed ^ number(i) ^ u64::from(self.hosts[i].generation);
+        let seed = o.seed ^ number(i) ^ u64::from(self.fronts[i].generation);
         Settings {
             exchange: pepperhook_exchange::Settings {
                 me: number(i),
                 run: clock,
-                keys: Keys::new(&self.hosts[i].key, None),
+                keys: Keys::new(&self.fronts[i].key, None),
                 peers: seeds.map(address).collect(),
                 period_ms: 1_000,
                 fanout: 2,
@@ -427,9 +433,9 @@
                 kinds: vec![DutyKind {
                     name: "probe".into(),
                     period_ms: o.period_ms,
-                    stagger_ms: o.step_ms,
-                    timeout_ms: o.limit_ms,
-                    max_runs_per_period: o.most,
+                    stagger_ms: o.stagger_ms,
+                    timeout_ms: o.timeout_ms,
+                    max_runs_per_period: o.max_runs_per_period,
                     include_draining: false,
                 }],
             }),
@@ -437,141 +443,146 @@
     }
 
     fn targets(&self) -> Vec<Target> {
-        let there = self.nodes.iter().enumerate().filter(|(_, n)| n.up);
+        let up = self.nodes.iter().enumerate().filter(|(_, n)| n.up);
         let target = |(i, n): (usize, &NodeState)| Target {
             id: i as u64,
             state: if n.draining { TargetState::Draining } else { TargetState::Ready },
-            incarnation: n.life,
+            incarnation: n.incarnation,
         };
-        there.map(target).collect()
+        up.map(target).collect()
     }
 
-    /// All fronts hear of the nodes as they are now.
-    fn list(&mut self) {
+    /// Sends the current list of nodes to all fronts.
+    fn publish_targets(&mut self) {
         let targets = self.targets();
-        for i in 0..self.hosts.len() {
-            self.with(i, |fleet, clock, out| fleet.set_targets(clock, 0, &targets, out));
+        for i in 0..self.fronts.len() {
+            self.call_front(i, |fleet, clock, out| fleet.set_targets(clock, 0, &targets, out));
         }
     }
 
-    fn close_life(&mut self, n: usize) {
+    fn close_interval(&mut self, n: usize) {
         let node = self.nodes[n];
         if node.up && !node.draining {
-            let life = Life { node: format!("node-{n}"), from_ms: node.since_ms, to_ms: self.now_ms };
-            self.lives.push(life);
+            let interval =
+                ReadyInterval { node: format!("node-{n}"), from_ms: node.since_ms, to_ms: self.now_ms };
+            self.ready_intervals.push(interval);
         }
     }
 
-    fn down(&mut self, i: usize) {
-        let host = &mut self.hosts[i];
-        if let Some(fleet) = host.fleet.take() {
-            host.sent.0 += fleet.counters().sent;
-            host.sent.1 += fleet.counters().sent_bytes;
+    fn stop_front(&mut self, i: usize) {
+        let front_state = &mut self.fronts[i];
+        if let Some(fleet) = front_state.fleet.take() {
+            front_state.sent.0 += fleet.counters().sent;
+            front_state.sent.1 += fleet.counters().sent_bytes;
         }
-        let running = std::mem::take(&mut host.running);
-        host.generation += 1;
-        running.iter().for_each(|(duty, _)| self.leave_node(duty.target));
-        self.own_at.retain(|(front, _), _| *front != i);
+        let running = std::mem::take(&mut front_state.running);
+        front_state.generation += 1;
+        running.iter().for_each(|(duty, _)| self.count_run_end(duty.target));
+        self.own_read_ms.retain(|(front, _), _| *front != i);
     }
 
-    fn act(&mut self, act: Act) {
-        match act {
-            Act::Kill(i) => self.down(i),
-            Act::Start(i) => {
-                self.down(i);
+    fn perform(&mut self, action: Action) {
+        match action {
+            Action::Kill(i) => self.stop_front(i),
+            Action::Start(i) => {
+                self.stop_front(i);
                 let (settings, clock) = (self.settings(i), self.clock(i));
-                self.hosts[i].fleet = Some(Fleet::new(settings, Vec::new(), clock));
-                let (targets, generation) = (self.targets(), self.hosts[i].generation);
-                self.with(i, |fleet, clock, out| fleet.set_targets(clock, 0, &targets, out));
+                self.fronts[i].fleet = Some(Fleet::new(settings, Vec::new(), clock));
+                let (targets, generation) = (self.targets(), self.fronts[i].generation);
+                self.call_front(i, |fleet, clock, out| fleet.set_targets(clock, 0, &targets, out));
                 self.push(self.now_ms, Event::Tick(i, generation));
             }
-            Act::Stall(i, ms) => self.hosts[i].stalled_until = self.now_ms + ms,
-            Act::Leave(i) => {
-                self.with(i, |fleet, clock, out| fleet.leave(clock, out));
-                self.down(i);
+            Action::Stall(i, ms) => self.fronts[i].stalled_until_ms = self.now_ms + ms,
+            Action::Leave(i) => {
+                self.call_front(i, |fleet, clock, out| fleet.leave(clock, out));
+                self.stop_front(i);
             }
-            Act::SetClock(i, ms) => self.hosts[i].clock_ms += ms,
-            Act::Cut(some) => self.cut = some,
-            Act::OneWay(from, to) => {
-                self.one_way.insert((from, to));
+            Action::ShiftClock(i, ms) => self.fronts[i].clock_ms += ms,
+            Action::Partition(some) => self.partition = some,
+            Action::CutOneWay(from, to) => {
+                self.cut_one_way.insert((from, to));
             }
-            Act::CutAll => self.cut_all = true,
-            Act::Heal => {
-                self.cut.clear();
-                self.one_way.clear();
-                self.cut_all = false;
+            Action::IsolateAll => self.isolate_all = true,
+            Action::Heal => {
+                self.partition.clear();
+                self.cut_one_way.clear();
+                self.isolate_all = false;
             }
-            Act::Loss(loss) => self.options.loss = loss,
-            Act::Key(i, key) => self.hosts[i].key = key,
-            Act::NodeDown(n) => {
-                self.close_life(n);
+            Action::SetLoss(loss) => self.options.loss = loss,
+            Action::SetKey(i, key) => self.fronts[i].key = key,
+            Action::NodeDown(n) => {
+                self.close_interval(n);
                 self.nodes[n].up = false;
-                self.list();
+                self.publish_targets();
             }
-            Act::NodeUp(n) => {
-                let life = self.nodes[n].life + 1;
-                self.nodes[n] = NodeState { up: true, draining: false, life, since_ms: self.now_ms };
-                self.list();
+            Action::NodeUp(n) => {
+                let incarnation = self.nodes[n].incarnation + 1;
+                self.nodes[n] = NodeState { up: true, draining: false, incarnation, since_ms: self.now_ms };
+                self.publish_targets();
             }
-            Act::Drain(n, draining) => {
-                self.close_life(n);
+            Action::Drain(n, draining) => {
+                self.close_interval(n);
                 (self.nodes[n].draining, self.nodes[n].since_ms) = (draining, self.now_ms);
-                self.list();
+                self.publish_targets();
             }
-            Act::Takes(low, high) => self.options.takes_ms = (low, high),
+            Action::SetDuration(low, high) => self.options.duration_ms = (low, high),
         }
     }
 
-    // ---- what is read --------------------------------------------------------------------------
+    // ---- results ---------------------------------------------------------------------------------
 
-    /// Times for which nodes are to be covered between two moments.
+    /// Intervals in which nodes were ready, between two times.
     #[must_use]
-    pub fn lives(&self, from_ms: u64, to_ms: u64) -> Vec<Life> {
+    pub fn ready_intervals(&self, from_ms: u64, to_ms: u64) -> Vec<ReadyInterval> {
         let open = self.nodes.iter().enumerate().filter(|(_, n)| n.up && !n.draining);
-        let open =
-            open.map(|(i, n)| Life { node: format!("node-{i}"), from_ms: n.since_ms, to_ms: self.now_ms });
-        let all = self.lives.iter().cloned().chain(open);
-        let within = all.map(|l| Life { from_ms: l.from_ms.max(from_ms), to_ms: l.to_ms.min(to_ms), ..l });
+        let open = open.map(|(i, n)| ReadyInterval {
+            node: format!("node-{i}"),
+            from_ms: n.since_ms,
+            to_ms: self.now_ms,
+        });
+        let all = self.ready_intervals.iter().cloned().chain(open);
+        let within =
+            all.map(|l| ReadyInterval { from_ms: l.from_ms.max(from_ms), to_ms: l.to_ms.min(to_ms), ..l });
         within.filter(|l| l.from_ms < l.to_ms).collect()
     }
 
-    /// What nodes heard between two moments.
+    /// Probes that nodes received between two times.
     #[must_use]
     pub fn probes(&self, from_ms: u64, to_ms: u64) -> Vec<Probe> {
         self.probes.iter().filter(|p| (from_ms..to_ms).contains(&p.t_ms)).cloned().collect()
     }
 
-    /// The fronts that a front believes to be there, itself among them; none while it is down.
+    /// The fronts in the view of a front, including itself; empty while it is down.
     #[must_use]
     pub fn view(&self, i: usize) -> Vec<usize> {
-        let Some(fleet) = &self.hosts[i].fleet else { return Vec::new() };
+        let Some(fleet) = &self.fronts[i].fleet else { return Vec::new() };
         let view = fleet.view();
-        (0..self.hosts.len()).filter(|j| view.contains_key(&number(*j))).collect()
+        (0..self.fronts.len()).filter(|j| view.contains_key(&number(*j))).collect()
     }
 
-    /// A front, while it runs.
+    /// A front; `None` while it is down.
     #[must_use]
     pub fn front(&self, i: usize) -> Option<&Fleet> {
-        self.hosts[i].fleet.as_ref()
+        self.fronts[i].fleet.as_ref()
     }
 
-    /// What became of duties at all fronts that run.
+    /// Counters of duties of all running fronts.
     #[must_use]
     pub fn counters(&self) -> Vec<Counters> {
-        let running = self.hosts.iter().filter_map(|h| h.fleet.as_ref());
+        let running = self.fronts.iter().filter_map(|h| h.fleet.as_ref());
         running.filter_map(|f| f.duty_counters().cloned()).collect()
     }
 
     /// Datagrams and bytes sent by all fronts so far.
     #[must_use]
     pub fn sent(&self) -> (u64, u64) {
-        self.hosts.iter().fold((0, 0), |sum, h| {
+        self.fronts.iter().fold((0, 0), |sum, h| {
             let now = h.fleet.as_ref().map_or((0, 0), |f| (f.counters().sent, f.counters().sent_bytes));
             (sum.0 + h.sent.0 + now.0, sum.1 + h.sent.1 + now.1)
         })
     }
 
-    /// Milliseconds from the beginning.
+    /// Simulated time, milliseconds from the start.
     #[must_use]
     pub fn now_ms(&self) -> u64 {
         self.now_ms
--- a/crates/rehearse/src/lib.rs
+++ b/crates/rehearse/src/lib.rs
@@ -1,15 +1,15 @@
-//! Rehearsals on loopback: scripted viewers, faults by the clock, a record of what passed on the sockets, and
-//! a checker that judges the six rules from that record alone.
+//! Rehearsals on loopback: scripted viewers and scheduled faults against real fronts, a record of the events on the
+//! sockets, and a checker of the six rules whose only input is that record.
 //!
-//! - [`day`]: a day as a file: fleet, arrivals, troubles. [`day::bad_day`] makes one from a seed.
-//! - [`wire`]: HTTP as the viewers speak it, on bare sockets, apart from the front's own library.
-//! - [`viewers`]: those who ask, play, come again and leave.
-//! - [`runner`]: starts fronts and nodes as processes and causes the troubles.
-//! - [`checker`]: the rules. It shares no code with the front; what it knows is in the record.
-//! - [`peak`]: an announced peak, with and without the announcement.
-//! - [`duties`]: shared duties, by fronts in one process or as processes.
-//! - [`agreement`]: changes of the policy that the fleet agrees on, under faults between processes.
-//! - [`report`]: figures of a run.
+//! - [`day`]: a day, the scenario of a rehearsal, as a file: fleet, arrivals, faults. [`day::bad_day`] makes one from a seed.
+//! - [`wire`]: the HTTP client of the viewers, on plain sockets, independent of the library of the front.
+//! - [`viewers`]: scripted viewers, who request sessions, play, retry and leave.
+//! - [`runner`]: starts fronts and nodes as processes and injects the faults.
+//! - [`checker`]: checks the rules. It shares no code with the front.
+//! - [`peak`]: rehearsal of an announced peak, with and without the announcement.
+//! - [`duties`]: rehearsals of shared duties, with fronts in one process or as processes.
+//! - [`agreement`]: rehearsals of changes of the agreed policy, under faults between processes.
+//! - [`report`]: statistics of a run.
 
 pub mod agreement;
 pub mod checker;
