--- a/crates/rehearse/src/agreement/checker.rs
+++ b/crates/rehearse/src/agreement/checker.rs
@@ -1,91 +1,108 @@
-//! Judges changes of the policy from what viewers were answered, nodes were sent, operators were told and consoles showed.
+//! Checks changes of the agreed policy by the answers to viewers and operators, the records of nodes and the consoles.
 //!
-//! Nothing here is shared with the fronts: a policy is read as its text, line by line. Each rule has a test that plants a
-//! violation and sees it caught.
+//! The checker shares no code with the fronts: it reads a policy as text, line by line. Each rule has a test with evidence
+//! that violates it.
 
 use pepperhook_playout::record::{Event, Line};
 use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
 
-/// The class whose aim tells policies apart.
+/// The class whose aim identifies a policy.
 pub const MARKED: &str = "replay";
-/// The class that is closed, opened and given other tops.
+/// The class that changes close, open and give another highest rung.
 pub const GUEST: &str = "guest";
 
-/// What a front's console showed of the policy that it goes by.
+/// The policy of a front, as its console showed it.
 #[derive(Clone, Debug)]
-pub struct Shown {
-    /// When it was read, Unix nanoseconds.
-    pub t: u64,
-    /// The front.
+pub struct ConsoleReading {
+    /// Unix time of the reading, nanoseconds.
+    pub unix_ns: u64,
+    /// Name of the front.
     pub front: String,
     /// Version of the policy.
     pub version: u64,
-    /// Step of its change.
+    /// Step of its change: `first`, `second`, `trial`, `stands` or `back`.
     pub step: String,
-    /// The entry that put it into force.
+    /// Number of the log entry that put it into force.
     pub entry: u64,
-    /// The policy.
+    /// Text of the policy.
     pub text: String,
 }
 
-/// What an operator was told.
-#[derive(Clone, Debug)]
-pub struct Told {
-    /// Names the call.
+/// The answer to a call of an operator.
+#[derive(Clone)]
+pub struct OperatorAnswer {
+    /// Identifies the call.
     pub key: u64,
-    /// The aim that the policy has, as text.
+    /// The unique aim of its policy, as text.
     pub marker: String,
-    /// When it was asked for, Unix nanoseconds.
+    /// Unix time of the call, nanoseconds.
     pub asked: u64,
-    /// When it was told.
+    /// Unix time of the answer, nanoseconds.
     pub answered: u64,
-    /// `stands`, `undone`, `conflict`, ...; empty where the connection broke or nothing came.
+    /// `stands`, `undone`, `conflict`, ...; empty if the connection failed or no answer came.
     pub answer: String,
-    /// The version that the answer names first.
+    /// The first version that the answer names.
     pub version: Option<u64>,
 }
 
-/// All that is judged.
+// The file `told.txt` contains this text.
+impl fmt::Debug for OperatorAnswer {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let Self { key, marker, asked, answered, answer, version } = self;
+        f.debug_struct("Told")
+            .field("key", key)
+            .field("marker", marker)
+            .field("asked", asked)
+            .field("answered", answered)
+            .field("answer", answer)
+            .field("version", version)
+            .finish()
+    }
+}
+
+/// The input of the checks.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    /// Viewers' and nodes' lines.
+    /// The record of viewers and nodes.
     pub lines: Vec<Line>,
-    /// What consoles showed, each time that it was something else than before.
-    pub shown: Vec<Shown>,
-    /// What operators were told.
-    pub told: Vec<Told>,
-    /// At the end: each running front's last entry, and whether it holds and its policy stands.
+    /// The readings of consoles, one for each new entry at a front.
+    pub shown: Vec<ConsoleReading>,
+    /// The answers to operators.
+    pub told: Vec<OperatorAnswer>,
+    /// At the end, for each running front: its name, its last entry, and whether it is not fenced and its policy stands.
     pub ends: Vec<(String, u64, bool)>,
-    /// All went by the same this long after the last fault, milliseconds; `None` where they never did in time.
+    /// Time from the last fault until all fronts used the same policy, milliseconds; `None` if they did not in time.
     pub settled_ms: Option<u64>,
-    /// What consoles showed then instead.
+    /// What consoles showed instead in that case.
     pub why: Option<String>,
-    /// The calls that were made after all faults were over.
+    /// Keys of the calls made after the last fault.
     pub last: Vec<u64>,
 }
 
-/// An entry of the log as consoles showed it, and its place among the policies that followed one another.
+/// A log entry as consoles showed it, and its position in the sequence of policies.
 #[derive(Clone, Debug)]
 struct Entry {
     version: u64,
     step: String,
     text: String,
-    first: u64,
-    place: u64,
+    /// Unix time at which it was first shown, nanoseconds.
+    first_shown_ns: u64,
+    position: u64,
 }
 
-/// The policies in force, one after the other.
-struct Chain(BTreeMap<u64, Entry>);
+/// The policies in force in sequence, by log entry.
+struct PolicyHistory(BTreeMap<u64, Entry>);
 
-/// The value of a class's line in a policy.
+/// The value of a field of a class in a policy.
 #[must_use]
 pub fn value<'a>(policy: &'a str, class: &str, field: &str) -> Option<&'a str> {
-    let mut here = false;
+    let mut in_class = false;
     for line in policy.lines() {
         let mut words = line.split_whitespace();
         match words.next() {
-            Some("section") => here = words.next() == Some("class") && words.next() == Some(class),
-            Some(word) if here && word == field => return words.next(),
+            Some("section") => in_class = words.next() == Some("class") && words.next() == Some(class),
+            Some(word) if in_class && word == field => return words.next(),
             _ => {}
         }
     }
@@ -96,18 +113,18 @@
     value(policy, class, "closed") == Some("yes")
 }
 
-impl Chain {
-    /// Entries that follow one another with the same text are one place. Where the first step of a change was never shown, a
-    /// place is left free: what came before it and what came after are no neighbours.
-    fn new(shown: &[Shown], out: &mut Vec<String>) -> Self {
+impl PolicyHistory {
+    /// Consecutive entries with the same text have one position. If the first step of a change was never shown, its position is
+    /// skipped, so that the policies before and after it are not neighbours.
+    fn new(shown: &[ConsoleReading], out: &mut Vec<String>) -> Self {
         let mut all: BTreeMap<u64, Entry> = BTreeMap::new();
         for s in shown.iter().filter(|s| s.entry > 0) {
             let new = || {
                 let (step, text) = (s.step.clone(), s.text.clone());
-                Entry { version: s.version, step, text, first: s.t, place: 0 }
+                Entry { version: s.version, step, text, first_shown_ns: s.unix_ns, position: 0 }
             };
             let e = all.entry(s.entry).or_insert_with(new);
-            e.first = e.first.min(s.t);
+            e.first_shown_ns = e.first_shown_ns.min(s.unix_ns);
             if (e.version, &e.text) != (s.version, &s.text) {
                 out.push(format!(
                     "entry {} is two policies: versions {} and {}",
@@ -115,48 +132,48 @@
                 ));
             }
         }
-        let (mut place, mut before): (u64, Option<(String, String, u64)>) = (0, None);
+        let (mut position, mut before): (u64, Option<(String, String, u64)>) = (0, None);
         for e in all.values_mut() {
             if let Some((text, step, version)) = &before {
                 let unseen = e.version > *version && e.step != "first";
                 let other = *text != e.text;
-                // A first step that says what stood before is a place of its own as well: one may vouch for it or not.
-                place += u64::from(other) + u64::from(other && unseen);
+                // The skipped position belongs to the first step that no console showed.
+                position += u64::from(other) + u64::from(other && unseen);
                 if step == "first" && e.step == "first" {
                     out.push(format!("version {} began while another was in its first step", e.version));
                 }
             }
-            e.place = place;
+            e.position = position;
             before = Some((e.text.clone(), e.step.clone(), e.version));
         }
         Self(all)
     }
 
-    /// Whether policies may be in force at one moment: the same, neighbours, or the same before and after a step that was
-    /// undone.
-    fn beside(&self, a: &Entry, b: &Entry) -> bool {
-        match a.place.abs_diff(b.place) {
+    /// Whether two policies may be in force at the same time: the same one, neighbours, or the same text before and after an
+    /// undone step.
+    fn compatible(&self, a: &Entry, b: &Entry) -> bool {
+        match a.position.abs_diff(b.position) {
             0 | 1 => true,
             2 => a.text == b.text,
             _ => false,
         }
     }
 
-    /// The first entry by which a version is in force as a whole.
-    fn whole(&self, version: u64) -> Option<(u64, &Entry)> {
+    /// The first entry by which a version is completely in force.
+    fn first_in_force(&self, version: u64) -> Option<(u64, &Entry)> {
         let is = |e: &Entry| e.version == version && ["second", "trial", "stands"].contains(&e.step.as_str());
         self.0.iter().find(|(_, e)| is(e)).map(|(n, e)| (*n, e))
     }
 
-    /// The version that has a marker and was in force as a whole.
-    fn marked(&self, marker: &str) -> Option<u64> {
+    /// The version that has a marker and was completely in force.
+    fn version_with_marker(&self, marker: &str) -> Option<u64> {
         let has = |e: &&Entry| value(&e.text, MARKED, "aim") == Some(marker);
         let is = |e: &&Entry| ["second", "trial", "stands"].contains(&e.step.as_str());
         self.0.values().filter(has).find(is).map(|e| e.version)
     }
 }
 
-/// An answer to a viewer that names an entry.
+/// An answer to a viewer that names a log entry.
 struct Answer {
     request: u64,
     asked: u64,
@@ -174,7 +191,7 @@
     for line in lines {
         match &line.event {
             Event::RequestSent { request, origin, title, .. } => {
-                // Every other title is of the class that is closed at times.
+                // Titles with odd numbers are of the class that changes close.
                 let odd =
                     title.rsplit('-').next().and_then(|n| n.parse::<u32>().ok()).is_some_and(|n| n % 2 == 1);
                 asked.insert(*request, (line.unix_ns, origin.clone(), if odd { GUEST } else { MARKED }));
@@ -208,24 +225,25 @@
     out
 }
 
-/// What was broken.
+/// Checks all rules; returns the violations.
 #[must_use]
 pub fn check(e: &Evidence) -> Vec<String> {
     let mut out = Vec::new();
-    let chain = Chain::new(&e.shown, &mut out);
+    let history = PolicyHistory::new(&e.shown, &mut out);
     let answers = answers(&e.lines);
-    neighbours(&chain, &answers, &mut out);
-    content(&chain, &answers, &e.lines, &mut out);
-    truth(&chain, e, &mut out);
-    everywhere(&chain, e, &mut out);
+    check_sequence(&history, &answers, &mut out);
+    check_answers(&history, &answers, &e.lines, &mut out);
+    check_operator_answers(&history, e, &mut out);
+    check_final_state(&history, e, &mut out);
     out
 }
 
-/// No two answers of one moment under policies that are not neighbours; none under one that nobody decided.
-fn neighbours(chain: &Chain, answers: &[Answer], out: &mut Vec<String>) {
+/// No answer uses a policy that precedes, and is not a neighbour of, one used by an answer given before its request. No answer
+/// uses an entry that no front showed.
+fn check_sequence(history: &PolicyHistory, answers: &[Answer], out: &mut Vec<String>) {
     let mut known: Vec<(&Answer, &Entry)> = Vec::new();
     for a in answers {
-        match chain.0.get(&a.entry) {
+        match history.0.get(&a.entry) {
             Some(entry) => known.push((a, entry)),
             None => out.push(format!(
                 "request {} was answered by entry {}, which no front showed",
@@ -236,19 +254,19 @@
     let mut by_answer = known.clone();
     by_answer.sort_by_key(|(a, _)| a.answered);
     known.sort_by_key(|(a, _)| a.asked);
-    // Of all that was answered before one asked, the furthest on is enough; one that is the same text two places on is no
-    // breach by itself, so the last but one counts too.
-    let (mut next, mut furthest): (usize, Vec<(&Answer, &Entry)>) = (0, Vec::new());
+    // Of all answers given before a request, the one with the highest position suffices; as the same text two positions later is
+    // allowed, the second highest is compared too.
+    let (mut next, mut latest): (usize, Vec<(&Answer, &Entry)>) = (0, Vec::new());
     for (a, entry) in known {
         while let Some(before) = by_answer.get(next).filter(|(b, _)| b.answered < a.asked) {
             next += 1;
-            if furthest.iter().all(|(_, f)| f.place != before.1.place) {
-                furthest.push(*before);
-                furthest.sort_by_key(|(_, f)| std::cmp::Reverse(f.place));
-                furthest.truncate(2);
+            if latest.iter().all(|(_, f)| f.position != before.1.position) {
+                latest.push(*before);
+                latest.sort_by_key(|(_, f)| std::cmp::Reverse(f.position));
+                latest.truncate(2);
             }
         }
-        let bad = furthest.iter().find(|(_, f)| f.place > entry.place && !chain.beside(f, entry));
+        let bad = latest.iter().find(|(_, f)| f.position > entry.position && !history.compatible(f, entry));
         if let Some((b, f)) = bad {
             out.push(format!(
                 "request {} was answered by version {} ({}) after request {} was by version {} ({})",
@@ -258,16 +276,16 @@
     }
 }
 
-/// What an answer does is what its policy says.
-fn content(chain: &Chain, answers: &[Answer], lines: &[Line], out: &mut Vec<String>) {
+/// Each answer follows its policy.
+fn check_answers(history: &PolicyHistory, answers: &[Answer], lines: &[Line], out: &mut Vec<String>) {
     let mut set_up: BTreeMap<&str, (u64, &str)> = BTreeMap::new();
     for a in answers {
-        let Some(entry) = chain.0.get(&a.entry) else { continue };
-        let shut = closed(&entry.text, &a.class);
-        if a.status == 201 && shut {
+        let Some(entry) = history.0.get(&a.entry) else { continue };
+        let is_closed = closed(&entry.text, &a.class);
+        if a.status == 201 && is_closed {
             out.push(format!("request {} plays, and entry {} has its class closed", a.request, a.entry));
         }
-        if a.kind == "class-closed" && !shut {
+        if a.kind == "class-closed" && !is_closed {
             out.push(format!(
                 "request {} was refused as closed, and entry {} has its class open",
                 a.request, a.entry
@@ -280,8 +298,8 @@
     for line in lines {
         let Event::RungSelected { origin, rung } = &line.event else { continue };
         let Some((by, class)) = set_up.get(origin.as_str()) else { continue };
-        // What plays on may follow a later policy that lets it higher.
-        let since = chain.0.range(by..).filter(|(n, e)| *n == by || e.first <= line.unix_ns);
+        // A session may follow a later policy that allows a higher rung.
+        let since = history.0.range(by..).filter(|(n, e)| *n == by || e.first_shown_ns <= line.unix_ns);
         let tops: Option<Vec<u8>> = since
             .map(|(_, e)| value(&e.text, class, "top").map_or(Some(u8::MAX), |v| v.parse().ok()))
             .collect();
@@ -298,9 +316,9 @@
     }
 }
 
-/// What operators were told is true, and one call has one answer.
-fn truth(chain: &Chain, e: &Evidence, out: &mut Vec<String>) {
-    let mut by_key: BTreeMap<u64, Vec<&Told>> = BTreeMap::new();
+/// Answers to operators are true, and each call has one final answer.
+fn check_operator_answers(history: &PolicyHistory, e: &Evidence, out: &mut Vec<String>) {
+    let mut by_key: BTreeMap<u64, Vec<&OperatorAnswer>> = BTreeMap::new();
     e.told.iter().for_each(|t| by_key.entry(t.key).or_default().push(t));
     for (key, told) in &by_key {
         let final_: BTreeSet<(&str, Option<u64>)> = told
@@ -312,34 +330,36 @@
             out.push(format!("call {key:x} has two answers: {final_:?}"));
         }
         for t in told {
-            let marked = chain.marked(&t.marker);
+            let version_in_force = history.version_with_marker(&t.marker);
             match (t.answer.as_str(), t.version) {
                 ("stands", Some(version)) => {
-                    let whole = chain.whole(version);
-                    let same = whole.is_some_and(|(_, w)| value(&w.text, MARKED, "aim") == Some(&t.marker));
+                    let in_force = history.first_in_force(version);
+                    let same =
+                        in_force.is_some_and(|(_, w)| value(&w.text, MARKED, "aim") == Some(&t.marker));
                     if !same {
                         out.push(format!(
                             "call {key:x} was told that version {version} stands, and it does not"
                         ));
                         continue;
                     }
-                    let entry = whole.map_or(0, |w| w.0);
+                    let entry = in_force.map_or(0, |w| w.0);
                     for (front, at, _) in e.ends.iter().filter(|(_, at, _)| *at < entry) {
                         out.push(format!(
                             "call {key:x}: version {version} stands, and {front} is at entry {at}"
                         ));
                     }
                 }
-                ("undone", Some(version)) if chain.whole(version).is_some() => {
+                ("undone", Some(version)) if history.first_in_force(version).is_some() => {
                     out.push(format!(
                         "call {key:x} was told that version {version} is undone, and it was in force"
                     ));
                 }
                 ("stands" | "undone", None) => out.push(format!("call {key:x}: {} of no version", t.answer)),
                 ("conflict" | "refused" | "policy" | "unfit" | "undone", _) => {
-                    // Who asks again after others changed more is told what stands now.
-                    let later = |v: u64| chain.0.values().any(|e| e.version > v && e.first < t.answered);
-                    if let Some(v) = marked.filter(|v| t.answer != "conflict" || !later(*v)) {
+                    // A repeated call gets a conflict if later changes followed.
+                    let later =
+                        |v: u64| history.0.values().any(|e| e.version > v && e.first_shown_ns < t.answered);
+                    if let Some(v) = version_in_force.filter(|v| t.answer != "conflict" || !later(*v)) {
                         out.push(format!(
                             "call {key:x} was told {}, and version {v} is its policy",
                             t.answer
@@ -359,8 +379,8 @@
     }
 }
 
-/// A change is on all or on none in its time after the last fault.
-fn everywhere(chain: &Chain, e: &Evidence, out: &mut Vec<String>) {
+/// Within the time after the last fault, all fronts use the same policy, which stands.
+fn check_final_state(history: &PolicyHistory, e: &Evidence, out: &mut Vec<String>) {
     if e.settled_ms.is_none() {
         out.push(format!(
             "after the last fault the fronts did not come to one policy in time: {}",
@@ -372,25 +392,31 @@
         out.push(format!("at the end the fronts go by different entries: {:?}", e.ends));
     }
     for (front, entry, stands) in &e.ends {
-        if !stands || !chain.0.contains_key(entry) {
+        if !stands || !history.0.contains_key(entry) {
             out.push(format!("at the end {front} is at entry {entry}, fenced or within a change"));
         }
     }
 }
 
-/// Calls that were told a conflict though their change had stood: others had changed more by then.
+/// Number of answers `conflict` to calls whose change had taken effect: later changes had followed.
 #[must_use]
 pub fn late_conflicts(e: &Evidence) -> usize {
-    let chain = Chain::new(&e.shown, &mut Vec::new());
-    e.told.iter().filter(|t| t.answer == "conflict" && chain.marked(&t.marker).is_some()).count()
+    let history = PolicyHistory::new(&e.shown, &mut Vec::new());
+    e.told
+        .iter()
+        .filter(|t| t.answer == "conflict" && history.version_with_marker(&t.marker).is_some())
+        .count()
 }
 
-/// When each version was first shown as a whole: entry and time.
+/// For each version the first entry by which it is completely in force, and the Unix time at which it was first shown.
 #[must_use]
-pub fn whole(shown: &[Shown]) -> BTreeMap<u64, (u64, u64)> {
-    let chain = Chain::new(shown, &mut Vec::new());
-    let versions: BTreeSet<u64> = chain.0.values().map(|e| e.version).collect();
-    versions.into_iter().filter_map(|v| chain.whole(v).map(|(n, e)| (v, (n, e.first)))).collect()
+pub fn entries_in_force(shown: &[ConsoleReading]) -> BTreeMap<u64, (u64, u64)> {
+    let history = PolicyHistory::new(shown, &mut Vec::new());
+    let versions: BTreeSet<u64> = history.0.values().map(|e| e.version).collect();
+    versions
+        .into_iter()
+        .filter_map(|v| history.first_in_force(v).map(|(n, e)| (v, (n, e.first_shown_ns))))
+        .collect()
 }
 
 #[cfg(test)]
--- a/crates/rehearse/src/agreement/checker_tests.rs
+++ b/crates/rehearse/src/agreement/checker_tests.rs
@@ -1,4 +1,4 @@
-//! Each rule: clean evidence passes, a planted violation is caught.
+//! For each rule: valid evidence passes, a violation is reported.
 
 use super::*;
 
@@ -8,8 +8,8 @@
     )
 }
 
-fn shown(t: u64, front: &str, version: u64, step: &str, entry: u64, text: String) -> Shown {
-    Shown { t, front: front.into(), version, step: step.into(), entry, text }
+fn shown(t: u64, front: &str, version: u64, step: &str, entry: u64, text: String) -> ConsoleReading {
+    ConsoleReading { unix_ns: t, front: front.into(), version, step: step.into(), entry, text }
 }
 
 fn asked(t: u64, request: u64, title: u32) -> Line {
@@ -28,12 +28,12 @@
     [line(Event::ResponseReceived { request, status, retry_after: None }), line(under)]
 }
 
-fn told(key: u64, marker: &str, answer: &str, version: u64) -> Told {
+fn told(key: u64, marker: &str, answer: &str, version: u64) -> OperatorAnswer {
     let (marker, answer) = (marker.into(), answer.into());
-    Told { key, marker, asked: 10, answered: 100, answer, version: Some(version) }
+    OperatorAnswer { key, marker, asked: 10, answered: 100, answer, version: Some(version) }
 }
 
-/// Version 1, closed for guests by version 2; version 3 is undone.
+/// Version 1; version 2, which closes the class `guest`; version 3, which is undone.
 fn clean() -> Evidence {
     let (one, both, two) = (text("800ms", "no", 4), text("700ms", "yes", 4), text("700ms", "yes", 4));
     let third = text("600ms", "yes", 2);
@@ -81,11 +81,11 @@
     let mut e = clean();
     e.lines.push(asked(52, 6, 0));
     e.lines.extend(answered(58, 6, 201, "", 5));
-    assert!(check(&e).is_empty(), "the tighter beside the new");
+    assert!(check(&e).is_empty(), "the first step and the new policy may overlap");
     e.lines.push(asked(53, 7, 0));
     e.lines.extend(answered(59, 7, 201, "", 1));
     caught(&e, "request 7 was answered by version 1");
-    // Asked before anyone was answered by the new one.
+    // The request precedes the first answer by the new policy.
     let mut e = clean();
     e.lines.push(asked(49, 8, 0));
     e.lines.extend(answered(90, 8, 201, "", 1));
--- a/crates/rehearse/src/agreement/figures.rs
+++ b/crates/rehearse/src/agreement/figures.rs
@@ -1,59 +1,60 @@
-//! Figures of a rehearsal of changes, from the same evidence as the judge's.
+//! Statistics of a rehearsal of the agreement, from the same evidence as the checks.
 
-use super::checker::{Evidence, late_conflicts, whole};
+use super::checker::{Evidence, entries_in_force, late_conflicts};
 use pepperhook_playout::record::Event;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// A front that is cut off, stopped or starting takes this long to hold again, nanoseconds: a round of grants under loss.
-const HOLDS_AGAIN: u64 = 3_000_000_000;
+/// Time that a front needs after an impairment to get a hold again, nanoseconds: a round of grants under loss.
+const RECOVERY_NS: u64 = 3_000_000_000;
 
-/// A front was not itself for a time, Unix nanoseconds.
+/// An interval in which a front was isolated, suspended or down; Unix nanoseconds.
 #[derive(Clone, Debug)]
-pub struct Impaired {
-    /// The front.
+pub struct Impairment {
+    /// Name of the front.
     pub front: String,
-    /// `cut`, `stopped` or `starting`; the last from its kill to its start.
+    /// `cut` (isolated), `stopped` (suspended) or `starting` (from its kill until it was restarted).
     pub cause: String,
-    /// From then
+    /// Start.
     pub from: u64,
-    /// to then.
+    /// End; `u64::MAX` while it lasts.
     pub to: u64,
 }
 
-/// What a run came to.
+/// Statistics of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
-    /// Calls of operators, those made again counted once.
+    /// Number of calls of operators; a repeated call counts once.
     pub calls: u64,
-    /// What they were told, by kind; each answer counts.
+    /// Number of answers to calls by kind, repeated calls included.
     pub told: BTreeMap<String, u64>,
-    /// Calls made again after others had changed more, that were told a conflict though they had stood.
+    /// Number of answers `conflict` to repeated calls whose change had taken effect: later changes had followed.
     pub late_conflicts: u64,
-    /// From a call to its policy in force as a whole at every front that was not cut off, stopped or down meanwhile: p50,
-    /// p99, most, milliseconds.
+    /// Time from a call until its policy is completely in force at every front that was not impaired meanwhile: p50, p99,
+    /// maximum, milliseconds.
     pub everywhere_ms: [u64; 3],
-    /// The same of changes while no front was cut off, stopped or down.
+    /// The same for changes during which no front was impaired.
     pub everywhere_calm_ms: [u64; 3],
-    /// The same of the other changes.
+    /// The same for the other changes.
     pub everywhere_troubled_ms: [u64; 3],
-    /// Changes that stood, without and with such faults.
+    /// Number of completed changes, without and with impaired fronts.
     pub stood: [u64; 2],
-    /// From the last fault to one policy at all fronts, milliseconds.
+    /// Time from the last fault until all fronts used the same policy, milliseconds.
     pub settled_ms: Option<u64>,
-    /// Requests of viewers.
+    /// Number of requests of viewers.
     pub requests: u64,
-    /// Of those, answered by a session.
+    /// Number of those that were answered by a session.
     pub playing: u64,
-    /// Refused by fronts that could not know what the fleet agreed, by cause.
+    /// Number of requests refused by fenced fronts, by the cause of the impairment.
     pub fenced: BTreeMap<String, u64>,
-    /// Share of requests, those to the closed class not counted, that played within the aim: without a change and faults.
+    /// Share of the requests that played within the aim, without those refused because of a closed class; in times without a
+    /// change or impairment.
     pub within_aim_still: f64,
-    /// During a change without faults.
+    /// The same during a change without impairment.
     pub within_aim_change: f64,
-    /// With faults.
+    /// The same with impaired fronts.
     pub within_aim_faults: f64,
-    /// Requests counted in the three.
+    /// Number of requests in each of these three shares.
     pub counted: [u64; 3],
 }
 
@@ -66,13 +67,14 @@
     [at(0.5), at(0.99), at(1.0)]
 }
 
-/// Sums evidence up.
+/// Computes the statistics of a run.
 #[must_use]
-pub fn figures(e: &Evidence, impaired: &[Impaired], aim_s: f64) -> Figures {
+pub fn figures(e: &Evidence, impairments: &[Impairment], aim_s: f64) -> Figures {
     let mut f =
         Figures { settled_ms: e.settled_ms, late_conflicts: late_conflicts(e) as u64, ..Figures::default() };
-    let within = |p: &Impaired, from: u64, to: u64| p.from <= to && from <= p.to.saturating_add(HOLDS_AGAIN);
-    let faulty = |from: u64, to: u64| impaired.iter().any(|p| within(p, from, to));
+    let within =
+        |p: &Impairment, from: u64, to: u64| p.from <= to && from <= p.to.saturating_add(RECOVERY_NS);
+    let faulty = |from: u64, to: u64| impairments.iter().any(|p| within(p, from, to));
 
     // Changes.
     let mut first: BTreeMap<u64, u64> = BTreeMap::new();
@@ -92,17 +94,18 @@
         }
     }
     f.calls = first.len() as u64;
-    let whole = whole(&e.shown);
+    let in_force = entries_in_force(&e.shown);
     let (mut calm, mut troubled) = (Vec::new(), Vec::new());
     for (key, (version, told)) in &stood {
-        let (Some(asked), Some((entry, _))) = (first.get(key), whole.get(version)) else { continue };
+        let (Some(asked), Some((entry, _))) = (first.get(key), in_force.get(version)) else { continue };
         let mut reached: BTreeMap<&str, u64> = BTreeMap::new();
         for s in e.shown.iter().filter(|s| s.entry >= *entry) {
-            let t = reached.entry(&s.front).or_insert(s.t);
-            *t = s.t.min(*t);
+            let t = reached.entry(&s.front).or_insert(s.unix_ns);
+            *t = s.unix_ns.min(*t);
         }
-        let itself = |front: &str| !impaired.iter().any(|p| p.front == front && within(p, *asked, *told));
-        let last = reached.iter().filter(|(front, _)| itself(front)).map(|(_, t)| *t).max();
+        let unimpaired =
+            |front: &str| !impairments.iter().any(|p| p.front == front && within(p, *asked, *told));
+        let last = reached.iter().filter(|(front, _)| unimpaired(front)).map(|(_, t)| *t).max();
         let Some(last) = last else { continue };
         let took = last.saturating_sub(*asked) / 1_000_000;
         if faulty(*asked, last) { &mut troubled } else { &mut calm }.push(took);
@@ -125,7 +128,7 @@
             Event::PolicyReported { request, problem_type, .. } => {
                 kinds.insert(*request, problem_type);
             }
-            // Who hangs up by themselves is no measure of service.
+            // A viewer who left before the answer says nothing about the service.
             Event::ViewerLeft { request } => drop(asked.remove(request)),
             _ => {}
         }
@@ -137,22 +140,22 @@
         f.playing += u64::from(reply.is_some_and(|r| r.1 == 201));
         let kind = kinds.get(request).copied().unwrap_or("");
         if kind == "fenced" {
-            // A front that is cut off goes on until its hold runs out, and is fenced then.
-            let mine = impaired.iter().rev().find(|p| p.front == *front && within(p, *t, *t));
-            *f.fenced.entry(mine.map_or("other".into(), |p| p.cause.clone())).or_default() += 1;
+            // An isolated front continues until its hold expires, and is fenced then.
+            let cause = impairments.iter().rev().find(|p| p.front == *front && within(p, *t, *t));
+            *f.fenced.entry(cause.map_or("other".into(), |p| p.cause.clone())).or_default() += 1;
         }
         if kind == "class-closed" {
             continue;
         }
         let end = reply.map_or(*t, |r| r.0);
         let played = reply.is_some_and(|r| r.1 == 201 && (r.0 - t) as f64 <= aim_s * 1e9);
-        let place = match (faulty(*t, end), spans.iter().any(|s| s.0 <= end && *t <= s.1)) {
+        let category = match (faulty(*t, end), spans.iter().any(|s| s.0 <= end && *t <= s.1)) {
             (true, _) => 2,
             (false, true) => 1,
             (false, false) => 0,
         };
-        shares[place].0 += u64::from(played);
-        shares[place].1 += 1;
+        shares[category].0 += u64::from(played);
+        shares[category].1 += 1;
     }
     let share = |(n, of): (u64, u64)| if of == 0 { 0.0 } else { (n as f64 / of as f64 * 1e4).round() / 1e4 };
     [f.within_aim_still, f.within_aim_change, f.within_aim_faults] = shares.map(share);
--- a/crates/rehearse/src/agreement/mod.rs
+++ b/crates/rehearse/src/agreement/mod.rs
@@ -1,11 +1,11 @@
-//! What the fleet agrees on, rehearsed: fronts as processes behind relays, operators who change the policy while fronts are
-//! killed, stopped and cut off, viewers all the while; judged from sockets and consoles.
+//! Rehearsals of the agreement on the policy: fronts run as processes behind relays, operators change the policy while
+//! fronts are killed, suspended and isolated, and viewers request sessions. Checked by sockets and consoles.
 //!
-//! - [`plan`]: what is asked and what goes wrong when, as a file and from a seed.
+//! - [`plan`]: the requested changes and the schedule of faults, as a file or from a seed.
 //! - [`run`]: plays a plan.
-//! - [`operators`]: those who ask for changes.
-//! - [`checker`]: the rules. It shares no code with what it judges.
-//! - [`figures`]: times, service and refusals.
+//! - [`operators`]: operators who request changes.
+//! - [`checker`]: checks the rules. It shares no code with the fronts.
+//! - [`figures`]: statistics: times, service and refusals.
 
 pub mod checker;
 pub mod figures;
--- a/crates/rehearse/src/agreement/plan.rs
+++ b/crates/rehearse/src/agreement/plan.rs
@@ -1,89 +1,92 @@
-//! What is asked and what goes wrong when, as a file and from a seed.
+//! The plan of a rehearsal: requested changes and a schedule of faults, read from a file or drawn from a seed.
 
 use pepperhook_faults::schedule::{Act, Do, Fault, Kind, Schedule, Store};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
 
-/// Fronts at most.
-pub const MOST_FRONTS: u32 = 12;
-/// Fronts that are killed, stopped or cut off at once, at most.
-const AT_ONCE: usize = 2;
-/// A run lasts so long at most, milliseconds.
-pub const MOST_MS: u64 = 300_000;
-/// Wishes of a plan at most.
-const MOST_WISHES: usize = 400;
+/// Maximum number of fronts.
+pub const MAX_FRONTS: u32 = 12;
+/// Maximum number of simultaneous faults.
+const MAX_CONCURRENT_FAULTS: usize = 2;
+/// Maximum length of a run, milliseconds.
+pub const MAX_LENGTH_MS: u64 = 300_000;
+/// Maximum number of requested changes.
+const MAX_REQUESTS: usize = 400;
 
-/// What goes wrong while policies are changed.
+/// Pattern of the faults during a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultPattern {
-    /// Nothing.
+    /// No faults.
     None,
-    /// One front is dead from the end of the calm to the quiet end.
+    /// One front is down from the end of the calm first quarter until the quiet last eighth.
     Dead,
-    /// One front stands still for 10 s, with 2 s between.
+    /// One front is suspended repeatedly for 10 s, with pauses of 2 s.
     Stopped,
-    /// A third of the fronts is cut off from the others, for 10 s, with 5 s between.
+    /// A third of the fronts is isolated from the others repeatedly for 10 s, with pauses of 5 s.
     Zone,
-    /// Kills, stops, cuts and restarts, drawn from the seed.
+    /// Kills, suspensions, partitions and restarts, drawn from the seed.
     Random,
 }
 
-/// What is varied.
+/// Parameters of a random plan.
 #[derive(Clone, Debug)]
 pub struct Variation {
     /// Seed.
     pub seed: u64,
-    /// Front processes.
+    /// Number of front processes.
     pub fronts: u32,
-    /// Part of the datagrams between fronts that is lost, all the time.
+    /// Share of the datagrams between fronts that is lost during the whole run.
     pub loss: f64,
-    /// Length, seconds.
+    /// Length of the run, seconds.
     pub seconds: f64,
-    /// Changes.
+    /// Number of requested changes.
     pub changes: u32,
-    /// A grant's time, milliseconds.
+    /// Lifetime of a grant, milliseconds.
     pub hold_ms: u64,
-    /// What goes wrong.
+    /// Pattern of the faults.
     pub fault_pattern: FaultPattern,
 }
 
-/// What an operator wants changed.
+/// The change that an operator requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Want {
-    /// The aim of a class alone.
+pub enum Change {
+    /// Only the aim of a class.
     Aim,
-    /// The highest rung of the class `guest` too.
+    /// Also the highest rung of the class `guest`.
     Top(u8),
-    /// The class `guest` takes nothing new, or does again.
+    /// Also closes the class `guest` for new sessions, or opens it again.
     Closed(bool),
-    /// Against a version before the one that stands.
-    Behind,
-    /// A class that the last front's file has in another form: it cannot go by it.
-    Unfit,
+    /// Refers to an outdated version of the policy.
+    #[serde(rename = "behind")]
+    OutdatedVersion,
+    /// Adds a class that conflicts with the settings of the last front, which cannot use that policy.
+    #[serde(rename = "unfit")]
+    Conflicting,
 }
 
-/// A wish of an operator. Each has an aim of its own, by which its policy is known.
+/// A change requested by an operator. Each sets a unique aim, which identifies its policy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Wish {
-    /// When, milliseconds; later if the operator's former wish is not through.
+pub struct ChangeRequest {
+    /// Time, milliseconds; later if the former request of the operator is not finished.
     pub at_ms: u64,
-    /// Who.
+    /// Name of the operator.
     pub by: String,
-    /// At which front.
+    /// Index of the front that gets the request.
     pub front: u32,
-    /// What.
-    pub want: Want,
-    /// So many others ask at the same moment, each for something else.
+    /// The change.
+    #[serde(rename = "want")]
+    pub change: Change,
+    /// Number of other requests sent at the same time, each for another change.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub flood: u32,
-    /// The same call is made at this front too, as soon as it has gone out.
+    /// Index of a front that gets the same call too, just after it was sent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub twice_at: Option<u32>,
-    /// Who leads the voters is killed as soon as it has gone out.
+    /// Whether the leader of the voters is killed just after the call was sent.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub kill_leader: bool,
 }
@@ -92,27 +95,28 @@
     *n == 0
 }
 
-/// A whole rehearsal.
+/// The plan of a rehearsal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Seed of viewers and of what chance does on links.
+    /// Seed of viewers and of random faults on links.
     pub seed: u64,
-    /// Front processes.
+    /// Number of front processes.
     pub fronts: u32,
-    /// The first so many vote.
+    /// Number of voters, which are the first fronts.
     pub voters: u32,
-    /// Part of the datagrams between fronts that is lost.
+    /// Share of the datagrams between fronts that is lost.
     pub loss: f64,
-    /// A grant's time, milliseconds.
+    /// Lifetime of a grant, milliseconds.
     pub hold_ms: u64,
-    /// Viewers come for so long, milliseconds.
+    /// Duration of the arrivals of viewers, milliseconds.
     pub length_ms: u64,
-    /// So many a second.
+    /// Arrival rate, viewers per second.
     pub rate: f64,
-    /// What is asked.
-    pub wishes: Vec<Wish>,
-    /// What goes wrong.
+    /// Requested changes.
+    #[serde(rename = "wishes")]
+    pub requests: Vec<ChangeRequest>,
+    /// Schedule of faults.
     pub schedule: Schedule,
 }
 
@@ -123,34 +127,34 @@
 }
 
 impl Plan {
-    /// Reads a plan.
+    /// Parses and checks a plan.
     ///
     /// # Errors
-    /// Where it is not of the form, or out of bounds.
+    /// If the text is not a plan, or a value is out of range.
     pub fn parse(text: &str) -> Result<Self, String> {
         let plan: Self = serde_json::from_str(text).map_err(|e| e.to_string())?;
-        let within = (3..=MOST_FRONTS).contains(&plan.fronts)
+        let within = (3..=MAX_FRONTS).contains(&plan.fronts)
             && [1, 3, 5, 7].contains(&plan.voters)
             && plan.voters <= plan.fronts
             && (0.0..=1.0).contains(&plan.loss)
             && (1_000..=60_000).contains(&plan.hold_ms)
-            && plan.length_ms <= MOST_MS
+            && plan.length_ms <= MAX_LENGTH_MS
             && (0.0..=100.0).contains(&plan.rate)
-            && plan.wishes.len() <= MOST_WISHES;
+            && plan.requests.len() <= MAX_REQUESTS;
         let known = |f: &u32| *f < plan.fronts;
         let fronts =
-            plan.wishes.iter().all(|w| known(&w.front) && w.twice_at.iter().all(known) && w.flood <= 16);
+            plan.requests.iter().all(|w| known(&w.front) && w.twice_at.iter().all(known) && w.flood <= 16);
         if !within || !fronts {
-            return Err("a figure is out of bounds, or a wish goes to a front that is not there".into());
+            return Err("a value is out of range, or a wish names a front that does not exist".into());
         }
         Ok(plan)
     }
 
-    /// The same as text, an entry a line.
+    /// The plan as text, with one entry per line.
     #[must_use]
     pub fn text(&self) -> String {
-        let one = |w: &Wish| serde_json::to_string(w).unwrap_or_default();
-        let wishes: Vec<String> = self.wishes.iter().map(one).collect();
+        let to_json = |w: &ChangeRequest| serde_json::to_string(w).unwrap_or_default();
+        let wishes: Vec<String> = self.requests.iter().map(to_json).collect();
         format!(
             "{{\"seed\": {}, \"fronts\": {}, \"voters\": {}, \"loss\": {}, \"hold_ms\": {}, \"length_ms\": {}, \
              \"rate\": {},\n \"wishes\": [\n  {}],\n \"schedule\": {}}}\n",
@@ -166,11 +170,11 @@
         )
     }
 
-    /// A plan from a seed; the same variation gives the same.
+    /// Draws a plan; equal parameters give equal plans.
     #[must_use]
     pub fn random(v: &Variation) -> Self {
         let mut rng = StdRng::seed_from_u64(v.seed);
-        let length_ms = ((v.seconds * 1e3) as u64).min(MOST_MS);
+        let length_ms = ((v.seconds * 1e3) as u64).min(MAX_LENGTH_MS);
         let (calm_ms, quiet_ms) = (length_ms / 4, length_ms / 8);
         let end_ms = length_ms - quiet_ms;
         let schedule = schedule(&mut rng, v, calm_ms, end_ms);
@@ -183,58 +187,59 @@
             hold_ms: v.hold_ms,
             length_ms,
             rate: 1_000.0 / 60.0,
-            wishes: wishes(&mut rng, v, length_ms),
+            requests: change_requests(&mut rng, v, length_ms),
             schedule,
         }
     }
 }
 
-/// Changes by two operators; the kinds take turns, so that a short run has each.
-fn wishes(rng: &mut StdRng, v: &Variation, length_ms: u64) -> Vec<Wish> {
+/// Draws the changes requested by two operators. The kinds alternate, so a short run contains each of them.
+fn change_requests(rng: &mut StdRng, v: &Variation, length_ms: u64) -> Vec<ChangeRequest> {
     let n = v.changes.max(2);
     let step = length_ms * 9 / 10 / u64::from(n);
     let mut closed = false;
     let random = v.fault_pattern == FaultPattern::Random;
-    let wish = |i: u32| {
+    let request = |i: u32| {
         let front = rng.random_range(0..v.fronts);
         let other = (front + rng.random_range(1..v.fronts)) % v.fronts;
-        let want = match i % 10 {
-            1 => Want::Top(rng.random_range(1..=3)),
+        let change = match i % 10 {
+            1 => Change::Top(rng.random_range(1..=3)),
             3 | 7 => {
                 closed = !closed;
-                Want::Closed(closed)
+                Change::Closed(closed)
             }
-            4 if random => Want::Behind,
-            8 if random => Want::Unfit,
-            9 => Want::Top(4),
-            _ => Want::Aim,
+            4 if random => Change::OutdatedVersion,
+            8 if random => Change::Conflicting,
+            9 => Change::Top(4),
+            _ => Change::Aim,
         };
-        Wish {
+        ChangeRequest {
             at_ms: u64::from(i) * step + rng.random_range(0..=step / 2),
             by: if i % 2 == 0 { "ana" } else { "bob" }.into(),
             front,
-            want,
+            change,
             flood: if random && i == n / 2 { 11 } else { 0 },
             twice_at: (random && i % 5 == 2).then_some(other),
             kill_leader: random && [n / 3, 2 * n / 3].contains(&i),
         }
     };
-    (0..n).map(wish).collect()
+    (0..n).map(request).collect()
 }
 
-/// Cuts fronts off from the others: each link by itself, since their nodes and viewers stay.
-fn cut(out: &mut Schedule, fronts: u32, off: &[u32], (at_ms, for_ms): (u64, u64), ways: (bool, bool)) {
-    for x in off {
-        for y in (0..fronts).filter(|y| !off.contains(y)) {
-            let mut one = |from: u32, to: u32| {
+/// Isolates fronts from the others by a fault on each link, since links to nodes and viewers are kept. `ways`: from the
+/// isolated fronts, and to them.
+fn cut(out: &mut Schedule, fronts: u32, isolated: &[u32], (at_ms, for_ms): (u64, u64), ways: (bool, bool)) {
+    for front in isolated {
+        for other in (0..fronts).filter(|other| !isolated.contains(other)) {
+            let mut add = |from: u32, to: u32| {
                 let (from, to) = (name(from), name(to));
                 out.faults.push(Fault { at_ms, for_ms, from, to, both: false, kind: Kind::Cut });
             };
             if ways.0 {
-                one(*x, y);
+                add(*front, other);
             }
             if ways.1 {
-                one(y, *x);
+                add(other, *front);
             }
         }
     }
@@ -272,19 +277,21 @@
     out
 }
 
-/// Troubles one after the other, two at once at most; the first ones are one of each kind. The last front is spared: it is the
-/// one that objects to a policy that it cannot go by, and who is away meanwhile finds the change past it.
+/// Draws faults one after the other, at most two at a time; the first ones are one of each kind. The last front gets no
+/// fault: it must be able to object to a policy that conflicts with its settings; a front that is down or isolated then
+/// finds the change completed without it.
 fn random(rng: &mut StdRng, v: &Variation, calm_ms: u64, end_ms: u64, out: &mut Schedule) {
     let act = |at_ms, who: u32, what, store| Act { at_ms, who: name(who), what, store };
     let mut taken: Vec<(u64, u64, u32)> = Vec::new();
-    // Who loses what it promised must be replaced before another does.
-    let mut lost = 0;
+    // Number of fronts restarted with an older store. A front that lost its promises must be replaced before another loses
+    // them.
+    let mut old_stores = 0;
     let (mut kind, mut at) = (0u32, calm_ms);
     while at + 2_000 <= end_ms {
         let for_ms = rng.random_range(2_000..=8_000).min(end_ms - at);
         let who = rng.random_range(0..v.fronts - 1);
-        let beside = taken.iter().filter(|t| t.1 + 1_000 > at);
-        if beside.clone().count() >= AT_ONCE || beside.clone().any(|t| t.2 == who) {
+        let concurrent = taken.iter().filter(|t| t.1 + 1_000 > at);
+        if concurrent.clone().count() >= MAX_CONCURRENT_FAULTS || concurrent.clone().any(|t| t.2 == who) {
             at += 500;
             continue;
         }
@@ -293,7 +300,7 @@
             0 => out.processes.extend([
                 act(at, who, Do::Kill, Store::Kept),
                 act(at + 1, who, Do::Save, Store::Kept),
-                act(until, who, Do::Start, if lost == 1 { Store::None } else { Store::Kept }),
+                act(until, who, Do::Start, if old_stores == 1 { Store::None } else { Store::Kept }),
             ]),
             1 => out
                 .processes
@@ -307,16 +314,16 @@
                 if rng.random_bool(0.5) { (true, false) } else { (false, true) },
             ),
             4 => {
-                // Saved, used on, and started with what it had before.
+                // The store is saved, used further, and the front then restarted with the saved one.
                 until = (at + 4_000).min(end_ms);
                 out.processes.extend([
                     act(at, who, Do::Kill, Store::Kept),
                     act(at + 1, who, Do::Save, Store::Kept),
                     act(at + 300, who, Do::Start, Store::Kept),
                     act(until.saturating_sub(500).max(at + 600), who, Do::Kill, Store::Kept),
-                    act(until, who, Do::Start, if lost == 0 { Store::Older } else { Store::Kept }),
+                    act(until, who, Do::Start, if old_stores == 0 { Store::Older } else { Store::Kept }),
                 ]);
-                lost += 1;
+                old_stores += 1;
             }
             _ => {
                 let other = (who + rng.random_range(1..v.fronts - 1)) % (v.fronts - 1);
@@ -358,16 +365,19 @@
             let names: Vec<&str> = names.iter().map(String::as_str).collect();
             plan.schedule.check(&names, &[]).expect("it fits");
             assert!(plan.schedule.length_ms() <= plan.length_ms * 7 / 8);
-            assert!(plan.wishes.iter().any(|w| w.kill_leader) && plan.wishes.iter().any(|w| w.flood > 0));
-            let whats: Vec<Do> = plan.schedule.processes.iter().map(|a| a.what).collect();
-            assert!([Do::Kill, Do::Stop, Do::Save, Do::Start].iter().all(|d| whats.contains(d)), "{whats:?}");
+            assert!(plan.requests.iter().any(|w| w.kill_leader) && plan.requests.iter().any(|w| w.flood > 0));
+            let commands: Vec<Do> = plan.schedule.processes.iter().map(|a| a.what).collect();
+            assert!(
+                [Do::Kill, Do::Stop, Do::Save, Do::Start].iter().all(|d| commands.contains(d)),
+                "{commands:?}"
+            );
         }
     }
 
     #[test]
     fn a_plan_out_of_bounds_is_refused() {
         let mut plan = Plan::random(&variation(1));
-        plan.wishes[0].front = 9;
+        plan.requests[0].front = 9;
         assert!(Plan::parse(&plan.text()).is_err());
         assert!(Plan::parse("{}").is_err());
     }
--- a/crates/rehearse/src/agreement/run.rs
+++ b/crates/rehearse/src/agreement/run.rs
@@ -1,9 +1,9 @@
-//! Plays a plan on a fleet of processes behind relays.
+//! Plays a plan with fronts as processes behind relays.
 
-use super::checker::{Evidence, GUEST, MARKED, Shown, check};
-use super::figures::{Figures, Impaired, figures};
-use super::operators::{Operators, show};
-use super::plan::{Plan, Want, Wish, name};
+use super::checker::{ConsoleReading, Evidence, GUEST, MARKED, check};
+use super::figures::{Figures, Impairment, figures};
+use super::operators::{Operators, read_policy};
+use super::plan::{Change, ChangeRequest, Plan, name};
 use crate::checker;
 use crate::day::ViewerSettings;
 use crate::viewers::{FrontEndpoint, ViewerPool};
@@ -25,56 +25,59 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 
+/// Number of nodes.
 const NODES: u32 = 12;
+/// Number of zones, and of racks.
 const ZONES: u32 = 3;
-/// Titles; every other one is of the class `guest`.
+/// Number of titles; those with odd numbers are of the class `guest`.
 const TITLES: u32 = 8;
-/// Longest patience of the classes, and the viewers' own: a process that the machine keeps from its core or its disk for some
-/// seconds is no fault of the front. That answers come within the class's patience is what other rehearsals judge.
+/// Patience of the classes, and of the viewers, seconds. That of the viewers is longer, because the machine may keep a process
+/// from CPU or disk for some seconds. Other rehearsals check that answers come within the patience of the class.
 const PATIENCE_S: (f64, f64) = (2.0, 6.0);
-/// Consoles are looked at so often.
-const LOOK: Duration = Duration::from_millis(25);
-/// After the last fault all fronts go by one policy within this time; twice that where more than a third of what they say
+/// Interval at which consoles are read.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Time after the last fault within which all fronts must use the same policy; doubled if more than a third of the datagrams
 /// is lost.
-const SETTLED: Duration = Duration::from_secs(25);
-/// A leader that was killed starts again after this time.
-const BACK: Duration = Duration::from_secs(4);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(25);
+/// Delay after which a killed leader is restarted.
+const RESTART_DELAY: Duration = Duration::from_secs(4);
 
-/// What a rehearsal came to; simulated.
+/// Results of a rehearsal; all figures are simulated.
 #[derive(Clone, Debug, Serialize)]
 pub struct AgreementReport {
     /// Seed.
     pub seed: u64,
-    /// Front processes.
+    /// Number of front processes.
     pub fronts: u32,
-    /// Those that vote.
+    /// Number of voters.
     pub voters: u32,
-    /// Loss between fronts.
+    /// Share of the datagrams between fronts that is lost.
     pub loss: f64,
-    /// A grant's time, milliseconds.
+    /// Lifetime of a grant, milliseconds.
     pub hold_ms: u64,
-    /// The last front was away while a change was made that it cannot go by; it is fenced since and not judged at the end.
+    /// Whether a change that conflicts with the settings of the last front was made while that front was unreachable. The front
+    /// is fenced from then on and excluded from the checks at the end.
     pub left_behind: bool,
-    /// This process itself stood still for so long at most, milliseconds: the machine had no core for it. Viewers' patience
-    /// is not counted meanwhile.
+    /// Longest time in which this process was not scheduled by the machine, milliseconds. The patience of viewers does not count
+    /// meanwhile.
     pub late_ms: u64,
-    /// Times, service, refusals.
+    /// Statistics: times, service, refusals.
     #[serde(flatten)]
     pub figures: Figures,
-    /// The six rules, by the checker of all rehearsals.
+    /// Violations of the six rules, by the checker of all rehearsals.
     pub rules_broken: Vec<String>,
-    /// What changes of the policy broke.
+    /// Violations of the rules of the agreement.
     pub agreement_broken: Vec<String>,
 }
 
 impl AgreementReport {
-    /// Whether all held.
+    /// Whether no rule was violated.
     #[must_use]
     pub fn passed(&self) -> bool {
         self.rules_broken.is_empty() && self.agreement_broken.is_empty()
     }
 
-    /// The last line: the verdict, with figures.
+    /// The last line of the output: the verdict with the main figures.
     #[must_use]
     pub fn summary(&self) -> String {
         let f = &self.figures;
@@ -97,7 +100,8 @@
     }
 }
 
-/// Settings with room for all: nobody is refused for want of it. The last front has the class `extra` in another form.
+/// Settings with capacity for all viewers, so that none is refused for lack of it. Those of the last front define the class
+/// `extra` differently from the conflicting change.
 fn settings(plan: &Plan, i: u32) -> String {
     let zones: Vec<String> = (0..ZONES).map(|z| format!("z{z}")).collect();
     let mut out = format!(
@@ -131,27 +135,27 @@
     list
 }
 
-/// The fleet, and what is written down of it.
-struct Stage {
+/// The running fleet and its record.
+struct RunningFleet {
     fleet: Fleet,
-    audience: Rc<ViewerPool>,
+    viewers: Rc<ViewerPool>,
     recorder: Recorder,
-    /// Running, stopped or down.
-    life: Vec<(bool, bool)>,
-    impaired: Rc<RefCell<Vec<Impaired>>>,
+    /// For each front: whether its process runs, and whether that is suspended.
+    process_states: Vec<(bool, bool)>,
+    impairments: Rc<RefCell<Vec<Impairment>>>,
 }
 
-impl Stage {
-    fn address(&self, i: usize, up: bool) {
-        self.audience.fronts.borrow_mut()[i].address = up.then(|| self.fleet.viewers(i));
+impl RunningFleet {
+    fn set_viewer_address(&self, i: usize, up: bool) {
+        self.viewers.fronts.borrow_mut()[i].address = up.then(|| self.fleet.viewers(i));
     }
 
-    /// Something begins for a front, or ends.
-    fn mark(&self, i: usize, cause: &str, begins: bool) {
+    /// Records the begin or end of an impairment of a front.
+    fn mark_impairment(&self, i: usize, cause: &str, begins: bool) {
         let front = name(i as u32);
-        let mut all = self.impaired.borrow_mut();
+        let mut all = self.impairments.borrow_mut();
         if begins {
-            all.push(Impaired { front, cause: cause.into(), from: unix_nanos(), to: u64::MAX });
+            all.push(Impairment { front, cause: cause.into(), from: unix_nanos(), to: u64::MAX });
         } else if let Some(open) =
             all.iter_mut().rev().find(|p| p.front == front && p.cause == cause && p.to == u64::MAX)
         {
@@ -159,36 +163,38 @@
         }
     }
 
-    async fn act(&mut self, act: &Act) -> Result<(), Fault> {
-        let Some(i) = (0..self.life.len()).find(|i| name(*i as u32) == act.who) else { return Ok(()) };
-        let (up, stopped) = self.life[i];
+    async fn perform(&mut self, act: &Act) -> Result<(), Fault> {
+        let Some(i) = (0..self.process_states.len()).find(|i| name(*i as u32) == act.who) else {
+            return Ok(());
+        };
+        let (up, stopped) = self.process_states[i];
         match act.what {
             Do::Kill if up => {
-                self.address(i, false);
+                self.set_viewer_address(i, false);
                 self.recorder.write(Event::FrontKilled { front: act.who.clone() });
-                self.mark(i, "starting", true);
+                self.mark_impairment(i, "starting", true);
                 self.fleet.kill(i).await?;
                 self.recorder.write(Event::FrontKilled { front: act.who.clone() });
-                self.life[i] = (false, false);
+                self.process_states[i] = (false, false);
             }
             Do::Start if !up => {
                 self.fleet.start_front(i, act.store).await?;
-                self.mark(i, "starting", false);
+                self.mark_impairment(i, "starting", false);
                 self.recorder.write(Event::FrontStart { front: act.who.clone() });
-                self.life[i] = (true, false);
-                self.address(i, true);
+                self.process_states[i] = (true, false);
+                self.set_viewer_address(i, true);
             }
             Do::Stop if up && !stopped => {
-                self.mark(i, "stopped", true);
+                self.mark_impairment(i, "stopped", true);
                 self.fleet.stop(i)?;
-                self.life[i] = (true, true);
+                self.process_states[i] = (true, true);
             }
             Do::Cont if up && stopped => {
                 self.fleet.cont(i)?;
-                self.mark(i, "stopped", false);
-                let all = self.impaired.borrow();
+                self.mark_impairment(i, "stopped", false);
+                let all = self.impairments.borrow();
                 let last = all.iter().rev().find(|p| p.front == act.who && p.cause == "stopped");
-                // Written down at its end, when its length is known; the checker reads times, not the order of lines.
+                // Recorded at its end, when its length is known; `in_time` moves it to its start.
                 if let Some(p) = last {
                     let ms = (p.to - p.from) / 1_000_000 + 1;
                     let stall = Event::FrontStall { front: act.who.clone(), ms };
@@ -199,7 +205,7 @@
                     self.recorder.write(stall);
                 }
                 drop(all);
-                self.life[i] = (true, false);
+                self.process_states[i] = (true, false);
             }
             Do::Save if !up || stopped => self.fleet.save(i)?,
             _ => {}
@@ -207,46 +213,54 @@
         Ok(())
     }
 
-    /// Kills who leads the voters, by what consoles show; returns who that was.
+    /// Kills the leader of the voters, found by the consoles; returns its name.
     async fn kill_leader(&mut self, numbers: &BTreeMap<u64, usize>) -> Result<Option<String>, Fault> {
         for i in self.fleet.running() {
-            let Some(shown) = show(self.fleet.operators(i)).await else { continue };
+            let Some(shown) = read_policy(self.fleet.operators(i)).await else { continue };
             let Some(leader) = shown["agreement"]["leader"].as_u64().and_then(|n| numbers.get(&n)) else {
                 continue;
             };
-            let down = self.life.iter().filter(|l| !l.0 || l.1).count();
-            // The last front is spared: see the plan.
-            if down >= 2 || !self.life[*leader].0 || leader + 1 == self.life.len() {
+            let down = self.process_states.iter().filter(|l| !l.0 || l.1).count();
+            // The last front is never killed; see `plan::random`.
+            if down >= 2 || !self.process_states[*leader].0 || leader + 1 == self.process_states.len() {
                 return Ok(None);
             }
-            let who = name(*leader as u32);
-            self.act(&Act { at_ms: 0, who: who.clone(), what: Do::Kill, store: Store::Kept }).await?;
-            return Ok(Some(who));
+            let leader_name = name(*leader as u32);
+            self.perform(&Act { at_ms: 0, who: leader_name.clone(), what: Do::Kill, store: Store::Kept })
+                .await?;
+            return Ok(Some(leader_name));
         }
         Ok(None)
     }
 }
 
-/// Looks at a console again and again, and keeps what it shows each time that it is something else.
-fn watch(front: String, at: SocketAddr, shown: Rc<RefCell<Vec<Shown>>>) -> JoinHandle<()> {
+/// Polls a console and keeps a reading for each new log entry.
+fn watch_console(front: String, at: SocketAddr, shown: Rc<RefCell<Vec<ConsoleReading>>>) -> JoinHandle<()> {
     spawn_local(async move {
         let mut last = 0;
         loop {
-            if let Some(s) = show(at).await {
+            if let Some(s) = read_policy(at).await {
                 let entry = s["agreement"]["entry"].as_u64().unwrap_or(0);
                 if let (true, Some(version)) = (entry != last, s["version"].as_u64()) {
                     last = entry;
                     let text = |name: &str| s[name].as_str().unwrap_or("").to_owned();
                     let (step, text, front) = (text("step"), text("text"), front.clone());
-                    shown.borrow_mut().push(Shown { t: unix_nanos(), front, version, step, entry, text });
+                    shown.borrow_mut().push(ConsoleReading {
+                        unix_ns: unix_nanos(),
+                        front,
+                        version,
+                        step,
+                        entry,
+                        text,
+                    });
                 }
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     })
 }
 
-async fn arrive(plan: Rc<Plan>, audience: Rc<ViewerPool>, begin: Instant) {
+async fn arrive(plan: Rc<Plan>, viewers: Rc<ViewerPool>, begin: Instant) {
     let mut rng = StdRng::seed_from_u64(plan.seed);
     let Ok(gap) = Exp::new(plan.rate.max(0.001)) else { return };
     let (mut at, mut n) = (0.0, 0);
@@ -258,17 +272,17 @@
         n += 1;
         let title = rng.random_range(0..TITLES);
         sleep_until(begin + Duration::from_secs_f64(at)).await;
-        spawn_local(audience.clone().run_viewer(n, plan.seed, title, None));
+        spawn_local(viewers.clone().run_viewer(n, plan.seed, title, None));
     }
 }
 
-/// A change that the last front cannot go by went on without it: it could not object while its own hold had run out. It is
-/// fenced from then on, which is what is promised of it.
-fn left_behind(shown: &[Shown]) -> bool {
+/// Whether a change that conflicts with the settings of the last front completed: the front cannot object while its own hold
+/// has expired. It must be fenced from then on.
+fn left_behind(shown: &[ConsoleReading]) -> bool {
     shown.iter().any(|s| s.step == "stands" && s.text.contains("section class extra"))
 }
 
-fn all_stand(states: &[serde_json::Value], fronts: usize) -> bool {
+fn all_agree(states: &[serde_json::Value], fronts: usize) -> bool {
     let one = |s: &serde_json::Value| (s["agreement"]["version"].as_u64(), s["agreement"]["entry"].as_u64());
     let stands =
         |s: &serde_json::Value| s["agreement"]["step"] == "stands" && s["agreement"]["fenced"] == false;
@@ -276,29 +290,31 @@
         && states.iter().all(|s| stands(s) && one(s) == one(&states[0]) && one(s).0 >= Some(1))
 }
 
-/// Fronts that schedules cut off from more than half of the others; who is cut off from few is itself.
-fn cut_off(plan: &Plan, began: u64) -> Vec<Impaired> {
+/// Impairments of fronts that the schedule isolates from more than half of the others. A front isolated from fewer is not
+/// impaired.
+fn isolations(plan: &Plan, began: u64) -> Vec<Impairment> {
     let mut peers: BTreeMap<(u64, u64, &str), BTreeSet<&str>> = BTreeMap::new();
     for f in plan.schedule.faults.iter().filter(|f| f.kind == Kind::Cut) {
         for (one, other) in [(&f.from, &f.to), (&f.to, &f.from)] {
             peers.entry((f.at_ms, f.for_ms, one)).or_default().insert(other);
         }
     }
-    let most = (plan.fronts as usize - 1) / 2;
+    let half = (plan.fronts as usize - 1) / 2;
     let impaired = |((at_ms, for_ms, front), _): ((u64, u64, &str), _)| {
         let from = began + at_ms * 1_000_000;
-        Impaired { front: front.into(), cause: "cut".into(), from, to: from + for_ms * 1_000_000 }
+        Impairment { front: front.into(), cause: "cut".into(), from, to: from + for_ms * 1_000_000 }
     };
-    peers.into_iter().filter(|(_, p)| p.len() > most).map(impaired).collect()
+    peers.into_iter().filter(|(_, p)| p.len() > half).map(impaired).collect()
 }
 
-/// Writes it down when this process, and so the machine, stood still: no front is judged by that time.
-async fn lateness(most: Rc<Cell<u64>>, recorder: Recorder, fronts: usize) {
+/// Records a suspension of all fronts whenever this process, and so the machine, was not scheduled for more than 300 ms: such
+/// times do not count against a front.
+async fn watch_scheduling(longest_ms: Rc<Cell<u64>>, recorder: Recorder, fronts: usize) {
     loop {
         let (began, t) = (Instant::now(), unix_nanos());
         sleep(Duration::from_millis(50)).await;
         let late = began.elapsed().as_millis() as u64 - 50;
-        most.set(most.get().max(late));
+        longest_ms.set(longest_ms.get().max(late));
         if late > 300 {
             for i in 0..fronts {
                 recorder.write(Event::FaultInjected { kind: "stall-from".into(), detail: t.to_string() });
@@ -308,45 +324,45 @@
     }
 }
 
-/// Waits until all fronts go by one policy that stands, and take set-ups; else tells what they showed last. A console that is
-/// late on a busy machine is asked again.
-async fn one_policy(
+/// Waits until all fronts use the same policy, which stands, and accept set-ups. Returns their states, or else what the consoles
+/// showed last. A console that does not answer in time, as on a busy machine, is read again.
+async fn wait_for_agreement(
     fleet: &Fleet,
     fronts: usize,
     limit: Duration,
-    shown: &RefCell<Vec<Shown>>,
+    shown: &RefCell<Vec<ConsoleReading>>,
 ) -> Result<Vec<serde_json::Value>, String> {
     let end = Instant::now() + limit;
     loop {
-        let left = left_behind(&shown.borrow());
-        let judged = fronts - usize::from(left);
+        let excluded = left_behind(&shown.borrow());
+        let checked = fronts - usize::from(excluded);
         let shown = match fleet.states().await {
-            Ok(states) if all_stand(states.get(..judged).unwrap_or_default(), judged) => return Ok(states),
+            Ok(states) if all_agree(states.get(..checked).unwrap_or_default(), checked) => return Ok(states),
             Ok(states) => states.iter().map(|s| format!("{} {}; ", s["front"], s["agreement"])).collect(),
             Err(e) => e.to_string(),
         };
         if Instant::now() > end {
             return Err(shown);
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Plays a plan with `program` as front, leaving its files in `dir`; `tell` gets a line now and then.
+/// Plays a plan with `program` as front, with all files in `dir`; `progress` gets a line every 5 s.
 ///
 /// # Errors
-/// When a process or a socket does not come up. What is broken is no error: it is in the report.
+/// If a process or socket cannot be started. Violations of rules are in the report.
 pub async fn run_plan(
     plan: Plan,
     program: &Path,
     dir: &Path,
-    tell: impl Fn(String) + 'static,
+    progress: impl Fn(String) + 'static,
 ) -> Result<AgreementReport, Fault> {
     let io = |what: &str| {
         let what = what.to_owned();
         move |e| Fault::Io(what, e)
     };
-    // Fronts run in this folder themselves.
+    // Fronts run with this folder as working directory, so its path must be absolute.
     let dir = &dir.canonicalize().map_err(io("the folder"))?;
     std::fs::write(dir.join("plan.json"), plan.text()).map_err(io("plan.json"))?;
     let plan = Rc::new(plan);
@@ -359,7 +375,7 @@
         seed: u64::from(i),
         ..NodeOptions::default()
     };
-    let stands: Vec<NodeHandle> =
+    let nodes: Vec<NodeHandle> =
         start((0..NODES).map(options).collect(), &recorder).await.map_err(io("nodes"))?;
     let fleet = Fleet::start(Options {
         program: program.to_owned(),
@@ -367,7 +383,7 @@
         seed: plan.seed,
         fronts: (0..plan.fronts).map(|i| Front { name: name(i), text: settings(&plan, i) }).collect(),
         exchange: "look 200ms\nsuspicion 1500ms\n".into(),
-        nodes: stands.iter().map(|s| (s.name.clone(), s.address)).collect(),
+        nodes: nodes.iter().map(|s| (s.name.clone(), s.address)).collect(),
         list,
         stores: true,
     })
@@ -376,9 +392,9 @@
     if plan.loss > 0.0 {
         fleet.net().break_now("*", "*", false, Kind::Lose { p: plan.loss })?;
     }
-    let settled = if plan.loss > 0.34 { SETTLED * 2 } else { SETTLED };
+    let settle_timeout = if plan.loss > 0.34 { SETTLE_TIMEOUT * 2 } else { SETTLE_TIMEOUT };
     let shown_of = |s: &serde_json::Value| format!("\n{} {}", s["front"], s["agreement"]);
-    fleet.until("all go by version 1", settled, shown_of, |s| all_stand(s, fronts)).await?;
+    fleet.until("all go by version 1", settle_timeout, shown_of, |s| all_agree(s, fronts)).await?;
     let mut numbers = BTreeMap::new();
     for i in 0..fronts {
         let state = fleet.state(i).await?;
@@ -387,7 +403,7 @@
         own.and_then(|n| numbers.insert(n, i));
     }
 
-    let crowd = ViewerSettings {
+    let viewer_settings = ViewerSettings {
         rate: plan.rate,
         plays_s: (1.0, 4.0),
         patience_s: PATIENCE_S.1,
@@ -396,52 +412,57 @@
         ..ViewerSettings::default()
     };
     let at = |i: usize| FrontEndpoint { name: name(i as u32), address: Some(fleet.viewers(i)) };
-    let audience = ViewerPool::new(crowd.clone(), MARKED, (0..fronts).map(at).collect(), recorder.clone());
-    let shown: Rc<RefCell<Vec<Shown>>> = Rc::default();
+    let viewers =
+        ViewerPool::new(viewer_settings.clone(), MARKED, (0..fronts).map(at).collect(), recorder.clone());
+    let shown: Rc<RefCell<Vec<ConsoleReading>>> = Rc::default();
     let consoles: Vec<SocketAddr> = (0..fronts).map(|i| fleet.operators(i)).collect();
     let mut watches: Vec<JoinHandle<()>> =
-        (0..fronts).map(|i| watch(name(i as u32), consoles[i], shown.clone())).collect();
+        (0..fronts).map(|i| watch_console(name(i as u32), consoles[i], shown.clone())).collect();
     let (kill, mut killed) = mpsc::unbounded_channel();
-    let operators =
-        Rc::new(Operators { at: consoles, told: RefCell::default(), calls: Default::default(), kill });
+    let operators = Rc::new(Operators {
+        consoles,
+        told: RefCell::default(),
+        calls: Default::default(),
+        kill_leader: kill,
+    });
 
     let (begin, began) = (Instant::now(), unix_nanos());
-    let mut stage = Stage {
+    let mut running = RunningFleet {
         fleet,
-        audience: audience.clone(),
+        viewers: viewers.clone(),
         recorder: recorder.with_source("conductor"),
-        life: vec![(true, false); fronts],
-        impaired: Rc::default(),
+        process_states: vec![(true, false); fronts],
+        impairments: Rc::default(),
     };
-    let base_us = stage.fleet.net().now_us();
+    let base_us = running.fleet.net().now_us();
     for fault in &plan.schedule.faults {
-        stage.fleet.net().fault(fault, base_us)?;
+        running.fleet.net().fault(fault, base_us)?;
     }
-    stage.impaired.borrow_mut().extend(cut_off(&plan, began));
-    let arrivals = spawn_local(arrive(plan.clone(), audience.clone(), begin));
+    running.impairments.borrow_mut().extend(isolations(&plan, began));
+    let arrivals = spawn_local(arrive(plan.clone(), viewers.clone(), begin));
     let asking: Vec<JoinHandle<()>> = ["ana", "bob"]
         .into_iter()
         .map(|by| spawn_local(operators.clone().operate(plan.clone(), by.into(), begin)))
         .collect();
-    let (heard, ops, looks) = (audience.clone(), operators.clone(), shown.clone());
+    let (pool, calls, readings) = (viewers.clone(), operators.clone(), shown.clone());
     watches.push(spawn_local(async move {
         loop {
             sleep(Duration::from_secs(5)).await;
-            tell(format!(
+            progress(format!(
                 "{:4.0} s  asked {:5}  {:?}  calls {:3}  version {}",
                 begin.elapsed().as_secs_f64(),
-                heard.requests.get(),
-                heard.statuses.borrow(),
-                ops.calls.get(),
-                looks.borrow().iter().map(|s| s.version).max().unwrap_or(0),
+                pool.requests.get(),
+                pool.statuses.borrow(),
+                calls.calls.get(),
+                readings.borrow().iter().map(|s| s.version).max().unwrap_or(0),
             ));
         }
     }));
 
     let late = Rc::new(Cell::new(0));
-    watches.push(spawn_local(lateness(late.clone(), recorder.with_source("conductor"), fronts)));
+    watches.push(spawn_local(watch_scheduling(late.clone(), recorder.with_source("conductor"), fronts)));
 
-    // The schedule, and what is done to whoever leads.
+    // Plays the schedule, and kills the leader when an operator requests it.
     let mut acts: Vec<Act> = plan.schedule.processes.clone();
     acts.sort_by_key(|a| a.at_ms);
     let quiet = begin + Duration::from_millis(plan.length_ms * 7 / 8);
@@ -453,51 +474,52 @@
                     break;
                 }
                 let act = acts.remove(0);
-                stage.act(&act).await?;
+                running.perform(&act).await?;
             }
             Some(()) = killed.recv() => {
-                if let Some(who) = stage.kill_leader(&numbers).await? {
-                    let at_ms = (begin.elapsed() + BACK).as_millis() as u64;
-                    acts.push(Act { at_ms, who, what: Do::Start, store: Store::Kept });
+                if let Some(leader) = running.kill_leader(&numbers).await? {
+                    let at_ms = (begin.elapsed() + RESTART_DELAY).as_millis() as u64;
+                    acts.push(Act { at_ms, who: leader, what: Do::Start, store: Store::Kept });
                     acts.sort_by_key(|a| a.at_ms);
                 }
             }
         }
     }
-    // All links are whole and all fronts run.
-    let over = Instant::now();
-    let one = one_policy(&stage.fleet, fronts, settled, &shown).await;
-    let settled_ms = one.is_ok().then(|| over.elapsed().as_millis() as u64);
-    let why = one.err();
+    // From here on all links work and all fronts run.
+    let faults_ended = Instant::now();
+    let agreed = wait_for_agreement(&running.fleet, fronts, settle_timeout, &shown).await;
+    let settled_ms = agreed.is_ok().then(|| faults_ended.elapsed().as_millis() as u64);
+    let why = agreed.err();
     arrivals.await.ok();
     for task in asking {
         task.await.ok();
     }
     let mut last = Vec::new();
     if settled_ms.is_some() {
-        let _ = one_policy(&stage.fleet, fronts, settled, &shown).await;
-        // Not at the last front, which may be left behind.
+        let _ = wait_for_agreement(&running.fleet, fronts, settle_timeout, &shown).await;
+        // Not at the last front, which may be fenced.
         for (by, front) in [("ana", 0), ("bob", plan.fronts - 2)] {
-            let (want, flood, twice_at, kill_leader) = (Want::Aim, 0, None, false);
-            let wish = Wish { at_ms: 0, by: by.into(), front, want, flood, twice_at, kill_leader };
-            // Where much is lost a call may go unanswered, and the next one against what it then did.
+            let (change, flood, twice_at, kill_leader) = (Change::Aim, 0, None, false);
+            let request =
+                ChangeRequest { at_ms: 0, by: by.into(), front, change, flood, twice_at, kill_leader };
+            // Under high loss a call may take effect without an answer, and the next one then conflicts with it.
             let mut key = None;
             for _ in 0..5 {
-                key = operators.clone().wish(&wish).await.or(key);
+                key = operators.clone().make_request(&request).await.or(key);
                 if operators.told.borrow().iter().any(|t| Some(t.key) == key && t.answer == "stands") {
                     break;
                 }
             }
             last.extend(key);
         }
-        let _ = one_policy(&stage.fleet, fronts, settled, &shown).await;
+        let _ = wait_for_agreement(&running.fleet, fronts, settle_timeout, &shown).await;
     }
-    // Consoles are looked at once more before the end is judged; viewers who play leave meanwhile.
+    // The watches read the consoles until the end is checked; viewers who play leave meanwhile.
     sleep(Duration::from_secs_f64(PATIENCE_S.1 + 1.0)).await;
-    // Where much is lost a hold lapses now and then: the end is a moment at which none has, if there is one.
-    let states = match one_policy(&stage.fleet, fronts, settled, &shown).await {
+    // Under high loss holds lapse now and then: the end is checked at a time at which none has lapsed, if there is one.
+    let states = match wait_for_agreement(&running.fleet, fronts, settle_timeout, &shown).await {
         Ok(states) => states,
-        Err(_) => stage.fleet.states().await?,
+        Err(_) => running.fleet.states().await?,
     };
     watches.iter().for_each(JoinHandle::abort);
     let end = |s: &serde_json::Value| {
@@ -507,9 +529,9 @@
     };
     let shown = shown.take();
     let mut ends: Vec<(String, u64, bool)> = states.iter().map(end).collect();
-    // It must be fenced then, or it counts.
-    let left = left_behind(&shown) && states.last().is_some_and(|s| s["agreement"]["fenced"] == true);
-    if left {
+    // The last front is excluded only if it is fenced.
+    let left_behind = left_behind(&shown) && states.last().is_some_and(|s| s["agreement"]["fenced"] == true);
+    if left_behind {
         ends.pop();
     }
     let evidence = Evidence {
@@ -521,7 +543,7 @@
         why,
         last,
     };
-    let terms = checker::RuleLimits {
+    let limits = checker::RuleLimits {
         patience_s: PATIENCE_S.1,
         list_read_s: 0.35,
         drain_grace_s: 0.25,
@@ -532,24 +554,24 @@
         at_most_once: false,
         retry_budget: None,
     };
-    let violations = checker::check(&evidence.lines, &terms);
-    keep(dir, &evidence).map_err(io("record"))?;
-    let impaired = stage.impaired.borrow().clone();
+    let violations = checker::check(&evidence.lines, &limits);
+    write_evidence(dir, &evidence).map_err(io("record"))?;
+    let impairments = running.impairments.borrow().clone();
     Ok(AgreementReport {
         seed: plan.seed,
         fronts: plan.fronts,
         voters: plan.voters,
         loss: plan.loss,
         hold_ms: plan.hold_ms,
-        left_behind: left,
+        left_behind,
         late_ms: late.get(),
-        figures: figures(&evidence, &impaired, crowd.aim_s),
+        figures: figures(&evidence, &impairments, viewer_settings.aim_s),
         rules_broken: violations.iter().map(ToString::to_string).collect(),
         agreement_broken: check(&evidence),
     })
 }
 
-/// Stalls were written down at their end: they are put where they began.
+/// Suspensions are recorded at their end; this moves them to their start.
 fn in_time(mut lines: Vec<Line>) -> Vec<Line> {
     let mut from = None;
     for line in &mut lines {
@@ -563,8 +585,8 @@
     lines
 }
 
-/// Leaves the record beside settings and logs.
-fn keep(dir: &Path, e: &Evidence) -> std::io::Result<()> {
+/// Writes the record beside the settings and logs.
+fn write_evidence(dir: &Path, e: &Evidence) -> std::io::Result<()> {
     let mut text = String::new();
     for line in &e.lines {
         text += &serde_json::to_string(line).unwrap_or_default();
@@ -574,7 +596,7 @@
     let shown: Vec<String> = e
         .shown
         .iter()
-        .map(|s| format!("{} {} v{} {} e{}\n", s.t, s.front, s.version, s.step, s.entry))
+        .map(|s| format!("{} {} v{} {} e{}\n", s.unix_ns, s.front, s.version, s.step, s.entry))
         .collect();
     std::fs::write(dir.join("shown.txt"), shown.concat())?;
     let told: Vec<String> = e.told.iter().map(|t| format!("{t:?}\n")).collect();
--- a/crates/rehearse/src/checker/tests.rs
+++ b/crates/rehearse/src/checker/tests.rs
@@ -1,4 +1,4 @@
-//! Each rule: a clean record passes, a planted violation is caught.
+//! For each rule: a valid record passes, a violation is reported.
 
 use super::*;
 
@@ -48,7 +48,7 @@
     line(ms, "conductor", Event::ListPublished { front: "f".into(), node: "n1".into(), state: state.into() })
 }
 
-/// A request that is tried twice and plays.
+/// A request with two attempts, the second of which succeeds.
 fn clean() -> Vec<Line> {
     vec![
         asked(0, 1),
@@ -98,7 +98,7 @@
     assert_eq!(broken(&clean(), &paid), [Rule::OneSetUp]);
     let mut refused = clean();
     refused[2] = answered(405, "n1", 1, 503);
-    assert!(broken(&refused, &paid).is_empty(), "a refusal proves that it never ran");
+    assert!(broken(&refused, &paid).is_empty(), "a refused attempt never ran");
     let lie = [asked(0, 1), attempt(5, "n1", 1, 1), answered(9, "n1", 1, 500), reply(10, 1, 503)];
     assert_eq!(broken(&lie, &paid), [Rule::OneSetUp]);
 }
@@ -124,7 +124,7 @@
 #[test]
 fn rule_4_a_cold_node_sent_too_much() {
     let start = line(0, "n1", Event::NodeStart { streams: 12.0, cold_share: 0.4, cold_s: 12.0 });
-    // 2.5 x 1 a second x 0.4 x 2 s + 3 of slack: five set-ups stand at the start.
+    // 2.5 x 1/s x 0.4 x 2 s + 3 of slack: five set-ups are allowed at the start.
     let sends = |n: u64| -> Vec<Line> {
         (1..=n)
             .flat_map(|i| {
@@ -165,7 +165,7 @@
     let gave_up = |ms| line(ms, "viewers", Event::TimedOut { request: 1 });
     let still = |ms| line(ms, "conductor", Event::FrontStall { front: "f".into(), ms: 3_000 });
     assert!(check(&[asked(0, 1), still(1_000), gave_up(4_001)], &limits()).is_empty());
-    // It stood still before the viewer came, or another did.
+    // The suspension ended before the request, or another front was suspended.
     assert_eq!(check(&[still(0), asked(3_500, 1), gave_up(7_501)], &limits()).len(), 1);
     let other = line(1_000, "conductor", Event::FrontStall { front: "g".into(), ms: 3_000 });
     assert_eq!(check(&[asked(0, 1), other, gave_up(4_001)], &limits()).len(), 1);
--- a/crates/rehearse/tests/duties.rs
+++ b/crates/rehearse/tests/duties.rs
@@ -1,12 +1,11 @@
-//! Shared duties under what goes wrong between fronts: the real code of many fronts on a network in memory.
+//! Shared duties under network and process faults: the code of many fronts on a simulated network.
 
 use pepperhook_rehearse::duties::coverage::{Coverage, CoverageLimits, check};
 use pepperhook_rehearse::duties::simulation::{Action, Options, Simulation};
 
 const PERIOD_MS: u64 = 1_000;
 const SUSPICION_MS: u64 = 3_000;
-/// No node that is there goes without for longer than this, whatever one front does: two periods, and the time
-/// after which a silent front is given up.
+/// Maximum time without a probe of a ready node when one front fails: two periods plus the suspicion timeout.
 const MAX_GAP_MS: u64 = 2 * PERIOD_MS + SUSPICION_MS;
 
 fn coverage(fleet: &Simulation, from_ms: u64) -> Coverage {
@@ -24,9 +23,9 @@
     let mut fleet = Simulation::new(Options { fronts, loss, ..Options::default() });
     fleet.run(8_000);
     for i in 0..fronts {
-        // Where half of what is said is lost, one front or another is given up now and then, and comes back.
-        let least = if loss < 0.4 { fronts } else { fronts - 2 };
-        assert!(fleet.view(i).len() >= least, "front {i} knows {:?}", fleet.view(i));
+        // With half of the datagrams lost, a live front is sometimes considered down for a while.
+        let min_known = if loss < 0.4 { fronts } else { fronts - 2 };
+        assert!(fleet.view(i).len() >= min_known, "front {i} knows {:?}", fleet.view(i));
     }
     fleet
 }
@@ -38,7 +37,7 @@
     let c = coverage(&fleet, 8_000);
     assert!(c.violations.is_empty(), "{c:?}");
     assert!(c.duplicate_share < 0.005, "{c:?}");
-    // 12 nodes, 32 s; one round in 150 has nobody whose draw is low enough.
+    // 12 nodes, 32 s; in one round of 150 no front draws a number low enough to act.
     assert!((375..=388).contains(&c.probes), "{c:?}");
 }
 
@@ -66,10 +65,10 @@
     fleet.run(50_000);
     assert!((0..8).all(|i| fleet.view(i) == [i]), "each sees itself alone");
     let alone = coverage(&fleet, 15_000);
-    // Every front believes that it owns every duty: what a node hears is bounded by the draws alone.
+    // Every front believes that it owns every duty: only the random draws limit the probes at a node.
     assert!(alone.violations.is_empty(), "{alone:?}");
-    let a_round = alone.probes as f64 / (12.0 * 35.0);
-    assert!((3.0..=5.0).contains(&a_round), "{a_round} a node and period; 5 are the bound");
+    let per_round = alone.probes as f64 / (12.0 * 35.0);
+    assert!((3.0..=5.0).contains(&per_round), "{per_round} per node and period; the limit is 5");
     fleet.at(50_000, Action::Heal);
     fleet.run(75_000);
     assert!((0..8).all(|i| fleet.view(i).len() == 8), "healed");
@@ -87,7 +86,10 @@
     assert!(apart.violations.is_empty() && (0.2..=0.5).contains(&apart.duplicate_share), "{apart:?}");
     fleet.at(160_000, Action::Heal);
     fleet.run(200_000);
-    assert!((0..8).all(|i| fleet.view(i).len() == 8), "longer apart than the given up are remembered");
+    assert!(
+        (0..8).all(|i| fleet.view(i).len() == 8),
+        "partitioned for longer than members that are down are remembered"
+    );
     let healed = coverage(&fleet, 190_000);
     assert!(healed.violations.is_empty() && healed.duplicate_share < 0.01, "{healed:?}");
 }
@@ -100,7 +102,7 @@
     }
     fleet.run(60_000);
     let c = coverage(&fleet, 9_000);
-    // Others ask in the place of those who do not hear front 0: it is not given up, and what it says comes by them.
+    // Other members probe front 0 for those that do not receive its datagrams, and relay its state: it stays in the view.
     assert!(c.violations.is_empty() && c.duplicate_share < 0.2, "{c:?}");
     assert!(
         (0..8).all(|i| fleet.view(i).len() >= 7),
@@ -134,12 +136,12 @@
     fleet.run(30_000);
     let c = coverage(&fleet, 9_000);
     assert!(c.violations.is_empty() && c.duplicate_share < 0.06, "{c:?}");
-    // What it missed is not made up for: a node hears one round's worth.
+    // Missed rounds are not caught up: a node gets the probes of one round.
     assert!(c.max_in_window <= 8, "{c:?}");
-    assert!((0..8).all(|i| fleet.view(i).len() == 8), "it was suspected at most, and refuted that");
-    let blamed =
+    assert!((0..8).all(|i| fleet.view(i).len() == 8), "it was only suspected, and refuted that");
+    let wrongly_down =
         fleet.notes.iter().filter(|(_, by, n)| *by == 2 && format!("{n:?}").contains("Down")).count();
-    assert_eq!(blamed, 0, "it does not hold its own standing still against the others");
+    assert_eq!(wrongly_down, 0, "its own suspension does not make it consider others down");
 }
 
 #[test]
@@ -164,8 +166,8 @@
     let c = coverage(&fleet, 8_000);
     assert!(c.violations.is_empty() && c.duplicate_share < 0.02, "30 s ahead: {c:?}");
     let off = fleet.front(5).expect("front 5").offset_ms();
-    assert!((off + 30_000).abs() < 300, "it goes by the fleet's clock: {off}");
-    // A clock set back while it runs, and one set back over a restart, which makes its run older than the known.
+    assert!((off + 30_000).abs() < 300, "it uses the clock of the fleet: {off}");
+    // One clock is set back while the front runs; one over a restart, so that its new run number is below the known one.
     fleet.at(20_000, Action::ShiftClock(2, -30_000));
     fleet.at(24_000, Action::Kill(5));
     fleet.at(24_100, Action::ShiftClock(5, -60_000));
@@ -175,7 +177,7 @@
     assert!(c.violations.is_empty() && c.duplicate_share < 0.1, "set back: {c:?}");
     assert!((0..8).all(|i| fleet.view(i).len() == 8), "{:?}", fleet.view(0));
     let raised = fleet.notes.iter().any(|(_, by, n)| *by == 5 && format!("{n:?}").starts_with("Run"));
-    assert!(raised, "it was told of its later run");
+    assert!(raised, "it raised its run number above the known one");
 }
 
 #[test]
@@ -213,9 +215,9 @@
     fleet.at(20_000, Action::Drain(3, false));
     fleet.run(30_000);
     let asked = |node: &str, from, to| fleet.probes(from, to).iter().filter(|p| p.node == node).count();
-    assert_eq!(asked("node-3", 10_000, 20_000), 0, "nothing goes to a node that drains");
-    assert_eq!(asked("node-4", 14_000, 17_250), 0, "nor to one that is gone");
-    assert!(asked("node-4", 17_250, 18_600) >= 1, "one that came back is asked in its next round");
+    assert_eq!(asked("node-3", 10_000, 20_000), 0, "a draining node is not probed");
+    assert_eq!(asked("node-4", 14_000, 17_250), 0, "a stopped node is not probed");
+    assert!(asked("node-4", 17_250, 18_600) >= 1, "a restarted node is probed in its next round");
     let c = coverage(&fleet, 8_000);
     assert!(c.violations.is_empty() && c.duplicate_share < 0.02, "{c:?}");
 }
@@ -227,13 +229,13 @@
     fleet.run(8_000);
     fleet.at(8_000, Action::SetDuration(1_700, 2_200));
     fleet.run(12_000);
-    // Before they knew of each other some began at once.
+    // Runs that started before the fronts knew each other may overlap.
     fleet.max_concurrent = 1;
     fleet.run(40_000);
     let c = coverage(&fleet, 12_000);
     assert!(c.violations.is_empty() && c.duplicate_share < 0.05, "{c:?}");
     assert_eq!(fleet.max_concurrent, 1, "one front at a time");
-    // And one that never ends is broken off at its limit.
+    // A run that does not end is cancelled at its timeout.
     fleet.at(40_000, Action::SetDuration(60_000, 70_000));
     fleet.run(60_000);
     assert!(fleet.counters().iter().map(|c| c.timed_out).sum::<u64>() > 20);
@@ -252,7 +254,7 @@
     let rejected = fleet.front(0).expect("front 0").counters().rejected.get("key").copied().unwrap_or(0);
     assert!(rejected > 0);
     let c = coverage(&fleet, 15_000);
-    // The stranger asks nodes for itself, within its own part of the bound.
+    // The front with the wrong key probes nodes on its own, within its share of the limit.
     assert!(c.violations.is_empty() && c.duplicate_share < 0.6, "{c:?}");
 }
 
@@ -261,11 +263,11 @@
     let mut fleet = settled(8, 0.0);
     fleet.tap = Some(Vec::new());
     fleet.run(12_000);
-    let heard = fleet.tap.take().expect("what passed");
-    assert!(heard.len() > 1_000);
+    let captured = fleet.tap.take().expect("captured datagrams");
+    assert!(captured.len() > 1_000);
     let before = fleet.front(2).expect("front 2").counters().rejected.clone();
-    for (n, (from, datagram)) in heard.iter().enumerate() {
-        // Each once more, from its own and from another's address, cut short, and blown up.
+    for (n, (from, datagram)) in captured.iter().enumerate() {
+        // Each datagram again: from its own and from another address, truncated, and oversized.
         fleet.inject(2, *from, datagram.clone());
         fleet.inject(2, (*from + 1) % 8, datagram.clone());
         fleet.inject(2, *from, datagram[..n % datagram.len()].to_vec());
