--- a/crates/cli/src/admin.rs
+++ b/crates/cli/src/admin.rs
@@ -46,7 +46,7 @@
         let headers = [("authorization", self.bearer.as_str()), ("content-type", "application/json")];
         let exchange = async {
             let mut connection = Connection::open(self.address).await?;
-            connection.exchange(method, path, &headers, body, timeout).await
+            connection.request(method, path, &headers, body, timeout).await
         };
         match exchange.await {
             Ok(reply) if reply.status < 300 => Ok(reply.body),
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -2,12 +2,12 @@
 
 use crate::Exit;
 use clap::Subcommand;
-use pepperhook_rehearse::agreement::plan::{Plan, Trouble, Variation as AgreementVariation};
-use pepperhook_rehearse::conduct::play;
-use pepperhook_rehearse::day::{Day, Shared, bad_day};
-use pepperhook_rehearse::duties::many::many;
-use pepperhook_rehearse::duties::net::Options;
+use pepperhook_rehearse::agreement::plan::{FaultPattern, Plan, Variation as AgreementVariation};
+use pepperhook_rehearse::day::{Day, DutySettings, bad_day};
+use pepperhook_rehearse::duties::large_fleet::measure;
+use pepperhook_rehearse::duties::simulation::Options;
 use pepperhook_rehearse::peak::Variation;
+use pepperhook_rehearse::runner::run_day;
 use std::path::PathBuf;
 
 /// Kinds of rehearsals.
@@ -159,18 +159,19 @@
             ));
         }
         let (trouble, name) = match self.trouble {
-            AgreementFaults::None => (Trouble::None, "none"),
-            AgreementFaults::Dead => (Trouble::Dead, "dead"),
-            AgreementFaults::Stopped => (Trouble::Stopped, "stopped"),
-            AgreementFaults::Zone => (Trouble::Zone, "zone"),
-            AgreementFaults::Random => (Trouble::Random, "random"),
+            AgreementFaults::None => (FaultPattern::None, "none"),
+            AgreementFaults::Dead => (FaultPattern::Dead, "dead"),
+            AgreementFaults::Stopped => (FaultPattern::Stopped, "stopped"),
+            AgreementFaults::Zone => (FaultPattern::Zone, "zone"),
+            AgreementFaults::Random => (FaultPattern::Random, "random"),
         };
         let Self { seed, fronts, loss, seconds, changes, hold_ms, .. } = *self;
         let rerun_command = format!(
             "pepperhook rehearse agreement --seed {seed} --fronts {fronts} --loss {loss} --seconds {seconds} \
              --changes {changes} --hold-ms {hold_ms} --trouble {name}"
         );
-        let variation = AgreementVariation { seed, fronts, loss, seconds, changes, hold_ms, trouble };
+        let variation =
+            AgreementVariation { seed, fronts, loss, seconds, changes, hold_ms, fault_pattern: trouble };
         Ok((Plan::random(&variation), rerun_command))
     }
 }
@@ -197,7 +198,7 @@
             Self::Ask => (true, true),
         };
         day.fleet.exchange.get_or_insert_default();
-        day.fleet.duties = Some(Shared { period_s: 1.0, share, ask });
+        day.fleet.duties = Some(DutySettings { period_s: 1.0, share, ask });
     }
 }
 
@@ -252,8 +253,8 @@
             }
             if in_process {
                 let options = Options { fronts: fronts as usize, nodes, seed, loss, ..Options::default() };
-                let report = many(&options);
-                return finish(&report, &out, report.coverage.breaches.is_empty());
+                let report = measure(&options);
+                return finish(&report, &out, report.coverage.violations.is_empty());
             }
             return rehearse_duties(
                 &pepperhook_rehearse::duties::run::Variation { seed, fronts, loss },
@@ -334,8 +335,8 @@
             return Exit::Usage;
         }
     };
-    match play(day, &program, &dir, progress_printer(out.quiet)).await {
-        Ok(outcome) => finish(&outcome.report, out, outcome.breaches.is_empty()),
+    match run_day(day, &program, &dir, progress_printer(out.quiet)).await {
+        Ok(outcome) => finish(&outcome.report, out, outcome.violations.is_empty()),
         Err(e) => {
             eprintln!("pepperhook: {e}");
             Exit::Failed
@@ -358,7 +359,7 @@
         .await
     {
         Ok(report) => {
-            let passed = report.rules_broken.is_empty() && report.coverage.breaches.is_empty();
+            let passed = report.rules_broken.is_empty() && report.coverage.violations.is_empty();
             finish(&report, out, passed)
         }
         Err(e) => {
@@ -376,20 +377,24 @@
             return Exit::Usage;
         }
     };
-    let exit =
-        match pepperhook_rehearse::agreement::run::play(plan, &program, &dir, progress_printer(out.quiet))
-            .await
-        {
-            Ok(report) => {
-                let exit = finish(&report, out, report.kept());
-                println!("{}", report.verdict());
-                exit
-            }
-            Err(e) => {
-                eprintln!("pepperhook: {e}");
-                Exit::Failed
-            }
-        };
+    let exit = match pepperhook_rehearse::agreement::run::run_plan(
+        plan,
+        &program,
+        &dir,
+        progress_printer(out.quiet),
+    )
+    .await
+    {
+        Ok(report) => {
+            let exit = finish(&report, out, report.passed());
+            println!("{}", report.summary());
+            exit
+        }
+        Err(e) => {
+            eprintln!("pepperhook: {e}");
+            Exit::Failed
+        }
+    };
     if exit == Exit::Failed {
         eprintln!("pepperhook: to run it again: {rerun_command}");
     }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -133,7 +133,7 @@
     raise_open_file_limit();
     let recorder = match &record {
         Some(path) => Recorder::to_file("playout", path),
-        None => Ok(Recorder::silent()),
+        None => Ok(Recorder::disabled()),
     };
     let stands = match recorder {
         Ok(recorder) => start(nodes, &recorder).await,
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -2,10 +2,10 @@
 #![allow(dead_code)]
 
 use pepperhook_front::Front;
-use pepperhook_playout::record::{Line, Recorder, What};
-use pepperhook_playout::{Faults, Options, Stand, start};
+use pepperhook_playout::record::{Event, Line, Recorder};
+use pepperhook_playout::{Faults, NodeHandle, Options, start};
 use pepperhook_rehearse::viewers::offer;
-use pepperhook_rehearse::wire::{Connection, End, Reply};
+use pepperhook_rehearse::wire::{Connection, HttpResponse, ReadError};
 use pepperhook_settings::Config;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -71,7 +71,7 @@
 }
 
 /// Names and addresses of the nodes, for [`list`].
-pub fn places(stands: &[Stand]) -> Vec<(String, SocketAddr)> {
+pub fn places(stands: &[NodeHandle]) -> Vec<(String, SocketAddr)> {
     stands.iter().map(|s| (s.name.clone(), s.address)).collect()
 }
 
@@ -85,7 +85,7 @@
 /// A front and its simulated nodes in the test's process, with a recorder of the nodes' traffic.
 pub struct Rig {
     pub front: Front,
-    pub stands: Vec<Stand>,
+    pub stands: Vec<NodeHandle>,
     pub recorder: Recorder,
 }
 
@@ -111,7 +111,7 @@
 
     /// Injects the same faults at all nodes.
     pub fn all(&self, faults: Faults) {
-        self.stands.iter().for_each(|s| s.faults(faults));
+        self.stands.iter().for_each(|s| s.set_faults(faults));
     }
 
     pub async fn connect(&self) -> Connection {
@@ -120,10 +120,10 @@
 
     /// Sends a POST for title `t` on a new connection and reads the reply.
     /// `viewer` may be followed by further arguments of the query.
-    pub async fn ask(&self, viewer: &str, request: u64) -> (Connection, Result<Reply, End>) {
+    pub async fn ask(&self, viewer: &str, request: u64) -> (Connection, Result<HttpResponse, ReadError>) {
         let mut connection = self.connect().await;
         post(&mut connection, viewer, request).await;
-        let reply = connection.reply(Instant::now() + PATIENCE).await;
+        let reply = connection.read_response(Instant::now() + PATIENCE).await;
         (connection, reply)
     }
 
@@ -154,13 +154,13 @@
     pub fn assert_one_out(&self) {
         let mut in_flight: std::collections::BTreeMap<(String, u64), String> = Default::default();
         for line in self.lines() {
-            match line.what {
-                What::Attempt { attempt, origin, .. } => {
+            match line.event {
+                Event::Attempt { attempt, origin, .. } => {
                     assert!(!in_flight.values().any(|o| *o == origin), "two attempts in flight for {origin}");
-                    in_flight.insert((line.who, attempt), origin);
+                    in_flight.insert((line.source, attempt), origin);
                 }
-                What::Answered { attempt, .. } | What::Closed { attempt } => {
-                    in_flight.remove(&(line.who, attempt));
+                Event::AttemptAnswered { attempt, .. } | Event::AttemptClosed { attempt } => {
+                    in_flight.remove(&(line.source, attempt));
                 }
                 _ => {}
             }
@@ -184,7 +184,7 @@
 }
 
 /// Asserts that the reply is a valid problem document; returns the last part of the URN in its type.
-pub fn problem(reply: &Reply) -> String {
+pub fn problem(reply: &HttpResponse) -> String {
     assert_eq!(reply.header("content-type"), Some("application/problem+json"));
     let problem: serde_json::Value = serde_json::from_slice(&reply.body).expect("invalid JSON");
     assert_eq!(problem["status"].as_u64(), Some(u64::from(reply.status)));
--- a/crates/rehearse/src/duties/mod.rs
+++ b/crates/rehearse/src/duties/mod.rs
@@ -1,7 +1,8 @@
-//! Rehearsals of shared duties: many fronts in one process on a network in memory ([`net`]), or as processes on
-//! loopback ([`run`]); both are judged from what nodes heard ([`coverage`]). [`many`] measures large fleets.
+//! Rehearsals of shared duties: many fronts in one process on a simulated network ([`simulation`]), or as processes on
+//! loopback ([`run`]). Both are checked by the probes that nodes received ([`coverage`]). [`large_fleet`] measures
+//! large fleets.
 
 pub mod coverage;
-pub mod many;
-pub mod net;
+pub mod large_fleet;
 pub mod run;
+pub mod simulation;
