--- a/crates/playout/src/server.rs
+++ b/crates/playout/src/server.rs
@@ -45,14 +45,15 @@
     /// Address of the control port.
     pub control: SocketAddr,
     node: SharedNode,
-    dead: watch::Sender<bool>,
+    /// Set to true to crash the node.
+    crash: watch::Sender<bool>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl NodeHandle {
     /// Executes a command, as the control port does.
     pub fn command(&self, command: Command) {
-        execute(&self.node, &self.dead, command);
+        execute(&self.node, &self.crash, command);
     }
 
     /// Replaces the faults.
@@ -68,7 +69,7 @@
 
     /// Crashes the node: connections are reset and the ports closed.
     pub fn crash(&self) {
-        let _ = self.dead.send(true);
+        let _ = self.crash.send(true);
         self.tasks.iter().for_each(JoinHandle::abort);
     }
 
@@ -82,7 +83,7 @@
     }
 }
 
-fn execute(node: &SharedNode, dead: &watch::Sender<bool>, command: Command) {
+fn execute(node: &SharedNode, crash: &watch::Sender<bool>, command: Command) {
     let mut n = node.borrow_mut();
     if let Some(faults) = command.faults {
         n.faults = faults;
@@ -92,7 +93,7 @@
         n.rack.borrow_mut().elsewhere_kb = kb;
     }
     if command.die {
-        let _ = dead.send(true);
+        let _ = crash.send(true);
     }
 }
 
@@ -113,24 +114,24 @@
         let (address, control_address) = (listener.local_addr()?, control.local_addr()?);
         let name = options.name.clone();
         let node = Rc::new(RefCell::new(Node::new(options, rack, recorder.with_source(&name))));
-        let (dead, died) = watch::channel(false);
+        let (crash, crashed) = watch::channel(false);
         let tasks = vec![
-            spawn_local(serve(node.clone(), listener, died.clone())),
-            spawn_local(serve_control(node.clone(), control, dead.clone())),
-            spawn_local(run_timers(node.clone(), died)),
+            spawn_local(serve(node.clone(), listener, crashed.clone())),
+            spawn_local(serve_control(node.clone(), control, crash.clone())),
+            spawn_local(run_timers(node.clone(), crashed)),
         ];
-        out.push(NodeHandle { name, address, control: control_address, node, dead, tasks });
+        out.push(NodeHandle { name, address, control: control_address, node, crash, tasks });
     }
     Ok(out)
 }
 
 /// Measures the load and expires leases, every 100 ms.
-async fn run_timers(node: SharedNode, mut died: watch::Receiver<bool>) {
+async fn run_timers(node: SharedNode, mut crashed: watch::Receiver<bool>) {
     let mut ticks = tokio::time::interval(Duration::from_millis(100));
     loop {
         tokio::select! {
             _ = ticks.tick() => {}
-            _ = died.wait_for(|d| *d) => return,
+            _ = crashed.wait_for(|d| *d) => return,
         }
         let mut n = node.borrow_mut();
         n.record_load();
@@ -138,13 +139,13 @@
     }
 }
 
-async fn serve(node: SharedNode, listener: TcpListener, died: watch::Receiver<bool>) {
+async fn serve(node: SharedNode, listener: TcpListener, crashed: watch::Receiver<bool>) {
     let open = Rc::new(Cell::new(0usize));
-    let mut dying = died.clone();
+    let mut stop_accepting = crashed.clone();
     loop {
         let accepted = tokio::select! {
             a = listener.accept() => a,
-            _ = dying.wait_for(|d| *d) => return,
+            _ = stop_accepting.wait_for(|d| *d) => return,
         };
         let Ok((stream, _)) = accepted else {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -152,36 +153,36 @@
         };
         if open.get() < MAX_CONNECTIONS {
             open.set(open.get() + 1);
-            let (node, died, open) = (node.clone(), died.clone(), open.clone());
+            let (node, crashed, open) = (node.clone(), crashed.clone(), open.clone());
             spawn_local(async move {
-                connection(node, stream, died).await;
+                connection(node, stream, crashed).await;
                 open.set(open.get() - 1);
             });
         }
     }
 }
 
-async fn connection(node: SharedNode, stream: TcpStream, mut died: watch::Receiver<bool>) {
+async fn connection(node: SharedNode, stream: TcpStream, mut crashed: watch::Receiver<bool>) {
     let _ = stream.set_nodelay(true);
     let half_close = node.borrow().faults.ignore_half_close;
     // The session set up by the latest request on this connection.
     let last: Rc<RefCell<Option<String>>> = Rc::default();
     let (served, kept) = (node.clone(), last.clone());
-    let dead = Rc::new(Cell::new(false));
-    let gone = dead.clone();
+    let reset = Rc::new(Cell::new(false));
+    let served_reset = reset.clone();
     let service = service_fn(move |request| {
         kept.borrow_mut().take();
-        let (node, kept, gone) = (served.clone(), kept.clone(), gone.clone());
-        async move { answer(node, request, &kept, &gone).await }
+        let (node, kept, reset) = (served.clone(), kept.clone(), served_reset.clone());
+        async move { answer(node, request, &kept, &reset).await }
     });
-    let io = TokioIo::new(ResetOnDrop(stream, dead.clone()));
+    let io = TokioIo::new(ResetOnDrop(stream, reset.clone()));
     let serving =
         http1::Builder::new().timer(TokioTimer::new()).half_close(half_close).serve_connection(io, service);
     tokio::pin!(serving);
     let ended = tokio::select! {
         ended = &mut serving => ended,
-        _ = died.wait_for(|d| *d) => {
-            dead.set(true);
+        _ = crashed.wait_for(|d| *d) => {
+            reset.set(true);
             return;
         }
     };
@@ -285,14 +286,14 @@
     node: SharedNode,
     request: Request<Incoming>,
     last: &RefCell<Option<String>>,
-    dead: &Cell<bool>,
+    reset: &Cell<bool>,
 ) -> Result<Response<ResponseBody>, BoxError> {
     let path = request.uri().path().to_owned();
     let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
     match (parts.as_slice(), request.method()) {
         (_, &Method::OPTIONS) => options(&node, &request).await,
         ([kind @ ("whep" | "whip"), title], &Method::POST) => {
-            set_up(&node, *kind == "whip", title, request, last, dead).await
+            set_up(&node, *kind == "whip", title, request, last, reset).await
         }
         (["sessions"], &Method::GET) => {
             let n = node.borrow();
@@ -377,7 +378,7 @@
     title: &str,
     request: Request<Incoming>,
     last: &RefCell<Option<String>>,
-    dead: &Cell<bool>,
+    reset: &Cell<bool>,
 ) -> Result<Response<ResponseBody>, BoxError> {
     // The record names the front; the lease belongs to its run, so the whole `Via` value is kept.
     let run = request_header(&request, &VIA).to_owned();
@@ -417,7 +418,7 @@
             *r.status_mut() = StatusCode::CREATED;
             add_header(&mut r, CONTENT_TYPE, SDP_TYPE);
             add_header(&mut r, LOCATION, "/s/none");
-            dead.set(true);
+            reset.set(true);
             return Ok(r);
         }
         SetUpOutcome::SetUp(time) => {
@@ -583,23 +584,23 @@
     receiver
 }
 
-async fn serve_control(node: SharedNode, listener: TcpListener, dead: watch::Sender<bool>) {
-    let mut died = dead.subscribe();
+async fn serve_control(node: SharedNode, listener: TcpListener, crash: watch::Sender<bool>) {
+    let mut crashed = crash.subscribe();
     loop {
         let accepted = tokio::select! {
             a = listener.accept() => a,
-            _ = died.wait_for(|d| *d) => return,
+            _ = crashed.wait_for(|d| *d) => return,
         };
         let Ok((stream, _)) = accepted else { continue };
-        let (node, dead) = (node.clone(), dead.clone());
+        let (node, crash) = (node.clone(), crash.clone());
         spawn_local(async move {
             let service = service_fn(move |request: Request<Incoming>| {
-                let (node, dead) = (node.clone(), dead.clone());
+                let (node, crash) = (node.clone(), crash.clone());
                 async move {
                     if request.method() == Method::POST {
                         let body = Limited::new(request.into_body(), 16 << 10).collect().await?.to_bytes();
                         match serde_json::from_slice::<Command>(&body) {
-                            Ok(command) => execute(&node, &dead, command),
+                            Ok(command) => execute(&node, &crash, command),
                             Err(e) => return Ok::<_, BoxError>(response(400, e.to_string())),
                         }
                     }
--- a/crates/rehearse/src/agreement/checker.rs
+++ b/crates/rehearse/src/agreement/checker.rs
@@ -37,9 +37,9 @@
     /// The unique aim of its policy, as text.
     pub marker: String,
     /// Unix time of the call, nanoseconds.
-    pub asked: u64,
+    pub called_ns: u64,
     /// Unix time of the answer, nanoseconds.
-    pub answered: u64,
+    pub answered_ns: u64,
     /// `stands`, `undone`, `conflict`, ...; empty if the connection failed or no answer came.
     pub answer: String,
     /// The first version that the answer names.
@@ -49,12 +49,12 @@
 // The file `told.txt` contains this text.
 impl fmt::Debug for OperatorAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { key, marker, asked, answered, answer, version } = self;
+        let Self { key, marker, called_ns, answered_ns, answer, version } = self;
         f.debug_struct("Told")
             .field("key", key)
             .field("marker", marker)
-            .field("asked", asked)
-            .field("answered", answered)
+            .field("asked", called_ns)
+            .field("answered", answered_ns)
             .field("answer", answer)
             .field("version", version)
             .finish()
@@ -69,13 +69,13 @@
     /// The readings of consoles, one for each new entry at a front.
     pub shown: Vec<ConsoleReading>,
     /// The answers to operators.
-    pub told: Vec<OperatorAnswer>,
+    pub operator_answers: Vec<OperatorAnswer>,
     /// At the end, for each running front: its name, its last entry, and whether it is not fenced and its policy stands.
     pub ends: Vec<(String, u64, bool)>,
     /// Time from the last fault until all fronts used the same policy, milliseconds; `None` if they did not in time.
     pub settled_ms: Option<u64>,
     /// What consoles showed instead in that case.
-    pub why: Option<String>,
+    pub disagreement: Option<String>,
     /// Keys of the calls made after the last fault.
     pub last: Vec<u64>,
 }
@@ -176,8 +176,8 @@
 /// An answer to a viewer that names a log entry.
 struct Answer {
     request: u64,
-    asked: u64,
-    answered: u64,
+    asked_ns: u64,
+    answered_ns: u64,
     status: u16,
     kind: String,
     entry: u64,
@@ -213,8 +213,8 @@
         };
         out.push(Answer {
             request: *request,
-            asked: *asked,
-            answered: *answered,
+            asked_ns: *asked,
+            answered_ns: *answered,
             status: *status,
             kind: kind.clone(),
             entry: *entry,
@@ -252,13 +252,13 @@
         }
     }
     let mut by_answer = known.clone();
-    by_answer.sort_by_key(|(a, _)| a.answered);
-    known.sort_by_key(|(a, _)| a.asked);
+    by_answer.sort_by_key(|(a, _)| a.answered_ns);
+    known.sort_by_key(|(a, _)| a.asked_ns);
     // Of all answers given before a request, the one with the highest position suffices; as the same text two positions later is
     // allowed, the second highest is compared too.
     let (mut next, mut latest): (usize, Vec<(&Answer, &Entry)>) = (0, Vec::new());
     for (a, entry) in known {
-        while let Some(before) = by_answer.get(next).filter(|(b, _)| b.answered < a.asked) {
+        while let Some(before) = by_answer.get(next).filter(|(b, _)| b.answered_ns < a.asked_ns) {
             next += 1;
             if latest.iter().all(|(_, f)| f.position != before.1.position) {
                 latest.push(*before);
@@ -319,17 +319,17 @@
 /// Answers to operators are true, and each call has one final answer.
 fn check_operator_answers(history: &PolicyHistory, e: &Evidence, out: &mut Vec<String>) {
     let mut by_key: BTreeMap<u64, Vec<&OperatorAnswer>> = BTreeMap::new();
-    e.told.iter().for_each(|t| by_key.entry(t.key).or_default().push(t));
-    for (key, told) in &by_key {
-        let final_: BTreeSet<(&str, Option<u64>)> = told
+    e.operator_answers.iter().for_each(|t| by_key.entry(t.key).or_default().push(t));
+    for (key, call_answers) in &by_key {
+        let final_answers: BTreeSet<(&str, Option<u64>)> = call_answers
             .iter()
             .filter(|t| t.answer == "stands" || t.answer == "undone")
             .map(|t| (t.answer.as_str(), t.version))
             .collect();
-        if final_.len() > 1 {
-            out.push(format!("call {key:x} has two answers: {final_:?}"));
+        if final_answers.len() > 1 {
+            out.push(format!("call {key:x} has two answers: {final_answers:?}"));
         }
-        for t in told {
+        for t in call_answers {
             let version_in_force = history.version_with_marker(&t.marker);
             match (t.answer.as_str(), t.version) {
                 ("stands", Some(version)) => {
@@ -357,8 +357,9 @@
                 ("stands" | "undone", None) => out.push(format!("call {key:x}: {} of no version", t.answer)),
                 ("conflict" | "refused" | "policy" | "unfit" | "undone", _) => {
                     // A repeated call gets a conflict if later changes followed.
-                    let later =
-                        |v: u64| history.0.values().any(|e| e.version > v && e.first_shown_ns < t.answered);
+                    let later = |v: u64| {
+                        history.0.values().any(|e| e.version > v && e.first_shown_ns < t.answered_ns)
+                    };
                     if let Some(v) = version_in_force.filter(|v| t.answer != "conflict" || !later(*v)) {
                         out.push(format!(
                             "call {key:x} was told {}, and version {v} is its policy",
@@ -373,8 +374,9 @@
     for key in &e.last {
         let stands = by_key.get(key).is_some_and(|t| t.iter().any(|t| t.answer == "stands"));
         if !stands {
-            let told: Vec<&str> = by_key.get(key).into_iter().flatten().map(|t| t.answer.as_str()).collect();
-            out.push(format!("call {key:x}, made after all faults, was told {told:?}"));
+            let answers: Vec<&str> =
+                by_key.get(key).into_iter().flatten().map(|t| t.answer.as_str()).collect();
+            out.push(format!("call {key:x}, made after all faults, was told {answers:?}"));
         }
     }
 }
@@ -384,7 +386,7 @@
     if e.settled_ms.is_none() {
         out.push(format!(
             "after the last fault the fronts did not come to one policy in time: {}",
-            e.why.as_deref().unwrap_or("")
+            e.disagreement.as_deref().unwrap_or("")
         ));
     }
     let entries: BTreeSet<u64> = e.ends.iter().map(|e| e.1).collect();
@@ -402,7 +404,7 @@
 #[must_use]
 pub fn late_conflicts(e: &Evidence) -> usize {
     let history = PolicyHistory::new(&e.shown, &mut Vec::new());
-    e.told
+    e.operator_answers
         .iter()
         .filter(|t| t.answer == "conflict" && history.version_with_marker(&t.marker).is_some())
         .count()
--- a/crates/rehearse/src/agreement/checker_tests.rs
+++ b/crates/rehearse/src/agreement/checker_tests.rs
@@ -30,7 +30,7 @@
 
 fn told(key: u64, marker: &str, answer: &str, version: u64) -> OperatorAnswer {
     let (marker, answer) = (marker.into(), answer.into());
-    OperatorAnswer { key, marker, asked: 10, answered: 100, answer, version: Some(version) }
+    OperatorAnswer { key, marker, called_ns: 10, answered_ns: 100, answer, version: Some(version) }
 }
 
 /// Version 1; version 2, which closes the class `guest`; version 3, which is undone.
@@ -63,12 +63,20 @@
     let told =
         vec![told(1, "700ms", "stands", 2), told(2, "600ms", "undone", 3), told(3, "500ms", "conflict", 2)];
     let ends = vec![("f0".into(), 11, true), ("f1".into(), 11, true)];
-    Evidence { lines, shown: shown_, told, ends, settled_ms: Some(100), why: None, last: vec![1] }
+    Evidence {
+        lines,
+        shown: shown_,
+        operator_answers: told,
+        ends,
+        settled_ms: Some(100),
+        disagreement: None,
+        last: vec![1],
+    }
 }
 
-fn caught(e: &Evidence, word: &str) {
+fn caught(e: &Evidence, finding: &str) {
     let broken = check(e);
-    assert!(broken.iter().any(|b| b.contains(word)), "{word}: {broken:?}");
+    assert!(broken.iter().any(|b| b.contains(finding)), "{finding}: {broken:?}");
 }
 
 #[test]
@@ -152,16 +160,16 @@
 #[test]
 fn what_operators_are_told_must_be_true() {
     let mut e = clean();
-    e.told.push(told(4, "400ms", "stands", 3));
+    e.operator_answers.push(told(4, "400ms", "stands", 3));
     caught(&e, "version 3 stands, and it does not");
     let mut e = clean();
-    e.told.push(told(4, "400ms", "undone", 2));
+    e.operator_answers.push(told(4, "400ms", "undone", 2));
     caught(&e, "version 2 is undone, and it was in force");
     let mut e = clean();
-    e.told.push(told(4, "700ms", "conflict", 1));
+    e.operator_answers.push(told(4, "700ms", "conflict", 1));
     caught(&e, "was told conflict, and version 2 is its policy");
     let mut e = clean();
-    e.told.push(told(1, "700ms", "undone", 3));
+    e.operator_answers.push(told(1, "700ms", "undone", 3));
     caught(&e, "call 1 has two answers");
     let mut e = clean();
     e.ends[1].1 = 5;
--- a/crates/rehearse/src/agreement/figures.rs
+++ b/crates/rehearse/src/agreement/figures.rs
@@ -27,7 +27,8 @@
     /// Number of calls of operators; a repeated call counts once.
     pub calls: u64,
     /// Number of answers to calls by kind, repeated calls included.
-    pub told: BTreeMap<String, u64>,
+    #[serde(rename = "told")]
+    pub answers: BTreeMap<String, u64>,
     /// Number of answers `conflict` to repeated calls whose change had taken effect: later changes had followed.
     pub late_conflicts: u64,
     /// Time from a call until its policy is completely in force at every front that was not impaired meanwhile: p50, p99,
@@ -38,7 +39,8 @@
     /// The same for the other changes.
     pub everywhere_troubled_ms: [u64; 3],
     /// Number of completed changes, without and with impaired fronts.
-    pub stood: [u64; 2],
+    #[serde(rename = "stood")]
+    pub completed: [u64; 2],
     /// Time from the last fault until all fronts used the same policy, milliseconds.
     pub settled_ms: Option<u64>,
     /// Number of requests of viewers.
@@ -77,51 +79,55 @@
     let faulty = |from: u64, to: u64| impairments.iter().any(|p| within(p, from, to));
 
     // Changes.
-    let mut first: BTreeMap<u64, u64> = BTreeMap::new();
-    let mut stood: BTreeMap<u64, (u64, u64)> = BTreeMap::new();
+    let mut first_calls: BTreeMap<u64, u64> = BTreeMap::new();
+    let mut completed: BTreeMap<u64, (u64, u64)> = BTreeMap::new();
     let mut spans: Vec<(u64, u64)> = Vec::new();
-    for t in &e.told {
+    for t in &e.operator_answers {
         let kind = if t.answer.is_empty() { "nothing" } else { &t.answer };
-        *f.told.entry(kind.to_owned()).or_default() += 1;
-        let asked = first.entry(t.key).or_insert(t.asked);
-        *asked = t.asked.min(*asked);
+        *f.answers.entry(kind.to_owned()).or_default() += 1;
+        let called = first_calls.entry(t.key).or_insert(t.called_ns);
+        *called = t.called_ns.min(*called);
         if let ("stands", Some(version)) = (t.answer.as_str(), t.version) {
-            let s = stood.entry(t.key).or_insert((version, t.answered));
-            s.1 = s.1.min(t.answered);
+            let s = completed.entry(t.key).or_insert((version, t.answered_ns));
+            s.1 = s.1.min(t.answered_ns);
         }
         if !["conflict", "refused", "policy", "under-way"].contains(&t.answer.as_str()) {
-            spans.push((t.asked, t.answered));
+            spans.push((t.called_ns, t.answered_ns));
         }
     }
-    f.calls = first.len() as u64;
+    f.calls = first_calls.len() as u64;
     let in_force = entries_in_force(&e.shown);
     let (mut calm, mut troubled) = (Vec::new(), Vec::new());
-    for (key, (version, told)) in &stood {
-        let (Some(asked), Some((entry, _))) = (first.get(key), in_force.get(version)) else { continue };
+    for (key, (version, answered)) in &completed {
+        let (Some(called), Some((entry, _))) = (first_calls.get(key), in_force.get(version)) else {
+            continue;
+        };
         let mut reached: BTreeMap<&str, u64> = BTreeMap::new();
         for s in e.shown.iter().filter(|s| s.entry >= *entry) {
             let t = reached.entry(&s.front).or_insert(s.unix_ns);
             *t = s.unix_ns.min(*t);
         }
         let unimpaired =
-            |front: &str| !impairments.iter().any(|p| p.front == front && within(p, *asked, *told));
+            |front: &str| !impairments.iter().any(|p| p.front == front && within(p, *called, *answered));
         let last = reached.iter().filter(|(front, _)| unimpaired(front)).map(|(_, t)| *t).max();
         let Some(last) = last else { continue };
-        let took = last.saturating_sub(*asked) / 1_000_000;
-        if faulty(*asked, last) { &mut troubled } else { &mut calm }.push(took);
+        let took = last.saturating_sub(*called) / 1_000_000;
+        if faulty(*called, last) { &mut troubled } else { &mut calm }.push(took);
     }
-    f.stood = [calm.len() as u64, troubled.len() as u64];
+    f.completed = [calm.len() as u64, troubled.len() as u64];
     f.everywhere_ms = quantiles(calm.iter().chain(&troubled).copied().collect());
     f.everywhere_calm_ms = quantiles(calm);
     f.everywhere_troubled_ms = quantiles(troubled);
 
     // Service.
-    let mut asked: BTreeMap<u64, (u64, &str)> = BTreeMap::new();
+    let mut requests: BTreeMap<u64, (u64, &str)> = BTreeMap::new();
     let mut replied: BTreeMap<u64, (u64, u16)> = BTreeMap::new();
     let mut kinds: BTreeMap<u64, &str> = BTreeMap::new();
     for line in &e.lines {
         match &line.event {
-            Event::RequestSent { request, front, .. } => drop(asked.insert(*request, (line.unix_ns, front))),
+            Event::RequestSent { request, front, .. } => {
+                requests.insert(*request, (line.unix_ns, front));
+            }
             Event::ResponseReceived { request, status, .. } => {
                 replied.insert(*request, (line.unix_ns, *status));
             }
@@ -129,12 +135,12 @@
                 kinds.insert(*request, problem_type);
             }
             // A viewer who left before the answer says nothing about the service.
-            Event::ViewerLeft { request } => drop(asked.remove(request)),
+            Event::ViewerLeft { request } => drop(requests.remove(request)),
             _ => {}
         }
     }
     let mut shares = [(0u64, 0u64); 3];
-    for (request, (t, front)) in &asked {
+    for (request, (t, front)) in &requests {
         f.requests += 1;
         let reply = replied.get(request);
         f.playing += u64::from(reply.is_some_and(|r| r.1 == 201));
--- a/crates/rehearse/src/agreement/operators.rs
+++ b/crates/rehearse/src/agreement/operators.rs
@@ -26,7 +26,7 @@
     /// Admin addresses of the fronts, through their relays.
     pub consoles: Vec<SocketAddr>,
     /// Answers to the calls.
-    pub told: RefCell<Vec<OperatorAnswer>>,
+    pub answers: RefCell<Vec<OperatorAnswer>>,
     /// Number of calls so far; it makes the aim of each call unique.
     pub calls: Cell<u64>,
     /// Requests to kill the leader of the voters.
@@ -154,18 +154,18 @@
         let end = Instant::now() + RETRY_TIME;
         let mut front = front as usize;
         loop {
-            let asked = unix_nanos();
+            let called_ns = unix_nanos();
             let answered = self.send(self.consoles[front % self.consoles.len()], call).await;
             let (answer, detail) = answered.unwrap_or_default();
             let mut words = detail.split_whitespace().skip_while(|w| *w != "version").skip(1);
             let version =
                 words.next().and_then(|w| w.trim_matches(|c: char| !c.is_ascii_digit()).parse().ok());
             let (key, marker) = (call.key, call.marker.clone());
-            self.told.borrow_mut().push(OperatorAnswer {
+            self.answers.borrow_mut().push(OperatorAnswer {
                 key,
                 marker,
-                asked,
-                answered: unix_nanos(),
+                called_ns,
+                answered_ns: unix_nanos(),
                 answer: answer.clone(),
                 version,
             });
--- a/crates/rehearse/src/agreement/run.rs
+++ b/crates/rehearse/src/agreement/run.rs
@@ -88,7 +88,7 @@
             if self.passed() { "kept" } else { "BROKEN" },
             broken,
             f.calls,
-            f.told.get("stands").unwrap_or(&0),
+            f.answers.get("stands").unwrap_or(&0),
             f.requests,
             f.playing,
             f.fenced.values().sum::<u64>(),
@@ -394,7 +394,7 @@
     }
     let settle_timeout = if plan.loss > 0.34 { SETTLE_TIMEOUT * 2 } else { SETTLE_TIMEOUT };
     let shown_of = |s: &serde_json::Value| format!("\n{} {}", s["front"], s["agreement"]);
-    fleet.until("all go by version 1", settle_timeout, shown_of, |s| all_agree(s, fronts)).await?;
+    fleet.until("all fronts use version 1", settle_timeout, shown_of, |s| all_agree(s, fronts)).await?;
     let mut numbers = BTreeMap::new();
     for i in 0..fronts {
         let state = fleet.state(i).await?;
@@ -421,7 +421,7 @@
     let (kill, mut killed) = mpsc::unbounded_channel();
     let operators = Rc::new(Operators {
         consoles,
-        told: RefCell::default(),
+        answers: RefCell::default(),
         calls: Default::default(),
         kill_leader: kill,
     });
@@ -489,7 +489,7 @@
     let faults_ended = Instant::now();
     let agreed = wait_for_agreement(&running.fleet, fronts, settle_timeout, &shown).await;
     let settled_ms = agreed.is_ok().then(|| faults_ended.elapsed().as_millis() as u64);
-    let why = agreed.err();
+    let disagreement = agreed.err();
     arrivals.await.ok();
     for task in asking {
         task.await.ok();
@@ -506,7 +506,7 @@
             let mut key = None;
             for _ in 0..5 {
                 key = operators.clone().make_request(&request).await.or(key);
-                if operators.told.borrow().iter().any(|t| Some(t.key) == key && t.answer == "stands") {
+                if operators.answers.borrow().iter().any(|t| Some(t.key) == key && t.answer == "stands") {
                     break;
                 }
             }
@@ -537,10 +537,10 @@
     let evidence = Evidence {
         lines: in_time(recorder.lines()),
         shown,
-        told: operators.told.take(),
+        operator_answers: operators.answers.take(),
         ends,
         settled_ms,
-        why,
+        disagreement,
         last,
     };
     let limits = checker::RuleLimits {
@@ -599,6 +599,6 @@
         .map(|s| format!("{} {} v{} {} e{}\n", s.unix_ns, s.front, s.version, s.step, s.entry))
         .collect();
     std::fs::write(dir.join("shown.txt"), shown.concat())?;
-    let told: Vec<String> = e.told.iter().map(|t| format!("{t:?}\n")).collect();
-    std::fs::write(dir.join("told.txt"), told.concat())
+    let answers: Vec<String> = e.operator_answers.iter().map(|t| format!("{t:?}\n")).collect();
+    std::fs::write(dir.join("told.txt"), answers.concat())
 }
--- a/crates/rehearse/src/duties/coverage.rs
+++ b/crates/rehearse/src/duties/coverage.rs
@@ -162,7 +162,7 @@
             let c = check(&probes(&times), &ready(), &LIMITS);
             assert_eq!(c.violations.len(), 1, "{missing:?}: {c:?}");
         }
-        assert_eq!(check(&[], &ready(), &LIMITS).violations.len(), 1, "a node that nobody asked");
+        assert_eq!(check(&[], &ready(), &LIMITS).violations.len(), 1, "a node that was never probed");
     }
 
     #[test]
--- a/crates/rehearse/src/duties/large_fleet.rs
+++ b/crates/rehearse/src/duties/large_fleet.rs
@@ -47,9 +47,9 @@
 #[must_use]
 pub fn measure(options: &Options) -> ManyReport {
     let mut net = Simulation::new(options.clone());
-    let dead: Vec<usize> =
+    let killed: Vec<usize> =
         (0..KILLS_MS.len()).map(|k| (k * 7 + 1) % options.fronts).take(options.fronts / 2).collect();
-    for (front, at) in dead.iter().zip(KILLS_MS) {
+    for (front, at) in killed.iter().zip(KILLS_MS) {
         net.at(at, Action::Kill(*front));
     }
     net.run(SETTLED_MS);
@@ -64,13 +64,13 @@
     let limits =
         CoverageLimits { period_ms: options.period_ms, max_gap_ms: gap_ms, window_periods: 5, max_in_window };
     let (probes, intervals) = (net.probes(SETTLED_MS, END_MS), net.ready_intervals(SETTLED_MS, END_MS));
-    let living = (options.fronts - dead.len()) as f64;
-    let per_front_s = |sum: u64| sum as f64 / living / ((END_MS - SETTLED_MS) as f64 / 1e3);
-    let alive: Vec<usize> = (0..options.fronts).filter(|i| !dead.contains(i)).collect();
+    let survivors = (options.fronts - killed.len()) as f64;
+    let per_front_s = |sum: u64| sum as f64 / survivors / ((END_MS - SETTLED_MS) as f64 / 1e3);
+    let alive: Vec<usize> = (0..options.fronts).filter(|i| !killed.contains(i)).collect();
     let view_errors = |i: &usize| {
         let view = net.view(*i);
         let missed = alive.iter().filter(|j| !view.contains(j)).count();
-        missed + view.iter().filter(|j| dead.contains(j)).count()
+        missed + view.iter().filter(|j| killed.contains(j)).count()
     };
     ManyReport {
         fronts: options.fronts,
