--- a/crates/cli/tests/transcripts.rs
+++ b/crates/cli/tests/transcripts.rs
@@ -1,6 +1,6 @@
-//! Whole exchanges as text, for a reader who knows nothing of the code. Each transcript stands under
-//! `transcripts/snapshots/` and is what the program really said on its sockets; where one changes, or is missing, the
-//! test fails. `INSTA_UPDATE=always` writes them anew, to be read before they are committed.
+//! Snapshot tests of whole exchanges over sockets. Each approved transcript is a file in
+//! `transcripts/snapshots/` that records the messages the program sent and received; a test fails if its
+//! transcript differs or is missing. `INSTA_UPDATE=always` rewrites the files; review them before committing.
 
 mod common;
 #[path = "common/platform.rs"]
--- a/crates/cli/tests/transcripts/members.rs
+++ b/crates/cli/tests/transcripts/members.rs
@@ -1,9 +1,10 @@
-//! Fronts that come and go, told from what the others write to their logs, and a front's sessions that others go on with.
+//! Membership of fronts, as seen in the other fronts' logs, and adoption of a dead front's sessions. Runs
+//! processes of the command.
 
 use crate::common::{PATIENCE, SDP, local};
-use crate::operators::{fleet, nodes, script, until};
-use crate::script::{Transcript, approved};
-use crate::tap::{message, shown, status};
+use crate::operators::{new_transcript, start_fleet, start_nodes, wait_until};
+use crate::script::{Transcript, assert_approved};
+use crate::tap::{render_json, render_message, status_line};
 use pepperhook_faults::fleet::{Fleet, same_view};
 use pepperhook_faults::schedule::Store;
 use pepperhook_rehearse::viewers::offer;
@@ -13,8 +14,11 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// A line of a log without its time and colours, runs and addresses told in words.
-fn plain(line: &str) -> String {
+/// Timeout for a line in a front's log.
+const LOG_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// A log line without time and colours; runs and addresses, which differ between test runs, are replaced.
+fn normalize_log_line(line: &str) -> String {
     let text: String = line.split('\u{1b}').map(|p| p.split_once('m').map_or(p, |(_, t)| t)).collect();
     let mut out = Vec::new();
     for word in text.split_whitespace().skip(1) {
@@ -27,99 +31,139 @@
     out.join(" ")
 }
 
-/// Waits for a line of this event in a front's log after so many lines of such; tells it.
-async fn logs(fleet: &Fleet, script: &Transcript, i: usize, name: &str, event: &str, before: usize) {
-    let end = Instant::now() + Duration::from_secs(30);
+/// Waits until a front's log has more than `before` lines of this event and records the first of the new
+/// lines.
+async fn record_log_line(
+    fleet: &Fleet,
+    transcript: &Transcript,
+    front: usize,
+    name: &str,
+    event: &str,
+    before: usize,
+) {
+    let deadline = Instant::now() + LOG_TIMEOUT;
     loop {
-        let log = fleet.log(i).expect("a log");
+        let log = fleet.log(front).expect("cannot read the front's log");
         if let Some(line) = log.lines().filter(|l| l.contains(event)).nth(before) {
-            script.says(&format!("front {name}"), "its log", &plain(line));
+            transcript.record(&format!("front {name}"), "its log", &normalize_log_line(line));
             return;
         }
-        assert!(Instant::now() < end, "{name} never logs {event}: {log}");
+        assert!(Instant::now() < deadline, "front {name} did not log {event} within {LOG_TIMEOUT:?}: {log}");
         sleep(Duration::from_millis(50)).await;
     }
 }
 
-fn lines(fleet: &Fleet, i: usize, event: &str) -> usize {
-    fleet.log(i).expect("a log").lines().filter(|l| l.contains(event)).count()
+/// Number of lines of this event in a front's log.
+fn count_log_lines(fleet: &Fleet, front: usize, event: &str) -> usize {
+    fleet.log(front).expect("cannot read the front's log").lines().filter(|l| l.contains(event)).count()
 }
 
+/// Guards against fronts that miss the failure of another front or its return with a new run.
 #[test]
 fn a_front_goes_and_comes_back() {
     local(async {
-        let (dir, names) = (tempfile::tempdir().expect("a folder"), ["a", "b", "c"]);
-        let stands = nodes().await;
-        let mut fleet = fleet(dir.path(), &stands, &names, |_| String::new()).await;
-        until(&fleet, "all know each other", |s| s.len() == 3 && same_view(s)).await;
-        let script = script("Three fronts know each other. Front c is killed, and comes back.", &names);
-        let ups = [lines(&fleet, 0, "member-up"), lines(&fleet, 1, "member-up")];
-        script.step("Front c is killed. The others hear nothing of it any more, and give it up after the suspicion (3 s).");
-        fleet.kill(2).await.expect("killed");
-        logs(&fleet, &script, 0, "a", "member-down", 0).await;
-        logs(&fleet, &script, 1, "b", "member-down", 0).await;
-        until(&fleet, "two are left", |s| s.len() == 2 && same_view(s)).await;
-        script.step("It is started again, and is there at once, in a run of its own.");
-        fleet.start_front(2, Store::Kept).await.expect("started");
-        logs(&fleet, &script, 0, "a", "member-up", ups[0]).await;
-        logs(&fleet, &script, 1, "b", "member-up", ups[1]).await;
-        until(&fleet, "all know each other again", |s| s.len() == 3 && same_view(s)).await;
-        approved("members_go_and_come", &script.text());
+        let (dir, names) = (tempfile::tempdir().expect("cannot create a directory"), ["a", "b", "c"]);
+        let nodes = start_nodes().await;
+        let mut fleet = start_fleet(dir.path(), &nodes, &names, |_| String::new()).await;
+        wait_until(&fleet, "all fronts are members", |s| s.len() == 3 && same_view(s)).await;
+        let transcript =
+            new_transcript("Three fronts know each other. Front c is killed, and comes back.", &names);
+        let ups_before = [count_log_lines(&fleet, 0, "member-up"), count_log_lines(&fleet, 1, "member-up")];
+        transcript.step("Front c is killed. The others hear nothing of it any more, and give it up after the suspicion (3 s).");
+        fleet.kill(2).await.expect("cannot kill front c");
+        record_log_line(&fleet, &transcript, 0, "a", "member-down", 0).await;
+        record_log_line(&fleet, &transcript, 1, "b", "member-down", 0).await;
+        wait_until(&fleet, "fronts a and b are the only members", |s| s.len() == 2 && same_view(s)).await;
+        transcript.step("It is started again, and is there at once, in a run of its own.");
+        fleet.start_front(2, Store::Kept).await.expect("cannot start the front");
+        record_log_line(&fleet, &transcript, 0, "a", "member-up", ups_before[0]).await;
+        record_log_line(&fleet, &transcript, 1, "b", "member-up", ups_before[1]).await;
+        wait_until(&fleet, "all fronts are members again", |s| s.len() == 3 && same_view(s)).await;
+        assert_approved("members_go_and_come", &transcript.text());
     });
 }
 
+/// Guards against sessions that are lost with the front that placed them, or adopted by more than one front.
 #[test]
 fn a_dead_fronts_session_is_gone_on_with() {
     local(async {
-        let (dir, names) = (tempfile::tempdir().expect("a folder"), ["a", "b", "c", "d"]);
-        let stands = nodes().await;
-        let more = |_: &str| "section replica\ncopies 2\nguards 3\nlease 5s\nlook 250ms\n".to_owned();
-        let mut fleet = fleet(dir.path(), &stands, &names, more).await;
-        until(&fleet, "all know each other", |s| s.len() == 4 && same_view(s)).await;
-        let script = script(
+        let (dir, names) = (tempfile::tempdir().expect("cannot create a directory"), ["a", "b", "c", "d"]);
+        let nodes = start_nodes().await;
+        let replica_section =
+            |_: &str| "section replica\ncopies 2\nguards 3\nlease 5s\nlook 250ms\n".to_owned();
+        let mut fleet = start_fleet(dir.path(), &nodes, &names, replica_section).await;
+        wait_until(&fleet, "all fronts are members", |s| s.len() == 4 && same_view(s)).await;
+        let transcript = new_transcript(
             "Each session is copied to two other fronts. Front a dies, and one of them goes on with its session.",
             &names,
         );
         let path = "/whep/t?viewer=anna";
         let headers = [("content-type".to_owned(), "application/sdp".to_owned())];
-        script.says("viewer", "front a", &message(&format!("POST {path}"), &headers, offer(1).as_bytes()));
-        let mut c = Connection::open(fleet.viewer_address(0)).await.expect("a connection");
-        let reply = c.request("POST", path, &[SDP], offer(1).as_bytes(), PATIENCE).await.expect("an answer");
-        script.says("front a", "viewer", &message(&status(reply.status), &reply.headers, &reply.body));
-        let session = reply.header("location").expect("a location").to_owned();
-        let sum =
+        transcript.record(
+            "viewer",
+            "front a",
+            &render_message(&format!("POST {path}"), &headers, offer(1).as_bytes()),
+        );
+        let mut connection =
+            Connection::open(fleet.viewer_address(0)).await.expect("cannot connect to the front");
+        let reply = connection
+            .request("POST", path, &[SDP], offer(1).as_bytes(), PATIENCE)
+            .await
+            .expect("no answer from the front");
+        transcript.record(
+            "front a",
+            "viewer",
+            &render_message(&status_line(reply.status), &reply.headers, &reply.body),
+        );
+        let session = reply.header("location").expect("the answer has no location").to_owned();
+        let total =
             |s: &[Value], field: &str| s.iter().filter_map(|s| s["replica"][field].as_u64()).sum::<u64>();
-        let last = RefCell::new(Vec::new());
-        until(&fleet, "it has its copies", |s| {
-            *last.borrow_mut() = s.to_vec();
-            sum(s, "own") == 1 && sum(s, "kept") == 2
+        let last_states = RefCell::new(Vec::new());
+        wait_until(&fleet, "the session has two copies", |s| {
+            *last_states.borrow_mut() = s.to_vec();
+            total(s, "own") == 1 && total(s, "kept") == 2
         })
         .await;
-        let all = |states: &[Value]| {
-            shown(
-                &json!({"sessions of their own": sum(states, "own"), "gone on with": sum(states, "adopted"),
-                "copies kept for others": sum(states, "kept")}),
+        let render_totals = |states: &[Value]| {
+            render_json(
+                &json!({"sessions of their own": total(states, "own"), "gone on with": total(states, "adopted"),
+                "copies kept for others": total(states, "kept")}),
             )
         };
-        let states = last.take();
-        script.says("all fronts", "operator", &format!("(what /state shows, added up){}", all(&states)));
-        script.step("Front a is killed. After its lease (5 s) one of the others goes on with the session.");
-        fleet.kill(0).await.expect("killed");
-        until(&fleet, "it is gone on with", |s| {
-            *last.borrow_mut() = s.to_vec();
-            sum(s, "adopted") == 1 && sum(s, "kept") == 2
+        let states = last_states.take();
+        transcript.record(
+            "all fronts",
+            "operator",
+            &format!("(what /state shows, added up){}", render_totals(&states)),
+        );
+        transcript
+            .step("Front a is killed. After its lease (5 s) one of the others goes on with the session.");
+        fleet.kill(0).await.expect("cannot kill the front");
+        wait_until(&fleet, "one front has adopted the session", |s| {
+            *last_states.borrow_mut() = s.to_vec();
+            total(s, "adopted") == 1 && total(s, "kept") == 2
         })
         .await;
-        let states = last.take();
-        script.says("the others", "operator", &format!("(what /state shows, added up){}", all(&states)));
-        let heir = states.iter().position(|s| s["replica"]["adopted"] == 1).expect("one") + 1;
-        logs(&fleet, &script, heir, "(the one that goes on)", "sessions-adopted", 0).await;
-        script.step("The front knows the session; it does not act upon it yet (docs/replication.md).");
-        script.says("viewer", "front (the one that goes on)", &format!("DELETE {session}"));
-        let mut c = Connection::open(fleet.viewer_address(heir)).await.expect("a connection");
-        let reply = c.request("DELETE", &session, &[], b"", PATIENCE).await.expect("an answer");
-        let words = message(&status(reply.status), &reply.headers, &reply.body);
-        script.says("front (the one that goes on)", "viewer", &words);
-        approved("members_adoption", &script.text());
+        let states = last_states.take();
+        transcript.record(
+            "the others",
+            "operator",
+            &format!("(what /state shows, added up){}", render_totals(&states)),
+        );
+        let adopter =
+            states.iter().position(|s| s["replica"]["adopted"] == 1).expect("no front adopted the session")
+                + 1;
+        record_log_line(&fleet, &transcript, adopter, "(the one that goes on)", "sessions-adopted", 0).await;
+        transcript.step("The front knows the session; it does not act upon it yet (docs/replication.md).");
+        transcript.record("viewer", "front (the one that goes on)", &format!("DELETE {session}"));
+        let mut connection =
+            Connection::open(fleet.viewer_address(adopter)).await.expect("cannot connect to the front");
+        let reply = connection
+            .request("DELETE", &session, &[], b"", PATIENCE)
+            .await
+            .expect("no answer from the front");
+        let words = render_message(&status_line(reply.status), &reply.headers, &reply.body);
+        transcript.record("front (the one that goes on)", "viewer", &words);
+        assert_approved("members_adoption", &transcript.text());
     });
 }
--- a/crates/cli/tests/transcripts/whep.rs
+++ b/crates/cli/tests/transcripts/whep.rs
@@ -1,8 +1,8 @@
-//! Viewers and publishers: WHEP and WHIP on sockets, a front in between, stand-in nodes behind relays.
+//! WHEP and WHIP exchanges of viewers and publishers with a front whose simulated nodes are behind relays.
 
 use crate::common::{FRAGMENT, SDP, list, local, settings};
-use crate::script::{Transcript, approved};
-use crate::tap::{message, status, tap};
+use crate::script::{Transcript, assert_approved};
+use crate::tap::{render_message, spawn_relay, status_line};
 use pepperhook_front::Front;
 use pepperhook_playout::record::Recorder;
 use pepperhook_playout::{Faults, NodeHandle, Options, start};
@@ -14,69 +14,74 @@
 
 const JSON: (&str, &str) = ("content-type", "application/json");
 
-/// A front, nodes with a relay before each, and what they say.
-struct Scene {
+/// A front, its nodes with a relay in front of each, and the transcript.
+struct Fixture {
     front: Front,
-    stands: Vec<NodeHandle>,
+    nodes: Vec<NodeHandle>,
     list: String,
-    script: Transcript,
+    transcript: Transcript,
 }
 
-impl Scene {
+impl Fixture {
     async fn new(title: &str, n: usize) -> Self {
         Self::with(title, n, Faults::default()).await
     }
 
-    /// Nodes that all have these faults.
+    /// All nodes have these faults.
     async fn with(title: &str, n: usize, faults: Faults) -> Self {
-        let script = Transcript::new(title);
+        let transcript = Transcript::new(title);
         let options = |i: usize| Options {
             name: format!("n{i}"),
             rack: (i % 2) as u32,
             seed: 1 + i as u64,
             ..Options::default()
         };
-        let stands = start((0..n).map(options).collect(), &Recorder::disabled()).await.expect("nodes");
-        let mut places = Vec::new();
-        for s in &stands {
-            s.set_faults(faults);
-            places.push((s.name.clone(), tap(&script, s.address).await));
+        let nodes = start((0..n).map(options).collect(), &Recorder::disabled())
+            .await
+            .expect("cannot start the nodes");
+        let mut relays = Vec::new();
+        for node in &nodes {
+            node.set_faults(faults);
+            relays.push((node.name.clone(), spawn_relay(&transcript, node.address).await));
         }
-        let list = list(&places, 0);
-        let front = seeded(7, &own(n), &list).await;
-        Self { front, stands, list, script }
+        let list = list(&relays, 0);
+        let front = start_front(7, &settings_with_long_timeouts(n), &list).await;
+        Self { front, nodes, list, transcript }
     }
 
     async fn connect(&self) -> Connection {
-        Connection::open(self.front.address()).await.expect("a connection")
+        Connection::open(self.front.address()).await.expect("cannot connect to the front")
     }
 
-    /// The node that was asked to set a session up; the others.
-    fn asked(&self) -> (&NodeHandle, Vec<&NodeHandle>) {
-        let (asked, others): (Vec<_>, Vec<_>) = self.stands.iter().partition(|s| s.state().attempts > 0);
-        (asked.first().expect("a node was asked"), others)
+    /// The node that received a set-up, and the other nodes.
+    fn split_by_set_up(&self) -> (&NodeHandle, Vec<&NodeHandle>) {
+        let (asked, others): (Vec<_>, Vec<_>) = self.nodes.iter().partition(|node| node.state().attempts > 0);
+        (asked.first().expect("no node received a set-up"), others)
     }
 
-    /// The front follows the events of a node. A stream that does not come up within a second is given up and opened
-    /// anew: one that is older than that has come up.
-    async fn until_followed(&self) {
-        until("the front follows a node", || {
-            self.script.followed().is_some_and(|since| since.elapsed() > Duration::from_millis(1_200))
+    /// Waits until the front receives the events of a node. The front closes and reopens a stream that is not
+    /// established within a second, so an older one is established.
+    async fn wait_for_event_stream(&self) {
+        wait_until("the front receives events of a node", || {
+            self.transcript
+                .event_stream_since()
+                .is_some_and(|since| since.elapsed() > Duration::from_millis(1_200))
         })
         .await;
     }
 
-    async fn until_asked(&self) {
-        until("a node is asked", || self.stands.iter().any(|s| s.state().attempts > 0)).await;
+    async fn wait_for_set_up(&self) {
+        wait_until("a node receives a set-up", || self.nodes.iter().any(|node| node.state().attempts > 0))
+            .await;
     }
 
-    fn approved(&self, name: &str) {
-        approved(name, &self.script.text());
+    fn assert_approved(&self, name: &str) {
+        assert_approved(name, &self.transcript.text());
     }
 }
 
-/// Times are long, so that a machine that is busy has the same transcript.
-fn own(n: usize) -> String {
+/// Settings with long timeouts: none expires on a busy machine and changes the transcript.
+fn settings_with_long_timeouts(n: usize) -> String {
     settings(n, "close-grace 300ms")
         .replace("body-time 300ms", "body-time 20s")
         .replace("head-time 400ms", "head-time 20s")
@@ -84,59 +89,68 @@
         .replace("patience 4s", "patience 24s")
 }
 
-/// A machine that is busy may take its time between two steps of a transcript.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout for each condition and message; long enough for a busy machine.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-async fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
-    while !holds() {
-        assert!(Instant::now() < end, "never: {what}");
+async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let end = Instant::now() + TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < end, "not within {TIMEOUT:?}: {what}");
         sleep(Duration::from_millis(3)).await;
     }
 }
 
-/// A front whose own choices come from this seed.
-async fn seeded(seed: u64, settings: &str, list: &str) -> Front {
-    let config = Config::parse("test.conf", settings).expect("settings");
-    let nodes = pepperhook_inventory::parse(list.as_bytes(), &config.names).expect("a list");
-    Front::start(config, seed, nodes, None).await.expect("a front")
+/// Starts a front with this seed of its random choices.
+async fn start_front(seed: u64, settings: &str, list: &str) -> Front {
+    let config = Config::parse("test.conf", settings).expect("invalid settings");
+    let nodes = pepperhook_inventory::parse(list.as_bytes(), &config.names).expect("invalid list of nodes");
+    Front::start(config, seed, nodes, None).await.expect("cannot start the front")
 }
 
-/// A viewer or publisher: who it is in the transcript, and its connection.
+/// A viewer or publisher: its name in the transcript and its connection.
 struct Client {
     name: &'static str,
-    /// The front that it asks.
+    /// Name in the transcript of the front that it is connected to.
     front: &'static str,
-    script: Transcript,
-    c: Connection,
+    transcript: Transcript,
+    connection: Connection,
 }
 
 impl Client {
-    async fn of(scene: &Scene, name: &'static str) -> Self {
-        Self { name, front: "front", script: scene.script.clone(), c: scene.connect().await }
+    async fn connect(fixture: &Fixture, name: &'static str) -> Self {
+        Self {
+            name,
+            front: "front",
+            transcript: fixture.transcript.clone(),
+            connection: fixture.connect().await,
+        }
     }
 
     async fn send(&mut self, method: &str, path: &str, headers: &[(&str, &str)], body: &[u8]) {
         let owned: Vec<_> = headers.iter().map(|(n, v)| ((*n).to_owned(), (*v).to_owned())).collect();
-        self.script.says(self.name, self.front, &message(&format!("{method} {path}"), &owned, body));
-        self.c.send(method, path, headers, body).await.expect("sent");
+        self.transcript.record(
+            self.name,
+            self.front,
+            &render_message(&format!("{method} {path}"), &owned, body),
+        );
+        self.connection.send(method, path, headers, body).await.expect("cannot send the request");
     }
 
     async fn reply(&mut self) -> HttpResponse {
-        self.heard(true).await.expect("an answer")
+        self.receive(true).await.expect("no answer from the front")
     }
 
-    async fn heard(&mut self, tell: bool) -> Result<HttpResponse, ReadError> {
-        let reply = self.c.read_response(Instant::now() + PATIENCE).await?;
-        if tell {
-            self.tell(&reply);
+    async fn receive(&mut self, record: bool) -> Result<HttpResponse, ReadError> {
+        let reply = self.connection.read_response(Instant::now() + TIMEOUT).await?;
+        if record {
+            self.record(&reply);
         }
         Ok(reply)
     }
 
-    fn tell(&self, reply: &HttpResponse) {
-        let words = message(&status(reply.status), &reply.headers, &reply.body);
-        self.script.says(self.front, self.name, &words);
+    fn record(&self, reply: &HttpResponse) {
+        let words = render_message(&status_line(reply.status), &reply.headers, &reply.body);
+        self.transcript.record(self.front, self.name, &words);
     }
 
     async fn exchange(
@@ -150,337 +164,389 @@
         self.reply().await
     }
 
-    async fn offers(&mut self, path: &str, n: u64) {
+    async fn send_offer(&mut self, path: &str, n: u64) {
         let text =
             if path.starts_with("/whip") { offer(n).replace("recvonly", "sendonly") } else { offer(n) };
         self.send("POST", path, &[SDP], text.as_bytes()).await;
     }
 
-    /// A session that plays, its node told which quality it has.
-    async fn plays(&mut self, path: &str, n: u64) -> (String, String) {
-        self.offers(path, n).await;
+    /// Sets a session up and waits until the front has set its rung at the node. Returns its path and entity
+    /// tag.
+    async fn start_session(&mut self, path: &str, n: u64) -> (String, String) {
+        self.send_offer(path, n).await;
         let reply = self.reply().await;
-        assert_eq!(reply.status, 201, "{}", self.script.text());
-        self.script.beside(2).await;
-        let field = |name: &str| reply.header(name).expect("a header").to_owned();
+        assert_eq!(reply.status, 201, "{}", self.transcript.text());
+        self.transcript.flush_unordered(2).await;
+        let field = |name: &str| reply.header(name).expect("the answer lacks a header").to_owned();
         (field("location"), field("etag"))
     }
 
-    /// Opens a stream of events on a session.
-    async fn follows(&mut self, session: &str) {
+    /// Opens an event stream of a session.
+    async fn open_event_stream(&mut self, session: &str) {
         let path = format!("{session}/events");
         let wanted = b"[\"inactive\",\"urn:pepperhook:whep:event:move\"]";
         let made = self.exchange("POST", &path, &[JSON], wanted).await;
-        let stream = made.header("location").expect("a stream").to_owned();
+        let stream = made.header("location").expect("the answer has no location").to_owned();
         self.exchange("GET", &stream, &[], b"").await;
     }
 
-    /// Waits for an event on its stream.
-    async fn told(&mut self, event: &str) {
+    /// Waits for an event on the stream and records it.
+    async fn expect_event(&mut self, event: &str) {
         let words = format!("event: {event}\ndata: ");
-        let until = Instant::now() + PATIENCE;
-        let data = self.c.wait_for_line(&words, until).await.expect("an event");
-        self.script.says(self.front, self.name, &format!("event: {event}\ndata: {data}"));
+        let until = Instant::now() + TIMEOUT;
+        let data = self.connection.wait_for_line(&words, until).await.expect("the event did not arrive");
+        self.transcript.record(self.front, self.name, &format!("event: {event}\ndata: {data}"));
     }
 }
 
+/// Guards against a session that stays at the node after its viewer has left.
 #[test]
 fn a_viewer_plays_and_leaves() {
     local(async {
-        let s = Scene::new("A viewer asks for title t, plays it, and leaves.", 3).await;
-        let mut v = Client::of(&s, "viewer-1").await;
-        s.script.step("The viewer offers; the front picks a node, and passes its answer on.");
-        let (session, _) = v.plays("/whep/t?viewer=anna", 1).await;
-        s.script.step("The viewer leaves: the front ends the session at the node too.");
-        v.exchange("DELETE", &session, &[], b"").await;
-        s.script.beside(2).await;
-        s.script.step("A second DELETE meets no session.");
-        v.exchange("DELETE", &session, &[], b"").await;
-        s.approved("viewer_plays_and_leaves");
+        let fixture = Fixture::new("A viewer asks for title t, plays it, and leaves.", 3).await;
+        let mut viewer = Client::connect(&fixture, "viewer-1").await;
+        fixture.transcript.step("The viewer offers; the front picks a node, and passes its answer on.");
+        let (session, _) = viewer.start_session("/whep/t?viewer=anna", 1).await;
+        fixture.transcript.step("The viewer leaves: the front ends the session at the node too.");
+        viewer.exchange("DELETE", &session, &[], b"").await;
+        fixture.transcript.flush_unordered(2).await;
+        fixture.transcript.step("A second DELETE meets no session.");
+        viewer.exchange("DELETE", &session, &[], b"").await;
+        fixture.assert_approved("viewer_plays_and_leaves");
     });
 }
 
+/// Guards against a refusal without a time for the next attempt.
 #[test]
 fn nobody_has_room() {
     local(async {
         let full = Faults { refuse: 1.0, ..Faults::default() };
-        let s =
-            Scene::with("Both nodes are full: the viewer is refused, and told when to come again.", 2, full)
-                .await;
-        let mut v = Client::of(&s, "viewer-1").await;
-        v.offers("/whep/t?viewer=anna", 1).await;
-        v.reply().await;
-        s.approved("refusal");
+        let fixture = Fixture::with(
+            "Both nodes are full: the viewer is refused, and told when to come again.",
+            2,
+            full,
+        )
+        .await;
+        let mut viewer = Client::connect(&fixture, "viewer-1").await;
+        viewer.send_offer("/whep/t?viewer=anna", 1).await;
+        viewer.reply().await;
+        fixture.assert_approved("refusal");
     });
 }
 
+/// Guards against set-ups at nodes for requests that cannot be served, and errors that do not name the cause.
 #[test]
 fn a_title_that_nobody_holds() {
     local(async {
-        let s =
-            Scene::new("Titles that nobody holds, and other requests that no node is asked for.", 1).await;
-        let mut v = Client::of(&s, "viewer-1").await;
-        s.script.step("An unknown title.");
-        v.offers("/whep/unknown?viewer=anna", 1).await;
-        v.reply().await;
-        s.script.step("A body that is no session description.");
-        v.exchange("POST", "/whep/t?viewer=anna", &[("content-type", "text/plain")], b"hello").await;
-        s.script.step("One that says it is, and is none.");
-        v.exchange("POST", "/whep/t?viewer=anna", &[SDP], b"hello").await;
-        s.script.step("An argument that cannot be read.");
-        v.offers("/whep/t?viewer=anna&top=high", 1).await;
-        v.reply().await;
-        s.script.step("Another method, and another path.");
-        v.exchange("PUT", "/whep/t", &[], b"").await;
-        v.exchange("GET", "/t", &[], b"").await;
-        s.approved("requests_that_cannot_be_served");
+        let fixture =
+            Fixture::new("Titles that nobody holds, and other requests that no node is asked for.", 1).await;
+        let mut viewer = Client::connect(&fixture, "viewer-1").await;
+        fixture.transcript.step("An unknown title.");
+        viewer.send_offer("/whep/unknown?viewer=anna", 1).await;
+        viewer.reply().await;
+        fixture.transcript.step("A body that is no session description.");
+        viewer.exchange("POST", "/whep/t?viewer=anna", &[("content-type", "text/plain")], b"hello").await;
+        fixture.transcript.step("One that says it is, and is none.");
+        viewer.exchange("POST", "/whep/t?viewer=anna", &[SDP], b"hello").await;
+        fixture.transcript.step("An argument that cannot be read.");
+        viewer.send_offer("/whep/t?viewer=anna&top=high", 1).await;
+        viewer.reply().await;
+        fixture.transcript.step("Another method, and another path.");
+        viewer.exchange("PUT", "/whep/t", &[], b"").await;
+        viewer.exchange("GET", "/t", &[], b"").await;
+        fixture.assert_approved("requests_that_cannot_be_served");
     });
 }
 
+/// Guards against OPTIONS answers that lack a method or body type, without which browsers do not send the
+/// request.
 #[test]
 fn what_is_allowed_where() {
     local(async {
-        let s = Scene::new("OPTIONS tells what a resource takes; no node is asked.", 1).await;
-        let mut v = Client::of(&s, "viewer-1").await;
-        v.exchange("OPTIONS", "/whep/t", &[], b"").await;
-        v.exchange("OPTIONS", "/whip/live", &[], b"").await;
-        v.exchange("OPTIONS", "/session/any", &[], b"").await;
-        s.approved("options");
+        let fixture = Fixture::new("OPTIONS tells what a resource takes; no node is asked.", 1).await;
+        let mut viewer = Client::connect(&fixture, "viewer-1").await;
+        viewer.exchange("OPTIONS", "/whep/t", &[], b"").await;
+        viewer.exchange("OPTIONS", "/whip/live", &[], b"").await;
+        viewer.exchange("OPTIONS", "/session/any", &[], b"").await;
+        fixture.assert_approved("options");
     });
 }
 
+/// Guards against fragments that are applied to another ICE session than the one they name.
 #[test]
 fn candidates_trickle_and_ice_restarts() {
     local(async {
-        let s = Scene::new("ICE candidates come one by one (trickle); then ICE is restarted.", 1).await;
-        let mut v = Client::of(&s, "viewer-1").await;
-        let (session, etag) = v.plays("/whep/t?viewer=anna", 1).await;
+        let fixture =
+            Fixture::new("ICE candidates come one by one (trickle); then ICE is restarted.", 1).await;
+        let mut viewer = Client::connect(&fixture, "viewer-1").await;
+        let (session, etag) = viewer.start_session("/whep/t?viewer=anna", 1).await;
         let candidate =
             b"a=ice-ufrag:v000001\r\na=ice-pwd:0123456789012345678901\r\nm=video 9 RTP/AVP 0\r\na=mid:0\r\n\
             a=candidate:1 1 udp 2122260223 192.0.2.7 50000 typ host\r\n";
-        s.script.step("A candidate under the entity tag that came with the 201.");
-        v.exchange("PATCH", &session, &[FRAGMENT, ("if-match", &etag)], candidate).await;
-        s.script.step("One without If-Match, though with the credentials of the session that runs.");
-        v.exchange("PATCH", &session, &[FRAGMENT], candidate).await;
-        s.script.step("One without If-Match that names no ICE session at all.");
-        v.exchange("PATCH", &session, &[FRAGMENT], b"a=mid:0\r\n").await;
-        s.script.step("One under a tag that is not the session's.");
-        v.exchange("PATCH", &session, &[FRAGMENT, ("if-match", "\"old\"")], candidate).await;
-        s.script.step("One of another type.");
-        v.exchange("PATCH", &session, &[JSON, ("if-match", &etag)], b"{}").await;
-        s.script
+        fixture.transcript.step("A candidate under the entity tag that came with the 201.");
+        viewer.exchange("PATCH", &session, &[FRAGMENT, ("if-match", &etag)], candidate).await;
+        fixture
+            .transcript
+            .step("One without If-Match, though with the credentials of the session that runs.");
+        viewer.exchange("PATCH", &session, &[FRAGMENT], candidate).await;
+        fixture.transcript.step("One without If-Match that names no ICE session at all.");
+        viewer.exchange("PATCH", &session, &[FRAGMENT], b"a=mid:0\r\n").await;
+        fixture.transcript.step("One under a tag that is not the session's.");
+        viewer.exchange("PATCH", &session, &[FRAGMENT, ("if-match", "\"old\"")], candidate).await;
+        fixture.transcript.step("One of another type.");
+        viewer.exchange("PATCH", &session, &[JSON, ("if-match", &etag)], b"{}").await;
+        fixture
+            .transcript
             .step("ICE restarts: new credentials, for any ICE session (*). The tag is another from now on.");
         let fresh = b"a=ice-ufrag:fresh001\r\na=ice-pwd:9876543210987654321098\r\n";
-        let restarted = v.exchange("PATCH", &session, &[FRAGMENT, ("if-match", "*")], fresh).await;
-        let new = restarted.header("etag").expect("a tag").to_owned();
-        s.script.step("The old tag counts no more, the new one does.");
-        v.exchange("PATCH", &session, &[FRAGMENT, ("if-match", &etag)], candidate).await;
-        v.exchange("PATCH", &session, &[FRAGMENT, ("if-match", &new)], candidate).await;
-        s.approved("trickle_and_restart");
+        let restarted = viewer.exchange("PATCH", &session, &[FRAGMENT, ("if-match", "*")], fresh).await;
+        let new = restarted.header("etag").expect("the answer has no entity tag").to_owned();
+        fixture.transcript.step("The old tag counts no more, the new one does.");
+        viewer.exchange("PATCH", &session, &[FRAGMENT, ("if-match", &etag)], candidate).await;
+        viewer.exchange("PATCH", &session, &[FRAGMENT, ("if-match", &new)], candidate).await;
+        fixture.assert_approved("trickle_and_restart");
     });
 }
 
+/// Guards against viewers that are not notified when the node ends their session.
 #[test]
 fn a_node_ends_a_session() {
     local(async {
-        let s = Scene::new("The node ends a session by itself, as when the title is over.", 1).await;
-        let (mut v, mut stream) = (Client::of(&s, "viewer-1").await, Client::of(&s, "viewer-1").await);
-        let (session, etag) = v.plays("/whep/t?viewer=anna", 1).await;
-        s.script.step("The viewer follows the events of its session.");
-        stream.follows(&session).await;
-        s.until_followed().await;
-        s.script.step("The node ends it, and says so on the stream of events that the front follows.");
-        s.stands[0].end_sessions();
-        stream.told("inactive").await;
-        s.script.step("What comes for it later meets no session.");
-        v.exchange("PATCH", &session, &[FRAGMENT, ("if-match", &etag)], b"a=mid:0\r\n").await;
-        v.exchange("DELETE", &session, &[], b"").await;
-        s.approved("node_ends");
+        let fixture = Fixture::new("The node ends a session by itself, as when the title is over.", 1).await;
+        let (mut viewer, mut stream) =
+            (Client::connect(&fixture, "viewer-1").await, Client::connect(&fixture, "viewer-1").await);
+        let (session, etag) = viewer.start_session("/whep/t?viewer=anna", 1).await;
+        fixture.transcript.step("The viewer follows the events of its session.");
+        stream.open_event_stream(&session).await;
+        fixture.wait_for_event_stream().await;
+        fixture
+            .transcript
+            .step("The node ends it, and says so on the stream of events that the front follows.");
+        fixture.nodes[0].end_sessions();
+        stream.expect_event("inactive").await;
+        fixture.transcript.step("What comes for it later meets no session.");
+        viewer.exchange("PATCH", &session, &[FRAGMENT, ("if-match", &etag)], b"a=mid:0\r\n").await;
+        viewer.exchange("DELETE", &session, &[], b"").await;
+        fixture.assert_approved("node_ends");
     });
 }
 
+/// Guards against viewers that are not notified when their node crashes, and a new set-up at the dead node.
 #[test]
 fn a_node_dies() {
     local(async {
-        let s = Scene::new("A node dies while a viewer plays from it; the viewer comes again.", 2).await;
-        let (mut v, mut stream) = (Client::of(&s, "viewer-1").await, Client::of(&s, "viewer-1").await);
-        let (session, _) = v.plays("/whep/t?viewer=anna", 1).await;
-        stream.follows(&session).await;
-        s.script
+        let fixture =
+            Fixture::new("A node dies while a viewer plays from it; the viewer comes again.", 2).await;
+        let (mut viewer, mut stream) =
+            (Client::connect(&fixture, "viewer-1").await, Client::connect(&fixture, "viewer-1").await);
+        let (session, _) = viewer.start_session("/whep/t?viewer=anna", 1).await;
+        stream.open_event_stream(&session).await;
+        fixture
+            .transcript
             .step("The node is gone, and its connections with it. The front tells the viewer in its place.");
-        s.asked().0.crash();
-        stream.told("inactive").await;
-        s.script.step("The viewer asks again, and plays from the other node.");
-        v.plays("/whep/t?viewer=anna", 2).await;
-        s.approved("node_dies");
+        fixture.split_by_set_up().0.crash();
+        stream.expect_event("inactive").await;
+        fixture.transcript.step("The viewer asks again, and plays from the other node.");
+        viewer.start_session("/whep/t?viewer=anna", 2).await;
+        fixture.assert_approved("node_dies");
     });
 }
 
+/// Guards against a stopping front that leaves its viewers without notice or their sessions at the nodes.
 #[test]
 fn a_front_moves_its_viewers() {
     local(async {
-        let s = Scene::new(
+        let fixture = Fixture::new(
             "A front is drained: it tells its viewers to move, and they go on at another front.",
             2,
         )
         .await;
-        let (mut v, mut stream) = (Client::of(&s, "viewer-1").await, Client::of(&s, "viewer-1").await);
-        let (session, _) = v.plays("/whep/t?viewer=anna", 1).await;
-        stream.follows(&session).await;
-        let Scene { front, stands: _stands, list, script } = s;
-        script.step(
+        let (mut viewer, mut stream) =
+            (Client::connect(&fixture, "viewer-1").await, Client::connect(&fixture, "viewer-1").await);
+        let (session, _) = viewer.start_session("/whep/t?viewer=anna", 1).await;
+        stream.open_event_stream(&session).await;
+        let Fixture { front, nodes: _nodes, list, transcript } = fixture;
+        transcript.step(
             "The operator stops the front: who plays is told to move, and the node to end the session.",
         );
-        let other = seeded(8, &own(2).replace("name front", "name other-front"), &list).await;
+        let other =
+            start_front(8, &settings_with_long_timeouts(2).replace("name front", "name other-front"), &list)
+                .await;
         let stop = tokio::task::spawn_local(front.stop());
-        stream.told("urn:pepperhook:whep:event:move").await;
-        script.beside(2).await;
-        script.step("The viewer asks the other front, and plays on.");
-        let c = Connection::open(other.address()).await.expect("a connection");
-        let mut again = Client { name: "viewer-1", front: "other-front", script: script.clone(), c };
-        again.plays("/whep/t?viewer=anna", 2).await;
-        stop.await.expect("stopped");
-        approved("front_is_drained", &script.text());
+        stream.expect_event("urn:pepperhook:whep:event:move").await;
+        transcript.flush_unordered(2).await;
+        transcript.step("The viewer asks the other front, and plays on.");
+        let connection = Connection::open(other.address()).await.expect("cannot connect to the front");
+        let mut again =
+            Client { name: "viewer-1", front: "other-front", transcript: transcript.clone(), connection };
+        again.start_session("/whep/t?viewer=anna", 2).await;
+        stop.await.expect("the stop of the front panicked");
+        assert_approved("front_is_drained", &transcript.text());
     });
 }
 
+/// Guards against a second publisher of one title, and viewers that are not notified when the publisher
+/// stops.
 #[test]
 fn a_publisher_and_its_viewer() {
     local(async {
-        let s = Scene::new("A publisher sends the title live, a viewer watches it.", 1).await;
-        let (mut p, mut v) = (Client::of(&s, "publisher-1").await, Client::of(&s, "viewer-1").await);
-        s.script.step("Before anybody publishes it there is nothing to watch.");
-        v.offers("/whep/live?viewer=anna", 1).await;
-        v.reply().await;
-        s.script.step("The publisher offers to send.");
-        let (publication, _) = p.plays("/whip/live?viewer=studio", 2).await;
-        s.script.step("Another publisher of the same title is turned away.");
-        let mut q = Client::of(&s, "publisher-2").await;
-        q.offers("/whip/live?viewer=rival", 3).await;
-        q.reply().await;
-        s.script.step("The viewer asks again, and plays.");
-        let (watched, _) = v.plays("/whep/live?viewer=anna", 4).await;
-        let mut stream = Client::of(&s, "viewer-1").await;
-        stream.follows(&watched).await;
-        s.script
+        let fixture = Fixture::new("A publisher sends the title live, a viewer watches it.", 1).await;
+        let (mut publisher, mut viewer) =
+            (Client::connect(&fixture, "publisher-1").await, Client::connect(&fixture, "viewer-1").await);
+        fixture.transcript.step("Before anybody publishes it there is nothing to watch.");
+        viewer.send_offer("/whep/live?viewer=anna", 1).await;
+        viewer.reply().await;
+        fixture.transcript.step("The publisher offers to send.");
+        let (publication, _) = publisher.start_session("/whip/live?viewer=studio", 2).await;
+        fixture.transcript.step("Another publisher of the same title is turned away.");
+        let mut rival = Client::connect(&fixture, "publisher-2").await;
+        rival.send_offer("/whip/live?viewer=rival", 3).await;
+        rival.reply().await;
+        fixture.transcript.step("The viewer asks again, and plays.");
+        let (watched, _) = viewer.start_session("/whep/live?viewer=anna", 4).await;
+        let mut stream = Client::connect(&fixture, "viewer-1").await;
+        stream.open_event_stream(&watched).await;
+        fixture
+            .transcript
             .step("The publisher stops. The viewer is told that nothing comes any more; its session stands.");
-        p.exchange("DELETE", &publication, &[], b"").await;
-        stream.told("inactive").await;
-        s.script.beside(2).await;
-        s.script.step("The viewer leaves.");
-        v.exchange("DELETE", &watched, &[], b"").await;
-        s.script.beside(2).await;
-        s.approved("publisher_and_viewer");
+        publisher.exchange("DELETE", &publication, &[], b"").await;
+        stream.expect_event("inactive").await;
+        fixture.transcript.flush_unordered(2).await;
+        fixture.transcript.step("The viewer leaves.");
+        viewer.exchange("DELETE", &watched, &[], b"").await;
+        fixture.transcript.flush_unordered(2).await;
+        fixture.assert_approved("publisher_and_viewer");
     });
 }
 
+/// Guards against a node's error that reaches the viewer although another node can serve it.
 #[test]
 fn a_node_fails_and_another_is_tried() {
     local(async {
-        let s = Scene::with(
+        let fixture = Fixture::with(
             "A node answers with an error: the front tries another one. The viewer has one answer.",
             2,
             Faults { error: 1.0, slow_ms: 600, ..Faults::default() },
         )
         .await;
-        let mut v = Client::of(&s, "viewer-1").await;
-        v.offers("/whep/t?viewer=anna", 1).await;
-        s.until_asked().await;
-        for other in s.asked().1 {
+        let mut viewer = Client::connect(&fixture, "viewer-1").await;
+        viewer.send_offer("/whep/t?viewer=anna", 1).await;
+        fixture.wait_for_set_up().await;
+        for other in fixture.split_by_set_up().1 {
             other.set_faults(Faults::default());
         }
-        let reply = v.reply().await;
+        let reply = viewer.reply().await;
         assert_eq!(reply.status, 201);
-        s.script.beside(2).await;
-        s.approved("node_fails_then_another");
+        fixture.transcript.flush_unordered(2).await;
+        fixture.assert_approved("node_fails_then_another");
     });
 }
 
+/// Guards against a set-up that waits for a node that does not answer until the viewer's deadline is over.
 #[test]
 fn a_node_is_too_slow() {
     local(async {
         let silent = Faults { hang: 1.0, ..Faults::default() };
-        let s = Scene::with("A node takes the offer and says nothing. At half the class's aim (8 s) the front gives it up and tries another.", 2, silent).await;
-        let mut v = Client::of(&s, "viewer-1").await;
-        v.offers("/whep/t?viewer=anna", 1).await;
-        s.until_asked().await;
-        for other in s.asked().1 {
+        let fixture = Fixture::with("A node takes the offer and says nothing. At half the class's aim (8 s) the front gives it up and tries another.", 2, silent).await;
+        let mut viewer = Client::connect(&fixture, "viewer-1").await;
+        viewer.send_offer("/whep/t?viewer=anna", 1).await;
+        fixture.wait_for_set_up().await;
+        for other in fixture.split_by_set_up().1 {
             other.set_faults(Faults::default());
         }
-        assert_eq!(v.reply().await.status, 201);
-        s.script.beside(2).await;
-        s.approved("node_too_slow");
+        assert_eq!(viewer.reply().await.status, 201);
+        fixture.transcript.flush_unordered(2).await;
+        fixture.assert_approved("node_too_slow");
     });
 }
 
+/// Guards against a viewer that is refused because its node begins to drain during the set-up.
 #[test]
 fn a_node_drains_under_a_set_up() {
     local(async {
         let slow = Faults { slow_ms: 600, ..Faults::default() };
-        let s =
-            Scene::with("A node begins to drain while it sets a session up: another one is tried.", 2, slow)
-                .await;
-        let mut v = Client::of(&s, "viewer-1").await;
-        v.offers("/whep/t?viewer=anna", 1).await;
-        s.until_asked().await;
-        s.asked().0.set_faults(Faults { drain: true, ..slow });
-        assert_eq!(v.reply().await.status, 201);
-        s.script.beside(2).await;
-        s.approved("node_drains_under_a_set_up");
+        let fixture = Fixture::with(
+            "A node begins to drain while it sets a session up: another one is tried.",
+            2,
+            slow,
+        )
+        .await;
+        let mut viewer = Client::connect(&fixture, "viewer-1").await;
+        viewer.send_offer("/whep/t?viewer=anna", 1).await;
+        fixture.wait_for_set_up().await;
+        fixture.split_by_set_up().0.set_faults(Faults { drain: true, ..slow });
+        assert_eq!(viewer.reply().await.status, 201);
+        fixture.transcript.flush_unordered(2).await;
+        fixture.assert_approved("node_drains_under_a_set_up");
     });
 }
 
+/// Guards against a reload that leaves the earlier set-up at the node.
 #[test]
 fn a_newer_offer_of_the_same_viewer() {
     local(async {
         let slow = Faults { slow_ms: 600, ..Faults::default() };
-        let s = Scene::with(
+        let fixture = Fixture::with(
             "A viewer offers anew while its first offer is being answered, as after a reload.",
             1,
             slow,
         )
         .await;
-        let (mut v, mut w) = (Client::of(&s, "viewer-1").await, Client::of(&s, "viewer-1 (reloaded)").await);
-        v.offers("/whep/t?viewer=anna", 1).await;
-        s.until_asked().await;
-        s.script.step("The newer offer takes the place of the first, which the front gives up at the node.");
-        w.offers("/whep/t?viewer=anna", 2).await;
-        v.reply().await;
-        assert_eq!(w.reply().await.status, 201);
-        s.script.beside(2).await;
-        s.approved("newer_offer");
+        let (mut viewer, mut second) = (
+            Client::connect(&fixture, "viewer-1").await,
+            Client::connect(&fixture, "viewer-1 (reloaded)").await,
+        );
+        viewer.send_offer("/whep/t?viewer=anna", 1).await;
+        fixture.wait_for_set_up().await;
+        fixture
+            .transcript
+            .step("The newer offer takes the place of the first, which the front gives up at the node.");
+        second.send_offer("/whep/t?viewer=anna", 2).await;
+        viewer.reply().await;
+        assert_eq!(second.reply().await.status, 201);
+        fixture.transcript.flush_unordered(2).await;
+        fixture.assert_approved("newer_offer");
     });
 }
 
+/// Guards against a retransmitted offer that sets up a second session.
 #[test]
 fn the_same_offer_twice() {
     local(async {
         let slow = Faults { slow_ms: 600, ..Faults::default() };
-        let s = Scene::with("A viewer sends the same offer once more, unsure whether it arrived. One node is asked once; both have one answer.", 2, slow).await;
-        let (mut v, mut w) = (Client::of(&s, "viewer-1").await, Client::of(&s, "viewer-1 (again)").await);
-        v.offers("/whep/t?viewer=anna", 1).await;
-        s.until_asked().await;
-        w.offers("/whep/t?viewer=anna", 1).await;
-        v.reply().await;
-        w.reply().await;
-        s.script.beside(2).await;
-        s.approved("same_offer_twice");
+        let fixture = Fixture::with("A viewer sends the same offer once more, unsure whether it arrived. One node is asked once; both have one answer.", 2, slow).await;
+        let (mut viewer, mut second) = (
+            Client::connect(&fixture, "viewer-1").await,
+            Client::connect(&fixture, "viewer-1 (again)").await,
+        );
+        viewer.send_offer("/whep/t?viewer=anna", 1).await;
+        fixture.wait_for_set_up().await;
+        second.send_offer("/whep/t?viewer=anna", 1).await;
+        viewer.reply().await;
+        second.reply().await;
+        fixture.transcript.flush_unordered(2).await;
+        fixture.assert_approved("same_offer_twice");
     });
 }
 
+/// Guards against a set-up that continues at the node after the viewer has closed its connection.
 #[test]
 fn a_viewer_hangs_up() {
     local(async {
         let slow = Faults { hang: 1.0, ..Faults::default() };
-        let s =
-            Scene::with("A viewer closes its connection before the answer: the node is called off.", 1, slow)
-                .await;
-        let mut v = Client::of(&s, "viewer-1").await;
-        v.offers("/whep/t?viewer=anna", 1).await;
-        s.until_asked().await;
-        s.script.says("viewer-1", "front", "(closes the connection)");
-        drop(v);
-        until("the node is called off", || s.script.text().contains("given up")).await;
-        s.approved("viewer_hangs_up");
+        let fixture = Fixture::with(
+            "A viewer closes its connection before the answer: the node is called off.",
+            1,
+            slow,
+        )
+        .await;
+        let mut viewer = Client::connect(&fixture, "viewer-1").await;
+        viewer.send_offer("/whep/t?viewer=anna", 1).await;
+        fixture.wait_for_set_up().await;
+        fixture.transcript.record("viewer-1", "front", "(closes the connection)");
+        drop(viewer);
+        wait_until("the set-up at the node is cancelled", || fixture.transcript.text().contains("given up"))
+            .await;
+        fixture.assert_approved("viewer_hangs_up");
     });
 }
