--- a/crates/rehearse/src/day.rs
+++ b/crates/rehearse/src/day.rs
@@ -85,7 +85,8 @@
     /// Share of the datagrams between fronts that is lost.
     pub loss: f64,
     /// Isolated fronts: all that they send is lost, and the others do not send to them.
-    pub cut: Vec<u32>,
+    #[serde(rename = "cut")]
+    pub isolated: Vec<u32>,
 }
 
 impl Default for Fleet {
@@ -129,11 +130,14 @@
     /// Number of nodes that hold a title.
     pub copies: u32,
     /// Share of viewers that retry after a refusal or a failure.
-    pub returns: f64,
+    #[serde(rename = "returns")]
+    pub retry_share: f64,
     /// Share of requests that are sent a second time while the first one waits.
-    pub twice: f64,
+    #[serde(rename = "twice")]
+    pub duplicate_share: f64,
     /// Share of requests abandoned before the answer.
-    pub impatient: f64,
+    #[serde(rename = "impatient")]
+    pub abandon_share: f64,
 }
 
 impl Default for ViewerSettings {
@@ -145,9 +149,9 @@
             aim_s: 0.8,
             titles: 24,
             copies: 4,
-            returns: 0.9,
-            twice: 0.03,
-            impatient: 0.01,
+            retry_share: 0.9,
+            duplicate_share: 0.03,
+            abandon_share: 0.01,
         }
     }
 }
@@ -208,7 +212,8 @@
         share: f64,
     },
     /// A share of set-ups at these nodes gets a truncated answer.
-    Half {
+    #[serde(rename = "half")]
+    Truncate {
         /// Nodes.
         nodes: Vec<u32>,
         /// Share that is truncated.
@@ -301,7 +306,8 @@
         lead_s: f64,
     },
     /// An announced peak is cancelled at a front.
-    CallOff {
+    #[serde(rename = "call-off")]
+    CancelPeak {
         /// Name of the peak.
         peak: String,
         /// Front.
@@ -353,7 +359,7 @@
             return Err("fleet.tenants holds 16 shares at most, each between 0 and 1".into());
         }
         let needs_exchange =
-            |t: &ScheduledFault| matches!(t.kind, FaultKind::Announce { .. } | FaultKind::CallOff { .. });
+            |t: &ScheduledFault| matches!(t.kind, FaultKind::Announce { .. } | FaultKind::CancelPeak { .. });
         if f.exchange.is_none() && self.faults.iter().any(needs_exchange) {
             return Err("a day with announced peaks needs fleet.exchange".into());
         }
@@ -372,9 +378,9 @@
                 | FaultKind::Ageing { nodes, .. }
                 | FaultKind::Errors { nodes, .. }
                 | FaultKind::Hang { nodes, .. }
-                | FaultKind::Half { nodes, .. }
+                | FaultKind::Truncate { nodes, .. }
                 | FaultKind::Drain { nodes } => (nodes, &[]),
-                FaultKind::Announce { front, .. } | FaultKind::CallOff { front, .. } => {
+                FaultKind::Announce { front, .. } | FaultKind::CancelPeak { front, .. } => {
                     (&[], std::slice::from_ref(front))
                 }
                 FaultKind::FrontKill { fronts } | FaultKind::FrontStall { fronts, .. } => (&[], fronts),
--- a/crates/rehearse/src/duties/run.rs
+++ b/crates/rehearse/src/duties/run.rs
@@ -57,7 +57,7 @@
 pub fn day(v: &Variation) -> Day {
     let fleet = Fleet {
         fronts: v.fronts,
-        exchange: Some(ExchangeSettings { loss: v.loss, cut: Vec::new() }),
+        exchange: Some(ExchangeSettings { loss: v.loss, isolated: Vec::new() }),
         duties: Some(DutySettings { period_s: PERIOD_S, share: true, ask: false }),
         ..Fleet::default()
     };
--- a/crates/rehearse/src/peak.rs
+++ b/crates/rehearse/src/peak.rs
@@ -81,7 +81,7 @@
 }
 
 fn day(v: &Variation, announced: bool, cancelled: bool) -> Day {
-    let between = ExchangeSettings { loss: v.loss, cut: v.cut.into_iter().collect() };
+    let between = ExchangeSettings { loss: v.loss, isolated: v.cut.into_iter().collect() };
     // Capacities at which the ordinary viewers already play near the lowest rungs.
     let fleet = Fleet {
         fronts: v.fronts,
@@ -108,7 +108,7 @@
         add(ANNOUNCED_S, 0.0, kind);
     }
     if cancelled {
-        add(CANCELLED_S, 0.0, FaultKind::CallOff { peak: "event".into(), front: 0 });
+        add(CANCELLED_S, 0.0, FaultKind::CancelPeak { peak: "event".into(), front: 0 });
     } else {
         add(START_S, ARRIVALS_S, FaultKind::HotTitle { first: TITLE, titles: 1, rate: 6.0 });
     }
@@ -119,7 +119,8 @@
     };
     let length_s = if cancelled { START_S } else { START_S + LASTS_S + 2.0 };
     // Rate at which the ordinary viewers alone fill the racks to their marks.
-    let viewers = ViewerSettings { rate: 18.0, twice: 0.0, impatient: 0.0, ..ViewerSettings::default() };
+    let viewers =
+        ViewerSettings { rate: 18.0, duplicate_share: 0.0, abandon_share: 0.0, ..ViewerSettings::default() };
     Day { name: name.into(), seed: v.seed, length_s, fleet, viewers, faults }
 }
 
--- a/crates/rehearse/src/runner/faults.rs
+++ b/crates/rehearse/src/runner/faults.rs
@@ -68,7 +68,7 @@
             sleep(duration).await;
             set_faults(fleet, nodes, |f| f.hang = 0.0).await;
         }
-        FaultKind::Half { nodes, share } => {
+        FaultKind::Truncate { nodes, share } => {
             set_faults(fleet, nodes, |f| f.truncate = *share).await;
             sleep(duration).await;
             set_faults(fleet, nodes, |f| f.truncate = 0.0).await;
@@ -145,7 +145,7 @@
             });
             fleet.send_to_front(*front, "POST", "/peaks", announcement.to_string()).await?;
         }
-        FaultKind::CallOff { peak, front } => {
+        FaultKind::CancelPeak { peak, front } => {
             fleet.send_to_front(*front, "DELETE", &format!("/peaks/{peak}"), String::new()).await?;
         }
         // These change the arrivals; see `arrive`.
--- a/crates/rehearse/src/runner/fleet.rs
+++ b/crates/rehearse/src/runner/fleet.rs
@@ -366,13 +366,13 @@
         }
         if let Some(network) = &f.exchange {
             let fronts = self.fronts.borrow();
-            let cut = |j: u32| network.cut.contains(&j);
-            let loss = if cut(i) { 1.0 } else { network.loss };
+            let isolated = |j: u32| network.isolated.contains(&j);
+            let loss = if isolated(i) { 1.0 } else { network.loss };
             out += &format!(
                 "section exchange\nlisten {}\nkey rehearsal\nperiod 1s\nloss {loss}\n",
                 fronts[i as usize].exchange
             );
-            for j in (0..f.fronts).filter(|j| *j != i && !cut(*j)) {
+            for j in (0..f.fronts).filter(|j| *j != i && !isolated(*j)) {
                 out += &format!("peer {}\n", fronts[j as usize].exchange);
             }
         }
--- a/crates/rehearse/src/viewers.rs
+++ b/crates/rehearse/src/viewers.rs
@@ -100,7 +100,7 @@
             let began = Instant::now();
             match self.attempt(&viewer, remaining, &mut rng).await {
                 NextStep::Done => return,
-                NextStep::Retry(_) if !rng.random_bool(self.settings.returns) => return,
+                NextStep::Retry(_) if !rng.random_bool(self.settings.retry_share) => return,
                 NextStep::Retry(pause) => {
                     sleep(pause + Duration::from_millis(rng.random_range(50..400))).await;
                     remaining = remaining.saturating_sub(began.elapsed());
@@ -126,14 +126,14 @@
             return NextStep::Retry(Duration::from_millis(300));
         };
         let request = self.next_request();
-        if rng.random_bool(self.settings.impatient) {
+        if rng.random_bool(self.settings.abandon_share) {
             let wait = Duration::from_millis(rng.random_range(1..40));
             self.send_request(&mut connection, request, viewer, &name, &offer(request)).await.ok();
             sleep(wait).await;
             self.recorder.write(Event::ViewerLeft { request });
             return NextStep::Done;
         }
-        if rng.random_bool(self.settings.twice) {
+        if rng.random_bool(self.settings.duplicate_share) {
             // Repeats the request on another connection while the first one waits.
             let (pool, viewer, name, offer) = (self.clone(), viewer.clone(), name.clone(), offer(request));
             let duplicate = self.next_request();
