--- a/crates/rehearse/src/agreement/plan.rs
+++ b/crates/rehearse/src/agreement/plan.rs
@@ -145,7 +145,19 @@
         let fronts =
             plan.requests.iter().all(|w| known(&w.front) && w.twice_at.iter().all(known) && w.flood <= 16);
         if !within || !fronts {
-            return Err("a value is out of range, or a wish names a front that does not exist".into());
+            return Err(format!(
+                "a value is out of range: fronts is {} (3 to {MAX_FRONTS} is allowed), voters {} (1, 3, 5 or 7, at most \
+                 fronts), loss {} (0 to 1), hold_ms {} (1000 to 60000), length_ms {} (at most {MAX_LENGTH_MS}), rate {} \
+                 (0 to 100), wishes has {} entries (at most {MAX_REQUESTS}, each with front and twice_at below fronts \
+                 and a flood of at most 16)",
+                plan.fronts,
+                plan.voters,
+                plan.loss,
+                plan.hold_ms,
+                plan.length_ms,
+                plan.rate,
+                plan.requests.len()
+            ));
         }
         Ok(plan)
     }
@@ -283,8 +295,8 @@
 fn random(rng: &mut StdRng, v: &Variation, calm_ms: u64, end_ms: u64, out: &mut Schedule) {
     let act = |at_ms, who: u32, what, store| Act { at_ms, who: name(who), what, store };
     let mut taken: Vec<(u64, u64, u32)> = Vec::new();
-    // Number of fronts restarted with an older store. A front that lost its promises must be replaced before another loses
-    // them.
+    // Number of faults drawn that end in an older store, which only the first one does. A front that lost its promises must
+    // be replaced before another loses its own.
     let mut old_stores = 0;
     let (mut kind, mut at) = (0u32, calm_ms);
     while at + 2_000 <= end_ms {
--- a/crates/rehearse/src/agreement/run.rs
+++ b/crates/rehearse/src/agreement/run.rs
@@ -363,7 +363,7 @@
         move |e| Fault::Io(what, e)
     };
     // Fronts run with this folder as working directory, so its path must be absolute.
-    let dir = &dir.canonicalize().map_err(io("the folder"))?;
+    let dir = &dir.canonicalize().map_err(io("folder for the files of the run"))?;
     std::fs::write(dir.join("plan.json"), plan.text()).map_err(io("plan.json"))?;
     let plan = Rc::new(plan);
     let recorder = Recorder::in_memory("viewers");
--- a/crates/rehearse/src/checker.rs
+++ b/crates/rehearse/src/checker.rs
@@ -103,6 +103,7 @@
     stalls: BTreeMap<String, Vec<(u64, u64)>>,
 }
 
+/// Groups the lines, which must be sorted by time.
 fn group(lines: &[Line]) -> Observations {
     let mut observed = Observations {
         attempts: Vec::new(),
@@ -178,6 +179,7 @@
     out
 }
 
+/// Rule 1.
 fn one_answer(lines: &[Line], observed: &Observations, limits: &RuleLimits, out: &mut Vec<Violation>) {
     let mut answers: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
     let mut excused = BTreeSet::new();
@@ -241,6 +243,7 @@
     }
 }
 
+/// Rule 2.
 fn one_set_up(lines: &[Line], observed: &Observations, limits: &RuleLimits, out: &mut Vec<Violation>) {
     let mut by_session: BTreeMap<(&str, &str), Vec<&Attempt>> = BTreeMap::new();
     for a in &observed.attempts {
@@ -288,6 +291,7 @@
     }
 }
 
+/// Rule 3.
 fn drains(lines: &[Line], observed: &Observations, limits: &RuleLimits, out: &mut Vec<Violation>) {
     let mut listed: BTreeMap<(&str, &str), Vec<(u64, bool)>> = BTreeMap::new();
     for line in lines {
@@ -319,6 +323,7 @@
     }
 }
 
+/// Rule 4.
 fn cold(lines: &[Line], observed: &Observations, limits: &RuleLimits, out: &mut Vec<Violation>) {
     for line in lines {
         match line.event {
@@ -358,6 +363,7 @@
     }
 }
 
+/// Rule 5.
 fn class_limits(lines: &[Line], observed: &Observations, limits: &RuleLimits, out: &mut Vec<Violation>) {
     let mut ends: BTreeMap<&str, u64> = BTreeMap::new();
     let mut layers: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
@@ -414,6 +420,7 @@
     }
 }
 
+/// Rule 6.
 fn retry_budget(observed: &Observations, limits: &RuleLimits, out: &mut Vec<Violation>) {
     let Some((free, share, window_s)) = limits.retry_budget else { return };
     let mut seen = BTreeSet::new();
--- a/crates/rehearse/tests/duties.rs
+++ b/crates/rehearse/tests/duties.rs
@@ -8,6 +8,7 @@
 /// Maximum time without a probe of a ready node when one front fails: two periods plus the suspicion timeout.
 const MAX_GAP_MS: u64 = 2 * PERIOD_MS + SUSPICION_MS;
 
+/// Checks the probes since `from_ms`.
 fn coverage(fleet: &Simulation, from_ms: u64) -> Coverage {
     let to_ms = fleet.now_ms();
     let limits = CoverageLimits {
@@ -19,6 +20,7 @@
     check(&fleet.probes(from_ms, to_ms), &fleet.ready_intervals(from_ms, to_ms), &limits)
 }
 
+/// A fleet whose fronts know each other, at 8 s.
 fn settled(fronts: usize, loss: f64) -> Simulation {
     let mut fleet = Simulation::new(Options { fronts, loss, ..Options::default() });
     fleet.run(8_000);
@@ -43,14 +45,14 @@
 
 #[test]
 fn a_death_leaves_no_gap_beyond_the_bound() {
-    for (loss, twice) in [(0.0, 0.05), (0.2, 0.25), (0.5, 0.55)] {
+    for (loss, max_duplicates) in [(0.0, 0.05), (0.2, 0.25), (0.5, 0.55)] {
         let mut fleet = settled(8, loss);
         for (i, at) in [(1, 10_300), (4, 18_700), (6, 27_150)] {
             fleet.at(at, Action::Kill(i));
         }
         fleet.run(38_000);
         let c = coverage(&fleet, 8_000);
-        assert!(c.violations.is_empty() && c.duplicate_share < twice, "loss {loss}: {c:?}");
+        assert!(c.violations.is_empty() && c.duplicate_share < max_duplicates, "loss {loss}: {c:?}");
         for i in (0..8).filter(|i| fleet.front(*i).is_some()) {
             let view = fleet.view(i);
             assert!(view.iter().all(|j| ![1, 4, 6].contains(j)) && view.len() >= 4, "loss {loss}: {view:?}");
