--- a/crates/cli/tests/agreement.rs
+++ b/crates/cli/tests/agreement.rs
@@ -24,7 +24,7 @@
 const SETTLED: Duration = Duration::from_secs(20);
 const AGREEMENT: &str = "section agreement\nvoter a\nvoter b\nvoter c\nhold 4s\n";
 
-async fn nodes() -> Vec<NodeHandle> {
+async fn start_nodes() -> Vec<NodeHandle> {
     let options = |i: usize| Options { name: format!("n{i}"), rack: (i % 2) as u32, ..Options::default() };
     start((0..4).map(options).collect(), &Recorder::disabled()).await.expect("nodes")
 }
@@ -39,7 +39,7 @@
         + more
 }
 
-async fn fleet(dir: &Path, stands: &[NodeHandle], more: impl Fn(&str) -> String) -> Fleet {
+async fn fleet(dir: &Path, nodes: &[NodeHandle], more: impl Fn(&str) -> String) -> Fleet {
     let front = |n: &&str| Front { name: (*n).to_owned(), settings: text(&more(n)) };
     let options = FleetOptions {
         program: PathBuf::from(env!("CARGO_BIN_EXE_pepperhook")),
@@ -47,7 +47,7 @@
         seed: 11,
         fronts: NAMES.iter().map(front).collect(),
         exchange: "look 200ms\nsuspicion 600ms\n".into(),
-        nodes: places(stands),
+        nodes: node_addresses(nodes),
         inventory: |nodes| list(nodes, 0),
         has_state_dirs: true,
     };
@@ -55,8 +55,8 @@
 }
 
 /// Five fronts that agree on the policy of their files.
-async fn agreed(dir: &Path, stands: &[NodeHandle]) -> Fleet {
-    let fleet = fleet(dir, stands, |_| AGREEMENT.into()).await;
+async fn agreed(dir: &Path, nodes: &[NodeHandle]) -> Fleet {
+    let fleet = fleet(dir, nodes, |_| AGREEMENT.into()).await;
     until(&fleet, "all go by version 1", |s| s.len() == NAMES.len() && same_view(s) && all_by(s, 1)).await;
     fleet
 }
@@ -262,8 +262,8 @@
 fn a_change_holds_everywhere_whoever_is_cut_off_stopped_or_killed() {
     local(async {
         let dir = tempfile::tempdir().expect("a folder");
-        let stands = nodes().await;
-        let mut fleet = agreed(dir.path(), &stands).await;
+        let nodes = start_nodes().await;
+        let mut fleet = agreed(dir.path(), &nodes).await;
         let viewers = Viewers::new(&fleet);
         let first = policy(&fleet, 0).await;
         let told = ask(fleet.operator_address(3), &with_aim(&first, 700), 1, "ana", 1).await;
@@ -326,13 +326,13 @@
 fn a_change_that_one_front_cannot_go_by_holds_nowhere() {
     local(async {
         let dir = tempfile::tempdir().expect("a folder");
-        let stands = nodes().await;
+        let nodes = start_nodes().await;
         // Publishers' sessions have a class `extra` in the file of e alone.
         let more = |n: &str| match n {
             "e" => format!("{AGREEMENT}section class extra\naim 800ms\npatience 2s\ningest yes\n"),
             _ => AGREEMENT.to_owned(),
         };
-        let fleet = fleet(dir.path(), &stands, more).await;
+        let fleet = fleet(dir.path(), &nodes, more).await;
         until(&fleet, "all go by version 1", |s| s.len() == NAMES.len() && all_by(s, 1)).await;
         let viewers = Viewers::new(&fleet);
         let first = policy(&fleet, 0).await;
@@ -363,8 +363,8 @@
 fn without_a_majority_nothing_changes_and_with_it_all_go_on() {
     local(async {
         let dir = tempfile::tempdir().expect("a folder");
-        let stands = nodes().await;
-        let mut fleet = agreed(dir.path(), &stands).await;
+        let nodes = start_nodes().await;
+        let mut fleet = agreed(dir.path(), &nodes).await;
         let first = policy(&fleet, 0).await;
         let playing = post_kept(fleet.viewer_address(3), 1).await;
         fleet.kill(0).await.expect("killed");
@@ -403,8 +403,8 @@
 fn voters_with_no_store_an_older_or_a_torn_one_come_back_as_others() {
     local(async {
         let dir = tempfile::tempdir().expect("a folder");
-        let stands = nodes().await;
-        let mut fleet = agreed(dir.path(), &stands).await;
+        let nodes = start_nodes().await;
+        let mut fleet = agreed(dir.path(), &nodes).await;
         fleet.save(1).expect("saved");
         let first = policy(&fleet, 0).await;
         let told = ask(fleet.operator_address(3), &with_aim(&first, 700), 1, "ana", 1).await;
@@ -443,8 +443,8 @@
 fn without_the_section_there_is_nothing_of_it_and_bad_settings_are_told_with_their_line() {
     local(async {
         let dir = tempfile::tempdir().expect("a folder");
-        let stands = nodes().await;
-        let fleet = fleet(dir.path(), &stands, |_| String::new()).await;
+        let nodes = start_nodes().await;
+        let fleet = fleet(dir.path(), &nodes, |_| String::new()).await;
         until(&fleet, "all know each other", |s| s.len() == NAMES.len() && same_view(s)).await;
         let s = post(fleet.viewer_address(0), 0, 1).await.expect("an answer");
         assert_eq!((s.status, s.entry), (201, None));
@@ -461,7 +461,7 @@
             ("", "section agreement\nvoter a\n", "they need a section exchange"),
         ] {
             let text = settings(4, "") + before;
-            let (said, line) = turned_down(dir.path(), &text, bad).await;
+            let (said, line) = assert_rejected(dir.path(), &text, bad).await;
             let placed = (line..line + 3).any(|l| said.contains(&format!("bad.conf:{l}")));
             assert!(said.contains(told) && placed, "{bad}: {said}");
         }
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers for tests on sockets: a front and simulated nodes in the test's process, and processes of the command.
+//! Helpers for tests over sockets: a front and simulated nodes in the test's process, and child processes of the command.
 #![allow(dead_code)]
 
 use pepperhook_front::Front;
@@ -17,7 +17,7 @@
 use tokio::time::{Instant, sleep};
 
 pub const SECOND: Duration = Duration::from_secs(1);
-/// Timeout for everything that a test waits for; equal to the viewers' patience in [`settings`].
+/// Timeout of a test's waits; equal to the viewers' patience in [`settings`].
 pub const PATIENCE: Duration = Duration::from_secs(4);
 /// Header of a request with an SDP offer.
 pub const SDP: (&str, &str) = ("content-type", "application/sdp");
@@ -31,7 +31,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-/// Settings of a front with `n` nodes in two racks, all of which hold the titles `t` and `live`; begins with `more`.
+/// Settings of a front with `n` nodes in two racks. Every node holds the titles `t` and `live`. The text begins with `more`.
 pub fn settings(n: usize, more: &str) -> String {
     format!(
         "{more}\nname front\nlisten 127.0.0.1:0\nadmin 127.0.0.1:0\nadmin-key key\ninventory nodes.csv\nzones z\n\
@@ -46,9 +46,9 @@
     )
 }
 
-/// Runs `check` on the settings `before` followed by `bad` and asserts that it rejects them. Returns its error text and
-/// the number of the line on which `bad` begins.
-pub async fn turned_down(dir: &Path, before: &str, bad: &str) -> (String, usize) {
+/// Runs the command `check` on the settings `before` followed by `bad` and asserts that it rejects them. Returns the
+/// error text and the number of the line on which `bad` begins.
+pub async fn assert_rejected(dir: &Path, before: &str, bad: &str) -> (String, usize) {
     std::fs::write(dir.join("bad.conf"), format!("{before}{bad}")).expect("cannot write the file");
     let out = Command::new(env!("CARGO_BIN_EXE_pepperhook"))
         .args(["check", "-c", "bad.conf"])
@@ -71,31 +71,32 @@
 }
 
 /// Names and addresses of the nodes, for [`list`].
-pub fn places(stands: &[NodeHandle]) -> Vec<(String, SocketAddr)> {
-    stands.iter().map(|s| (s.name.clone(), s.address)).collect()
+pub fn node_addresses(nodes: &[NodeHandle]) -> Vec<(String, SocketAddr)> {
+    nodes.iter().map(|s| (s.name.clone(), s.address)).collect()
 }
 
 /// Starts a front in this process, with fixed seed and without state directory.
 pub async fn front_with(settings: &str, list: &str) -> Front {
     let config = Config::parse("test.conf", settings).expect("invalid settings");
-    let nodes = pepperhook_inventory::parse(list.as_bytes(), &config.names).expect("invalid list of nodes");
-    Front::start(config, 7, nodes, None).await.expect("cannot start the front")
+    let inventory =
+        pepperhook_inventory::parse(list.as_bytes(), &config.names).expect("invalid list of nodes");
+    Front::start(config, 7, inventory, None).await.expect("cannot start the front")
 }
 
 /// A front and its simulated nodes in the test's process, with a recorder of the nodes' traffic.
-pub struct Rig {
+pub struct Cluster {
     pub front: Front,
-    pub stands: Vec<NodeHandle>,
+    pub nodes: Vec<NodeHandle>,
     pub recorder: Recorder,
 }
 
-impl Rig {
+impl Cluster {
     pub async fn new(n: usize) -> Self {
-        Self::with(n, "", |_| {}).await
+        Self::with_options(n, "", |_| {}).await
     }
 
-    /// `more` is put in front of the settings, `change` is applied to the options of each node.
-    pub async fn with(n: usize, more: &str, change: impl Fn(&mut Options)) -> Self {
+    /// `more` is prepended to the settings; `change` is applied to the options of each node.
+    pub async fn with_options(n: usize, more: &str, change: impl Fn(&mut Options)) -> Self {
         let recorder = Recorder::in_memory("");
         let node_options = |i: usize| {
             let mut options =
@@ -103,15 +104,15 @@
             change(&mut options);
             options
         };
-        let stands =
+        let nodes =
             start((0..n).map(node_options).collect(), &recorder).await.expect("cannot start the nodes");
-        let front = front_with(&settings(n, more), &list(&places(&stands), 0)).await;
-        Self { front, stands, recorder }
+        let front = front_with(&settings(n, more), &list(&node_addresses(&nodes), 0)).await;
+        Self { front, nodes, recorder }
     }
 
-    /// Injects the same faults at all nodes.
-    pub fn all(&self, faults: Faults) {
-        self.stands.iter().for_each(|s| s.set_faults(faults));
+    /// Injects the same faults into all nodes.
+    pub fn set_faults(&self, faults: Faults) {
+        self.nodes.iter().for_each(|s| s.set_faults(faults));
     }
 
     pub async fn connect(&self) -> Connection {
@@ -119,17 +120,21 @@
     }
 
     /// Sends a POST for title `t` on a new connection and reads the reply.
-    /// `viewer` may be followed by further arguments of the query.
-    pub async fn ask(&self, viewer: &str, request: u64) -> (Connection, Result<HttpResponse, ReadError>) {
+    /// `viewer` may contain further query parameters after the viewer's name.
+    pub async fn request_session(
+        &self,
+        viewer: &str,
+        request: u64,
+    ) -> (Connection, Result<HttpResponse, ReadError>) {
         let mut connection = self.connect().await;
-        post(&mut connection, viewer, request).await;
+        send_offer(&mut connection, viewer, request).await;
         let reply = connection.read_response(Instant::now() + PATIENCE).await;
         (connection, reply)
     }
 
     /// Sets up a session and asserts success; returns its connection and its URL.
-    pub async fn play(&self, viewer: &str, request: u64) -> (Connection, String) {
-        let (connection, reply) = self.ask(viewer, request).await;
+    pub async fn set_up_session(&self, viewer: &str, request: u64) -> (Connection, String) {
+        let (connection, reply) = self.request_session(viewer, request).await;
         let reply = reply.expect("no answer");
         assert_eq!(reply.status, 201, "session was not set up: {}", String::from_utf8_lossy(&reply.body));
         (connection, reply.header("location").expect("no Location header").to_owned())
@@ -137,23 +142,23 @@
 
     /// Number of sessions at all nodes.
     pub fn sessions(&self) -> usize {
-        self.stands.iter().map(|s| s.state().sessions).sum()
+        self.nodes.iter().map(|s| s.state().sessions).sum()
     }
 
-    /// Number of attempts that arrived at all nodes so far.
+    /// Number of attempts received by all nodes so far.
     pub fn attempts(&self) -> u64 {
-        self.stands.iter().map(|s| s.state().attempts).sum()
+        self.nodes.iter().map(|s| s.state().attempts).sum()
     }
 
-    /// Traffic of the nodes, as recorded.
-    pub fn lines(&self) -> Vec<Line> {
+    /// Recorded traffic of the nodes.
+    pub fn traffic(&self) -> Vec<Line> {
         self.recorder.lines()
     }
 
     /// Asserts that no two attempts were in flight at once for offers with the same `o=` line.
-    pub fn assert_one_out(&self) {
+    pub fn assert_one_attempt_in_flight(&self) {
         let mut in_flight: std::collections::BTreeMap<(String, u64), String> = Default::default();
-        for line in self.lines() {
+        for line in self.traffic() {
             match line.event {
                 Event::Attempt { attempt, origin, .. } => {
                     assert!(!in_flight.values().any(|o| *o == origin), "two attempts in flight for {origin}");
@@ -169,13 +174,13 @@
 }
 
 /// Sends a POST with an offer for title `t`, without waiting for the reply.
-pub async fn post(connection: &mut Connection, viewer: &str, request: u64) {
+pub async fn send_offer(connection: &mut Connection, viewer: &str, request: u64) {
     let path = format!("/whep/t?viewer={viewer}");
     connection.send("POST", &path, &[SDP], offer(request).as_bytes()).await.expect("cannot send the request");
 }
 
 /// Waits up to [`PATIENCE`] until the condition holds.
-pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let deadline = Instant::now() + PATIENCE;
     while !holds() {
         assert!(Instant::now() < deadline, "not within {PATIENCE:?}: {what}");
@@ -184,7 +189,7 @@
 }
 
 /// Asserts that the reply is a valid problem document; returns the last part of the URN in its type.
-pub fn problem(reply: &HttpResponse) -> String {
+pub fn problem_type(reply: &HttpResponse) -> String {
     assert_eq!(reply.header("content-type"), Some("application/problem+json"));
     let problem: serde_json::Value = serde_json::from_slice(&reply.body).expect("invalid JSON");
     assert_eq!(problem["status"].as_u64(), Some(u64::from(reply.status)));
@@ -192,7 +197,7 @@
     problem["type"].as_str().and_then(|t| t.rsplit(':').next()).expect("the problem has no type").to_owned()
 }
 
-/// Starts the command and waits for its first line of output, which is JSON and shows that it serves.
+/// Starts the command and waits for its first line of output: JSON, written once it accepts connections.
 pub async fn spawn(arguments: &[&str], dir: &Path) -> (Child, serde_json::Value) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_pepperhook"))
         .args(arguments)
--- a/crates/cli/tests/duties.rs
+++ b/crates/cli/tests/duties.rs
@@ -19,7 +19,7 @@
 
 struct Fleet {
     fronts: Vec<Option<Front>>,
-    stands: Vec<NodeHandle>,
+    nodes: Vec<NodeHandle>,
     recorder: Recorder,
     ports: Vec<SocketAddr>,
 }
@@ -35,14 +35,14 @@
             report_ms: 20,
             ..Options::default()
         };
-        let stands = start((0..NODES).map(options).collect(), &recorder).await.expect("nodes");
-        let mut fleet = Self { fronts: vec![], stands, recorder, ports: ports(n) };
+        let nodes = start((0..NODES).map(options).collect(), &recorder).await.expect("nodes");
+        let mut fleet = Self { fronts: vec![], nodes, recorder, ports: ports(n) };
         for i in 0..n {
             let front = fleet.front(i, n, duties).await;
             fleet.fronts.push(Some(front));
         }
         let all = |f: &Fleet| f.fronts.iter().flatten().all(|f| f.snapshot().members.len() == n);
-        until("all fronts know each other", || all(&fleet)).await;
+        wait_until("all fronts know each other", || all(&fleet)).await;
         fleet
     }
 
@@ -56,7 +56,8 @@
         }
         text += duties;
         let config = Config::parse("test.conf", &text).expect("settings");
-        let nodes = pepperhook_inventory::parse(list(&places(&self.stands), 0).as_bytes(), &config.names);
+        let nodes =
+            pepperhook_inventory::parse(list(&node_addresses(&self.nodes), 0).as_bytes(), &config.names);
         Front::start(config, 7 + i as u64, nodes.expect("a list"), None).await.expect("a front")
     }
 
@@ -88,7 +89,7 @@
             let (nodes, fronts) = f.asked(since);
             nodes.len() == NODES && nodes.values().all(|n| *n >= 8) && fronts.len() == 3
         };
-        until("all nodes are asked again and again, by all fronts in turn", || often(&fleet)).await;
+        wait_until("all nodes are asked again and again, by all fronts in turn", || often(&fleet)).await;
         // Three fronts that each asked in every round would come to three times the rounds; a machine that is busy
         // may make two act in one of them.
         let rounds = begin.elapsed().as_secs_f64() / 0.2 + 1.0;
@@ -110,14 +111,14 @@
         let mut fleet = Fleet::new(3, DUTIES).await;
         fleet.fronts[1].take().expect("front 1").stop().await;
         let left = |f: &Fleet| f.fronts.iter().flatten().all(|f| f.snapshot().members.len() == 2);
-        until("who left is out of the view", || left(&fleet)).await;
+        wait_until("who left is out of the view", || left(&fleet)).await;
         fleet.fronts[2].take().expect("front 2").abort();
-        until("who was killed is given up", || {
+        wait_until("who was killed is given up", || {
             fleet.fronts[0].as_ref().expect("front 0").snapshot().members.len() == 1
         })
         .await;
         let since = fleet.probes().len();
-        until("the last one asks all nodes", || fleet.asked(since).0.len() == NODES).await;
+        wait_until("the last one asks all nodes", || fleet.asked(since).0.len() == NODES).await;
         assert_eq!(fleet.asked(since).1, BTreeSet::from(["front-0".to_owned()]));
     });
 }
@@ -126,23 +127,23 @@
 fn a_node_that_does_not_answer_costs_its_duty_alone() {
     local(async {
         let fleet = Fleet::new(2, DUTIES).await;
-        fleet.stands[0].set_faults(Faults { hang: 1.0, ..Faults::default() });
+        fleet.nodes[0].set_faults(Faults { hang: 1.0, ..Faults::default() });
         let failed = |f: &Fleet| {
             let of = |f: &Front| f.snapshot().duty_counters.map_or(0, |c| c.failed + c.timed_out);
             f.fronts.iter().flatten().map(of).sum::<u64>()
         };
-        until("a duty failed", || failed(&fleet) >= 2).await;
+        wait_until("a duty failed", || failed(&fleet) >= 2).await;
         let since = fleet.probes().len();
-        until("the others are asked all the same", || fleet.asked(since).0.len() == NODES).await;
+        wait_until("the others are asked all the same", || fleet.asked(since).0.len() == NODES).await;
         // Whoever barred the silent node places elsewhere, at once.
         let mut c =
             pepperhook_rehearse::wire::Connection::open(fleet.fronts[0].as_ref().expect("front 0").address())
                 .await
                 .expect("a connection");
-        post(&mut c, "v", 1).await;
+        send_offer(&mut c, "v", 1).await;
         let reply = c.read_response(tokio::time::Instant::now() + PATIENCE).await.expect("an answer");
         assert_eq!(reply.status, 201);
-        assert_eq!(fleet.stands[0].state().attempts, 0);
+        assert_eq!(fleet.nodes[0].state().attempts, 0);
     });
 }
 
@@ -155,7 +156,7 @@
         for n in 0..3 {
             let mut c =
                 pepperhook_rehearse::wire::Connection::open(front.address()).await.expect("connected");
-            post(&mut c, &format!("v{n}"), n).await;
+            send_offer(&mut c, &format!("v{n}"), n).await;
             let reply = c.read_response(tokio::time::Instant::now() + PATIENCE).await.expect("an answer");
             assert_eq!(reply.status, 201, "request {n}");
             // A reading is fresh for a second; after that the module wants another.
@@ -189,16 +190,16 @@
         let connect = pepperhook_rehearse::wire::Connection::open;
         for n in 0..6 {
             let mut c = connect(front.address()).await.expect("connected");
-            post(&mut c, &format!("v{n}"), n).await;
+            send_offer(&mut c, &format!("v{n}"), n).await;
             assert_eq!(
                 c.read_response(tokio::time::Instant::now() + PATIENCE).await.expect("an answer").status,
                 201
             );
         }
         let held = |f: &Fleet| f.fronts.iter().flatten().map(|f| f.snapshot().playing).sum::<usize>();
-        let there = |f: &Fleet| f.stands.iter().map(|s| s.state().sessions).sum::<usize>();
+        let there = |f: &Fleet| f.nodes.iter().map(|s| s.state().sessions).sum::<usize>();
         assert_eq!((held(&fleet), there(&fleet)), (6, 6));
-        let stand = fleet.stands.iter().find(|s| s.state().sessions > 1).expect("six on four nodes");
+        let stand = fleet.nodes.iter().find(|s| s.state().sessions > 1).expect("six on four nodes");
         let mut c = connect(stand.address).await.expect("connected");
         let list = c.request("GET", "/sessions", &[], b"", PATIENCE).await.expect("a list");
         let rows: serde_json::Value = serde_json::from_slice(&list.body).expect("JSON");
@@ -211,13 +212,16 @@
         let reply =
             c.request("POST", "/whep/t", &headers, offer.as_bytes(), PATIENCE).await.expect("an answer");
         assert_eq!((reply.status, there(&fleet)), (201, 7));
-        until("the stray one is deleted", || there(&fleet) == 6 && front.snapshot().orphans_deleted == 1)
-            .await;
+        wait_until("the stray one is deleted", || {
+            there(&fleet) == 6 && front.snapshot().orphans_deleted == 1
+        })
+        .await;
         assert_eq!(held(&fleet), 6, "and nothing else");
         // And one that its node lost without a word.
         let reply = c.request("DELETE", path, &[], b"", PATIENCE).await.expect("an answer");
         assert_eq!(reply.status, 200);
-        until("the lost one is ended", || held(&fleet) == 5 && front.snapshot().sessions_missing == 1).await;
+        wait_until("the lost one is ended", || held(&fleet) == 5 && front.snapshot().sessions_missing == 1)
+            .await;
         assert_eq!(there(&fleet), 5);
         let lists =
             fleet.recorder.lines().iter().filter(|l| matches!(l.event, Event::SessionsListed { .. })).count();
--- a/crates/cli/tests/faults.rs
+++ b/crates/cli/tests/faults.rs
@@ -26,7 +26,7 @@
 /// The test as it is run by hand.
 const COMMAND: &str = "cargo test -p pepperhook-cli --test faults a_schedule";
 
-async fn nodes() -> Vec<NodeHandle> {
+async fn start_nodes() -> Vec<NodeHandle> {
     let options = |i: usize| Options { name: format!("n{i}"), rack: (i % 2) as u32, ..Options::default() };
     start((0..4).map(options).collect(), &Recorder::disabled()).await.expect("nodes")
 }
@@ -107,14 +107,14 @@
 }
 
 /// Four fronts behind relays, each with sessions that have their copies elsewhere.
-async fn filled(dir: &Path, stands: &[NodeHandle]) -> (Fleet, u64) {
+async fn filled(dir: &Path, nodes: &[NodeHandle]) -> (Fleet, u64) {
     let options = FleetOptions {
         program: PathBuf::from(env!("CARGO_BIN_EXE_pepperhook")),
         dir: dir.to_owned(),
         seed: 7,
         fronts: NAMES.iter().map(|n| Front { name: (*n).to_owned(), settings: text() }).collect(),
         exchange: "look 200ms\nsuspicion 600ms\n".into(),
-        nodes: places(stands),
+        nodes: node_addresses(nodes),
         inventory: |nodes| list(nodes, 0),
         has_state_dirs: true,
     };
@@ -147,8 +147,8 @@
 fn a_schedule_from_a_seed_leaves_each_session_with_one_front() {
     local(async {
         let dir = tempfile::tempdir().expect("a folder");
-        let stands = nodes().await;
-        let (mut fleet, keys) = filled(dir.path(), &stands).await;
+        let nodes = start_nodes().await;
+        let (mut fleet, keys) = filled(dir.path(), &nodes).await;
         let bounds = Bounds {
             fronts: NAMES.map(String::from).to_vec(),
             length_ms: 8_000,
@@ -181,8 +181,8 @@
 fn a_front_that_stood_still_was_killed_and_came_back_with_an_older_store_holds_nothing_twice() {
     local(async {
         let dir = tempfile::tempdir().expect("a folder");
-        let stands = nodes().await;
-        let (mut fleet, keys) = filled(dir.path(), &stands).await;
+        let nodes = start_nodes().await;
+        let (mut fleet, keys) = filled(dir.path(), &nodes).await;
         let schedule = Schedule::parse("stops.json", STOPS).unwrap_or_else(|e| panic!("{e}"));
         fleet.run_schedule(&schedule).await.unwrap_or_else(|e| panic!("{e}"));
         healed(&fleet, "after the stops", keys).await;
@@ -195,8 +195,8 @@
 fn cuts_loss_and_a_kill_leave_each_session_with_one_front_and_fronts_agree_again() {
     local(async {
         let dir = tempfile::tempdir().expect("a folder");
-        let stands = nodes().await;
-        let (mut fleet, keys) = filled(dir.path(), &stands).await;
+        let nodes = start_nodes().await;
+        let (mut fleet, keys) = filled(dir.path(), &nodes).await;
         let fit = "a link";
 
         // One way between two: the others look at both for them, and nobody is given up for long.
@@ -258,8 +258,8 @@
 fn a_front_killed_right_after_halves_are_one_again_is_gone_on_for() {
     local(async {
         let dir = tempfile::tempdir().expect("a folder");
-        let stands = nodes().await;
-        let (mut fleet, keys) = filled(dir.path(), &stands).await;
+        let nodes = start_nodes().await;
+        let (mut fleet, keys) = filled(dir.path(), &nodes).await;
         halves(&fleet).await;
         until(&fleet, "after the halves are one", SETTLED, settled).await;
         fleet.kill(3).await.unwrap_or_else(|e| panic!("{e}"));
--- a/crates/cli/tests/hostile.rs
+++ b/crates/cli/tests/hostile.rs
@@ -12,22 +12,22 @@
 
 /// One request, as text; its status and problem.
 async fn one(
-    rig: &Rig,
+    cluster: &Cluster,
     method: &str,
     path: &str,
     headers: &[(&str, &str)],
     body: &[u8],
 ) -> (u16, String, Option<String>) {
-    let mut c = rig.connect().await;
+    let mut c = cluster.connect().await;
     let reply = c.request(method, path, headers, body, PATIENCE).await.expect("an answer");
-    let kind = if reply.status >= 400 { problem(&reply) } else { String::new() };
+    let kind = if reply.status >= 400 { problem_type(&reply) } else { String::new() };
     (reply.status, kind, reply.header("allow").map(str::to_owned))
 }
 
 #[test]
 fn each_wrong_request_has_its_status() {
     local(async {
-        let rig = Rig::new(2).await;
+        let cluster = Cluster::new(2).await;
         let good = offer(1);
         let sdp = good.as_bytes();
         let json = ("content-type", "application/json");
@@ -53,12 +53,12 @@
             ("PATCH", "/session/x", &[FRAGMENT, ("if-match", "*")][..], b"a=mid:0\r\n", 404, "session"),
             ("GET", "/", &[][..], b"", 404, "path"),
         ] {
-            let got = one(&rig, method, path, headers, body).await;
+            let got = one(&cluster, method, path, headers, body).await;
             assert_eq!((got.0, got.1.as_str()), (status, kind), "{method} {path}");
             assert_eq!(got.2.is_some(), status == 405, "Allow with 405 alone");
         }
-        assert_eq!(rig.attempts(), 0, "no attempt goes out for what cannot be served");
-        let mut c = rig.connect().await;
+        assert_eq!(cluster.attempts(), 0, "no attempt goes out for what cannot be served");
+        let mut c = cluster.connect().await;
         let reply = c.request("OPTIONS", "/whep/t", &[], b"", SECOND).await.expect("an answer");
         assert_eq!((reply.status, reply.header("accept-post")), (204, Some("application/sdp")));
         assert_eq!(reply.header("access-control-allow-origin"), Some("*"));
@@ -68,8 +68,8 @@
 #[test]
 fn patches_are_carried_through_with_their_tags() {
     local(async {
-        let rig = Rig::new(1).await;
-        let (_, reply) = rig.ask("v", 1).await;
+        let cluster = Cluster::new(1).await;
+        let (_, reply) = cluster.request_session("v", 1).await;
         let reply = reply.expect("an answer");
         let (session, tag) =
             (reply.header("location").expect("a session"), reply.header("etag").expect("a tag").to_owned());
@@ -78,7 +78,7 @@
             b"a=ice-ufrag:vwr1\r\na=ice-pwd:0123456789012345678901\r\nm=audio 9 RTP/AVP 0\r\na=mid:0\r\n\
                         a=candidate:1 1 udp 1 192.0.2.1 61764 typ host\r\n";
         let patch = async |tag: &str, body: &[u8]| {
-            let mut c = rig.connect().await;
+            let mut c = cluster.connect().await;
             c.request("PATCH", session, &[FRAGMENT, ("if-match", tag)], body, SECOND)
                 .await
                 .expect("an answer")
@@ -97,7 +97,7 @@
             (&[FRAGMENT][..], b"a=mid:0\r\n", 428, "if-match"),
             (&[FRAGMENT, tag][..], b"nonsense", 422, "fragment"),
         ] {
-            let got = one(&rig, "PATCH", session, headers, body).await;
+            let got = one(&cluster, "PATCH", session, headers, body).await;
             assert_eq!((got.0, got.1.as_str()), (status, kind));
         }
     });
@@ -108,15 +108,15 @@
 fn a_trickle_of_the_running_ice_session_needs_no_tag_where_settings_are_lenient() {
     local(async {
         for (lenient, status) in [("", 204), ("if-match strict\n", 428)] {
-            let rig = Rig::with(1, lenient, |_| {}).await;
-            let (_, reply) = rig.ask("v", 1).await;
+            let cluster = Cluster::with_options(1, lenient, |_| {}).await;
+            let (_, reply) = cluster.request_session("v", 1).await;
             let reply = reply.expect("an answer");
             let session = reply.header("location").expect("a session").to_owned();
             let patch = async |headers: &[(&str, &str)], ufrag: &str| {
                 let body = format!(
                     "a=ice-ufrag:{ufrag}\r\na=ice-pwd:0123456789012345678901\r\nm=audio 9 RTP/AVP 0\r\na=mid:0\r\n"
                 );
-                let mut c = rig.connect().await;
+                let mut c = cluster.connect().await;
                 c.request("PATCH", &session, headers, body.as_bytes(), SECOND)
                     .await
                     .expect("an answer")
@@ -138,8 +138,8 @@
         let tokens = "section token viewers\nsecret abc\nsection token studio\nsecret def\npublish yes\n";
         let all = settings(1, "") + tokens;
         let recorder = pepperhook_playout::record::Recorder::disabled();
-        let stands = pepperhook_playout::start(vec![Default::default()], &recorder).await.expect("a node");
-        let front = front_with(&all, &list(&places(&stands), 0)).await;
+        let nodes = pepperhook_playout::start(vec![Default::default()], &recorder).await.expect("a node");
+        let front = front_with(&all, &list(&node_addresses(&nodes), 0)).await;
         let ask = async |kind: &str, token: &str| {
             let mut c = Connection::open(front.address()).await.expect("a connection");
             let body = if kind == "whip" { offer(1).replace("recvonly", "sendonly") } else { offer(1) };
@@ -162,10 +162,10 @@
 #[test]
 fn malformed_offers_by_the_hundred_are_told_why_and_others_are_served() {
     local(async {
-        let rig = Rig::new(2).await;
+        let cluster = Cluster::new(2).await;
         let mut runner = TestRunner::deterministic();
         let cuts = (0usize..400, proptest::collection::vec(proptest::num::u8::ANY, 0..40));
-        let mut c = rig.connect().await;
+        let mut c = cluster.connect().await;
         let mut refused = 0;
         for i in 0..300u64 {
             let (at, junk) = cuts.new_tree(&mut runner).expect("a value").current();
@@ -176,7 +176,7 @@
             assert!(matches!(reply.status, 201 | 400 | 503), "{}", reply.status);
             refused += u64::from(reply.status == 400);
             if i % 50 == 0 {
-                rig.play(&format!("good{i}"), i).await;
+                cluster.set_up_session(&format!("good{i}"), i).await;
             }
         }
         assert!(refused > 100, "{refused} refused");
@@ -194,7 +194,7 @@
         for _ in 0..10 {
             let mut c = Connection::open(address).await.expect("a connection");
             let reply = c.request("POST", "/whep/t", &[SDP], &body, PATIENCE).await.expect("an answer");
-            assert_eq!((reply.status, problem(&reply).as_str()), (413, "body-too-large"));
+            assert_eq!((reply.status, problem_type(&reply).as_str()), (413, "body-too-large"));
         }
         let grown = memory_kb(pid).saturating_sub(before);
         assert!(grown < 8 << 10, "{grown} kB more");
@@ -204,35 +204,35 @@
 #[test]
 fn a_header_block_of_a_megabyte_is_431() {
     local(async {
-        let rig = Rig::new(1).await;
-        let mut c = rig.connect().await;
+        let cluster = Cluster::new(1).await;
+        let mut c = cluster.connect().await;
         let long = "x".repeat(1 << 20);
         // The front may close before all of it is sent.
         let _ = c.send_raw(format!("POST /whep/t HTTP/1.1\r\nhost: x\r\nx: {long}\r\n\r\n").as_bytes()).await;
         if let Ok(reply) = c.read_response(Instant::now() + SECOND).await {
             assert_eq!(reply.status, 431);
         }
-        let mut c = rig.connect().await;
+        let mut c = cluster.connect().await;
         c.send_raw(format!("GET / HTTP/1.1\r\nx: {}\r\n", "y".repeat(17 << 10)).as_bytes())
             .await
             .expect("sent");
         assert_eq!(c.read_response(Instant::now() + SECOND).await.expect("an answer").status, 431);
-        rig.play("v", 1).await;
+        cluster.set_up_session("v", 1).await;
     });
 }
 
 #[test]
 fn slow_senders_are_cut_off_and_others_served() {
     local(async {
-        let rig = Rig::new(1).await;
-        let mut slow_body = rig.connect().await;
+        let cluster = Cluster::new(1).await;
+        let mut slow_body = cluster.connect().await;
         let head = "POST /whep/t HTTP/1.1\r\nhost: x\r\ncontent-type: application/sdp\r\ncontent-length: 500\r\n\r\nv=0";
         slow_body.send_raw(head.as_bytes()).await.expect("sent");
-        let mut slow_head = rig.connect().await;
+        let mut slow_head = cluster.connect().await;
         slow_head.send_raw(b"POST /whep/t HT").await.expect("sent");
-        rig.play("v", 1).await;
+        cluster.set_up_session("v", 1).await;
         let reply = slow_body.read_response(Instant::now() + SECOND).await.expect("an answer");
-        assert_eq!((reply.status, problem(&reply).as_str()), (408, "body-slow"));
+        assert_eq!((reply.status, problem_type(&reply).as_str()), (408, "body-slow"));
         // A head that does not come has no request to answer: its connection is closed.
         assert!(slow_head.read_response(Instant::now() + 2 * SECOND).await.is_err());
     });
--- a/crates/cli/tests/peaks.rs
+++ b/crates/cli/tests/peaks.rs
@@ -16,7 +16,7 @@
 
 const KEY: (&str, &str) = ("authorization", "Bearer key");
 
-async fn nodes() -> Vec<NodeHandle> {
+async fn start_nodes() -> Vec<NodeHandle> {
     let options = |i: usize| Options { name: format!("n{i}"), rack: (i % 2) as u32, ..Options::default() };
     start((0..4).map(options).collect(), &Recorder::disabled()).await.expect("nodes")
 }
@@ -81,14 +81,14 @@
 }
 
 async fn three(loss: &str) -> (Vec<pepperhook_front::Front>, Vec<NodeHandle>) {
-    let (stands, ports) = (nodes().await, ports(3));
+    let (nodes, ports) = (start_nodes().await, ports(3));
     let mut fronts = Vec::new();
     for i in 0..3 {
         let name = format!("name front-{i}\n");
         let text = settings(4, "fronts 3").replace("name front\n", &name) + &exchange(i, &ports, loss);
-        fronts.push(front_with(&text, &list(&places(&stands), 0)).await);
+        fronts.push(front_with(&text, &list(&node_addresses(&nodes), 0)).await);
     }
-    (fronts, stands)
+    (fronts, nodes)
 }
 
 #[test]
@@ -119,13 +119,13 @@
 fn the_announcement_reaches_some_and_the_call_off_the_others_only() {
     local(async {
         // Front 2 hears nothing and is heard by nobody: its exchange loses all.
-        let (stands, ports) = (nodes().await, ports(3));
+        let (nodes, ports) = (start_nodes().await, ports(3));
         let mut fronts = Vec::new();
         for i in 0..3 {
             let loss = if i == 2 { "loss 1\n" } else { "" };
             let name = format!("name front-{i}\n");
             let text = settings(4, "fronts 3").replace("name front\n", &name) + &exchange(i, &ports, loss);
-            fronts.push(front_with(&text, &list(&places(&stands), 0)).await);
+            fronts.push(front_with(&text, &list(&node_addresses(&nodes), 0)).await);
         }
         let a = announcement("cup", 20, 1_000, 2_500);
         assert_eq!(put(fronts[0].admin(), "POST", &a).await.status, 201);
@@ -148,9 +148,9 @@
 fn a_front_that_is_killed_mid_hold_comes_back_holding() {
     local(async {
         let dir = tempfile::tempdir().expect("a folder");
-        let stands = nodes().await;
+        let nodes = start_nodes().await;
         std::fs::write(dir.path().join("f.conf"), settings(4, "state-dir state")).expect("written");
-        std::fs::write(dir.path().join("nodes.csv"), list(&places(&stands), 0)).expect("written");
+        std::fs::write(dir.path().join("nodes.csv"), list(&node_addresses(&nodes), 0)).expect("written");
         let admin_of =
             |v: &serde_json::Value| v["admin"].as_str().expect("an address").parse().expect("an address");
         for round in 0..5u32 {
@@ -169,8 +169,8 @@
 #[test]
 fn nonsense_is_422_with_its_field_and_too_much_is_409_with_what_could_be() {
     local(async {
-        let rig = Rig::new(4).await;
-        let admin = rig.front.admin();
+        let cluster = Cluster::new(4).await;
+        let admin = cluster.front.admin();
         type Change = fn(&mut Announcement);
         let cases: [(&str, Change); 5] = [
             ("end_ms", |a| a.end_ms = a.start_ms),
@@ -183,14 +183,14 @@
             let mut a = announcement("cup", 5, 10_000, 10_000);
             change(&mut a);
             let reply = put(admin, "POST", &a).await;
-            assert_eq!((reply.status, problem(&reply).as_str()), (422, "announcement"), "{field}");
+            assert_eq!((reply.status, problem_type(&reply).as_str()), (422, "announcement"), "{field}");
             let v: serde_json::Value = serde_json::from_slice(&reply.body).expect("JSON");
             assert_eq!(v["fields"][0]["field"], field);
         }
         assert_eq!(change(admin, "POST", "/peaks", b"{\"viewers\":[[0,-5]]}").await.status, 422);
         assert_eq!(change(admin, "POST", "/peaks", b"[").await.status, 422);
         let much = put(admin, "POST", &announcement("cup", 5_000, 10_000, 10_000)).await;
-        assert_eq!((much.status, problem(&much).as_str()), (409, "room"));
+        assert_eq!((much.status, problem_type(&much).as_str()), (409, "room"));
         let v: serde_json::Value = serde_json::from_slice(&much.body).expect("JSON");
         let could = v["could-hold-viewers"].as_u64().expect("a number") as u32;
         let a = announcement("cup", could, 10_000, 10_000);
@@ -215,9 +215,9 @@
 #[test]
 fn strangers_on_the_wire_change_nothing() {
     local(async {
-        let (stands, ports) = (nodes().await, ports(2));
+        let (nodes, ports) = (start_nodes().await, ports(2));
         let text = settings(4, "fronts 2") + &exchange(0, &ports, "");
-        let front = front_with(&text, &list(&places(&stands), 0)).await;
+        let front = front_with(&text, &list(&node_addresses(&nodes), 0)).await;
         let stranger = UdpSocket::bind(ports[1]).expect("the peer's port");
         let settings = pepperhook_exchange::Settings {
             me: 5,
@@ -240,7 +240,7 @@
             }
         }
         stranger.send_to(&[0; 2_000], ports[0]).expect("sent");
-        until("all are thrown away", || {
+        wait_until("all are thrown away", || {
             let rejected = front.snapshot().exchange.map_or(0, |x| x.rejected.values().sum::<u64>());
             rejected >= 3
         })
@@ -260,8 +260,8 @@
 #[test]
 fn the_command_announces_lists_amends_and_calls_off() {
     local(async {
-        let rig = Rig::new(4).await;
-        let (admin, dir) = (rig.front.admin().to_string(), tempfile::tempdir().expect("a folder"));
+        let cluster = Cluster::new(4).await;
+        let (admin, dir) = (cluster.front.admin().to_string(), tempfile::tempdir().expect("a folder"));
         let peak = |more: &[&str]| {
             let mut all = vec!["peak".to_owned(), "--admin".into(), admin.clone()];
             all.extend(more.iter().map(|m| (*m).to_owned()));
@@ -287,12 +287,12 @@
         let (code, out, err) = run(&with("announce", "the final")).await;
         assert_eq!(code, Some(0), "{err}");
         assert!(out.contains("\"the final\""));
-        assert!(held(rig.front.admin()).await > 3_000.0);
+        assert!(held(cluster.front.admin()).await > 3_000.0);
         let (code, out, _) = run(&["list"]).await;
         assert!(code == Some(0) && out.contains("held_kb"), "{out}");
         assert_eq!(run(&with("amend", "the final")).await.0, Some(0));
         assert_eq!(run(&["cancel", "the final"]).await.0, Some(0));
-        assert_eq!(held(rig.front.admin()).await, 0.0);
+        assert_eq!(held(cluster.front.admin()).await, 0.0);
         let (code, _, err) = run(&["cancel", "none"]).await;
         assert!(code == Some(1) && err.contains("404"), "{err}");
         assert_eq!(run(&["announce", "x", "--viewers", "ten"]).await.0, Some(2));
@@ -302,10 +302,10 @@
 #[test]
 fn held_room_is_there_for_the_crowd_and_never_pushes_anybody_off() {
     local(async {
-        let rig = Rig::new(4).await;
+        let cluster = Cluster::new(4).await;
         // Ordinary viewers of another title fill what is not held; those who play go on.
         let text = settings(4, "") + "section title other\nhome 0\ncopies 4\nclass replay\n";
-        let front = front_with(&text, &list(&places(&rig.stands), 0)).await;
+        let front = front_with(&text, &list(&node_addresses(&cluster.nodes), 0)).await;
         let ask = async |title: &str, n: u64| {
             let mut c = Connection::open(front.address()).await.expect("a connection");
             let body = pepperhook_rehearse::viewers::offer(n);
--- a/crates/cli/tests/process.rs
+++ b/crates/cli/tests/process.rs
@@ -15,14 +15,14 @@
 use tokio::process::{Child, Command};
 use tokio::time::{Instant, sleep, timeout};
 
-async fn nodes(n: usize) -> Vec<NodeHandle> {
+async fn start_nodes(n: usize) -> Vec<NodeHandle> {
     let options = |i: usize| Options { name: format!("n{i}"), rack: (i % 2) as u32, ..Options::default() };
     start((0..n).map(options).collect(), &Recorder::disabled()).await.expect("nodes")
 }
 
-async fn front(dir: &Path, stands: &[NodeHandle]) -> (Child, SocketAddr, SocketAddr) {
-    std::fs::write(dir.join("f.conf"), settings(stands.len(), "state-dir state")).expect("written");
-    std::fs::write(dir.join("nodes.csv"), list(&places(stands), 0)).expect("written");
+async fn front(dir: &Path, nodes: &[NodeHandle]) -> (Child, SocketAddr, SocketAddr) {
+    std::fs::write(dir.join("f.conf"), settings(nodes.len(), "state-dir state")).expect("written");
+    std::fs::write(dir.join("nodes.csv"), list(&node_addresses(nodes), 0)).expect("written");
     restart(dir).await
 }
 
@@ -44,17 +44,17 @@
 fn sigterm_with_set_ups_in_flight_answers_all_refuses_new_ones_and_exits_0() {
     local(async {
         let dir = tempfile::tempdir().expect("a folder");
-        let stands = nodes(3).await;
-        let (mut child, address, _) = front(dir.path(), &stands).await;
-        stands.iter().for_each(|s| s.set_faults(Faults { slow_ms: 300, ..Faults::default() }));
+        let nodes = start_nodes(3).await;
+        let (mut child, address, _) = front(dir.path(), &nodes).await;
+        nodes.iter().for_each(|s| s.set_faults(Faults { slow_ms: 300, ..Faults::default() }));
         let early: Vec<_> = (0..20).map(|n| tokio::task::spawn_local(ask(address, n))).collect();
-        until("all are out", || stands.iter().map(|s| s.state().attempts).sum::<u64>() >= 20).await;
+        wait_until("all are out", || nodes.iter().map(|s| s.state().attempts).sum::<u64>() >= 20).await;
         let begin = Instant::now();
         let pid = i32::try_from(child.id().expect("a process")).expect("a number");
         kill(Pid::from_raw(pid), Signal::SIGTERM).expect("sent");
         sleep(Duration::from_millis(50)).await;
         let late = ask(address, 99).await.expect("an answer");
-        assert_eq!((late.status, problem(&late).as_str()), (503, "stopping"));
+        assert_eq!((late.status, problem_type(&late).as_str()), (503, "stopping"));
         assert!(late.header("retry-after").is_some());
         for task in early {
             assert_eq!(task.await.expect("no panic").expect("an answer").status, 201);
@@ -62,7 +62,7 @@
         let status = timeout(PATIENCE, child.wait()).await.expect("it ends in time").expect("it ends");
         assert_eq!(status.code(), Some(0));
         assert!(begin.elapsed() < PATIENCE);
-        until("its sessions end at the nodes", || stands.iter().all(|s| s.state().sessions == 0)).await;
+        wait_until("its sessions end at the nodes", || nodes.iter().all(|s| s.state().sessions == 0)).await;
     });
 }
 
@@ -70,15 +70,15 @@
 fn a_killed_front_comes_back_on_its_last_list_though_the_file_is_broken() {
     local(async {
         let dir = tempfile::tempdir().expect("a folder");
-        let stands = nodes(2).await;
-        let (mut child, address, _) = front(dir.path(), &stands).await;
+        let nodes = start_nodes(2).await;
+        let (mut child, address, _) = front(dir.path(), &nodes).await;
         assert_eq!(ask(address, 1).await.expect("an answer").status, 201);
         child.kill().await.expect("killed");
         std::fs::write(dir.path().join("nodes.csv"), "name,address,zone\nn0,127").expect("written");
         let (mut child, address, _) = restart(dir.path()).await;
         assert_eq!(ask(address, 2).await.expect("an answer").status, 201);
-        until("what the killed front held is given back", || {
-            stands.iter().map(|s| s.state().sessions).sum::<usize>() == 1
+        wait_until("what the killed front held is given back", || {
+            nodes.iter().map(|s| s.state().sessions).sum::<usize>() == 1
         })
         .await;
         child.kill().await.expect("killed");
@@ -89,10 +89,10 @@
 fn a_list_changed_in_service_is_taken_and_a_bad_one_is_not() {
     local(async {
         let dir = tempfile::tempdir().expect("a folder");
-        let stands = nodes(2).await;
-        let (_child, address, _) = front(dir.path(), &stands).await;
+        let nodes = start_nodes(2).await;
+        let (_child, address, _) = front(dir.path(), &nodes).await;
         let file = dir.path().join("nodes.csv");
-        let good = list(&places(&stands), 0);
+        let good = list(&node_addresses(&nodes), 0);
         std::fs::write(&file, good.replace("n0,", "n0,nowhere,")).expect("written");
         sleep(Duration::from_millis(350)).await;
         assert_eq!(ask(address, 1).await.expect("an answer").status, 201, "the last good list serves");
@@ -111,8 +111,8 @@
 fn the_console_wants_its_key_and_shows_nodes_racks_and_service() {
     local(async {
         let dir = tempfile::tempdir().expect("a folder");
-        let stands = nodes(3).await;
-        let (_child, address, admin) = front(dir.path(), &stands).await;
+        let nodes = start_nodes(3).await;
+        let (_child, address, admin) = front(dir.path(), &nodes).await;
         assert_eq!(ask(address, 1).await.expect("an answer").status, 201);
         let get = async |path: &str, headers: &[(&str, &str)]| {
             let mut c = Connection::open(admin).await.expect("a connection");
--- a/crates/cli/tests/replica.rs
+++ b/crates/cli/tests/replica.rs
@@ -46,21 +46,21 @@
     }
 }
 
-async fn nodes() -> Vec<NodeHandle> {
+async fn start_nodes() -> Vec<NodeHandle> {
     let options = |i: usize| Options { name: format!("n{i}"), rack: (i % 2) as u32, ..Options::default() };
     start((0..4).map(options).collect(), &Recorder::disabled()).await.expect("nodes")
 }
 
 /// Fronts that know each other, with `more` in their settings.
-async fn fleet(dir: &Path, stands: &[NodeHandle], loss: f64, more: &str) -> Vec<Process> {
+async fn fleet(dir: &Path, nodes: &[NodeHandle], loss: f64, more: &str) -> Vec<Process> {
     let sockets: Vec<UdpSocket> =
         (0..FRONTS).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a socket")).collect();
     let ports: Vec<SocketAddr> = sockets.iter().map(|s| s.local_addr().expect("an address")).collect();
     drop(sockets);
-    std::fs::write(dir.join("nodes.csv"), list(&places(stands), 0)).expect("written");
+    std::fs::write(dir.join("nodes.csv"), list(&node_addresses(nodes), 0)).expect("written");
     let mut fronts = Vec::new();
     for (i, port) in ports.iter().enumerate() {
-        let mut text = settings(stands.len(), &format!("fronts {FRONTS}"))
+        let mut text = settings(nodes.len(), &format!("fronts {FRONTS}"))
             .replace("name front", &format!("name front-{i}"))
             // Room for all: nobody is refused here.
             .replace("uplink-kb 40000", "uplink-kb 4000000")
@@ -139,8 +139,8 @@
 const COPIES: &str = "section replica\ncopies 2\nguards 3\nlease 2s\nlook 250ms\n";
 
 /// Fronts with sessions of which each has two copies elsewhere.
-async fn filled(dir: &Path, stands: &[NodeHandle], loss: f64) -> Vec<Process> {
-    let fronts = fleet(dir, stands, loss, COPIES).await;
+async fn filled(dir: &Path, nodes: &[NodeHandle], loss: f64) -> Vec<Process> {
+    let fronts = fleet(dir, nodes, loss, COPIES).await;
     let all: Vec<&Process> = fronts.iter().collect();
     until_states("all know each other", &all, |states| {
         states.iter().all(|s| s["members"].as_array().map(Vec::len) == Some(FRONTS))
@@ -164,8 +164,8 @@
 fn a_killed_fronts_sessions_are_gone_on_with_once_each_and_two_killed_lose_what_they_alone_had() {
     local(async {
         let dir = tempfile::tempdir().expect("a folder");
-        let stands = nodes().await;
-        let mut fronts = filled(dir.path(), &stands, 0.0).await;
+        let nodes = start_nodes().await;
+        let mut fronts = filled(dir.path(), &nodes, 0.0).await;
         fronts[0].child.kill().await.expect("killed");
         let rest: Vec<&Process> = fronts[1..].iter().collect();
         until_states("its sessions are gone on with, each once", &rest, |states| {
@@ -185,8 +185,8 @@
 fn where_a_fifth_of_all_messages_is_lost_a_killed_fronts_sessions_are_gone_on_with_all_the_same() {
     local(async {
         let dir = tempfile::tempdir().expect("a folder");
-        let stands = nodes().await;
-        let mut fronts = filled(dir.path(), &stands, 0.2).await;
+        let nodes = start_nodes().await;
+        let mut fronts = filled(dir.path(), &nodes, 0.2).await;
         fronts[3].child.kill().await.expect("killed");
         let rest: Vec<&Process> = fronts[..3].iter().collect();
         until_states("its sessions are gone on with, each once", &rest, |states| {
@@ -200,8 +200,8 @@
 fn a_front_that_stood_still_finds_its_sessions_with_others_and_takes_none_back() {
     local(async {
         let dir = tempfile::tempdir().expect("a folder");
-        let stands = nodes().await;
-        let fronts = filled(dir.path(), &stands, 0.0).await;
+        let nodes = start_nodes().await;
+        let fronts = filled(dir.path(), &nodes, 0.0).await;
         fronts[2].signal(Signal::SIGSTOP);
         let rest: Vec<&Process> = [0, 1, 3].iter().map(|i| &fronts[*i]).collect();
         until_states("the others go on", &rest, |states| sum(states, "adopted") >= EACH && once_each(states))
@@ -220,8 +220,8 @@
 fn without_the_section_there_are_no_copies_and_bad_settings_are_told_with_their_line() {
     local(async {
         let dir = tempfile::tempdir().expect("a folder");
-        let stands = nodes().await;
-        let fronts = fleet(dir.path(), &stands, 0.0, "").await;
+        let nodes = start_nodes().await;
+        let fronts = fleet(dir.path(), &nodes, 0.0, "").await;
         assert_eq!(fronts[0].ask(1).await.1, 201);
         let state = fronts[0].state().await;
         assert!(state["replica"].is_null());
@@ -233,7 +233,7 @@
         ] {
             let mut text = settings(4, &format!("fronts {FRONTS}"));
             text += "section exchange\nlisten 127.0.0.1:0\nkey secret\npeer 127.0.0.1:9\n";
-            let (said, line) = turned_down(dir.path(), &text, bad).await;
+            let (said, line) = assert_rejected(dir.path(), &text, bad).await;
             assert!(said.contains(told), "{bad}: {said}");
             assert!(
                 said.contains(&format!("bad.conf:{line}"))
--- a/crates/cli/tests/stop.rs
+++ b/crates/cli/tests/stop.rs
@@ -62,14 +62,14 @@
     local(async {
         for seed in 0..6u64 {
             let mut rng = StdRng::seed_from_u64(seed);
-            let rig = Rig::with(3, "", |o| o.set_up_ms = 20.0).await;
+            let cluster = Cluster::with_options(3, "", |o| o.set_up_ms = 20.0).await;
             let seen = Rc::new(Seen::default());
-            let address = rig.front.address();
+            let address = cluster.front.address();
             let clients: Vec<_> = (0..48)
                 .map(|n| spawn_local(client(address, n, rng.random_range(0..30), seen.clone())))
                 .collect();
             sleep(Duration::from_millis(rng.random_range(100..400))).await;
-            rig.front.stop().await;
+            cluster.front.stop().await;
             for c in clients {
                 timeout(PATIENCE, c).await.expect("a client that is told ends").expect("no panic");
             }
@@ -82,7 +82,7 @@
             );
             assert!(answers.get(&201).is_some_and(|n| *n > 5), "there was load: {answers:?}");
             assert!(answers.values().sum::<u32>() > 48, "connections were used again: {answers:?}");
-            assert_eq!(rig.stands.iter().map(|s| s.state().sessions).sum::<usize>(), 0, "seed {seed}");
+            assert_eq!(cluster.nodes.iter().map(|s| s.state().sessions).sum::<usize>(), 0, "seed {seed}");
         }
     });
 }
@@ -90,10 +90,10 @@
 #[test]
 fn connections_between_requests_half_sent_ones_and_streams_end_in_order() {
     local(async {
-        let rig = Rig::new(2).await;
-        let address = rig.front.address();
-        let (_playing, session) = rig.play("v", 1).await;
-        let mut events = rig.connect().await;
+        let cluster = Cluster::new(2).await;
+        let address = cluster.front.address();
+        let (_playing, session) = cluster.set_up_session("v", 1).await;
+        let mut events = cluster.connect().await;
         let json = ("content-type", "application/json");
         let made = events.request("POST", &format!("{session}/events"), &[json], b"[]", SECOND).await;
         assert_eq!(made.expect("an answer").status, 201);
@@ -107,14 +107,14 @@
             body.len()
         );
         slow.write_all(head.as_bytes()).await.expect("sent");
-        let mut idle = rig.connect().await;
+        let mut idle = cluster.connect().await;
         assert_eq!(
             idle.request("OPTIONS", "/whep/t", &[], b"", SECOND).await.expect("an answer").status,
             204
         );
-        let quiet = rig.connect().await;
+        let quiet = cluster.connect().await;
         sleep(Duration::from_millis(50)).await;
-        let stopping = spawn_local(rig.front.stop());
+        let stopping = spawn_local(cluster.front.stop());
         sleep(Duration::from_millis(60)).await;
         // One that was idle asks again, at once: it is refused and told.
         let reply = idle.request("POST", "/whep/t?viewer=w", &[SDP], offer(3).as_bytes(), SECOND).await;
@@ -143,13 +143,13 @@
     local(async {
         // Around the moment at which idle connections are shut, request after request.
         for at in [250, 280, 290, 295, 298, 300, 302, 305, 310] {
-            let rig = Rig::new(1).await;
-            let mut c = rig.connect().await;
+            let cluster = Cluster::new(1).await;
+            let mut c = cluster.connect().await;
             assert_eq!(
                 c.request("OPTIONS", "/whep/t", &[], b"", SECOND).await.expect("an answer").status,
                 204
             );
-            let (stopping, begin) = (spawn_local(rig.front.stop()), tokio::time::Instant::now());
+            let (stopping, begin) = (spawn_local(cluster.front.stop()), tokio::time::Instant::now());
             sleep(Duration::from_millis(at)).await;
             // A machine that is busy may wake late.
             let late = begin.elapsed() >= Duration::from_millis(295);
--- a/crates/cli/tests/transcripts/operators.rs
+++ b/crates/cli/tests/transcripts/operators.rs
@@ -1,7 +1,7 @@
 //! Operators: what fronts (a, b, c, which vote, and d) answer who looks at the fleet's policy and changes it, and what a viewer is told
 //! by a front that is cut off. Processes of the command behind relays.
 
-use crate::common::{PATIENCE, SDP, list, local, places, settings};
+use crate::common::{PATIENCE, SDP, list, local, node_addresses, settings};
 use crate::script::{Transcript, approved};
 use crate::tap::{message, status};
 use pepperhook_faults::fleet::{Fleet, FleetError, Front, Options as FleetOptions, same_view};
@@ -47,7 +47,7 @@
         seed: 11,
         fronts: names.iter().map(front).collect(),
         exchange: "look 200ms\nsuspicion 3s\n".into(),
-        nodes: places(stands),
+        nodes: node_addresses(stands),
         inventory: |nodes| list(nodes, 0),
         has_state_dirs: true,
     };
