--- a/crates/cli/tests/set_up.rs
+++ b/crates/cli/tests/set_up.rs
@@ -423,7 +423,7 @@
             assert_eq!(events.request("GET", &path, &[], b"", SECOND).await.expect("no answer").status, 200);
             sessions.push((session, events));
         }
-        // A session is moved no earlier than eight seconds after its last change.
+        // Sessions are moved only after at least eight seconds without changes.
         sleep(Duration::from_millis(8_200)).await;
         let demand_kb =
             |rack: usize| cluster.nodes.iter().skip(rack).step_by(2).map(|s| s.state().asked_kb).sum::<f64>();
