--- a/crates/cli/tests/replica.rs
+++ b/crates/cli/tests/replica.rs
@@ -1,4 +1,5 @@
-//! Copies of sessions between processes of the command: fronts are killed and stopped, and their streams gone on with.
+//! Replication of sessions between front processes. A front that is killed or stopped must not lose its sessions: another
+//! front adopts its streams, and no session may have two fronts.
 
 mod common;
 
@@ -16,53 +17,57 @@
 use tokio::process::Child;
 use tokio::time::{Instant, sleep};
 
+/// Number of fronts in the fleet.
 const FRONTS: usize = 4;
-const EACH: usize = 6;
+/// Number of sessions that each front sets up.
+const SESSIONS_PER_FRONT: usize = 6;
 
-struct Process {
+/// A front as a child process.
+struct FrontProcess {
     child: Child,
     address: SocketAddr,
     admin: SocketAddr,
 }
 
-impl Process {
+impl FrontProcess {
     fn signal(&self, signal: Signal) {
-        let pid = self.child.id().and_then(|id| i32::try_from(id).ok()).expect("a process");
-        kill(Pid::from_raw(pid), signal).expect("sent");
+        let pid = self.child.id().and_then(|id| i32::try_from(id).ok()).expect("the process has ended");
+        kill(Pid::from_raw(pid), signal).expect("cannot send");
     }
 
     async fn state(&self) -> Value {
-        let mut c = Connection::open(self.admin).await.expect("a connection");
+        let mut connection = Connection::open(self.admin).await.expect("cannot connect");
         let bearer = [("authorization", "Bearer key")];
-        let reply = c.request("GET", "/state", &bearer, b"", SECOND).await.expect("an answer");
-        serde_json::from_slice(&reply.body).expect("JSON")
+        let reply = connection.request("GET", "/state", &bearer, b"", SECOND).await.expect("no answer");
+        serde_json::from_slice(&reply.body).expect("invalid JSON")
     }
 
-    async fn ask(&self, n: u64) -> (Connection, u16) {
-        let mut c = Connection::open(self.address).await.expect("a connection");
-        let path = format!("/whep/t?viewer=v{n}");
-        let reply = c.request("POST", &path, &[SDP], offer(n).as_bytes(), PATIENCE).await;
-        (c, reply.expect("an answer").status)
+    async fn request_session(&self, viewer: u64) -> (Connection, u16) {
+        let mut connection = Connection::open(self.address).await.expect("cannot connect");
+        let path = format!("/whep/t?viewer=v{viewer}");
+        let reply = connection.request("POST", &path, &[SDP], offer(viewer).as_bytes(), PATIENCE).await;
+        (connection, reply.expect("no answer").status)
     }
 }
 
 async fn start_nodes() -> Vec<NodeHandle> {
     let options = |i: usize| Options { name: format!("n{i}"), rack: (i % 2) as u32, ..Options::default() };
-    start((0..4).map(options).collect(), &Recorder::disabled()).await.expect("nodes")
+    start((0..4).map(options).collect(), &Recorder::disabled()).await.expect("cannot start the nodes")
 }
 
-/// Fronts that know each other, with `more` in their settings.
-async fn fleet(dir: &Path, nodes: &[NodeHandle], loss: f64, more: &str) -> Vec<Process> {
+/// Starts fronts that are each other's peers and lose the fraction `loss` of their datagrams; `more` is appended to their
+/// settings.
+async fn fleet(dir: &Path, nodes: &[NodeHandle], loss: f64, more: &str) -> Vec<FrontProcess> {
     let sockets: Vec<UdpSocket> =
-        (0..FRONTS).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a socket")).collect();
-    let ports: Vec<SocketAddr> = sockets.iter().map(|s| s.local_addr().expect("an address")).collect();
+        (0..FRONTS).map(|_| UdpSocket::bind("127.0.0.1:0").expect("cannot bind a socket")).collect();
+    let ports: Vec<SocketAddr> = sockets.iter().map(|s| s.local_addr().expect("no valid address")).collect();
     drop(sockets);
-    std::fs::write(dir.join("nodes.csv"), list(&node_addresses(nodes), 0)).expect("written");
+    std::fs::write(dir.join("nodes.csv"), list(&node_addresses(nodes), 0)).expect("cannot write the file");
     let mut fronts = Vec::new();
     for (i, port) in ports.iter().enumerate() {
         let mut text = settings(nodes.len(), &format!("fronts {FRONTS}"))
             .replace("name front", &format!("name front-{i}"))
-            // Room for all: nobody is refused here.
+            // Capacity for all sessions: no request is refused for lack of it.
             .replace("uplink-kb 40000", "uplink-kb 4000000")
             .replace("kb-per-weight 12000", "kb-per-weight 1200000")
             .replace("all-links-kb 48000", "all-links-kb 4800000");
@@ -71,16 +76,16 @@
         ports.iter().filter(|p| *p != port).for_each(|p| text += &format!("peer {p}\n"));
         text += more;
         let conf = format!("f{i}.conf");
-        std::fs::write(dir.join(&conf), text).expect("written");
+        std::fs::write(dir.join(&conf), text).expect("cannot write the file");
         let (child, ready) = spawn(&["serve", "-c", &conf], dir).await;
-        let admin = ready["admin"].as_str().expect("an address").parse().expect("an address");
-        fronts.push(Process { child, address: address(&ready), admin });
+        let admin = ready["admin"].as_str().expect("no valid address").parse().expect("no valid address");
+        fronts.push(FrontProcess { child, address: address(&ready), admin });
     }
     fronts
 }
 
-/// A front's copies, a line a stream.
-fn shown(state: &Value) -> String {
+/// Text for failure messages: a front's counts of sessions, and one line per replicated stream.
+fn describe(state: &Value) -> String {
     let r = &state["replica"];
     let row = |s: &Value| {
         let short = |v: &Value| v.as_u64().unwrap_or(0) % 10_000;
@@ -103,9 +108,9 @@
     )
 }
 
-/// Waits until the states of these fronts are so.
-async fn until_states(what: &str, fronts: &[&Process], holds: impl Fn(&[Value]) -> bool) -> Vec<Value> {
-    let end = Instant::now() + Duration::from_secs(25);
+/// Reads the states of the fronts until the condition holds for them, for up to 25 seconds; returns these states.
+async fn until_states(what: &str, fronts: &[&FrontProcess], holds: impl Fn(&[Value]) -> bool) -> Vec<Value> {
+    let deadline = Instant::now() + Duration::from_secs(25);
     loop {
         let mut states = Vec::new();
         for front in fronts {
@@ -114,118 +119,142 @@
         if holds(&states) {
             return states;
         }
-        assert!(Instant::now() < end, "never: {what}: {}", states.iter().map(shown).collect::<String>());
+        assert!(
+            Instant::now() < deadline,
+            "not within 25 s: {what}: {}",
+            states.iter().map(describe).collect::<String>()
+        );
         sleep(Duration::from_millis(50)).await;
     }
 }
 
+/// Sum of a count in the replica section of all states.
 fn sum(states: &[Value], field: &str) -> usize {
-    states.iter().map(|s| s["replica"][field].as_u64().expect("a number") as usize).sum()
+    states.iter().map(|s| s["replica"][field].as_u64().expect("not a number") as usize).sum()
 }
 
-/// Each session is with one front: one that is with two would be counted twice, one that is lost not at all. On a busy
-/// machine a front may stand still for longer than its lease, and then streams change hands without a death.
-fn once_each(states: &[Value]) -> bool {
-    sum(states, "own") + sum(states, "adopted") == FRONTS * EACH && sum(states, "fenced") == 0
+/// Whether each session has exactly one front: a session with two fronts is counted twice, a lost one not at all. On a
+/// busy machine a front may be suspended for longer than its lease, and then its streams get another owner although it has
+/// not died.
+fn each_session_has_one_front(states: &[Value]) -> bool {
+    sum(states, "own") + sum(states, "adopted") == FRONTS * SESSIONS_PER_FRONT && sum(states, "fenced") == 0
 }
 
-/// Each session has its two copies, and no holder lacks a change. Where messages are lost a former holder may have one more
-/// for a while.
-fn copied(states: &[Value]) -> bool {
+/// Whether each session has its two copies and no holder of a copy lacks a change. With message loss a former holder may
+/// keep an additional copy for a while.
+fn all_replicated(states: &[Value]) -> bool {
     let rows = states.iter().flat_map(|s| s["replica"]["streams"].as_array().into_iter().flatten());
-    sum(states, "kept") >= 2 * FRONTS * EACH && rows.into_iter().all(|r| r["behind"].as_u64() == Some(0))
+    sum(states, "kept") >= 2 * FRONTS * SESSIONS_PER_FRONT
+        && rows.into_iter().all(|r| r["behind"].as_u64() == Some(0))
 }
 
-const COPIES: &str = "section replica\ncopies 2\nguards 3\nlease 2s\nlook 250ms\n";
+/// Settings of the replication.
+const REPLICA_SETTINGS: &str = "section replica\ncopies 2\nguards 3\nlease 2s\nlook 250ms\n";
 
-/// Fronts with sessions of which each has two copies elsewhere.
-async fn filled(dir: &Path, nodes: &[NodeHandle], loss: f64) -> Vec<Process> {
-    let fronts = fleet(dir, nodes, loss, COPIES).await;
-    let all: Vec<&Process> = fronts.iter().collect();
-    until_states("all know each other", &all, |states| {
+/// Starts fronts and sets up sessions, each of which has two copies at other fronts.
+async fn fleet_with_sessions(dir: &Path, nodes: &[NodeHandle], loss: f64) -> Vec<FrontProcess> {
+    let fronts = fleet(dir, nodes, loss, REPLICA_SETTINGS).await;
+    let all: Vec<&FrontProcess> = fronts.iter().collect();
+    until_states("all fronts are in each other's view", &all, |states| {
         states.iter().all(|s| s["members"].as_array().map(Vec::len) == Some(FRONTS))
     })
     .await;
     for (i, front) in fronts.iter().enumerate() {
-        for n in 0..EACH {
-            // Fronts that share nodes may refuse at first: the next viewer is another one.
+        for n in 0..SESSIONS_PER_FRONT {
+            // Fronts that share nodes may refuse requests at first. The retry is for another viewer.
             let mut tries = 0;
-            while front.ask((tries * 1_000 + i * 100 + n) as u64).await.1 != 201 {
+            while front.request_session((tries * 1_000 + i * 100 + n) as u64).await.1 != 201 {
                 tries += 1;
-                assert!(tries < 20, "refused again and again");
+                assert!(tries < 20, "front {i} refused 20 viewers in a row");
             }
         }
     }
-    until_states("each session has its copies", &all, |states| once_each(states) && copied(states)).await;
+    until_states("each session has one front and its copies", &all, |states| {
+        each_session_has_one_front(states) && all_replicated(states)
+    })
+    .await;
     fronts
 }
 
 #[test]
-fn a_killed_fronts_sessions_are_gone_on_with_once_each_and_two_killed_lose_what_they_alone_had() {
+fn sessions_of_a_killed_front_are_adopted_once_and_again_when_a_second_one_is_killed() {
     local(async {
-        let dir = tempfile::tempdir().expect("a folder");
+        let dir = tempfile::tempdir().expect("cannot create a folder");
         let nodes = start_nodes().await;
-        let mut fronts = filled(dir.path(), &nodes, 0.0).await;
-        fronts[0].child.kill().await.expect("killed");
-        let rest: Vec<&Process> = fronts[1..].iter().collect();
-        until_states("its sessions are gone on with, each once", &rest, |states| {
-            sum(states, "adopted") >= EACH && once_each(states)
+        let mut fronts = fleet_with_sessions(dir.path(), &nodes, 0.0).await;
+        fronts[0].child.kill().await.expect("cannot kill the process");
+        let survivors: Vec<&FrontProcess> = fronts[1..].iter().collect();
+        until_states("the sessions of the killed front are adopted, each once", &survivors, |states| {
+            sum(states, "adopted") >= SESSIONS_PER_FRONT && each_session_has_one_front(states)
+        })
+        .await;
+        // The next front is killed with its own sessions and those it has adopted: all of them must be adopted again.
+        until_states("the adopted sessions are replicated again", &survivors, |states| {
+            all_replicated(states) && each_session_has_one_front(states)
         })
         .await;
-        // The next one dies with what it has adopted: its own and those are all somebody's again.
-        until_states("copies of them are elsewhere", &rest, |states| copied(states) && once_each(states))
-            .await;
-        fronts[1].child.kill().await.expect("killed");
-        let rest: Vec<&Process> = fronts[2..].iter().collect();
-        until_states("no session is without a front, and none with two", &rest, once_each).await;
+        fronts[1].child.kill().await.expect("cannot kill the process");
+        let survivors: Vec<&FrontProcess> = fronts[2..].iter().collect();
+        until_states(
+            "no session is without a front, and none has two",
+            &survivors,
+            each_session_has_one_front,
+        )
+        .await;
     });
 }
 
 #[test]
-fn where_a_fifth_of_all_messages_is_lost_a_killed_fronts_sessions_are_gone_on_with_all_the_same() {
+fn with_a_fifth_of_all_messages_lost_the_sessions_of_a_killed_front_are_adopted() {
     local(async {
-        let dir = tempfile::tempdir().expect("a folder");
+        let dir = tempfile::tempdir().expect("cannot create a folder");
         let nodes = start_nodes().await;
-        let mut fronts = filled(dir.path(), &nodes, 0.2).await;
-        fronts[3].child.kill().await.expect("killed");
-        let rest: Vec<&Process> = fronts[..3].iter().collect();
-        until_states("its sessions are gone on with, each once", &rest, |states| {
-            sum(states, "adopted") >= EACH && once_each(states)
+        let mut fronts = fleet_with_sessions(dir.path(), &nodes, 0.2).await;
+        fronts[3].child.kill().await.expect("cannot kill the process");
+        let survivors: Vec<&FrontProcess> = fronts[..3].iter().collect();
+        until_states("the sessions of the killed front are adopted, each once", &survivors, |states| {
+            sum(states, "adopted") >= SESSIONS_PER_FRONT && each_session_has_one_front(states)
         })
         .await;
     });
 }
 
 #[test]
-fn a_front_that_stood_still_finds_its_sessions_with_others_and_takes_none_back() {
+fn a_suspended_front_finds_its_sessions_adopted_and_takes_none_back() {
     local(async {
-        let dir = tempfile::tempdir().expect("a folder");
+        let dir = tempfile::tempdir().expect("cannot create a folder");
         let nodes = start_nodes().await;
-        let fronts = filled(dir.path(), &nodes, 0.0).await;
+        let fronts = fleet_with_sessions(dir.path(), &nodes, 0.0).await;
         fronts[2].signal(Signal::SIGSTOP);
-        let rest: Vec<&Process> = [0, 1, 3].iter().map(|i| &fronts[*i]).collect();
-        until_states("the others go on", &rest, |states| sum(states, "adopted") >= EACH && once_each(states))
-            .await;
+        let survivors: Vec<&FrontProcess> = [0, 1, 3].iter().map(|i| &fronts[*i]).collect();
+        until_states("the other fronts have adopted the suspended front's sessions", &survivors, |states| {
+            sum(states, "adopted") >= SESSIONS_PER_FRONT && each_session_has_one_front(states)
+        })
+        .await;
         fronts[2].signal(Signal::SIGCONT);
-        let all: Vec<&Process> = fronts.iter().collect();
-        let states = until_states("it knows", &all, |states| {
-            states[2]["replica"]["counters"]["lost"].as_u64() > Some(0) && once_each(states)
+        let all: Vec<&FrontProcess> = fronts.iter().collect();
+        let states = until_states("the resumed front has noticed that it lost its streams", &all, |states| {
+            states[2]["replica"]["counters"]["lost"].as_u64() > Some(0) && each_session_has_one_front(states)
         })
         .await;
-        assert_eq!(states[2]["replica"]["own"].as_u64(), Some(0), "none is with two");
+        assert_eq!(
+            states[2]["replica"]["own"].as_u64(),
+            Some(0),
+            "the resumed front still owns sessions that were adopted"
+        );
     });
 }
 
 #[test]
-fn without_the_section_there_are_no_copies_and_bad_settings_are_told_with_their_line() {
+fn without_the_section_there_is_no_replication_and_invalid_settings_are_rejected_with_their_line() {
     local(async {
-        let dir = tempfile::tempdir().expect("a folder");
+        let dir = tempfile::tempdir().expect("cannot create a folder");
         let nodes = start_nodes().await;
         let fronts = fleet(dir.path(), &nodes, 0.0, "").await;
-        assert_eq!(fronts[0].ask(1).await.1, 201);
+        assert_eq!(fronts[0].request_session(1).await.1, 201);
         let state = fronts[0].state().await;
         assert!(state["replica"].is_null());
-        for (bad, told) in [
+        for (bad, expected) in [
             ("section replica\ncopies 4\n", "4 copies need more fronts"),
             ("section replica\nguards 4\n", "an odd number of guards"),
             ("section replica\nlease 1s\nlook 900ms\n", "a look between"),
@@ -233,12 +262,12 @@
         ] {
             let mut text = settings(4, &format!("fronts {FRONTS}"));
             text += "section exchange\nlisten 127.0.0.1:0\nkey secret\npeer 127.0.0.1:9\n";
-            let (said, line) = assert_rejected(dir.path(), &text, bad).await;
-            assert!(said.contains(told), "{bad}: {said}");
+            let (errors, line) = assert_rejected(dir.path(), &text, bad).await;
+            assert!(errors.contains(expected), "{bad}: {errors}");
             assert!(
-                said.contains(&format!("bad.conf:{line}"))
-                    || said.contains(&format!("bad.conf:{}", line + 1)),
-                "{said}"
+                errors.contains(&format!("bad.conf:{line}"))
+                    || errors.contains(&format!("bad.conf:{}", line + 1)),
+                "{bad}: line {line} is not named: {errors}"
             );
         }
     });
