--- a/crates/cli/tests/faults.rs
+++ b/crates/cli/tests/faults.rs
@@ -1,5 +1,6 @@
-//! Faults between processes of the command: fronts behind relays, their links cut and lossy, a front killed. Judged from what
-//! their consoles show: each session with exactly one front, and fronts that agree who is there.
+//! Faults between front processes: fronts behind relays whose links are cut, delayed or lossy, and fronts that are killed or
+//! suspended. Afterwards each session must have exactly one front, and all fronts must have the same view of the members.
+//! Checked from the fronts' consoles.
 
 mod common;
 
@@ -15,33 +16,37 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
+/// Names of the fronts.
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
-const EACH: usize = 5;
-const ALL: usize = NAMES.len() * EACH;
-/// Fronts agree who is there so long after a fault's end at most.
-const AGREED: Duration = Duration::from_secs(8);
-/// Each session has one front again so long after a fault's end at most: where two claim a stream at once each waits for some
-/// leases before it claims it anew (12 s were seen).
-const SETTLED: Duration = Duration::from_secs(20);
-/// The test as it is run by hand.
+/// Number of sessions that each front sets up.
+const SESSIONS_PER_FRONT: usize = 5;
+/// Number of all sessions.
+const ALL_SESSIONS: usize = NAMES.len() * SESSIONS_PER_FRONT;
+/// Longest time after a fault's end within which all fronts must have the same view.
+const SAME_VIEW_WITHIN: Duration = Duration::from_secs(8);
+/// Longest time after a fault's end within which each session must have one front again. If two fronts claim a stream at
+/// once, each waits for some leases before it claims the stream again; this took up to 12 s.
+const SETTLED_WITHIN: Duration = Duration::from_secs(20);
+/// Command that reruns the test of a schedule by hand.
 const COMMAND: &str = "cargo test -p pepperhook-cli --test faults a_schedule";
 
 async fn start_nodes() -> Vec<NodeHandle> {
     let options = |i: usize| Options { name: format!("n{i}"), rack: (i % 2) as u32, ..Options::default() };
-    start((0..4).map(options).collect(), &Recorder::disabled()).await.expect("nodes")
+    start((0..4).map(options).collect(), &Recorder::disabled()).await.expect("cannot start the nodes")
 }
 
-fn text() -> String {
+/// Settings of a front, with replication.
+fn front_settings() -> String {
     settings(4, "")
-        // Room for all: nobody is refused here.
+        // Capacity for all sessions: no request is refused for lack of it.
         .replace("uplink-kb 40000", "uplink-kb 4000000")
         .replace("kb-per-weight 12000", "kb-per-weight 1200000")
         .replace("all-links-kb 48000", "all-links-kb 4800000")
         + "section replica\ncopies 2\nguards 3\nlease 2s\nlook 250ms\n"
 }
 
-/// A front's view and its copies.
-fn shown(state: &Value) -> String {
+/// Text for failure messages: a front's view of the members and its copies of streams.
+fn describe(state: &Value) -> String {
     let r = &state["replica"];
     let members: Vec<u64> =
         state["members"].as_array().into_iter().flatten().filter_map(|m| m["front"].as_u64()).collect();
@@ -59,96 +64,112 @@
     )
 }
 
+/// Sum of a count in the replica section of all states.
 fn sum(states: &[Value], field: &str) -> usize {
-    states.iter().map(|s| s["replica"][field].as_u64().expect("a number") as usize).sum()
+    states.iter().map(|s| s["replica"][field].as_u64().expect("not a number") as usize).sum()
 }
 
-/// What the keys of all streams add up to that their writers may write, each as often as it has a writer: one missing and
-/// one twice make the same number of sessions, but another sum.
-fn digest(states: &[Value]) -> u64 {
+/// Wrapping sum of the digests of the session keys of all streams, each counted once per front that may write it. If one
+/// session is lost and another has two fronts, the number of sessions is right, but this sum is not.
+fn key_digest(states: &[Value]) -> u64 {
     let rows = states.iter().flat_map(|s| s["replica"]["streams"].as_array().into_iter().flatten());
     let rows = rows.filter(|r| r["writes"].as_bool() == Some(true));
-    let sums = rows.map(|r| u64::from_str_radix(r["digest"].as_str().expect("a digest"), 16).expect("hex"));
+    let sums = rows.map(|r| {
+        u64::from_str_radix(r["digest"].as_str().expect("no digest"), 16)
+            .expect("the digest is not hexadecimal")
+    });
     sums.fold(0, u64::wrapping_add)
 }
 
-/// Each session is with one front, and nobody else thinks that it is its own.
-fn once_each(states: &[Value]) -> bool {
-    acting(states) == ALL && sum(states, "fenced") == 0
+/// Whether each session has one front and no front is fenced from sessions that it still counts as its own.
+fn each_session_has_one_front(states: &[Value]) -> bool {
+    active_sessions(states) == ALL_SESSIONS && sum(states, "fenced") == 0
 }
 
-/// Sessions, each counted by every front that may act on it.
-fn acting(states: &[Value]) -> usize {
+/// Number of sessions, each counted once per front that may act on it.
+fn active_sessions(states: &[Value]) -> usize {
     (sum(states, "own") + sum(states, "adopted")).saturating_sub(sum(states, "fenced"))
 }
 
-fn copied(states: &[Value]) -> bool {
+/// Whether each session has its two copies and no holder of a copy lacks a change.
+fn all_replicated(states: &[Value]) -> bool {
     let rows = states.iter().flat_map(|s| s["replica"]["streams"].as_array().into_iter().flatten());
-    sum(states, "kept") >= 2 * ALL && rows.into_iter().all(|r| r["behind"].as_u64() == Some(0))
+    sum(states, "kept") >= 2 * ALL_SESSIONS && rows.into_iter().all(|r| r["behind"].as_u64() == Some(0))
 }
 
+/// Whether all fronts have the same view, and each session has one front and its copies.
 fn settled(states: &[Value]) -> bool {
-    same_view(states) && once_each(states) && copied(states)
+    same_view(states) && each_session_has_one_front(states) && all_replicated(states)
 }
 
-async fn until(fleet: &Fleet, what: &str, limit: Duration, holds: impl Fn(&[Value]) -> bool) {
-    let took = fleet.wait_until(what, limit, shown, holds).await.unwrap_or_else(|e| panic!("{e}"));
-    println!("{what}: after {:.1} s", took.as_secs_f64());
+/// Reads all states until the condition holds for them, for up to `limit`.
+async fn wait_for_states(fleet: &Fleet, what: &str, limit: Duration, holds: impl Fn(&[Value]) -> bool) {
+    let elapsed = fleet.wait_until(what, limit, describe, holds).await.unwrap_or_else(|e| panic!("{e}"));
+    println!("{what}: after {:.1} s", elapsed.as_secs_f64());
 }
 
-/// Faults are over: fronts agree, then each session, the very ones of before, has one front, nobody is fenced, and all copies
-/// are there.
-async fn healed(fleet: &Fleet, what: &str, keys: u64) {
-    until(fleet, &format!("{what}: all know each other again"), AGREED, same_view).await;
-    until(fleet, &format!("{what}: each session has one front"), SETTLED, |s| {
-        settled(s) && digest(s) == keys
+/// Waits after the end of the faults until all fronts have the same view, and then until each session has one front and its
+/// copies, no front is fenced, and the sessions are the same as before the faults (`keys`).
+async fn wait_for_recovery(fleet: &Fleet, what: &str, keys: u64) {
+    wait_for_states(
+        fleet,
+        &format!("{what}: all fronts have the same view again"),
+        SAME_VIEW_WITHIN,
+        same_view,
+    )
+    .await;
+    wait_for_states(fleet, &format!("{what}: each session has one front"), SETTLED_WITHIN, |s| {
+        settled(s) && key_digest(s) == keys
     })
     .await;
 }
 
-/// Four fronts behind relays, each with sessions that have their copies elsewhere.
-async fn filled(dir: &Path, nodes: &[NodeHandle]) -> (Fleet, u64) {
+/// Starts four fronts behind relays and sets up sessions, each of which has its copies at other fronts. Returns the fleet and
+/// the digest of its sessions.
+async fn fleet_with_sessions(dir: &Path, nodes: &[NodeHandle]) -> (Fleet, u64) {
     let options = FleetOptions {
         program: PathBuf::from(env!("CARGO_BIN_EXE_pepperhook")),
         dir: dir.to_owned(),
         seed: 7,
-        fronts: NAMES.iter().map(|n| Front { name: (*n).to_owned(), settings: text() }).collect(),
+        fronts: NAMES.iter().map(|n| Front { name: (*n).to_owned(), settings: front_settings() }).collect(),
         exchange: "look 200ms\nsuspicion 600ms\n".into(),
         nodes: node_addresses(nodes),
         inventory: |nodes| list(nodes, 0),
         has_state_dirs: true,
     };
     let fleet = Fleet::start(options).await.unwrap_or_else(|e| panic!("{e}"));
-    until(&fleet, "all know each other", SETTLED, same_view).await;
+    wait_for_states(&fleet, "all fronts are in each other's view", SETTLED_WITHIN, same_view).await;
     for i in 0..NAMES.len() {
-        for n in 0..EACH {
-            // Fronts that share nodes may refuse at first: the next viewer is another one.
+        for n in 0..SESSIONS_PER_FRONT {
+            // Fronts that share nodes may refuse requests at first. The retry is for another viewer.
             let mut tries = 0;
-            while ask(&fleet, i, (tries * 1_000 + i * 100 + n) as u64).await != 201 {
+            while request_session(&fleet, i, (tries * 1_000 + i * 100 + n) as u64).await != 201 {
                 tries += 1;
-                assert!(tries < 20, "refused again and again");
+                assert!(tries < 20, "front {} refused 20 viewers in a row", NAMES[i]);
             }
         }
     }
-    until(&fleet, "each session has its copies", SETTLED, settled).await;
-    let keys = digest(&fleet.states().await.unwrap_or_else(|e| panic!("{e}")));
+    wait_for_states(&fleet, "each session has one front and its copies", SETTLED_WITHIN, settled).await;
+    let keys = key_digest(&fleet.states().await.unwrap_or_else(|e| panic!("{e}")));
     (fleet, keys)
 }
 
-async fn ask(fleet: &Fleet, i: usize, n: u64) -> u16 {
-    let mut c = Connection::open(fleet.viewer_address(i)).await.expect("a connection");
+/// Requests a session at front `i`; returns the status.
+async fn request_session(fleet: &Fleet, i: usize, n: u64) -> u16 {
+    let mut connection = Connection::open(fleet.viewer_address(i)).await.expect("cannot connect");
     let path = format!("/whep/t?viewer=v{n}");
-    let reply = c.request("POST", &path, &[SDP], offer(n).as_bytes(), PATIENCE).await;
-    reply.expect("an answer").status
+    let reply = connection.request("POST", &path, &[SDP], offer(n).as_bytes(), PATIENCE).await;
+    reply.expect("no answer").status
 }
 
-/// Many troubles at once on links alone, from a seed; or those of a file, see `pepperhook_faults::schedule::SCHEDULE_VARIABLE`.
+/// Up to three concurrent faults on links, from a fixed seed; or the schedule of a file, see
+/// `pepperhook_faults::schedule::SCHEDULE_VARIABLE`.
 #[test]
 fn a_schedule_from_a_seed_leaves_each_session_with_one_front() {
     local(async {
-        let dir = tempfile::tempdir().expect("a folder");
+        let dir = tempfile::tempdir().expect("cannot create a folder");
         let nodes = start_nodes().await;
-        let (mut fleet, keys) = filled(dir.path(), &nodes).await;
+        let (mut fleet, keys) = fleet_with_sessions(dir.path(), &nodes).await;
         let bounds = Bounds {
             fronts: NAMES.map(String::from).to_vec(),
             length_ms: 8_000,
@@ -159,14 +180,15 @@
         };
         let schedule = from_environment().unwrap_or_else(|e| panic!("{e}"));
         let schedule = schedule.unwrap_or_else(|| Schedule::random(11, &bounds));
-        let _again = RerunHint::new(&schedule, COMMAND);
+        let _rerun_hint = RerunHint::new(&schedule, COMMAND);
         fleet.run_schedule(&schedule).await.unwrap_or_else(|e| panic!("{e}"));
-        healed(&fleet, "after the schedule", keys).await;
+        wait_for_recovery(&fleet, "after the schedule", keys).await;
     });
 }
 
-/// The form of `docs/rehearsals.md`.
-const STOPS: &str = r#"{"seed": 1,
+/// A schedule in the format of `docs/rehearsals.md`: front c is suspended and resumed, killed, and started with an older
+/// copy of its store, on delayed links.
+const SUSPEND_AND_KILL: &str = r#"{"seed": 1,
  "faults": [
   {"at_ms": 0, "for_ms": 5000, "from": "a", "to": "b", "both": true, "kind": "delay", "ms": 20, "jitter_ms": 20},
   {"at_ms": 0, "for_ms": 5000, "from": "*", "to": "n0", "both": true, "kind": "delay", "ms": 20}],
@@ -178,93 +200,111 @@
   {"at_ms": 5000, "who": "c", "do": "start", "store": "older"}]}"#;
 
 #[test]
-fn a_front_that_stood_still_was_killed_and_came_back_with_an_older_store_holds_nothing_twice() {
+fn a_front_that_was_suspended_killed_and_restarted_with_an_older_store_owns_no_session_twice() {
     local(async {
-        let dir = tempfile::tempdir().expect("a folder");
+        let dir = tempfile::tempdir().expect("cannot create a folder");
         let nodes = start_nodes().await;
-        let (mut fleet, keys) = filled(dir.path(), &nodes).await;
-        let schedule = Schedule::parse("stops.json", STOPS).unwrap_or_else(|e| panic!("{e}"));
+        let (mut fleet, keys) = fleet_with_sessions(dir.path(), &nodes).await;
+        let schedule = Schedule::parse("stops.json", SUSPEND_AND_KILL).unwrap_or_else(|e| panic!("{e}"));
         fleet.run_schedule(&schedule).await.unwrap_or_else(|e| panic!("{e}"));
-        healed(&fleet, "after the stops", keys).await;
-        assert_eq!(ask(&fleet, 2, 9_000).await, 201, "it serves");
-        assert!(!fleet.log(2).unwrap_or_else(|e| panic!("{e}")).contains("panicked"));
+        wait_for_recovery(&fleet, "after the suspension and the kill", keys).await;
+        assert_eq!(request_session(&fleet, 2, 9_000).await, 201, "the restarted front does not serve");
+        assert!(!fleet.log(2).unwrap_or_else(|e| panic!("{e}")).contains("panicked"), "front c panicked");
     });
 }
 
 #[test]
-fn cuts_loss_and_a_kill_leave_each_session_with_one_front_and_fronts_agree_again() {
+fn cuts_loss_and_a_kill_leave_each_session_with_one_front_and_all_fronts_with_one_view() {
     local(async {
-        let dir = tempfile::tempdir().expect("a folder");
+        let dir = tempfile::tempdir().expect("cannot create a folder");
         let nodes = start_nodes().await;
-        let (mut fleet, keys) = filled(dir.path(), &nodes).await;
-        let fit = "a link";
+        let (mut fleet, keys) = fleet_with_sessions(dir.path(), &nodes).await;
+        let no_link = "no such link";
 
-        // One way between two: the others look at both for them, and nobody is given up for long.
+        // A cut in one direction between two fronts: the others probe both on their behalf, and no front is out of the view for
+        // long.
         let net = fleet.net();
-        net.add_fault_now("a", "b", false, Kind::Cut).expect(fit);
+        net.add_fault_now("a", "b", false, Kind::Cut).expect(no_link);
         sleep(Duration::from_secs(3)).await;
-        let cut = net.counters("a", "b").expect(fit);
-        assert!(cut.cut > 0 && net.counters("b", "a").expect(fit).cut == 0, "{cut:?}");
-        until(&fleet, "cut one way: each session has one front", SETTLED, |s| {
-            acting(s) == ALL && digest(s) == keys
+        let cut = net.counters("a", "b").expect(no_link);
+        assert!(
+            cut.cut > 0 && net.counters("b", "a").expect(no_link).cut == 0,
+            "expected datagrams lost by the cut from a to b only: {cut:?}"
+        );
+        wait_for_states(&fleet, "cut in one direction: each session has one front", SETTLED_WITHIN, |s| {
+            active_sessions(s) == ALL_SESSIONS && key_digest(s) == keys
         })
         .await;
         net.heal();
-        healed(&fleet, "after the cut one way", keys).await;
+        wait_for_recovery(&fleet, "after the cut in one direction", keys).await;
 
-        // Three in ten of all that fronts say is lost, and one of them is killed and comes back.
+        // Three in ten of all datagrams from fronts are lost, and one of the fronts is killed and restarted.
         for x in NAMES {
-            net.add_fault_now(x, "*", false, Kind::Lose { p: 0.3 }).expect(fit);
+            net.add_fault_now(x, "*", false, Kind::Lose { p: 0.3 }).expect(no_link);
         }
         fleet.kill(3).await.unwrap_or_else(|e| panic!("{e}"));
-        until(&fleet, "lossy: the killed one's sessions are gone on with", SETTLED, |states| {
-            sum(states, "adopted") >= EACH && acting(states) == ALL && digest(states) == keys
-        })
+        wait_for_states(
+            &fleet,
+            "with loss: the killed front's sessions are adopted",
+            SETTLED_WITHIN,
+            |states| {
+                sum(states, "adopted") >= SESSIONS_PER_FRONT
+                    && active_sessions(states) == ALL_SESSIONS
+                    && key_digest(states) == keys
+            },
+        )
         .await;
         fleet.start_front(3, Store::Kept).await.unwrap_or_else(|e| panic!("{e}"));
-        until(&fleet, "lossy: it is back", SETTLED, |s| {
-            same_view(s) && acting(s) == ALL && digest(s) == keys
+        wait_for_states(&fleet, "with loss: the killed front is in the view again", SETTLED_WITHIN, |s| {
+            same_view(s) && active_sessions(s) == ALL_SESSIONS && key_digest(s) == keys
         })
         .await;
         let net = fleet.net();
-        let lost = net.counters("a", "b").expect(fit);
-        assert!(lost.lost > 0, "{lost:?}");
+        let lost = net.counters("a", "b").expect(no_link);
+        assert!(lost.lost > 0, "no datagram was lost from a to b: {lost:?}");
         net.heal();
-        healed(&fleet, "after the loss", keys).await;
+        wait_for_recovery(&fleet, "after the loss", keys).await;
 
-        halves(&fleet).await;
-        healed(&fleet, "after the halves are one", keys).await;
+        partition_into_halves(&fleet).await;
+        wait_for_recovery(&fleet, "after the partition", keys).await;
     });
 }
 
-/// Cuts the fleet into halves until each has given the other up and taken what it may, and heals it.
-async fn halves(fleet: &Fleet) {
+/// Partitions the fleet into halves until each has removed the other from its view and adopted the streams that it may, then
+/// heals the links.
+async fn partition_into_halves(fleet: &Fleet) {
     let net = fleet.net();
     for (x, y) in [("a", "c"), ("a", "d"), ("b", "c"), ("b", "d")] {
-        net.add_fault_now(x, y, true, Kind::Cut).expect("a link");
+        net.add_fault_now(x, y, true, Kind::Cut).expect("no such link");
     }
-    let half = |s: &Value| s["members"].as_array().map(Vec::len) == Some(2);
-    until(fleet, "each half sees itself alone", SETTLED, |states| states.iter().all(half)).await;
+    let has_two_members = |s: &Value| s["members"].as_array().map(Vec::len) == Some(2);
+    wait_for_states(fleet, "each half has only its own members in view", SETTLED_WITHIN, |states| {
+        states.iter().all(has_two_members)
+    })
+    .await;
     sleep(Duration::from_secs(2)).await;
-    // Whatever the sides believe, no session has two fronts that may act on it. Consoles are read one after the other, so
-    // that one which changes hands meanwhile may be seen twice, but not in look after look.
-    until(fleet, "in halves: no session has two fronts", SETTLED, |states| acting(states) <= ALL).await;
+    // In no half's view may a session have two fronts that may act on it. Consoles are read one after the other: a session
+    // that is handed over meanwhile may be counted twice, but not in every reading.
+    wait_for_states(fleet, "partitioned: no session has two fronts", SETTLED_WITHIN, |states| {
+        active_sessions(states) <= ALL_SESSIONS
+    })
+    .await;
     net.heal();
 }
 
-/// In a half of two fronts a stream that has two guards needs both to change hands: a front that is killed before its
-/// streams have their third again would take what it had along, for good.
+/// In a half of two fronts a stream with two guards needs both of them for a change of its owner. If a front is killed before
+/// its streams have a third guard again, its sessions could be lost for good.
 #[test]
-fn a_front_killed_right_after_halves_are_one_again_is_gone_on_for() {
+fn sessions_of_a_front_killed_right_after_a_partition_are_adopted() {
     local(async {
-        let dir = tempfile::tempdir().expect("a folder");
+        let dir = tempfile::tempdir().expect("cannot create a folder");
         let nodes = start_nodes().await;
-        let (mut fleet, keys) = filled(dir.path(), &nodes).await;
-        halves(&fleet).await;
-        until(&fleet, "after the halves are one", SETTLED, settled).await;
+        let (mut fleet, keys) = fleet_with_sessions(dir.path(), &nodes).await;
+        partition_into_halves(&fleet).await;
+        wait_for_states(&fleet, "after the partition", SETTLED_WITHIN, settled).await;
         fleet.kill(3).await.unwrap_or_else(|e| panic!("{e}"));
-        until(&fleet, "the killed one's sessions are gone on with", SETTLED, |s| {
-            acting(s) == ALL && sum(s, "fenced") == 0 && digest(s) == keys
+        wait_for_states(&fleet, "the killed front's sessions are adopted", SETTLED_WITHIN, |s| {
+            active_sessions(s) == ALL_SESSIONS && sum(s, "fenced") == 0 && key_digest(s) == keys
         })
         .await;
     });
