--- a/crates/cli/tests/known_red.rs
+++ b/crates/cli/tests/known_red.rs
@@ -1,31 +1,41 @@
-//! The script `.ci/test` and its list of tests known to fail, on packages of a few lines, without a network.
+//! The script `.ci/test` and its list of tests known to fail. A listed test that fails must not fail the run; anything else
+//! must: another failing test, a listed test that passes or is not found, a malformed list, a run without tests. Checked on
+//! generated packages of a few lines, without a network.
 
 use std::path::Path;
 use std::process::{Command, Output};
 use tempfile::TempDir;
 
+/// The command that `.ci/run` passes to the script.
 const COMMAND: &str = "cargo test --workspace --locked";
-const HOLDS: &str = "#[test]\nfn holds() {}\n";
-const BREAKS: &str = "#[test]\nfn breaks() {\n    panic!(\"planted\");\n}\n";
-const BREAKS_TOO: &str = "#[test]\nfn breaks_too() {\n    panic!(\"planted\");\n}\n";
-const THIRD: &str = "#[test]\nfn third() {\n    panic!(\"planted\");\n}\n";
-const DOCUMENTED: &str =
+/// A test that passes.
+const PASSING: &str = "#[test]\nfn holds() {}\n";
+/// A test that fails.
+const FAILING: &str = "#[test]\nfn breaks() {\n    panic!(\"planted\");\n}\n";
+/// A second test that fails; its name begins with that of the first.
+const FAILING_TOO: &str = "#[test]\nfn breaks_too() {\n    panic!(\"planted\");\n}\n";
+/// A third test that fails.
+const FAILING_THIRD: &str = "#[test]\nfn third() {\n    panic!(\"planted\");\n}\n";
+/// A library with a doc-test that passes.
+const PASSING_DOC_TEST: &str =
     "/// ```\n/// assert_eq!(sample::two(), 2);\n/// ```\npub fn two() -> u32 {\n    2\n}\n";
-const DOCUMENTED_WRONGLY: &str =
+/// A library with a doc-test that fails.
+const FAILING_DOC_TEST: &str =
     "/// ```\n/// assert_eq!(sample::two(), 3);\n/// ```\npub fn two() -> u32 {\n    2\n}\n";
 
-fn file(path: &str) -> String {
+/// Text of a file of the repository.
+fn repository_file(path: &str) -> String {
     let root = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../.."));
-    std::fs::read_to_string(root.join(path)).expect("a file of the repository")
+    std::fs::read_to_string(root.join(path)).expect("cannot read the file of the repository")
 }
 
 /// A package without dependencies; `library` is its library, each of `binaries` the text of a test binary.
 fn package(library: &str, binaries: &[&[&str]]) -> TempDir {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("cannot create a folder");
     let write = |name: &str, text: &str| {
         let path = dir.path().join(name);
-        std::fs::create_dir_all(path.parent().expect("a folder")).expect("a folder");
-        std::fs::write(path, text).expect("written");
+        std::fs::create_dir_all(path.parent().expect("no parent folder")).expect("cannot create a folder");
+        std::fs::write(path, text).expect("cannot write the file");
     };
     write(
         "Cargo.toml",
@@ -39,9 +49,10 @@
     dir
 }
 
-fn script(dir: &Path, list: Option<&str>, command: &[&str]) -> Output {
+/// Runs the script in `dir`, with `list` as the file of tests known to fail.
+fn run_script(dir: &Path, list: Option<&str>, command: &[&str]) -> Output {
     if let Some(list) = list {
-        std::fs::write(dir.join("KNOWN-RED.txt"), list).expect("written");
+        std::fs::write(dir.join("KNOWN-RED.txt"), list).expect("cannot write the file");
     }
     Command::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../../.ci/test"))
         .args(command)
@@ -49,7 +60,7 @@
         .env("CARGO_TARGET_DIR", dir.join("target"))
         .env("CARGO_NET_OFFLINE", "true")
         .output()
-        .expect("the script runs")
+        .expect("cannot run the script")
 }
 
 /// Standard output, then standard error.
@@ -57,35 +68,37 @@
     [&output.stdout[..], &output.stderr[..]].map(String::from_utf8_lossy).concat()
 }
 
+/// Asserts that the script succeeds on the package; returns its output.
 #[track_caller]
-fn passes(dir: &TempDir, list: Option<&str>) -> String {
-    let output = script(dir.path(), list, &COMMAND.split(' ').collect::<Vec<_>>());
+fn assert_passes(dir: &TempDir, list: Option<&str>) -> String {
+    let output = run_script(dir.path(), list, &COMMAND.split(' ').collect::<Vec<_>>());
     let text = text(&output);
-    assert!(output.status.success(), "{}\n{text}", output.status);
+    assert!(output.status.success(), "the script failed with {}:\n{text}", output.status);
     text
 }
 
+/// Asserts that the script fails on the package; returns its output.
 #[track_caller]
-fn fails(dir: &TempDir, list: Option<&str>) -> String {
-    let output = script(dir.path(), list, &COMMAND.split(' ').collect::<Vec<_>>());
+fn assert_fails(dir: &TempDir, list: Option<&str>) -> String {
+    let output = run_script(dir.path(), list, &COMMAND.split(' ').collect::<Vec<_>>());
     let text = text(&output);
-    assert!(matches!(output.status.code(), Some(1..)), "{}\n{text}", output.status);
+    assert!(matches!(output.status.code(), Some(1..)), "the script did not fail: {}\n{text}", output.status);
     text
 }
 
-/// The list is refused with `message` before any command is run.
+/// Asserts that the list is rejected with `message` before the command is run.
 #[track_caller]
-fn refused(list: &str, message: &str) {
-    let dir = tempfile::tempdir().expect("a folder");
-    let output = script(dir.path(), Some(list), &["touch", "was-run"]);
+fn assert_list_rejected(list: &str, message: &str) {
+    let dir = tempfile::tempdir().expect("cannot create a folder");
+    let output = run_script(dir.path(), Some(list), &["touch", "was-run"]);
     let text = text(&output);
-    assert_eq!(output.status.code(), Some(1), "{text}");
+    assert_eq!(output.status.code(), Some(1), "the list {list:?} was not rejected:\n{text}");
     assert!(text.contains(message), "{message:?} is not in:\n{text}");
-    assert!(!dir.path().join("was-run").exists(), "the command was run in spite of: {list:?}");
+    assert!(!dir.path().join("was-run").exists(), "the command was run with the invalid list {list:?}");
 }
 
 #[track_caller]
-fn tells(text: &str, parts: &[&str]) {
+fn assert_contains(text: &str, parts: &[&str]) {
     for part in parts {
         assert!(text.contains(part), "{part:?} is not in:\n{text}");
     }
@@ -93,70 +106,79 @@
 
 #[test]
 fn ci_runs_the_command_of_the_readme() {
-    assert!(file(".ci/run").lines().any(|l| l == format!(".ci/test {COMMAND}")));
-    assert!(file("README.md").lines().any(|l| l.trim() == COMMAND));
+    assert!(repository_file(".ci/run").lines().any(|l| l == format!(".ci/test {COMMAND}")));
+    assert!(repository_file("README.md").lines().any(|l| l.trim() == COMMAND));
 }
 
 #[test]
 fn without_a_list_all_tests_must_pass_and_the_figures_are_shown() {
-    let dir = package(DOCUMENTED, &[&[HOLDS], &[HOLDS]]);
-    tells(&passes(&dir, None), &["test result: ok. 1 passed", "3 tests executed, all passed\n"]);
+    let dir = package(PASSING_DOC_TEST, &[&[PASSING], &[PASSING]]);
+    assert_contains(
+        &assert_passes(&dir, None),
+        &["test result: ok. 1 passed", "3 tests executed, all passed\n"],
+    );
 }
 
 #[test]
 fn without_a_list_the_command_is_run_once_and_as_it_is() {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("cannot create a folder");
     let line = "echo \"$# $*\" >> was-run; echo 'test result: ok. 1 passed; 0 failed'; exit $1";
-    let output = script(dir.path(), None, &["sh", "-c", line, "sh", "0", "b c"]);
+    let output = run_script(dir.path(), None, &["sh", "-c", line, "sh", "0", "b c"]);
     assert!(output.status.success(), "{}", text(&output));
-    assert_eq!(std::fs::read_to_string(dir.path().join("was-run")).expect("was run"), "2 0 b c\n");
-    let output = script(dir.path(), None, &["sh", "-c", line, "sh", "7"]);
-    assert_eq!(output.status.code(), Some(7), "the verdict is the command's: {}", text(&output));
+    assert_eq!(
+        std::fs::read_to_string(dir.path().join("was-run")).expect("the command was not run"),
+        "2 0 b c\n"
+    );
+    let output = run_script(dir.path(), None, &["sh", "-c", line, "sh", "7"]);
+    assert_eq!(output.status.code(), Some(7), "the exit code is not that of the command: {}", text(&output));
 }
 
 #[test]
 fn without_a_list_a_failing_test_fails() {
-    tells(&fails(&package("", &[&[HOLDS, BREAKS]]), None), &["test breaks ... FAILED"]);
-    let text = fails(&package(DOCUMENTED_WRONGLY, &[&[HOLDS]]), None);
-    tells(&text, &["test src/lib.rs - two (line 1) ... FAILED"]);
+    assert_contains(&assert_fails(&package("", &[&[PASSING, FAILING]]), None), &["test breaks ... FAILED"]);
+    let text = assert_fails(&package(FAILING_DOC_TEST, &[&[PASSING]]), None);
+    assert_contains(&text, &["test src/lib.rs - two (line 1) ... FAILED"]);
 }
 
 #[test]
 fn a_run_without_a_test_fails() {
-    tells(&fails(&package("", &[]), None), &["no test was executed"]);
-    let dir = package("", &[&[BREAKS]]);
-    tells(
-        &fails(&dir, Some("breaks | planted | #1\n")),
+    assert_contains(&assert_fails(&package("", &[]), None), &["no test was executed"]);
+    let dir = package("", &[&[FAILING]]);
+    assert_contains(
+        &assert_fails(&dir, Some("breaks | planted | #1\n")),
         &["fails as listed: breaks", "no test was executed"],
     );
 }
 
 #[test]
-fn three_listed_tests_that_fail_are_passed_over_and_shown() {
-    let dir = package(DOCUMENTED, &[&[HOLDS, BREAKS, THIRD], &[BREAKS_TOO]]);
+fn three_listed_tests_that_fail_are_skipped_and_shown() {
+    let dir = package(PASSING_DOC_TEST, &[&[PASSING, FAILING, FAILING_THIRD], &[FAILING_TOO]]);
     let list =
         "breaks | planted, seen on each run | #1\nbreaks_too | planted | #2\nthird | the third | issue 3";
-    let text = passes(&dir, Some(list));
-    tells(&text, &["2 tests executed, all passed; passed over"]);
-    tells(&text, &["fails as listed: breaks\n", "fails as listed: breaks_too\n", "fails as listed: third\n"]);
-    assert_eq!(text.matches(list).count(), 2, "the lines are shown at the begin and at the end:\n{text}");
+    let text = assert_passes(&dir, Some(list));
+    assert_contains(&text, &["2 tests executed, all passed; passed over"]);
+    assert_contains(
+        &text,
+        &["fails as listed: breaks\n", "fails as listed: breaks_too\n", "fails as listed: third\n"],
+    );
+    assert_eq!(text.matches(list).count(), 2, "the list is not shown at the start and at the end:\n{text}");
 }
 
 #[test]
 fn another_test_that_fails_still_fails() {
-    let dir = package("", &[&[HOLDS, BREAKS, BREAKS_TOO]]);
-    let text = fails(&dir, Some("breaks | planted | #1\n"));
-    tells(&text, &["fails as listed: breaks\n", "test breaks_too ... FAILED"]);
-    assert!(!text.contains("test breaks ... "), "the listed test is passed over:\n{text}");
+    let dir = package("", &[&[PASSING, FAILING, FAILING_TOO]]);
+    let text = assert_fails(&dir, Some("breaks | planted | #1\n"));
+    assert_contains(&text, &["fails as listed: breaks\n", "test breaks_too ... FAILED"]);
+    assert!(!text.contains("test breaks ... "), "the listed test was run with the others:\n{text}");
 
-    let dir = package(DOCUMENTED_WRONGLY, &[&[HOLDS, BREAKS]]);
-    let text = fails(&dir, Some("breaks | planted | #1\n"));
-    tells(&text, &["fails as listed: breaks\n", "test src/lib.rs - two (line 1) ... FAILED"]);
+    let dir = package(FAILING_DOC_TEST, &[&[PASSING, FAILING]]);
+    let text = assert_fails(&dir, Some("breaks | planted | #1\n"));
+    assert_contains(&text, &["fails as listed: breaks\n", "test src/lib.rs - two (line 1) ... FAILED"]);
 }
 
 #[test]
-fn a_run_that_passes_over_more_than_is_listed_fails() {
-    let dir = tempfile::tempdir().expect("a folder");
+fn a_run_that_skips_another_number_of_tests_than_listed_fails() {
+    let dir = tempfile::tempdir().expect("cannot create a folder");
     let runner = |over: u32| {
         format!(
             r#"case "$*" in
@@ -169,33 +191,33 @@
     };
     for (over, passes) in [(1, true), (2, false), (0, false)] {
         let command = runner(over);
-        let output = script(dir.path(), Some("breaks | planted | #1\n"), &["sh", "-c", &command, "sh"]);
+        let output = run_script(dir.path(), Some("breaks | planted | #1\n"), &["sh", "-c", &command, "sh"]);
         let text = text(&output);
-        assert_eq!(output.status.success(), passes, "{text}");
+        assert_eq!(output.status.success(), passes, "1 test listed, {over} skipped:\n{text}");
         if !passes {
-            tells(&text, &[&format!("1 tests listed, {over} passed over")]);
+            assert_contains(&text, &[&format!("1 tests listed, {over} passed over")]);
         }
     }
 }
 
 #[test]
 fn a_listed_test_that_passes_fails() {
-    let dir = package("", &[&[HOLDS, BREAKS]]);
-    let text = fails(&dir, Some("breaks | planted | #1\nholds | was mended | #2\n"));
-    tells(&text, &["passes, take it off the list: holds"]);
+    let dir = package("", &[&[PASSING, FAILING]]);
+    let text = assert_fails(&dir, Some("breaks | planted | #1\nholds | was mended | #2\n"));
+    assert_contains(&text, &["passes, take it off the list: holds"]);
 }
 
 #[test]
 fn a_listed_test_must_be_seen_to_fail() {
     let ignored = "#[test]\n#[ignore]\nfn ignored() {\n    panic!(\"planted\");\n}\n";
     let ends = "#[test]\nfn ends() {\n    std::process::abort();\n}\n";
-    let dir = package("", &[&[HOLDS, ignored, ends]]);
-    tells(
-        &fails(&dir, Some("ignored | planted | #1\n")),
+    let dir = package("", &[&[PASSING, ignored, ends]]);
+    assert_contains(
+        &assert_fails(&dir, Some("ignored | planted | #1\n")),
         &["was not seen to fail, its run ended with 0: ignored"],
     );
-    tells(
-        &fails(&dir, Some("ends | planted | #1\n")),
+    assert_contains(
+        &assert_fails(&dir, Some("ends | planted | #1\n")),
         &["was not seen to fail, its run ended with 101: ends"],
     );
 }
@@ -203,39 +225,48 @@
 #[test]
 fn a_listed_name_is_the_whole_name_of_one_test() {
     let module = "mod inner {\n    #[test]\n    fn breaks() {\n        panic!(\"planted\");\n    }\n}\n";
-    let dir = package("", &[&[HOLDS, module, BREAKS_TOO], &[HOLDS]]);
+    let dir = package("", &[&[PASSING, module, FAILING_TOO], &[PASSING]]);
     for name in
         ["nothing", "inner", "inner::break", "breaks", "breaks_to", "inner::breaks_", "BREAKS_TOO", "b.*"]
     {
-        let text = fails(&dir, Some(&format!("{name} | planted | #1\n")));
-        tells(&text, &[&format!("no test has this name: {name}\n")]);
+        let text = assert_fails(&dir, Some(&format!("{name} | planted | #1\n")));
+        assert_contains(&text, &[&format!("no test has this name: {name}\n")]);
     }
-    tells(&fails(&dir, Some("holds | planted | #1\n")), &["2 tests have this name", "meant: holds\n"]);
-    let text = passes(&dir, Some("inner::breaks | planted | #1\nbreaks_too | planted | #2\n"));
-    tells(&text, &["2 tests executed, all passed"]);
+    assert_contains(
+        &assert_fails(&dir, Some("holds | planted | #1\n")),
+        &["2 tests have this name", "meant: holds\n"],
+    );
+    let text = assert_passes(&dir, Some("inner::breaks | planted | #1\nbreaks_too | planted | #2\n"));
+    assert_contains(&text, &["2 tests executed, all passed"]);
 }
 
 #[test]
 fn a_doc_test_cannot_be_listed() {
-    refused("src/lib.rs - two (line 1) | planted | #1\n", "line 1: a doc-test can't be passed over alone");
+    assert_list_rejected(
+        "src/lib.rs - two (line 1) | planted | #1\n",
+        "line 1: a doc-test can't be passed over alone",
+    );
 }
 
 #[test]
 fn a_package_that_does_not_build_fails() {
-    let dir = package("", &[&[HOLDS, BREAKS, "fn broken( {"]]);
-    let text = fails(&dir, Some("breaks | planted | #1\n"));
-    assert!(!text.contains("fails as listed"), "{text}");
+    let dir = package("", &[&[PASSING, FAILING, "fn broken( {"]]);
+    let text = assert_fails(&dir, Some("breaks | planted | #1\n"));
+    assert!(!text.contains("fails as listed"), "a test of a broken package counts as failing:\n{text}");
 }
 
 #[test]
-fn a_fourth_line_is_refused() {
+fn a_fourth_line_is_rejected() {
     let line = |n: u32| format!("t{n} | cause | #{n}\n");
-    refused(&(1..=4).map(line).collect::<String>(), "line 4: 3 tests at most may be listed");
-    refused(&format!("{}\n", (1..=3).map(line).collect::<String>()), "line 4: 3 tests at most may be listed");
+    assert_list_rejected(&(1..=4).map(line).collect::<String>(), "line 4: 3 tests at most may be listed");
+    assert_list_rejected(
+        &format!("{}\n", (1..=3).map(line).collect::<String>()),
+        "line 4: 3 tests at most may be listed",
+    );
 }
 
 #[test]
-fn a_malformed_line_is_refused() {
+fn a_malformed_line_is_rejected() {
     let lines = [
         "t",
         "t | cause",
@@ -255,13 +286,16 @@
         " ",
     ];
     for line in lines {
-        refused(&format!("{line}\n"), "line 1: not TEST | CAUSE | ISSUE");
-        refused(&format!("u | cause | #1\n{line}\nv | cause | #1\n"), "line 2: not TEST | CAUSE | ISSUE");
+        assert_list_rejected(&format!("{line}\n"), "line 1: not TEST | CAUSE | ISSUE");
+        assert_list_rejected(
+            &format!("u | cause | #1\n{line}\nv | cause | #1\n"),
+            "line 2: not TEST | CAUSE | ISSUE",
+        );
     }
-    refused("", "lists no test; remove the file");
+    assert_list_rejected("", "lists no test; remove the file");
 }
 
 #[test]
-fn a_name_listed_twice_is_refused() {
-    refused("t | cause | #1\nu | cause | #2\nt | another | #3\n", "line 3: listed twice: t");
+fn a_name_listed_twice_is_rejected() {
+    assert_list_rejected("t | cause | #1\nu | cause | #2\nt | another | #3\n", "line 3: listed twice: t");
 }
