--- a/crates/cli/src/log.rs
+++ b/crates/cli/src/log.rs
@@ -1,16 +1,17 @@
-//! The log: structured, on standard error.
+//! Structured logging to standard error.
 
 use pepperhook_settings::LogFormat;
 use tracing_subscriber::EnvFilter;
 
-/// Starts the log; `PEPPERHOOK_LOG` overrides the level (in the form of `tracing`'s filters).
-pub fn start(form: LogFormat, level: &str) {
+/// Installs the global log subscriber. The environment variable `PEPPERHOOK_LOG` overrides `level`; both are filters in the
+/// syntax of [`EnvFilter`].
+pub fn start(format: LogFormat, level: &str) {
     let filter = EnvFilter::try_from_env("PEPPERHOOK_LOG").unwrap_or_else(|_| EnvFilter::new(level));
-    let base =
+    let builder =
         tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_target(false);
-    // A second start in one process, as tests may have it, changes nothing.
-    let _ = match form {
-        LogFormat::Text => base.try_init(),
-        LogFormat::Json => base.json().flatten_event(true).try_init(),
+    // A second call in the same process fails, which is ignored: the first subscriber stays installed.
+    let _ = match format {
+        LogFormat::Text => builder.try_init(),
+        LogFormat::Json => builder.json().flatten_event(true).try_init(),
     };
 }
