--- a/crates/cli/tests/transcripts/operators.rs
+++ b/crates/cli/tests/transcripts/operators.rs
@@ -2,7 +2,7 @@
 //! front that is partitioned. Fronts a, b and c vote, front d does not; all run as processes of the command
 //! behind relays.
 
-use crate::common::{PATIENCE, SDP, list, local, places, settings};
+use crate::common::{PATIENCE, SDP, list, local, node_addresses, settings};
 use crate::script::{Transcript, assert_approved};
 use crate::tap::{render_message, status_line};
 use pepperhook_faults::fleet::{Fleet, FleetError, Front, Options as FleetOptions, same_view};
@@ -51,7 +51,7 @@
         seed: 11,
         fronts: names.iter().map(front).collect(),
         exchange: "look 200ms\nsuspicion 3s\n".into(),
-        nodes: places(nodes),
+        nodes: node_addresses(nodes),
         inventory: |nodes| list(nodes, 0),
         has_state_dirs: true,
     };
