--- a/crates/cli/benches/saturation.rs
+++ b/crates/cli/benches/saturation.rs
@@ -1,6 +1,6 @@
-//! Throughput of one saturated front compared with that of the simulated nodes alone, measured by the same client in the same
-//! run, and the front's memory per session. Run by `cargo bench -p pepperhook-cli`; bounded to 64 connections over loopback
-//! and five seconds per round.
+//! Throughput of one saturated front compared with that of the simulated nodes alone, measured by the same
+//! client in the same run, and the front's memory per session. Run by `cargo bench -p pepperhook-cli`;
+//! bounded to 64 connections over loopback and five seconds per round.
 
 use pepperhook_rehearse::viewers::offer;
 use pepperhook_rehearse::wire::Connection;
@@ -58,8 +58,8 @@
     line.split_ascii_whitespace().nth(1).and_then(|n| n.parse().ok()).expect("not a number")
 }
 
-/// Sets up and deletes sessions on all connections, each request as soon as the last one is answered. Returns the set-ups per
-/// second, and the 50th and 99th percentile of the time of a set-up in milliseconds.
+/// Sets up and deletes sessions on all connections, each request as soon as the last one is answered. Returns
+/// the set-ups per second, and the 50th and 99th percentile of the time of a set-up in milliseconds.
 async fn saturate(targets: Vec<SocketAddr>) -> (f64, f64, f64) {
     let (times_ms, next) = (Rc::new(RefCell::new(Vec::<f64>::new())), Rc::new(Cell::new(0u64)));
     let end = Instant::now() + ROUND;
--- a/crates/cli/src/log.rs
+++ b/crates/cli/src/log.rs
@@ -3,8 +3,8 @@
 use pepperhook_settings::LogFormat;
 use tracing_subscriber::EnvFilter;
 
-/// Installs the global log subscriber. The environment variable `PEPPERHOOK_LOG` overrides `level`; both are filters in the
-/// syntax of [`EnvFilter`].
+/// Installs the global log subscriber. The environment variable `PEPPERHOOK_LOG` overrides `level`; both are
+/// filters in the syntax of [`EnvFilter`].
 pub fn start(format: LogFormat, level: &str) {
     let filter = EnvFilter::try_from_env("PEPPERHOOK_LOG").unwrap_or_else(|_| EnvFilter::new(level));
     let builder =
--- a/crates/cli/tests/agreement.rs
+++ b/crates/cli/tests/agreement.rs
@@ -1,6 +1,7 @@
-//! Agreement of front processes on the policy, with faults on the links between them. Two fronts must never serve by
-//! policies that are not neighbours: a change takes effect at all fronts or at none, even if fronts are cut off, suspended
-//! or killed meanwhile. Checked from the answers to viewers and the fronts' consoles and logs.
+//! Agreement of front processes on the policy, with faults on the links between them. Two fronts must never
+//! serve by policies that are not neighbours: a change takes effect at all fronts or at none, even if fronts
+//! are cut off, suspended or killed meanwhile. Checked from the answers to viewers and the fronts' consoles
+//! and logs.
 
 mod common;
 
@@ -23,7 +24,7 @@
 /// Names of the fronts.
 const NAMES: [&str; 5] = ["a", "b", "c", "d", "e"];
 /// Longest time after the last fault within which the fleet must recover, on a busy machine.
-const SETTLED: Duration = Duration::from_secs(20);
+const SETTLED_WITHIN: Duration = Duration::from_secs(20);
 /// Settings of the agreement: three voters, holds of 4 s.
 const AGREEMENT: &str = "section agreement\nvoter a\nvoter b\nvoter c\nhold 4s\n";
 
@@ -73,9 +74,10 @@
     format!("\n{} {}", state["front"], state["agreement"])
 }
 
-/// Reads all states until the condition holds for them, for up to [`SETTLED`].
+/// Reads all states until the condition holds for them, for up to [`SETTLED_WITHIN`].
 async fn wait_for_states(fleet: &Fleet, what: &str, holds: impl Fn(&[Value]) -> bool) -> Duration {
-    let elapsed = fleet.wait_until(what, SETTLED, describe, holds).await.unwrap_or_else(|e| panic!("{e}"));
+    let elapsed =
+        fleet.wait_until(what, SETTLED_WITHIN, describe, holds).await.unwrap_or_else(|e| panic!("{e}"));
     println!("{what}: after {:.1} s", elapsed.as_secs_f64());
     elapsed
 }
@@ -98,7 +100,8 @@
 async fn operator(at: SocketAddr, method: &str, path: &str, body: &str) -> (u16, Value) {
     let mut connection = Connection::open(at).await.expect("cannot connect");
     let key = [("authorization", "Bearer key")];
-    let reply = connection.request(method, path, &key, body.as_bytes(), SETTLED).await.expect("no answer");
+    let reply =
+        connection.request(method, path, &key, body.as_bytes(), SETTLED_WITHIN).await.expect("no answer");
     (reply.status, serde_json::from_slice(&reply.body).expect("invalid JSON"))
 }
 
@@ -202,9 +205,9 @@
     }
 }
 
-/// Rank of the policy that each entry put into force, read from the fronts' logs. A settled version has the even rank of
-/// twice its number; the first step towards it, which combines the tighter values of the two neighbouring versions, has the
-/// odd rank below.
+/// Rank of the policy that each entry put into force, read from the fronts' logs. A settled version has the
+/// even rank of twice its number; the first step towards it, which combines the tighter values of the two
+/// neighbouring versions, has the odd rank below.
 fn policy_ranks(fleet: &Fleet) -> BTreeMap<u64, u64> {
     let mut ranks = BTreeMap::new();
     for i in 0..NAMES.len() {
@@ -232,8 +235,8 @@
     ranks
 }
 
-/// Violations in a record. If an answer had been read before another request was sent, the other answer's policy must not
-/// be two or more ranks lower. Every answer's entry must be a decided one.
+/// Violations in a record. If an answer had been read before another request was sent, the other answer's
+/// policy must not be two or more ranks lower. Every answer's entry must be a decided one.
 fn violations(record: &[Answer], ranks: &BTreeMap<u64, u64>) -> Vec<String> {
     let mut out = Vec::new();
     let mut answers: Vec<(&Answer, u64)> = Vec::new();
@@ -281,8 +284,8 @@
 
 // ---- changes under faults ----------------------------------------------------------------------
 
-/// One change while a front is cut off, one after the leader was killed, one while a front is suspended, with viewers at all
-/// fronts throughout.
+/// One change while a front is cut off, one after the leader was killed, one while a front is suspended, with
+/// viewers at all fronts throughout.
 #[test]
 fn a_change_takes_effect_at_all_fronts_despite_a_cut_a_kill_and_a_suspension() {
     local(async {
@@ -295,8 +298,8 @@
         assert_eq!(answer.0, 200, "{answer:?}");
         wait_for_states(&fleet, "version 2 is in force at all fronts", |s| all_at_version(s, 2)).await;
 
-        // All datagrams from e are lost, and all to e except those from d. The change waits until e's hold has expired, and e
-        // refuses requests.
+        // All datagrams from e are lost, and all to e except those from d. The change waits until e's hold
+        // has expired, and e refuses requests.
         fleet.net().add_fault_now("e", "*", false, Kind::Cut).expect("no such link");
         for other in ["a", "b", "c"] {
             fleet.net().add_fault_now(other, "e", false, Kind::Cut).expect("no such link");
@@ -360,7 +363,8 @@
         assert!(by.len() >= 5, "expected answers by 5 entries at least: {by:?}");
         assert!(refused > 0, "the front that was cut off refused no request as fenced");
         assert!(record.iter().all(|s| s.kind != "fenced" || s.status == 503));
-        // A front that starts is fenced until it has received the policy in force; the other fronts never are.
+        // A front that starts is fenced until it has received the policy in force; the other fronts never
+        // are.
         let others = record.iter().filter(|s| s.kind == "fenced" && s.front < 3 && s.front != leader).count();
         assert!(
             others == 0 || elsewhere == 0 || others < refused,
@@ -414,8 +418,8 @@
     });
 }
 
-/// Without a majority of the voters nothing is decided and every front fences itself. Once the majority is back, the fleet
-/// recovers without intervention.
+/// Without a majority of the voters nothing is decided and every front fences itself. Once the majority is
+/// back, the fleet recovers without intervention.
 #[test]
 fn without_a_majority_nothing_changes_and_with_one_the_fleet_recovers() {
     local(async {
@@ -460,8 +464,8 @@
     reply.header("location").expect("no Location header").to_owned()
 }
 
-/// A voter whose store is missing, older or damaged could break a promise that it has forgotten. It must vote again only
-/// with a new identity, with which the other voters replace the former one.
+/// A voter whose store is missing, older or damaged could break a promise that it has forgotten. It must vote
+/// again only with a new identity, with which the other voters replace the former one.
 #[test]
 fn voters_with_a_missing_older_or_damaged_store_return_with_a_new_identity() {
     local(async {
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Helpers for tests over sockets: a front and simulated nodes in the test's process, and child processes of the command.
+//! Helpers for tests over sockets: a front and simulated nodes in the test's process, and child processes of
+//! the command.
 #![allow(dead_code)]
 
 use pepperhook_front::Front;
@@ -31,7 +32,8 @@
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-/// Settings of a front with `n` nodes in two racks. Every node holds the titles `t` and `live`. The text begins with `more`.
+/// Settings of a front with `n` nodes in two racks. Every node holds the titles `t` and `live`. The text
+/// begins with `more`.
 pub fn settings(n: usize, more: &str) -> String {
     format!(
         "{more}\nname front\nlisten 127.0.0.1:0\nadmin 127.0.0.1:0\nadmin-key key\ninventory nodes.csv\nzones z\n\
@@ -46,8 +48,8 @@
     )
 }
 
-/// Runs the command `check` on the settings `before` followed by `bad` and asserts that it rejects them. Returns the
-/// error text and the number of the line on which `bad` begins.
+/// Runs the command `check` on the settings `before` followed by `bad` and asserts that it rejects them.
+/// Returns the error text and the number of the line on which `bad` begins.
 pub async fn assert_rejected(dir: &Path, before: &str, bad: &str) -> (String, usize) {
     std::fs::write(dir.join("bad.conf"), format!("{before}{bad}")).expect("cannot write the file");
     let out = Command::new(env!("CARGO_BIN_EXE_pepperhook"))
--- a/crates/cli/tests/duties.rs
+++ b/crates/cli/tests/duties.rs
@@ -1,6 +1,6 @@
-//! Duties that fronts share, over sockets: probes of nodes and comparisons of session lists. Each duty must be done about
-//! once per period by one front, taken over from a front that stops or is killed, and unaffected by a node that does not
-//! answer.
+//! Duties that fronts share, over sockets: probes of nodes and comparisons of session lists. Each duty must
+//! be done about once per period by one front, taken over from a front that stops or is killed, and
+//! unaffected by a node that does not answer.
 
 mod common;
 
@@ -107,8 +107,8 @@
         };
         wait_until("all nodes are probed 8 times at least, by all fronts in turn", || all_probed(&fleet))
             .await;
-        // If each of the three fronts probed in every round, the count would be three times the rounds. On a busy machine
-        // two fronts may act in the same round.
+        // If each of the three fronts probed in every round, the count would be three times the rounds. On a
+        // busy machine two fronts may act in the same round.
         let rounds = begin.elapsed().as_secs_f64() / 0.2 + 1.0;
         let (nodes, _) = fleet.probed_since(earlier_probes);
         assert!(
@@ -173,8 +173,8 @@
 #[test]
 fn the_decision_module_probes_within_its_limit_and_every_request_is_answered() {
     local(async {
-        // The shared duty is not due for an hour. Nodes get only the probes that the decision module requests, no more than
-        // one per round.
+        // The shared duty is not due for an hour. Nodes get only the probes that the decision module
+        // requests, no more than one per round.
         let fleet = Fleet::new(1, "section duties\nprobe 1h\nlimit 200ms\nmost 9\nask yes\n").await;
         let front = fleet.fronts[0].as_ref().expect("no such front");
         for n in 0..3 {
--- a/crates/cli/tests/faults.rs
+++ b/crates/cli/tests/faults.rs
@@ -1,6 +1,6 @@
-//! Faults between front processes: fronts behind relays whose links are cut, delayed or lossy, and fronts that are killed or
-//! suspended. Afterwards each session must have exactly one front, and all fronts must have the same view of the members.
-//! Checked from the fronts' consoles.
+//! Faults between front processes: fronts behind relays whose links are cut, delayed or lossy, and fronts
+//! that are killed or suspended. Afterwards each session must have exactly one front, and all fronts must
+//! have the same view of the members. Checked from the fronts' consoles.
 
 mod common;
 
@@ -24,8 +24,8 @@
 const ALL_SESSIONS: usize = NAMES.len() * SESSIONS_PER_FRONT;
 /// Longest time after a fault's end within which all fronts must have the same view.
 const SAME_VIEW_WITHIN: Duration = Duration::from_secs(8);
-/// Longest time after a fault's end within which each session must have one front again. If two fronts claim a stream at
-/// once, each waits for some leases before it claims the stream again; this took up to 12 s.
+/// Longest time after a fault's end within which each session must have one front again. If two fronts claim
+/// a stream at once, each waits for some leases before it claims the stream again; this took up to 12 s.
 const SETTLED_WITHIN: Duration = Duration::from_secs(20);
 /// Command that reruns the test of a schedule by hand.
 const COMMAND: &str = "cargo test -p pepperhook-cli --test faults a_schedule";
@@ -69,8 +69,9 @@
     states.iter().map(|s| s["replica"][field].as_u64().expect("not a number") as usize).sum()
 }
 
-/// Wrapping sum of the digests of the session keys of all streams, each counted once per front that may write it. If one
-/// session is lost and another has two fronts, the number of sessions is right, but this sum is not.
+/// Wrapping sum of the digests of the session keys of all streams, each counted once per front that may write
+/// it. If one session is lost and another has two fronts, the number of sessions is right, but this sum is
+/// not.
 fn key_digest(states: &[Value]) -> u64 {
     let rows = states.iter().flat_map(|s| s["replica"]["streams"].as_array().into_iter().flatten());
     let rows = rows.filter(|r| r["writes"].as_bool() == Some(true));
@@ -108,8 +109,8 @@
     println!("{what}: after {:.1} s", elapsed.as_secs_f64());
 }
 
-/// Waits after the end of the faults until all fronts have the same view, and then until each session has one front and its
-/// copies, no front is fenced, and the sessions are the same as before the faults (`keys`).
+/// Waits after the end of the faults until all fronts have the same view, and then until each session has one
+/// front and its copies, no front is fenced, and the sessions are the same as before the faults (`keys`).
 async fn wait_for_recovery(fleet: &Fleet, what: &str, keys: u64) {
     wait_for_states(
         fleet,
@@ -124,8 +125,8 @@
     .await;
 }
 
-/// Starts four fronts behind relays and sets up sessions, each of which has its copies at other fronts. Returns the fleet and
-/// the digest of its sessions.
+/// Starts four fronts behind relays and sets up sessions, each of which has its copies at other fronts.
+/// Returns the fleet and the digest of its sessions.
 async fn fleet_with_sessions(dir: &Path, nodes: &[NodeHandle]) -> (Fleet, u64) {
     let options = FleetOptions {
         program: PathBuf::from(env!("CARGO_BIN_EXE_pepperhook")),
@@ -145,7 +146,7 @@
             let mut tries = 0;
             while request_session(&fleet, i, (tries * 1_000 + i * 100 + n) as u64).await != 201 {
                 tries += 1;
-                assert!(tries < 20, "front {} refused 20 viewers in a row", NAMES[i]);
+                assert!(tries < 20, "front {i} refused 20 viewers in a row");
             }
         }
     }
@@ -186,8 +187,8 @@
     });
 }
 
-/// A schedule in the format of `docs/rehearsals.md`: front c is suspended and resumed, killed, and started with an older
-/// copy of its store, on delayed links.
+/// A schedule in the format of `docs/rehearsals.md`: front c is suspended and resumed, killed, and started
+/// with an older copy of its store, on delayed links.
 const SUSPEND_AND_KILL: &str = r#"{"seed": 1,
  "faults": [
   {"at_ms": 0, "for_ms": 5000, "from": "a", "to": "b", "both": true, "kind": "delay", "ms": 20, "jitter_ms": 20},
@@ -221,8 +222,8 @@
         let (mut fleet, keys) = fleet_with_sessions(dir.path(), &nodes).await;
         let no_link = "no such link";
 
-        // A cut in one direction between two fronts: the others probe both on their behalf, and no front is out of the view for
-        // long.
+        // A cut in one direction between two fronts: the others probe both on their behalf, and no front is
+        // out of the view for long.
         let net = fleet.net();
         net.add_fault_now("a", "b", false, Kind::Cut).expect(no_link);
         sleep(Duration::from_secs(3)).await;
@@ -270,8 +271,8 @@
     });
 }
 
-/// Partitions the fleet into halves until each has removed the other from its view and adopted the streams that it may, then
-/// heals the links.
+/// Partitions the fleet into halves until each has removed the other from its view and adopted the streams
+/// that it may, then heals the links.
 async fn partition_into_halves(fleet: &Fleet) {
     let net = fleet.net();
     for (x, y) in [("a", "c"), ("a", "d"), ("b", "c"), ("b", "d")] {
@@ -283,8 +284,8 @@
     })
     .await;
     sleep(Duration::from_secs(2)).await;
-    // In no half's view may a session have two fronts that may act on it. Consoles are read one after the other: a session
-    // that is handed over meanwhile may be counted twice, but not in every reading.
+    // In no half's view may a session have two fronts that may act on it. Consoles are read one after the
+    // other: a session that is handed over meanwhile may be counted twice, but not in every reading.
     wait_for_states(fleet, "partitioned: no session has two fronts", SETTLED_WITHIN, |states| {
         active_sessions(states) <= ALL_SESSIONS
     })
@@ -292,8 +293,8 @@
     net.heal();
 }
 
-/// In a half of two fronts a stream with two guards needs both of them for a change of its owner. If a front is killed before
-/// its streams have a third guard again, its sessions could be lost for good.
+/// In a half of two fronts a stream with two guards needs both of them for a change of its owner. If a front
+/// is killed before its streams have a third guard again, its sessions could be lost for good.
 #[test]
 fn sessions_of_a_front_killed_right_after_a_partition_are_adopted() {
     local(async {
--- a/crates/cli/tests/hostile.rs
+++ b/crates/cli/tests/hostile.rs
@@ -1,5 +1,5 @@
-//! Invalid requests, missing tokens, oversized and slow input, many idle connections. A front must answer each with a
-//! specific error, keep its memory bounded and go on serving other viewers.
+//! Invalid requests, missing tokens, oversized and slow input, many idle connections. A front must answer
+//! each with a specific error, keep its memory bounded and go on serving other viewers.
 
 mod common;
 
@@ -11,7 +11,8 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Sends one request on a new connection. Returns the status, the problem type (empty below 400) and the `Allow` header.
+/// Sends one request on a new connection. Returns the status, the problem type (empty below 400) and the
+/// `Allow` header.
 async fn send_request(
     cluster: &Cluster,
     method: &str,
--- a/crates/cli/tests/peaks.rs
+++ b/crates/cli/tests/peaks.rs
@@ -1,6 +1,6 @@
-//! Announced peaks over sockets: the operator interface, the command, the exchange between fronts, restarts. Capacity that
-//! is reserved for a peak must be reserved at all fronts, survive a crash, and be released at the peak's end or when it is
-//! cancelled.
+//! Announced peaks over sockets: the operator interface, the command, the exchange between fronts, restarts.
+//! Capacity that is reserved for a peak must be reserved at all fronts, survive a crash, and be released at
+//! the peak's end or when it is cancelled.
 
 mod common;
 
@@ -153,8 +153,8 @@
         assert_eq!(announce(fronts[0].admin(), "POST", &a).await.status, 201);
         wait_for_reserved(fronts[1].admin(), "the peak is reserved at the second front", |kb| kb > 1_000.0)
             .await;
-        // The third front receives datagrams, but those that it sends are lost: it may have the announcement, and can neither
-        // pull entries nor push its own.
+        // The third front receives datagrams, but those that it sends are lost: it may have the announcement,
+        // and can neither pull entries nor push its own.
         let third = announce(fronts[2].admin(), "POST", &a).await.status;
         assert!(third == 201 || third == 409);
         assert_eq!(operator_request(fronts[2].admin(), "DELETE", "/peaks/cup", b"").await.status, 200);
@@ -352,7 +352,8 @@
 fn reserved_capacity_serves_the_peak_and_ends_no_other_session() {
     local(async {
         let cluster = Cluster::new(4).await;
-        // Ordinary viewers of another title fill the capacity that is not reserved; sessions that play continue.
+        // Ordinary viewers of another title fill the capacity that is not reserved; sessions that play
+        // continue.
         let text = settings(4, "") + "section title other\nhome 0\ncopies 4\nclass replay\n";
         let front = front_with(&text, &list(&node_addresses(&cluster.nodes), 0)).await;
         let request = async |title: &str, n: u64| {
--- a/crates/cli/tests/process.rs
+++ b/crates/cli/tests/process.rs
@@ -1,4 +1,5 @@
-//! The command as a child process: SIGTERM, restart after a kill, inventory reload, console, exit codes, demo.
+//! The command as a child process: SIGTERM, restart after a kill, inventory reload, console, exit codes,
+//! demo.
 
 mod common;
 
@@ -20,7 +21,8 @@
     start((0..n).map(options).collect(), &Recorder::disabled()).await.expect("cannot start the nodes")
 }
 
-/// Writes settings and inventory, then starts a front. Returns its process, viewer address and operator address.
+/// Writes settings and inventory, then starts a front. Returns its process, viewer address and operator
+/// address.
 async fn configure_and_start_front(dir: &Path, nodes: &[NodeHandle]) -> (Child, SocketAddr, SocketAddr) {
     std::fs::write(dir.join("f.conf"), settings(nodes.len(), "state-dir state"))
         .expect("cannot write the file");
--- a/crates/cli/tests/rehearse_agreement.rs
+++ b/crates/cli/tests/rehearse_agreement.rs
@@ -1,5 +1,6 @@
-//! The command `rehearse agreement`. A short run with five front processes, changes by two operators, and kills, suspensions
-//! and cuts by a schedule from a fixed seed must break no rule; plans that cannot be run must be rejected.
+//! The command `rehearse agreement`. A short run with five front processes, changes by two operators, and
+//! kills, suspensions and cuts by a schedule from a fixed seed must break no rule; plans that cannot be run
+//! must be rejected.
 
 use std::process::{Command, Output};
 
@@ -38,7 +39,8 @@
     );
     let text = std::fs::read_to_string(report).expect("cannot read the report");
     let figures: serde_json::Value = serde_json::from_str(&text).expect("invalid JSON");
-    // Not an empty run: changes were settled while fronts were down, suspended or cut off, and viewers played.
+    // Not an empty run: changes were settled while fronts were down, suspended or cut off, and viewers
+    // played.
     assert!(figures["told"]["stands"].as_u64() >= Some(3), "fewer than 3 changes were settled: {text}");
     assert!(figures["playing"].as_u64() >= Some(100), "fewer than 100 set-ups succeeded: {text}");
     let plan = std::fs::read_to_string(dir.path().join("run/plan.json")).expect("cannot read the plan");
--- a/crates/cli/tests/replica.rs
+++ b/crates/cli/tests/replica.rs
@@ -1,5 +1,5 @@
-//! Replication of sessions between front processes. A front that is killed or stopped must not lose its sessions: another
-//! front adopts its streams, and no session may have two fronts.
+//! Replication of sessions between front processes. A front that is killed or stopped must not lose its
+//! sessions: another front adopts its streams, and no session may have two fronts.
 
 mod common;
 
@@ -55,8 +55,8 @@
     start((0..4).map(options).collect(), &Recorder::disabled()).await.expect("cannot start the nodes")
 }
 
-/// Starts fronts that are each other's peers and lose the fraction `loss` of their datagrams; `more` is appended to their
-/// settings.
+/// Starts fronts that are each other's peers and lose the fraction `loss` of their datagrams; `more` is
+/// appended to their settings.
 async fn fleet(dir: &Path, nodes: &[NodeHandle], loss: f64, more: &str) -> Vec<FrontProcess> {
     let sockets: Vec<UdpSocket> =
         (0..FRONTS).map(|_| UdpSocket::bind("127.0.0.1:0").expect("cannot bind a socket")).collect();
@@ -108,7 +108,8 @@
     )
 }
 
-/// Reads the states of the fronts until the condition holds for them, for up to 25 seconds; returns these states.
+/// Reads the states of the fronts until the condition holds for them, for up to 25 seconds; returns these
+/// states.
 async fn until_states(what: &str, fronts: &[&FrontProcess], holds: impl Fn(&[Value]) -> bool) -> Vec<Value> {
     let deadline = Instant::now() + Duration::from_secs(25);
     loop {
@@ -133,15 +134,15 @@
     states.iter().map(|s| s["replica"][field].as_u64().expect("not a number") as usize).sum()
 }
 
-/// Whether each session has exactly one front: a session with two fronts is counted twice, a lost one not at all. On a
-/// busy machine a front may be suspended for longer than its lease, and then its streams get another owner although it has
-/// not died.
+/// Whether each session has exactly one front: a session with two fronts is counted twice, a lost one not at
+/// all. On a busy machine a front may be suspended for longer than its lease, and then its streams get
+/// another owner although it has not died.
 fn each_session_has_one_front(states: &[Value]) -> bool {
     sum(states, "own") + sum(states, "adopted") == FRONTS * SESSIONS_PER_FRONT && sum(states, "fenced") == 0
 }
 
-/// Whether each session has its two copies and no holder of a copy lacks a change. With message loss a former holder may
-/// keep an additional copy for a while.
+/// Whether each session has its two copies and no holder of a copy lacks a change. With message loss a former
+/// holder may keep an additional copy for a while.
 fn all_replicated(states: &[Value]) -> bool {
     let rows = states.iter().flat_map(|s| s["replica"]["streams"].as_array().into_iter().flatten());
     sum(states, "kept") >= 2 * FRONTS * SESSIONS_PER_FRONT
@@ -188,7 +189,8 @@
             sum(states, "adopted") >= SESSIONS_PER_FRONT && each_session_has_one_front(states)
         })
         .await;
-        // The next front is killed with its own sessions and those it has adopted: all of them must be adopted again.
+        // The next front is killed with its own sessions and those it has adopted: all of them must be
+        // adopted again.
         until_states("the adopted sessions are replicated again", &survivors, |states| {
             all_replicated(states) && each_session_has_one_front(states)
         })
--- a/crates/cli/tests/set_up.rs
+++ b/crates/cli/tests/set_up.rs
@@ -1,5 +1,5 @@
-//! Failing set-ups, each caused over sockets. Each request must get exactly one answer, at most one attempt may be in
-//! flight per viewer, and no session may be left at a node that the front does not hold.
+//! Failing set-ups, each caused over sockets. Each request must get exactly one answer, at most one attempt
+//! may be in flight per viewer, and no session may be left at a node that the front does not hold.
 
 mod common;
 
@@ -103,7 +103,8 @@
 #[test]
 fn a_201_just_after_the_time_out_is_deleted_and_another_node_plays() {
     local(async {
-        // An attempt times out after 400 ms, half the aim. The node ignores the half-close and answers within close-grace.
+        // An attempt times out after 400 ms, half the aim. The node ignores the half-close and answers within
+        // close-grace.
         let cluster = Cluster::with_options(2, "close-grace 300ms", |o| o.set_up_ms = 0.0).await;
         cluster.set_faults(Faults { slow_ms: 450, ignore_half_close: true, ..Faults::default() });
         let mut connection = cluster.connect().await;
@@ -266,8 +267,8 @@
             sleep(Duration::from_micros(600 * i)).await;
             drop(connection);
         }
-        // The front ends only sessions whose answer was not read. A viewer that read its answer and then hung up, without a
-        // DELETE or a further request, looks to the front like one that plays.
+        // The front ends only sessions whose answer was not read. A viewer that read its answer and then hung
+        // up, without a DELETE or a further request, looks to the front like one that plays.
         wait_until("no request waits and no attempt is open", || {
             cluster.front.snapshot().waiting == 0 && cluster.front.snapshot().attempts_open == 0
         })
@@ -329,8 +330,8 @@
 fn a_delete_right_after_the_answer_ends_the_session() {
     local(async {
         let cluster = Cluster::new(2).await;
-        // The same viewer sends its next request as soon as it has its answer, while the front still sends the node the
-        // session's rung.
+        // The same viewer sends its next request as soon as it has its answer, while the front still sends
+        // the node the session's rung.
         for i in 0..20u64 {
             let (mut connection, session) = cluster.set_up_session("v", i).await;
             let reply = connection.request("DELETE", &session, &[], b"", SECOND).await.expect("no answer");
@@ -410,7 +411,8 @@
 #[test]
 fn a_move_is_announced_by_an_event_and_a_patch_meanwhile_is_a_conflict() {
     local(async {
-        // Uplinks of 8 MB/s. The capacity of the fuller rack's uplink then falls until its demand is 1.3 times as high.
+        // Uplinks of 8 MB/s. The capacity of the fuller rack's uplink then falls until its demand is 1.3
+        // times as high.
         let cluster = Cluster::with_options(4, "", |o| {
             (o.uplink_kb, o.load_event_delay_ms, o.load_event_period_ms) = (8_000.0, 50, 300);
         })
@@ -461,14 +463,15 @@
         let cluster = Cluster::new(3).await;
         cluster.set_faults(Faults { malformed_answer: 1.0, ..Faults::default() });
         let (_c, reply) = cluster.request_session("v", 1).await;
-        // Three attempts, each counted as an error of its node. Repeating such a request is harmless, so the final answer is
-        // a refusal with 503.
+        // Three attempts, each counted as an error of its node. Repeating such a request is harmless, so the
+        // final answer is a refusal with 503.
         assert_eq!(reply.expect("no answer").status, 503);
         assert_eq!(cluster.attempts(), 3);
         wait_until("no session is left at a node", || cluster.sessions() == 0).await;
         cluster.assert_one_attempt_in_flight();
         cluster.nodes[1].set_faults(Faults::default());
-        // Nodes with an error are avoided for two seconds while another node works; none is excluded altogether.
+        // Nodes with an error are avoided for two seconds while another node works; none is excluded
+        // altogether.
         let (_c, reply) = cluster.request_session("w", 2).await;
         assert_eq!(reply.expect("no answer").status, 201);
         wait_until("the only session is at the working node", || {
--- a/crates/cli/tests/stop.rs
+++ b/crates/cli/tests/stop.rs
@@ -1,5 +1,5 @@
-//! Graceful stop of a front. A request is lost if the front closes a persistent connection while the client sends on it
-//! without having been sent `connection: close` (RFC 9112, 9.3.1, 9.6). Every request must be answered, or an earlier
+//! Graceful stop of a front. A request is lost if it arrives on a persistent connection that the front closes
+//! without a previous `connection: close` (RFC 9112, 9.3.1, 9.6). Every request must be answered, or an earlier
 //! answer on its connection must have announced the close.
 
 mod common;
@@ -170,7 +170,8 @@
 #[test]
 fn a_request_sent_as_the_idle_grace_ends_is_answered() {
     local(async {
-        // Idle connections are closed about 300 ms after the stop; the requests arrive at moments around that.
+        // Idle connections are closed about 300 ms after the stop; the requests arrive at moments around
+        // that.
         for at_ms in [250, 280, 290, 295, 298, 300, 302, 305, 310] {
             let cluster = Cluster::new(1).await;
             let mut connection = cluster.connect().await;
