--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -774,7 +774,7 @@
         }
         let fronts = config.decisions.fronts as usize;
         if let Some((section, r)) = replica_section.zip(config.replica).filter(|(_, r)| r.copies >= fronts) {
-            let message = format!("'copies {}' needs more than the {fronts} fronts of 'fronts'", r.copies);
+            let message = format!("{} copies need more fronts than the {fronts} of 'fronts'", r.copies);
             errors.push(SettingsError { position: section.position, message });
         }
         let votes = config.agreement.as_ref().is_some_and(|a| a.voters.contains(&config.name));
