--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1256,7 +1256,8 @@
         (rules.cold_share + (1.0 - rules.cold_share) * progress).clamp(MIN_WARMTH, 1.0)
     }
 
-    /// Rule 6: the retry budget. Retries in the window, including this one, are limited by the requests in it.
+    /// Rule 6: the retry budget. Retries in the window, including this one, are limited by the requests
+    /// in it.
     fn retry_budget_allows(&self, now: Time) -> bool {
         self.settings.rules.retry_budget.is_none_or(|b| {
             let after = ago(now, b.window);
