--- a/crates/faults/src/link.rs
+++ b/crates/faults/src/link.rs
@@ -1,4 +1,4 @@
-//! The faults of one direction of one link, by time.
+//! The scheduled faults of one direction of a link: which are active at a time, and when that changes.
 
 use crate::schedule::Kind;
 
@@ -17,7 +17,7 @@
     pub kind: Kind,
 }
 
-/// The faults of one direction of a link.
+/// The faults of one direction of a link, in the order in which they were added.
 #[derive(Clone, Debug, Default)]
 pub struct Windows(Vec<Window>);
 
@@ -46,33 +46,33 @@
         self.0.iter().filter(move |w| (w.from_us..w.until_us).contains(&now_us)).map(|w| w.kind)
     }
 
-    /// Whether the direction is cut now.
+    /// Whether the direction is cut at a time.
     #[must_use]
     pub fn is_cut(&self, now_us: u64) -> bool {
         self.active(now_us).any(|k| k == Kind::Cut)
     }
 
-    /// Whether connections are reset now.
+    /// Whether connections are reset at a time.
     #[must_use]
     pub fn is_reset(&self, now_us: u64) -> bool {
         self.active(now_us).any(|k| k == Kind::Reset)
     }
 
-    /// The time from which no fault of the given kinds is active; `None` if none is active now. Overlapping
-    /// faults count as one.
+    /// The first time after `now_us` at which no fault of the blocking kinds is active; `None` if none is active
+    /// at `now_us`. Faults that overlap or adjoin count as one.
     #[must_use]
     pub fn blocked_until(&self, now_us: u64, blocks: impl Fn(Kind) -> bool) -> Option<u64> {
-        let mut until = now_us;
+        let mut until_us = now_us;
         // Each iteration advances past the end of at least one window.
         for _ in 0..=self.0.len() {
             let blocking =
-                self.0.iter().filter(|w| (w.from_us..w.until_us).contains(&until) && blocks(w.kind));
+                self.0.iter().filter(|w| (w.from_us..w.until_us).contains(&until_us) && blocks(w.kind));
             match blocking.map(|w| w.until_us).max() {
-                Some(end) => until = end,
+                Some(end_us) => until_us = end_us,
                 None => break,
             }
         }
-        (until > now_us).then_some(until)
+        (until_us > now_us).then_some(until_us)
     }
 
     /// The next time after `now_us` at which a fault starts or ends.
@@ -91,15 +91,15 @@
     }
 
     #[test]
-    fn windows_start_and_end_on_time_and_overlapping_ones_count_as_one() {
+    fn faults_start_and_end_on_time_and_overlapping_ones_count_as_one() {
         let mut w = Windows::default();
         assert!(w.add(window(10, 20, Kind::Cut)) && w.add(window(15, 30, Kind::Stall)));
         assert!(w.add(window(40, 50, Kind::Stall)));
         assert!(!w.is_cut(9) && w.is_cut(10) && w.is_cut(19) && !w.is_cut(20));
-        let any = |k| matches!(k, Kind::Cut | Kind::Stall);
-        assert_eq!(w.blocked_until(12, any), Some(30));
+        let cut_or_stall = |k| matches!(k, Kind::Cut | Kind::Stall);
+        assert_eq!(w.blocked_until(12, cut_or_stall), Some(30));
         assert_eq!(w.blocked_until(12, |k| k == Kind::Cut), Some(20));
-        assert_eq!((w.blocked_until(30, any), w.blocked_until(45, any)), (None, Some(50)));
+        assert_eq!((w.blocked_until(30, cut_or_stall), w.blocked_until(45, cut_or_stall)), (None, Some(50)));
         assert_eq!((w.next_change(0), w.next_change(20), w.next_change(50)), (Some(10), Some(30), None));
         w.remove_expired(30);
         assert_eq!(w.next_change(0), Some(40));
@@ -108,9 +108,10 @@
     }
 
     #[test]
-    fn windows_are_bounded() {
+    fn a_fault_beyond_the_maximum_number_is_refused() {
         let mut w = Windows::default();
-        assert!((0..MAX_WINDOWS).all(|_| w.add(window(0, 1, Kind::Cut))));
-        assert!(!w.add(window(0, 1, Kind::Cut)));
+        let all_added = (0..MAX_WINDOWS).all(|_| w.add(window(0, 1, Kind::Cut)));
+        assert!(all_added, "a fault was refused before there were {MAX_WINDOWS}");
+        assert!(!w.add(window(0, 1, Kind::Cut)), "more than {MAX_WINDOWS} faults were added");
     }
 }
