--- a/crates/agreement/src/genesis.rs
+++ b/crates/agreement/src/genesis.rs
@@ -1,11 +1,16 @@
 //! How the first configuration starts: every named voter must have received the same complete set of named
 //! voters from every other one.
 //!
-//! A set lists each voter with its store and the run of its front, and a voter announces it only in that run.
-//! Suppose two different complete sets were each announced by all voters. A front that differs between them
-//! was in an earlier run, or had an earlier store, in the same one of the two sets; a voter that starts the
-//! other set has announced that one before and never returns to it. A voter that starts the configuration has
-//! synced it before it reports it, and announces no set from then on. So at most one set is ever started.
+//! A set lists each voter with its store and the run of its front, and a voter announces a set only during the
+//! run that the set lists for it. At most one set is ever started. Suppose that all voters announced each of
+//! two different complete sets:
+//! - One of the sets is the earlier one: it has the earlier run (or store) of every front that differs. Two
+//!   fronts that differ in opposite directions would each, in its earlier run, have known the later run of the
+//!   other, which is impossible.
+//! - A voter that announced the later set never announces or starts the earlier one: it is in a later run
+//!   itself or knows a later run of another front, and an earlier run never replaces a later one.
+//! - A voter that starts the earlier set syncs it to disk before it reports it and announces no set from then
+//!   on, so the later set is not announced by all.
 
 use crate::types::{MAX_VOTERS, VoterId};
 use crate::wire::GenesisVoter;
@@ -14,6 +19,7 @@
 /// State of genesis at one named voter.
 #[derive(Debug)]
 pub struct Genesis {
+    /// This voter.
     me: GenesisVoter,
     /// Numbers of the fronts that the settings name as voters.
     named: Vec<u64>,
@@ -24,7 +30,7 @@
 }
 
 impl Genesis {
-    /// Only this voter itself is known.
+    /// Creates the state of a voter that knows only itself. Named voters beyond [`MAX_VOTERS`] are ignored.
     #[must_use]
     pub fn new(me: GenesisVoter, named: &[u64]) -> Self {
         let named: Vec<u64> = named.iter().copied().take(MAX_VOTERS).collect();
@@ -37,7 +43,9 @@
         self.known.values().copied().collect()
     }
 
-    /// Processes the set that another named voter announced in this run.
+    /// Processes the set that a front announced in a run. Ignored if the front is not another named voter, if
+    /// the set is too long or does not list the front in this run with a store, and if a later run of the front,
+    /// or this run with another store, is known already.
     pub fn receive(&mut self, front: u64, run: u64, announced: Vec<GenesisVoter>) {
         if front == self.me.front || !self.named.contains(&front) || announced.len() > MAX_VOTERS {
             return;
@@ -45,7 +53,7 @@
         let Some(sender) = announced.iter().find(|v| v.front == front && v.run == run && v.store != 0) else {
             return;
         };
-        // A run has one store; a later run replaces an earlier one for good.
+        // A run has one store, and an earlier run never replaces a later one.
         match self.known.get(&front) {
             Some(known) if known.run > run || (known.run == run && known.store != sender.store) => return,
             _ => {}
@@ -57,9 +65,12 @@
     /// The voters of the first configuration, once all named voters have announced the same complete set.
     #[must_use]
     pub fn complete(&self) -> Option<Vec<VoterId>> {
-        let all = self.known();
-        let complete = all.len() == self.named.len() && self.named.iter().all(|n| self.known.contains_key(n));
-        let same = self.named.iter().all(|n| *n == self.me.front || self.announced.get(n) == Some(&all));
-        (complete && same).then(|| all.iter().map(|v| VoterId { front: v.front, store: v.store }).collect())
+        let known = self.known();
+        let is_complete =
+            known.len() == self.named.len() && self.named.iter().all(|n| self.known.contains_key(n));
+        let all_announced_it =
+            self.named.iter().all(|n| *n == self.me.front || self.announced.get(n) == Some(&known));
+        (is_complete && all_announced_it)
+            .then(|| known.iter().map(|v| VoterId { front: v.front, store: v.store }).collect())
     }
 }
