--- a/crates/agreement/tests/malformed_messages.rs
+++ b/crates/agreement/tests/malformed_messages.rs
@@ -1,8 +1,8 @@
 //! Feeds arbitrary bytes and corrupted messages to a front: it must not panic, and its memory and output stay
 //! bounded.
 //!
-//! The exchange authenticates messages between fronts, so a forged message may change a front's state; it
-//! must not crash the front.
+//! Messages between fronts are authenticated by the exchange, so these tests do not require that a corrupted
+//! message leaves the front's state unchanged.
 
 mod sim;
 
@@ -70,35 +70,44 @@
     ]
 }
 
+/// Passes messages, each with its sender and the sender's run, to a node every 7 ms. Checks the number and size
+/// of the outputs and the memory after each message.
 fn feed(node: &mut Node, messages: &[(u64, u64, Vec<u8>)]) {
-    let mut now = 0;
+    let mut now_ms = 0;
     for (from, run, bytes) in messages {
-        now += 7;
+        now_ms += 7;
         let mut out = Vec::new();
-        node.receive(now, *from, *run, bytes, &mut out);
-        node.tick(now, &mut out);
+        node.receive(now_ms, *from, *run, bytes, &mut out);
+        node.tick(now_ms, &mut out);
         let writes: Vec<u64> = out
             .iter()
             .filter_map(|o| if let Output::Write { batch, .. } = o { Some(*batch) } else { None })
             .collect();
-        assert!(out.len() < 2_000, "{}", out.len());
+        assert!(out.len() < 2_000, "{} outputs after one message; fewer than 2000 expected", out.len());
         for o in &out {
             if let Output::Send { message, .. } = o {
-                assert!(message.len() <= MAX_MESSAGE_BYTES);
+                assert!(
+                    message.len() <= MAX_MESSAGE_BYTES,
+                    "a message of {} bytes was sent; at most {MAX_MESSAGE_BYTES} expected",
+                    message.len()
+                );
             }
         }
         for batch in writes {
-            node.written(now, batch, true, &mut Vec::new());
+            node.written(now_ms, batch, true, &mut Vec::new());
         }
-        assert!(node.view(now).buffered_bytes < 24 << 20);
+        let buffered_bytes = node.view(now_ms).buffered_bytes;
+        assert!(buffered_bytes < 24 << 20, "{buffered_bytes} bytes buffered; less than 24 MiB expected");
     }
 }
 
+/// How a recorded message is changed before it is delivered.
 #[derive(Clone, Debug)]
 enum Mutation {
     Unchanged,
     Truncate(prop::sample::Index),
-    Flip(prop::sample::Index, u8),
+    /// XORs the byte at an index with a mask.
+    FlipBits(prop::sample::Index, u8),
     Insert(prop::sample::Index, Vec<u8>),
     Replace(Vec<u8>),
 }
@@ -107,7 +116,7 @@
     prop_oneof![
         3 => Just(Mutation::Unchanged),
         1 => any::<prop::sample::Index>().prop_map(Mutation::Truncate),
-        3 => (any::<prop::sample::Index>(), 1..=255u8).prop_map(|(i, b)| Mutation::Flip(i, b)),
+        3 => (any::<prop::sample::Index>(), 1..=255u8).prop_map(|(i, b)| Mutation::FlipBits(i, b)),
         1 => (any::<prop::sample::Index>(), prop::collection::vec(any::<u8>(), 1..12))
             .prop_map(|(i, b)| Mutation::Insert(i, b)),
         1 => prop::collection::vec(any::<u8>(), 0..1_200).prop_map(Mutation::Replace),
@@ -119,7 +128,7 @@
     match mutation {
         Mutation::Unchanged => {}
         Mutation::Truncate(at) => bytes.truncate(at.index(original.len() + 1)),
-        Mutation::Flip(at, mask) => {
+        Mutation::FlipBits(at, mask) => {
             let at = at.index(original.len());
             bytes[at] ^= mask;
         }
@@ -139,6 +148,7 @@
         ..ProptestConfig::default()
     })]
 
+    /// Guards against a panic, and against memory or output without a bound, at the messages of any sender and run.
     #[test]
     fn corrupted_messages_do_not_crash_a_front(
         deliveries in prop::collection::vec(
@@ -158,6 +168,8 @@
         }
     }
 
+    /// Guards against content that changes when a message is forwarded, and against a panic in decoding arbitrary
+    /// bytes as a message or a snapshot.
     #[test]
     fn a_decoded_message_encodes_to_the_same_content(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         if let Some((head, message)) = decode(&bytes) {
@@ -167,8 +179,8 @@
     }
 }
 
-/// A long sequence of messages, so that the front's state builds up, with random bytes changed in many of
-/// them.
+/// Guards against failures that short sequences do not reach, since a front's state grows with the number of
+/// messages. Random bytes are changed in many of them.
 #[test]
 fn a_long_sequence_of_corrupted_messages_does_not_crash_a_front() {
     use rand::rngs::StdRng;
