--- a/crates/agreement/tests/malformed_messages.rs
+++ b/crates/agreement/tests/malformed_messages.rs
@@ -143,6 +143,7 @@
 
 proptest! {
     #![proptest_config(ProptestConfig {
+        // A longer run sets more cases in the environment.
         cases: std::env::var("HOSTILE_CASES").ok().and_then(|s| s.parse().ok()).unwrap_or(48),
         failure_persistence: None,
         ..ProptestConfig::default()
