--- a/crates/cli/tests/common/log.rs
+++ b/crates/cli/tests/common/log.rs
@@ -1,4 +1,4 @@
-//! A change log that sends only what the test writes to it, and simple nodes and viewers.
+//! A change log of which the test sends every byte, nodes that accept all set-ups, and viewers.
 #![allow(dead_code)]
 
 use crate::harness::{Front, Raw, SECOND, message, read};
@@ -20,12 +20,12 @@
 
 impl LogConnection {
     pub fn send(&mut self, bytes: &[u8]) {
-        self.stream.write_all(bytes).expect("the front closed the connection");
+        self.stream.write_all(bytes).expect("cannot send to the front: it may have closed the connection");
     }
 
     /// Waits until the front has closed this connection.
     pub fn wait_until_closed(mut self) {
-        self.stream.set_read_timeout(Some(TIMEOUT)).expect("cannot set the read or write timeout");
+        self.stream.set_read_timeout(Some(TIMEOUT)).expect("cannot set the read timeout");
         let end = self.stream.read(&mut [0; 8]);
         let reset = |e: &std::io::Error| e.kind() == std::io::ErrorKind::ConnectionReset;
         assert!(
@@ -53,7 +53,7 @@
     }
 
     pub fn on(listener: TcpListener) -> Self {
-        let address = listener.local_addr().expect("no valid address");
+        let address = listener.local_addr().expect("the listener should have a local address");
         let (accepted_sender, accepted) = channel();
         spawn(move || {
             for stream in listener.incoming() {
@@ -73,7 +73,9 @@
 
     /// Waits for the next connection of a front.
     pub fn accept(&self) -> LogConnection {
-        self.accepted.recv_timeout(TIMEOUT).expect("the front did not request events from the change log")
+        self.accepted.recv_timeout(TIMEOUT).unwrap_or_else(|e| {
+            panic!("no front requested events from the change log within {TIMEOUT:?}: {e}")
+        })
     }
 
     /// Whether a front has connected since the last [`Self::accept`]; removes that connection.
@@ -87,11 +89,11 @@
 pub struct Record {
     pub id: u32,
     pub address: SocketAddrV4,
-    /// 0 up, 1 draining, 2 removed.
+    /// State on the wire: 0 up, 1 draining, 2 removed.
     pub state: u8,
     pub zone: u8,
     pub kind: u8,
-    /// In thousandths.
+    /// Weight in thousandths.
     pub weight: u32,
     /// Unix time of the node's start in milliseconds; 0 if that was long ago.
     pub started_ms: u64,
@@ -99,11 +101,13 @@
 
 impl Record {
     pub fn new(id: u32, state: u8, address: SocketAddr) -> Self {
-        let SocketAddr::V4(address) = address else { panic!("not an IPv4 address") };
+        let SocketAddr::V4(address) = address else {
+            panic!("node {id} has the address {address}; an IPv4 address expected")
+        };
         Self { id, address, state, zone: 0, kind: 0, weight: 1_000, started_ms: 0 }
     }
 
-    /// A draining node, at an address to which no front connects because of that.
+    /// A draining node. Its address depends on the id and has no listener: fronts do not connect to a draining node.
     pub fn draining(id: u32) -> Self {
         Self::new(id, 1, SocketAddr::from((Ipv4Addr::new(127, 3, (id >> 8) as u8, id as u8), 2905)))
     }
@@ -119,7 +123,8 @@
     }
 }
 
-/// A frame of the change log. Kind 0 is a heartbeat, 1 a snapshot, 2 changes; others are invalid.
+/// A frame of the change log: length, number of the last event, kind and records. Kind 0 is a heartbeat, 1 a snapshot,
+/// 2 changes; others are invalid.
 pub fn frame(number: u64, kind: u8, records: &[Record]) -> Vec<u8> {
     let mut out = (9 + 27 * records.len() as u32).to_be_bytes().to_vec();
     out.extend(number.to_be_bytes());
@@ -133,7 +138,7 @@
     frame(number, 0, &[])
 }
 
-/// A frame with an event that changes the list.
+/// A frame with the event of this number, which changes the list.
 pub fn changes(number: u64, records: &[Record]) -> Vec<u8> {
     frame(number, 2, records)
 }
@@ -141,7 +146,7 @@
 /// Starts a node that accepts all set-ups; returns its address and the session ids of the set-ups.
 pub fn start_node() -> (SocketAddr, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind to a loopback port");
-    let address = listener.local_addr().expect("no valid address");
+    let address = listener.local_addr().expect("the listener should have a local address");
     let (set_up_sender, set_ups) = channel();
     spawn(move || {
         for stream in listener.incoming() {
@@ -187,14 +192,14 @@
 pub fn request_session(front: &Front, id: u64) -> Raw {
     let mut stream = front.connect();
     stream.write_all(&set_up_request(id, "lesson")).expect("cannot write to the connection");
-    read(&mut stream).expect("no answer")
+    read(&mut stream).unwrap_or_else(|e| panic!("the set-up of session {id:x} was not answered: {e:?}"))
 }
 
 pub fn is_served(answer: &Raw) -> bool {
     answer.head.starts_with("RTSP/1.0 200")
 }
 
-/// Requests sessions, with ids from `first_id` on, until one is served: the front has applied an event with a new node.
+/// Requests sessions, with ids from `first_id` on, until one is served, which shows that the front has a ready node.
 pub fn wait_until_served(front: &Front, first_id: u64) {
     let deadline = std::time::Instant::now() + TIMEOUT;
     let mut id = first_id;
