--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,10 @@
-//! The six rules, each at its boundary.
+//! Guards against a violation of the six rules of placement, each at its boundary:
+//! 1. A request gets one answer within its longest wait.
+//! 2. A set-up that may have run is not repeated, and a request has at most one open attempt.
+//! 3. No set-up is sent to a server that drains or is gone.
+//! 4. No cold server is overloaded by set-ups.
+//! 5. Rungs and sessions per title stay within the limits of the class.
+//! 6. Retries stay within the retry budget.
 
 mod common;
 
@@ -10,7 +16,8 @@
     let mut front = Front::new(settings(), &[server(1, 0)]);
     let (at, _) = front.request(1, spec(1, 0.0, 1.0)).expect("a set-up should be sent");
     front.now += 4 * SECOND;
-    assert!(failed(&front.end(1, at, Outcome::TimedOut, false)));
+    let actions = front.end(1, at, Outcome::TimedOut, false);
+    assert!(failed(&actions), "the request did not fail; actions {actions:?}");
     assert!(front.handle(Event::Timer(1)).is_empty(), "a timer caused actions for a request that has ended");
 }
 
@@ -18,7 +25,10 @@
 fn a_request_that_no_server_can_take_is_refused_at_once_with_a_retry_after_time() {
     let mut front = Front::new(settings(), &[server(1, 3)]);
     let actions = front.handle(Event::Request(SessionId(1), spec(1, 0.0, 1.0)));
-    assert!(actions.contains(&Action::Refuse(SessionId(1), Some(500 * MILLISECOND))), "actions {actions:?}");
+    assert!(
+        actions.contains(&Action::Refuse(SessionId(1), Some(500 * MILLISECOND))),
+        "no refusal with a retry-after time of 500 ms; actions {actions:?}"
+    );
 }
 
 #[test]
@@ -46,7 +56,7 @@
             "whether the set-up is repeated after {outcome:?}"
         );
         assert_eq!(failed(&actions), !repeated, "whether the request fails after {outcome:?}");
-        assert!(!refused(&actions));
+        assert!(!refused(&actions), "the request was refused after {outcome:?}; actions {actions:?}");
     }
 }
 
@@ -56,8 +66,9 @@
     front.request(1, spec(1, 0.0, 2.0)).expect("a set-up should be sent");
     front.now += SECOND;
     let actions = front.advance(2 * SECOND);
-    assert!(placement(&actions).is_none());
-    assert!(placement(&front.handle(Event::Timer(1))).is_none());
+    assert!(placement(&actions).is_none(), "a second attempt was sent; actions {actions:?}");
+    let actions = front.handle(Event::Timer(1));
+    assert!(placement(&actions).is_none(), "a timer sent a second attempt; actions {actions:?}");
 }
 
 #[test]
@@ -65,19 +76,19 @@
     for state in [ServerState::Draining, ServerState::Gone] {
         let mut front = Front::new(settings(), &[server(1, 0), server(2, 3)]);
         front.handle(Event::ListChanged(vec![ServerEntry { state, ..server(1, 0) }]));
-        assert_eq!(front.request(1, spec(1, 0.0, 1.0)), None);
+        assert_eq!(front.request(1, spec(1, 0.0, 1.0)), None, "set-up to a server in state {state:?}");
     }
     let mut front = Front::new(settings(), &[server(1, 0), server(2, 3)]);
     front.handle(Event::ListFull(vec![server(2, 3)]));
-    assert_eq!(front.request(1, spec(1, 0.0, 1.0)), None);
+    assert_eq!(front.request(1, spec(1, 0.0, 1.0)), None, "set-up to a server that left the list");
 }
 
 #[test]
-fn a_cold_server_gets_at_most_this_fronts_share_of_set_ups_in_any_window() {
+fn set_ups_of_one_front_to_a_cold_server_stay_within_its_share_in_any_window() {
     let mut settings = settings();
     settings.fronts = 3;
-    let fresh = ServerEntry { started: Some(100 * SECOND), ..server(1, 0) };
-    let mut front = Front::new(settings, &[fresh]);
+    let just_started = ServerEntry { started: Some(100 * SECOND), ..server(1, 0) };
+    let mut front = Front::new(settings, &[just_started]);
     let mut set_ups = Vec::new();
     for n in 0..1200 {
         if front.request(n, spec(n, 0.0, 1.0)).is_some() {
@@ -85,7 +96,7 @@
         }
         front.now += 10 * MILLISECOND;
     }
-    assert!(!set_ups.is_empty());
+    assert!(!set_ups.is_empty(), "no set-up was sent to the cold server");
     for first in &set_ups {
         let window = set_ups.iter().filter(|t| (*first..*first + 2 * SECOND).contains(*t)).count();
         let warmth = 0.4 + 0.6 * ((*first + 2 * SECOND - 100 * SECOND) as f64 / (12 * SECOND) as f64);
@@ -105,7 +116,7 @@
     front.end(1, at, Outcome::Broken, true);
     front.now += 10 * SECOND;
     let sent = (10..60).filter(|n| front.request(*n, spec(*n, 0.0, 1.0)).is_some()).count();
-    assert!((1..=5).contains(&sent), "{sent} set-ups at one time; expected 1 to 5");
+    assert!((1..=5).contains(&sent), "{sent} set-ups sent 10 s after the server broke; expected 1 to 5");
 }
 
 #[test]
@@ -116,10 +127,13 @@
     let (_, rung) = front
         .request(1, SessionSpec { highest_rung: 2.0, ..spec(1, 0.0, 1.0) })
         .expect("a set-up should be sent");
-    assert_eq!(rung, 2);
+    assert_eq!(rung, 2, "rung of a viewer whose highest rung is 2");
     front.adopt(2, spec(2, 0.0, 1.0), 1, 1);
     let actions = front.notify(2, 1, NotificationKind::Delivered, 0.2);
-    assert!(actions.iter().all(|a| !matches!(a, Action::SetRung(_, 0))));
+    assert!(
+        actions.iter().all(|a| !matches!(a, Action::SetRung(_, 0))),
+        "rung 0 was set, below the class's lowest rung 1; actions {actions:?}"
+    );
 }
 
 #[test]
@@ -129,9 +143,12 @@
     let mut front = Front::new(settings, &[server(1, 0)]);
     let same_title = |n| SessionSpec { title: TitleId(7), ..spec(n, 0.0, 1.0) };
     let (at, _) = front.request(1, same_title(1)).expect("a set-up should be sent");
-    assert_eq!(front.request(2, same_title(2)), None);
+    assert_eq!(front.request(2, same_title(2)), None, "set-up of a second session while an attempt is open");
     front.end(1, at, Outcome::Served, true);
-    assert!(front.request(3, same_title(3)).is_some());
+    assert!(
+        front.request(3, same_title(3)).is_some(),
+        "no set-up was sent after the only session of the title had ended"
+    );
 }
 
 #[test]
@@ -153,7 +170,7 @@
             );
         }
     }
-    assert!(retries > 0);
+    assert!(retries > 0, "no retry was sent in 10 requests");
 }
 
 #[test]
@@ -177,16 +194,16 @@
     }
 }
 
-/// Times of the set-ups that all fronts together send in 10 s to a server that has just started. Each front
-/// receives a request every `gap`.
+/// Times in nanoseconds of the set-ups that all fronts together send in 10 s to a server that has just started.
+/// Each front receives a request every `gap` nanoseconds.
 fn cold_set_ups(fronts: u64, gap: Time) -> Vec<Time> {
     let settings = Settings { fronts: fronts as u32, ..settings() };
-    let fresh = ServerEntry { started: Some(100 * SECOND), ..server(1, 0) };
+    let just_started = ServerEntry { started: Some(100 * SECOND), ..server(1, 0) };
     let mut set_ups = Vec::new();
     for seed in 0..fronts {
         let controller = Controller::new(settings.clone(), 31 * seed).expect("the settings should be valid");
         let mut front = Front { controller, now: 100 * SECOND };
-        front.handle(Event::ListFull(vec![fresh]));
+        front.handle(Event::ListFull(vec![just_started]));
         for n in 0..10 * SECOND / gap {
             front.now = 100 * SECOND + n * gap + gap * seed / fronts;
             if let Some((at, _)) = front.request(n, spec(n, 0.0, 1.0)) {
@@ -200,7 +217,7 @@
 }
 
 #[test]
-fn many_fronts_together_stay_within_a_cold_servers_limit_and_still_use_it() {
+fn many_fronts_together_stay_within_a_cold_servers_limit_and_send_at_least_10_set_ups() {
     for gap in [50 * MILLISECOND, SECOND, 5 * SECOND] {
         let set_ups = cold_set_ups(80, gap);
         assert!(
