--- a/crates/rehearse/src/agreement/plan.rs
+++ b/crates/rehearse/src/agreement/plan.rs
@@ -319,6 +319,10 @@
                     if old_stores == 1 { Store::None } else { Store::Kept },
                 ),
             ]),
+            1 => out.processes.extend([
+                act(at, who, ProcessAction::Stop, Store::Kept),
+                act(until, who, ProcessAction::Cont, Store::Kept),
+            ]),
             2 => cut(out, v.fronts, &[who], (at, for_ms), (true, true)),
             3 => cut(
                 out,
